--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -13,10 +13,10 @@
 from comfreylatch._ports import slots as slots_port
 from comfreylatch._process import shares
 from comfreylatch._process.routing import admission
-from comfreylatch._process.routing import choice
 from comfreylatch._process.routing import endpoint_stats
 from comfreylatch._process.routing import latency_quantile
 from comfreylatch._process.routing import leaving
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import retry_budget
 from comfreylatch._version import configuration
 from comfreylatch._version import objects
@@ -45,7 +45,7 @@
     addresses: Mapping[str, str]
     usable: tuple[str, ...]
     stats: endpoint_stats.StatsTable
-    chooser: choice.Chooser
+    chooser: load_balancing.Chooser
     queue: admission.ServiceQueue
     budget: retry_budget.RetryBudget
     hedge_quantile: latency_quantile.LatencyQuantile
@@ -60,7 +60,7 @@
         zone: str,
         slots: slots_port.SlotLedger,
         clock: clock_port.Clock,
-        policy: choice.Policy,
+        policy: load_balancing.Policy,
         rng: random.Random,
     ) -> None:
         self._zone = zone
@@ -144,7 +144,7 @@
             addresses={},
             usable=(),
             stats=stats,
-            chooser=choice.make_chooser(
+            chooser=load_balancing.make_chooser(
                 self._policy, stats, self._clock, self._rng
             ),
             queue=admission.ServiceQueue(self._clock),
--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -13,7 +13,7 @@
 from comfreylatch._connection import address as addresses
 from comfreylatch._process import json_file
 from comfreylatch._process import settings as settings_module
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._version import schema
 
 MAX_THREADS = 1_024
@@ -154,7 +154,7 @@
 def _routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
     routing = _member(value, "routing")
     policy = routing.get("policy")
-    known = [known.value for known in choice.Policy]
+    known = [known.value for known in load_balancing.Policy]
     if isinstance(policy, str) and policy not in known:
         expected = "one of " + ", ".join(known)
         found = schema.show(policy)
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -24,7 +24,7 @@
 from comfreylatch._process import reasons
 from comfreylatch._process import settings as settings_module
 from comfreylatch._process.routing import admission
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import service_state
 from comfreylatch._request import call as call_module
 from comfreylatch._request import outcomes
@@ -78,7 +78,7 @@
             settings.zone,
             slots,
             clock,
-            choice.Policy(settings.routing.policy),
+            load_balancing.Policy(settings.routing.policy),
             rng,
         )
         self._parts = parts_module.Parts(
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -18,7 +18,7 @@
 from comfreylatch._process import reasons
 from comfreylatch._process import shares
 from comfreylatch._process.routing import admission
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import retry_budget
 from comfreylatch._request import call as call_module
 from comfreylatch._request import observations
@@ -147,7 +147,7 @@
         state = self._state
         slots = self._parts.slots
         endpoint = state.chooser.choose(
-            choice.Choice(
+            load_balancing.Choice(
                 endpoints=state.usable,
                 free=slots.free,
                 idempotent=self._call.idempotent,
--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -12,7 +12,7 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import shares
 from comfreylatch._process import stream_state
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import service_state
 from comfreylatch._version import configuration_fold
 from comfreylatch._version import records
@@ -145,7 +145,7 @@
         "zone-0",
         held,
         clock,
-        choice.Policy.LEAST_EXPECTED,
+        load_balancing.Policy.LEAST_EXPECTED,
         random.Random(1),
     )
     fold.on_change(table.apply)
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -19,7 +19,7 @@
 import attrs
 
 from comfreylatch._process import settings as settings_module
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from testing import callers
 from testing import checker
 from testing import deployments
@@ -160,7 +160,7 @@
     )
 
 
-def measure(policy: choice.Policy, given: argparse.Namespace) -> None:
+def measure(policy: load_balancing.Policy, given: argparse.Namespace) -> None:
     """One policy with its fleet; prints a line for each phase."""
     deployment = attrs.evolve(
         deployments.small(1),
@@ -202,7 +202,7 @@
     given = parser.parse_args()
     print(f"seed={given.seed} per_s={given.per_s} seconds={given.seconds}")
     for _ in range(given.rounds):
-        for policy in choice.Policy:
+        for policy in load_balancing.Policy:
             measure(policy, given)
 
 
--- a/tests/process/routing/test_choice.py
+++ b/tests/process/routing/test_load_balancing.py
@@ -7,8 +7,8 @@
 
 import testtools
 
-from comfreylatch._process.routing import choice
 from comfreylatch._process.routing import endpoint_stats
+from comfreylatch._process.routing import load_balancing
 from tests import fakes
 
 NAMES = tuple(f"ex-{number}" for number in range(8))
@@ -21,12 +21,14 @@
         super().setUp()
         clock = fakes.FakeClock()
         self.stats = endpoint_stats.StatsTable(clock, random.Random(5))
-        self.chooser = choice.LeastExpected(self.stats, clock, random.Random(5))
+        self.chooser = load_balancing.LeastExpected(
+            self.stats, clock, random.Random(5)
+        )
         self.free = dict.fromkeys(NAMES, 1)
 
     def choose(self, excluded: frozenset[str] = frozenset()) -> str | None:
         return self.chooser.choose(
-            choice.Choice(NAMES, self.free.__getitem__, True, excluded)
+            load_balancing.Choice(NAMES, self.free.__getitem__, True, excluded)
         )
 
     def test_slow_endpoint_gets_fewer(self) -> None:
@@ -70,12 +72,12 @@
     """Policies for comparison keep the limits too."""
 
     def test_round_robin_takes_turns(self) -> None:
-        chooser = choice.RoundRobin()
-        wanted = choice.Choice(NAMES, lambda _: 1, True)
+        chooser = load_balancing.RoundRobin()
+        wanted = load_balancing.Choice(NAMES, lambda _: 1, True)
         chosen = [chooser.choose(wanted) for _ in range(16)]
         self.assertEqual(list(NAMES) * 2, chosen)
 
     def test_random_skips_full_endpoints(self) -> None:
-        chooser = choice.Random(random.Random(1))
-        wanted = choice.Choice(NAMES, lambda name: name == "ex-3", True)
+        chooser = load_balancing.Random(random.Random(1))
+        wanted = load_balancing.Choice(NAMES, lambda name: name == "ex-3", True)
         self.assertEqual("ex-3", chooser.choose(wanted))
