--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from comfreylatch._process.cell import disturbance
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import placement
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_view
@@ -34,7 +34,7 @@
 
 def waiting_millicores(
     steps: Iterable[runs_module.StepRun],
-    model: disturbance.DisturbanceModel,
+    model: interference.DisturbanceModel,
     now_ms: int,
 ) -> int:
     """Processors asked for by harmful tasks that have waited in vain.
--- a/src/comfreylatch/_process/cell/learning.py
+++ b/src/comfreylatch/_process/cell/learning.py
@@ -5,8 +5,8 @@
 from typing import final
 
 from comfreylatch._ports import clock as clock_port
-from comfreylatch._process.cell import disturbance
 from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import records
 
 # An owner that is lost takes so much learning with it at most; a record has
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        model: disturbance.DisturbanceModel,
+        model: interference.DisturbanceModel,
         durations: durations_module.Durations,
         inherited: records.LearnedRecord,
         clock: clock_port.Clock,
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -17,10 +17,10 @@
 from comfreylatch._process.cell import advice as advice_module
 from comfreylatch._process.cell import advice_desk
 from comfreylatch._process.cell import cell_report
-from comfreylatch._process.cell import disturbance
 from comfreylatch._process.cell import durations as durations_module
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import inheritance as inheritance_module
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_book
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import learning
@@ -93,7 +93,7 @@
             clock,
             inheritance.release_after_ms,
         )
-        model = disturbance.DisturbanceModel()
+        model = interference.DisturbanceModel()
         self._model = model
         self._orders = run_orders.RunOrders(
             self._jobs, self._workers, model, metrics, clock
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -8,7 +8,7 @@
 import attrs
 
 from comfreylatch._process.cell import candidates
-from comfreylatch._process.cell import disturbance
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_view
@@ -132,20 +132,20 @@
     """Slacks of a worker as of one of its revisions."""
 
     revision: int
-    slacks: tuple[disturbance.Slack, ...]
+    slacks: tuple[interference.Slack, ...]
 
 
 @final
 class FillRooms:
     """Room to the targets of lasting tasks, kept while nothing changes."""
 
-    def __init__(self, model: disturbance.DisturbanceModel) -> None:
+    def __init__(self, model: interference.DisturbanceModel) -> None:
         self._model = model
         self._known: dict[str, _KnownSlacks] = {}
 
     def _slacks_of(
         self, worker: worker_view.WorkerView
-    ) -> tuple[disturbance.Slack, ...]:
+    ) -> tuple[interference.Slack, ...]:
         known = self._known.get(worker.worker_id)
         if known is None or known.revision != worker.revision:
             known = _KnownSlacks(worker.revision, self._model.slacks(worker))
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -10,7 +10,7 @@
 from comfreylatch._process.cell import candidates as candidates_module
 from comfreylatch._process.cell import clearing
 from comfreylatch._process.cell import copies
-from comfreylatch._process.cell import disturbance
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import placement
 from comfreylatch._process.cell import preemption
 from comfreylatch._process.cell import ranking as ranking_module
@@ -67,7 +67,7 @@
         self,
         workers: worker_table_module.WorkerTable,
         ranker: ranking_module.Ranker,
-        model: disturbance.DisturbanceModel,
+        model: interference.DisturbanceModel,
     ) -> None:
         self._workers = workers
         self._ranker = ranker
--- a/src/comfreylatch/_process/cell/run_control.py
+++ b/src/comfreylatch/_process/cell/run_control.py
@@ -11,10 +11,10 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import disturbance
 from comfreylatch._process.cell import durations as durations_module
 from comfreylatch._process.cell import evacuation
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import run_orders
@@ -49,7 +49,7 @@
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
         durations: durations_module.Durations,
-        model: disturbance.DisturbanceModel,
+        model: interference.DisturbanceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -9,9 +9,9 @@
 
 from comfreylatch._ports import cell_workers
 from comfreylatch._process import metrics
-from comfreylatch._process.cell import disturbance
 from comfreylatch._process.cell import durations
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table
 from comfreylatch._process.cell import planner
 from comfreylatch._process.cell import ranking
@@ -96,7 +96,7 @@
             self._session, self.clock, release_after_ms=0
         )
         self.durations = durations.Durations()
-        self.model = disturbance.DisturbanceModel()
+        self.model = interference.DisturbanceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
         self.orders = run_orders.RunOrders(
