--- a/src/comfreylatch/_process/batch/service.py
+++ b/src/comfreylatch/_process/batch/service.py
@@ -21,7 +21,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import settings as settings_module
-from comfreylatch._process.batch import job_desk
+from comfreylatch._process.batch import job_handler
 from comfreylatch._process.batch import link_pool
 from comfreylatch._process.batch import owner_status
 from comfreylatch._process.batch import ownership as ownership_module
@@ -117,7 +117,7 @@
             clock,
             policy,
         )
-        self._desk = job_desk.JobDesk(
+        self._desk = job_handler.JobDesk(
             zone,
             self.appender,
             self.follower,
--- a/tests/process/batch/test_job_desk.py
+++ b/tests/process/batch/test_job_handler.py
@@ -9,7 +9,7 @@
 
 from comfreylatch._connection import http
 from comfreylatch._ports import workers
-from comfreylatch._process.batch import job_desk
+from comfreylatch._process.batch import job_handler
 from comfreylatch._version import objects
 from testing.fakes import zone as fake_zone
 
@@ -34,7 +34,7 @@
         }
         self.zone = fake_zone.FakeZone(host_count=1, teams=teams)
         self.host = self.zone.hosts[0]
-        self.desk = job_desk.JobDesk(
+        self.desk = job_handler.JobDesk(
             fake_zone.ZONE,
             self.host.appender,
             self.host.follower,
--- a/tests/process/batch/test_job_refusal_explained.py
+++ b/tests/process/batch/test_job_refusal_explained.py
@@ -11,7 +11,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import reasons
-from comfreylatch._process.batch import job_desk
+from comfreylatch._process.batch import job_handler
 from comfreylatch._version import configuration
 from comfreylatch._version import zone_fold
 from testing.fakes import clock as clock_fake
@@ -38,7 +38,7 @@
         journal = journal_module.Journal("h", clock_fake.FakeClock())
         unused: Any = None
         source: Any = EmptySource()
-        desk = job_desk.JobDesk(
+        desk = job_handler.JobDesk(
             "bole",
             unused,
             unused,
