--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -122,7 +122,7 @@
         """Takes a new list of hosts."""
         self._listed = zone_workers.zone_workers(host_list, self._zone)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuses new jobs from now on, as during a planned stop."""
         self._stopping = True
 
--- a/src/comfreylatch/_process/batch/service.py
+++ b/src/comfreylatch/_process/batch/service.py
@@ -168,7 +168,7 @@
 
         Tasks go on under their leases until the next owner takes over.
         """
-        self._desk.stop_taking()
+        self._desk.stop_accepting()
         self._owner_stack.close()
         self._ownership.release()
 
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -53,7 +53,7 @@
     parts.callers.close_after_replies()
     time.sleep(BALANCER_GRACE_MS / 1_000)
     finished = parts.callers.drain(timeout_ms)
-    parts.router.stop_taking()
+    parts.router.stop_accepting()
     parts.batch.release()
     is_idle = _wait_idle(parts, timeout_ms)
     if is_idle and parts.gate.is_open.is_set():
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -156,7 +156,7 @@
         )
         return outcomes.to_forward_reply(request.request_id, outcome)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuses every new request; those in progress go on."""
         self._stopping.set()
 
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -239,7 +239,7 @@
 
     def test_stopping_host_refuses(self) -> None:
         made = self.make(echo)
-        made.router.stop_taking()
+        made.router.stop_accepting()
         self.assert_outcome(made.ask(), 503, "not-run")
         self.assertEqual(1, made.refusals(reasons.RefusalReason.STOPPING))
 
