--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -95,7 +95,7 @@
 
 
 @final
-class JobDesk:
+class JobHandler:
     """Handles `/jobs` and `/jobs/ID`. Thread-safe."""
 
     def __init__(
--- a/src/comfreylatch/_process/batch/service.py
+++ b/src/comfreylatch/_process/batch/service.py
@@ -117,7 +117,7 @@
             clock,
             policy,
         )
-        self._desk = job_handler.JobDesk(
+        self._desk = job_handler.JobHandler(
             zone,
             self.appender,
             self.follower,
--- a/tests/process/batch/test_job_handler.py
+++ b/tests/process/batch/test_job_handler.py
@@ -34,7 +34,7 @@
         }
         self.zone = fake_zone.FakeZone(host_count=1, teams=teams)
         self.host = self.zone.hosts[0]
-        self.desk = job_handler.JobDesk(
+        self.desk = job_handler.JobHandler(
             fake_zone.ZONE,
             self.host.appender,
             self.host.follower,
--- a/tests/process/batch/test_job_refusal_explained.py
+++ b/tests/process/batch/test_job_refusal_explained.py
@@ -38,7 +38,7 @@
         journal = journal_module.Journal("h", clock_fake.FakeClock())
         unused: Any = None
         source: Any = EmptySource()
-        desk = job_handler.JobDesk(
+        desk = job_handler.JobHandler(
             "bole",
             unused,
             unused,
