--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -34,7 +34,7 @@
 
 def waiting_millicores(
     steps: Iterable[runs_module.StepRun],
-    model: interference.DisturbanceModel,
+    model: interference.InterferenceModel,
     now_ms: int,
 ) -> int:
     """Processors asked for by harmful tasks that have waited in vain.
--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -82,7 +82,7 @@
 
 
 @final
-class DisturbanceModel:
+class InterferenceModel:
     """Learns pressures and plans with them. Not thread-safe."""
 
     def __init__(self) -> None:
--- a/src/comfreylatch/_process/cell/learning.py
+++ b/src/comfreylatch/_process/cell/learning.py
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        model: interference.DisturbanceModel,
+        model: interference.InterferenceModel,
         durations: durations_module.Durations,
         inherited: records.LearnedRecord,
         clock: clock_port.Clock,
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -93,7 +93,7 @@
             clock,
             inheritance.release_after_ms,
         )
-        model = interference.DisturbanceModel()
+        model = interference.InterferenceModel()
         self._model = model
         self._orders = run_orders.RunOrders(
             self._jobs, self._workers, model, metrics, clock
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -139,7 +139,7 @@
 class FillRooms:
     """Room to the targets of lasting tasks, kept while nothing changes."""
 
-    def __init__(self, model: interference.DisturbanceModel) -> None:
+    def __init__(self, model: interference.InterferenceModel) -> None:
         self._model = model
         self._known: dict[str, _KnownSlacks] = {}
 
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -67,7 +67,7 @@
         self,
         workers: worker_table_module.WorkerTable,
         ranker: ranking_module.Ranker,
-        model: interference.DisturbanceModel,
+        model: interference.InterferenceModel,
     ) -> None:
         self._workers = workers
         self._ranker = ranker
--- a/src/comfreylatch/_process/cell/run_control.py
+++ b/src/comfreylatch/_process/cell/run_control.py
@@ -49,7 +49,7 @@
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
         durations: durations_module.Durations,
-        model: interference.DisturbanceModel,
+        model: interference.InterferenceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/_process/cell/run_orders.py
+++ b/src/comfreylatch/_process/cell/run_orders.py
@@ -38,7 +38,7 @@
         self,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
-        model: interference.DisturbanceModel,
+        model: interference.InterferenceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -96,7 +96,7 @@
             self._session, self.clock, release_after_ms=0
         )
         self.durations = durations.Durations()
-        self.model = interference.DisturbanceModel()
+        self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
         self.orders = run_orders.RunOrders(
