--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -118,7 +118,7 @@
         self._listed: dict[str, hosts.ListedHost] = {}
         self._stopping = False
 
-    def update_listed(self, host_list: hosts.HostList) -> None:
+    def update_host_list(self, host_list: hosts.HostList) -> None:
         """Takes a new list of hosts."""
         self._listed = zone_workers.zone_workers(host_list, self._zone)
 
--- a/src/comfreylatch/_process/batch/service.py
+++ b/src/comfreylatch/_process/batch/service.py
@@ -158,10 +158,10 @@
         """Answers `/jobs` and `/jobs/ID`."""
         return self._desk.handle(request)
 
-    def update_listed(self, host_list: hosts.HostList) -> None:
+    def update_host_list(self, host_list: hosts.HostList) -> None:
         """Takes a new list of hosts."""
-        self._owner.update_listed(host_list)
-        self._desk.update_listed(host_list)
+        self._owner.update_host_list(host_list)
+        self._desk.update_host_list(host_list)
 
     def release(self) -> None:
         """Stops commanding workers, then gives the claim up.
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -128,7 +128,7 @@
         self._thread.join()
         self._pool.stop_all()
 
-    def update_listed(self, host_list: hosts.HostList) -> None:
+    def update_host_list(self, host_list: hosts.HostList) -> None:
         """Takes a new list of hosts; any thread may call it."""
         self._host_list = host_list
 
--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -275,7 +275,7 @@
         self._poller = host_list.HostListPoller(
             self._host_list,
             settings.timing.host_list_ms,
-            (self._router.update_listed, self._batch.update_listed),
+            (self._router.update_host_list, self._batch.update_host_list),
         )
         zone_stream = job_records.zone_stream(settings.zone)
         self._state.attach(self._config, self._batch.follower, self._router)
--- a/src/comfreylatch/_process/routing/leaving.py
+++ b/src/comfreylatch/_process/routing/leaving.py
@@ -98,7 +98,7 @@
             self._kept_alive.discard(endpoint)
             self._rebuild()
 
-    def update_listed(self, listed: hosts.HostList) -> frozenset[str]:
+    def update_host_list(self, listed: hosts.HostList) -> frozenset[str]:
         """Takes the platform's list; returns the endpoints newly leaving."""
         states = {
             host.name: host.state
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -160,9 +160,9 @@
         """Refuses every new request; those in progress go on."""
         self._stopping.set()
 
-    def update_listed(self, listed: hosts.HostList) -> None:
+    def update_host_list(self, listed: hosts.HostList) -> None:
         """Takes the platform's list of hosts, as often as it is fetched."""
-        self._drained(self._table.leaving.update_listed(listed), "listed")
+        self._drained(self._table.leaving.update_host_list(listed), "listed")
 
     def leaving_endpoints(self) -> frozenset[str]:
         """Endpoints this host has seen leave, for its heartbeats."""
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -116,7 +116,7 @@
         metrics_module.Metrics(),
         clock,
     )
-    owner.update_listed(_host_list(workers_known))
+    owner.update_host_list(_host_list(workers_known))
     owner.step()
 
     def step() -> None:
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -362,7 +362,7 @@
             self.clock,
             self.policy,
         )
-        host.owner.update_listed(self.host_list)
+        host.owner.update_host_list(self.host_list)
         return host
 
     def run(self, elapsed_ms: int, tick_ms: int = TICK_MS) -> None:
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -256,7 +256,7 @@
             )
             for name, address in self.fleet.addresses.items()
         )
-        self.service.update_listed(hosts.HostList(listed))
+        self.service.update_host_list(hosts.HostList(listed))
         while not self.service.status().owner.holds:
             time.sleep(0.05)
 
--- a/tests/process/batch/test_job_handler.py
+++ b/tests/process/batch/test_job_handler.py
@@ -43,7 +43,7 @@
             self.host.journal,
             self.host.metrics,
         )
-        self.desk.update_listed(self.zone.host_list)
+        self.desk.update_host_list(self.zone.host_list)
 
     def _call(
         self, method: str, path: str = "/jobs", body: bytes = b""
--- a/tests/process/batch/test_service.py
+++ b/tests/process/batch/test_service.py
@@ -90,7 +90,7 @@
             stack.enter_context(self._service(index)) for index in range(2)
         ]
         for service in self.services:
-            service.update_listed(self._host_list())
+            service.update_host_list(self._host_list())
 
     def _host_list(self) -> hosts.HostList:
         return hosts.HostList(
--- a/tests/process/routing/test_leaving.py
+++ b/tests/process/routing/test_leaving.py
@@ -45,20 +45,24 @@
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_list_says_leaving_and_live_again(self) -> None:
-        gone = self.leaving.update_listed(
+        gone = self.leaving.update_host_list(
             listed(hosts.HostState.LEAVING, "ex-1")
         )
         self.assertEqual({"ex-1"}, gone)
-        self.leaving.update_listed(listed(hosts.HostState.LIVE, "ex-1"))
+        self.leaving.update_host_list(listed(hosts.HostState.LIVE, "ex-1"))
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_no_longer_listed_is_a_sign(self) -> None:
-        self.leaving.update_listed(listed(hosts.HostState.LIVE, "ex-1", "ex-2"))
-        gone = self.leaving.update_listed(listed(hosts.HostState.LIVE, "ex-2"))
+        self.leaving.update_host_list(
+            listed(hosts.HostState.LIVE, "ex-1", "ex-2")
+        )
+        gone = self.leaving.update_host_list(
+            listed(hosts.HostState.LIVE, "ex-2")
+        )
         self.assertEqual({"ex-1"}, gone)
 
     def test_never_listed_is_no_sign(self) -> None:
-        self.leaving.update_listed(listed(hosts.HostState.LIVE, "ex-2"))
+        self.leaving.update_host_list(listed(hosts.HostState.LIVE, "ex-2"))
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_peers_sign_is_not_passed_back(self) -> None:
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -295,7 +295,7 @@
 
     def test_listed_as_leaving_is_drained(self) -> None:
         made = self.make(echo, echo)
-        made.router.update_listed(
+        made.router.update_host_list(
             hosts.HostList(
                 (
                     hosts.ListedHost(
