--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -14,7 +14,7 @@
 from comfreylatch._process.batch import eviction
 from comfreylatch._process.batch import interference_control
 from comfreylatch._process.batch import job_queue
-from comfreylatch._process.batch import zone_books
+from comfreylatch._process.batch import scheduling_state
 from comfreylatch._version import job_state
 
 MAX_PLANS_PER_ROUND = 8
@@ -37,7 +37,7 @@
 
     def make_room(
         self,
-        books: zone_books.ZoneBooks,
+        books: scheduling_state.ZoneBooks,
         made: dispatcher_module.Round,
         per_hour: int,
         now_ms: int,
@@ -51,7 +51,7 @@
 
     def act(
         self,
-        books: zone_books.ZoneBooks,
+        books: scheduling_state.ZoneBooks,
         worker: str,
         action: interference_control.Action,
         per_hour: int,
@@ -70,7 +70,7 @@
 
     def _evict(
         self,
-        books: zone_books.ZoneBooks,
+        books: scheduling_state.ZoneBooks,
         worker: str,
         jobs: tuple[str, ...],
         keep_first: bool,
@@ -89,7 +89,7 @@
 
     def _plan(
         self,
-        books: zone_books.ZoneBooks,
+        books: scheduling_state.ZoneBooks,
         state: job_state.JobState,
         may_evict: _MayEvict,
         now_ms: int,
@@ -113,7 +113,7 @@
 
     def _reclaim(
         self,
-        books: zone_books.ZoneBooks,
+        books: scheduling_state.ZoneBooks,
         state: job_state.JobState,
         per_hour: int,
         now_ms: int,
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -29,10 +29,10 @@
 from comfreylatch._process.batch import owner_status
 from comfreylatch._process.batch import ownership as ownership_module
 from comfreylatch._process.batch import placement as placement_module
+from comfreylatch._process.batch import scheduling_state
 from comfreylatch._process.batch import usage_intake
 from comfreylatch._process.batch import worker_health
 from comfreylatch._process.batch import worker_session
-from comfreylatch._process.batch import zone_books
 from comfreylatch._version import job_records
 from comfreylatch._version import job_state
 from comfreylatch._version import zone_fold
@@ -101,8 +101,8 @@
             target=self._run, name="zone-owner", daemon=True
         )
 
-    def _new_books(self) -> zone_books.ZoneBooks:
-        return zone_books.ZoneBooks(
+    def _new_books(self) -> scheduling_state.ZoneBooks:
+        return scheduling_state.ZoneBooks(
             self._zone,
             self._term,
             self._fold,
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -15,8 +15,8 @@
 from comfreylatch._process.batch import capacity
 from comfreylatch._process.batch import dispatcher
 from comfreylatch._process.batch import placement
+from comfreylatch._process.batch import scheduling_state
 from comfreylatch._process.batch import usage_intake
-from comfreylatch._process.batch import zone_books
 from comfreylatch._version import job_records
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
@@ -194,9 +194,9 @@
 
 def make_books(
     workers_known: int, fold: zone_fold.ZoneFold | None = None
-) -> zone_books.ZoneBooks:
+) -> scheduling_state.ZoneBooks:
     """An owner's books with workers and teams, and no job."""
-    books = zone_books.ZoneBooks(
+    books = scheduling_state.ZoneBooks(
         "zone-0",
         TERM,
         fold or zone_fold.ZoneFold(),
@@ -215,7 +215,7 @@
     return books
 
 
-def _books(count: int) -> zone_books.ZoneBooks:
+def _books(count: int) -> scheduling_state.ZoneBooks:
     books = make_books(workers_known=count // TASKS_PER_WORKER + 1)
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -21,8 +21,8 @@
 from comfreylatch._ports import workers
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import placement
+from comfreylatch._process.batch import scheduling_state
 from comfreylatch._process.batch import usage_intake
-from comfreylatch._process.batch import zone_books
 from comfreylatch._version import configuration as configuration_module
 from comfreylatch._version import job_records
 from comfreylatch._version import objects
@@ -65,7 +65,7 @@
         self.fold = zone_fold.ZoneFold()
         self._offset = 0
         self._jobs = 0
-        self.books = zone_books.ZoneBooks(
+        self.books = scheduling_state.ZoneBooks(
             fake_zone.ZONE,
             1,
             self.fold,
