--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -71,7 +71,7 @@
     ) -> None:
         self._workers = workers
         self._ranker = ranker
-        self._disturbance = model
+        self._interference = model
         self._fill_rooms = placement.FillRooms(model)
 
     def place(
@@ -129,7 +129,7 @@
         self, steps: list[runs_module.StepRun], now_ms: int
     ) -> list[runs_module.Run]:
         """Clears a worker where there is cause; returns runs to be stopped."""
-        demand = clearing.waiting_millicores(steps, self._disturbance, now_ms)
+        demand = clearing.waiting_millicores(steps, self._interference, now_ms)
         if not demand:
             clearing.end_early(self._workers, now_ms)
             return []
--- a/src/comfreylatch/_process/cell/run_control.py
+++ b/src/comfreylatch/_process/cell/run_control.py
@@ -57,7 +57,7 @@
         self._jobs = jobs
         self._workers = workers
         self._durations = durations
-        self._disturbance = model
+        self._interference = model
         self._metrics = metrics
         self._evacuation = evacuation.Evacuation(durations)
         self._clock = clock
@@ -77,7 +77,7 @@
             self._take_running(worker, task, event.received_ms)
         if len(answer.ended) < FULL_ENDS_LIST:
             self._take_missing(worker, listed, event.sent_ms)
-        self._disturbance.learn(worker, event.received_ms)
+        self._interference.learn(worker, event.received_ms)
         worker.revision += 1
         self._orders.set_paces(worker)
         return bool(ended)
--- a/src/comfreylatch/_process/cell/run_orders.py
+++ b/src/comfreylatch/_process/cell/run_orders.py
@@ -44,7 +44,7 @@
     ) -> None:
         self._jobs = jobs
         self._workers = workers
-        self._disturbance = model
+        self._interference = model
         self._metrics = metrics
         self._clock = clock
 
@@ -129,7 +129,7 @@
         for run in list(job.all_runs()):
             self.stop(run, reasons.StopReason.JOB_ENDED, job.state)
         for step in job.all_steps():
-            self._disturbance.forget(step)
+            self._interference.forget(step)
 
     def take_lost(self, lost: worker_table_module.LostRuns) -> None:
         """Takes in runs that are surely over, without an end."""
@@ -251,7 +251,7 @@
         session = self._workers.session(worker.worker_id)
         if session is None:
             return
-        for change in self._disturbance.pace_changes(worker):
+        for change in self._interference.pace_changes(worker):
             run = change.run
             if run.phase is runs_module.RunPhase.STOPPING:
                 continue
