--- a/src/comfreylatch/_process/cell/advice_desk.py
+++ b/src/comfreylatch/_process/cell/advice_desk.py
@@ -10,7 +10,7 @@
 from comfreylatch._ports import advice as advice_port
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process.cell import advice
-from comfreylatch._process.cell import call_desk
+from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
 
 # The service takes its time for each worker named, and calls of a host take
@@ -37,7 +37,7 @@
         self._adviser = adviser
         self._post = post
         self._clock = clock
-        self._desk = call_desk.CallDesk("advice")
+        self._desk = call_executor.CallDesk("advice")
 
     def __enter__(self) -> Self:
         return self
--- a/src/comfreylatch/_process/cell/machine_desk.py
+++ b/src/comfreylatch/_process/cell/machine_desk.py
@@ -11,7 +11,7 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._ports import machines as machines_port
-from comfreylatch._process.cell import call_desk
+from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import wave_work
 
@@ -47,7 +47,7 @@
         self._may_act = may_act
         self._post = post
         self._clock = clock
-        self._desk = call_desk.CallDesk("machines")
+        self._desk = call_executor.CallDesk("machines")
 
     def __enter__(self) -> Self:
         return self
