--- a/src/comfreylatch/_request/dispatch_guard.py
+++ b/src/comfreylatch/_request/dispatch_guard.py
@@ -28,7 +28,7 @@
 from comfreylatch._version import configuration
 from comfreylatch._wire.gen.peer import ttypes
 
-HOLDERS = 3
+HOLDERS_PER_ID = 3
 ZONE_SEPARATOR = ":"
 MARK_TIMEOUT_MS = 300
 RETRY_UNREACHABLE_MS = 1_000
@@ -65,7 +65,7 @@
         if seat.zone not in {other.zone for other in chosen}:
             chosen.append(seat)
     chosen.extend(seat for seat in ranked if seat not in chosen)
-    return tuple(seat.name for seat in chosen[:HOLDERS])
+    return tuple(seat.name for seat in chosen[:HOLDERS_PER_ID])
 
 
 def seats_of(current: configuration.Configuration) -> tuple[Seat, ...]:
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -167,7 +167,7 @@
         keep_s = settings.RoutingSettings().mark_keep_ms / MS_PER_S
         held = (
             self.size.host_non_idempotent_per_s
-            * dispatch_guard.HOLDERS
+            * dispatch_guard.HOLDERS_PER_ID
             * keep_s
         )
         slope = self.slopes.process.mark_bytes
