--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -176,7 +176,7 @@
             after_apply=after_apply,
         )
         self._fold.use_age_source(self._config.age_ms)
-        self._desk = ticket_desk.TicketDesk(
+        self._desk = ticket_desk.TicketHandler(
             self._config_appender,
             self._fold,
             self._config,
--- a/src/comfreylatch/_process/ticket_desk.py
+++ b/src/comfreylatch/_process/ticket_desk.py
@@ -40,7 +40,7 @@
 
 
 @final
-class TicketDesk:
+class TicketHandler:
     """Handlers of `/tickets` and `/objects` on the operators' address.
 
     A ticket is answered for only by the fold: the answer is given once the
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -80,7 +80,7 @@
     reader = follower.StreamFollower(
         log, "config", fold, counted, machine, after_apply=writer.observe
     )
-    desk = ticket_desk.TicketDesk(
+    desk = ticket_desk.TicketHandler(
         writer,
         fold,
         reader,
--- a/tests/process/test_ticket_desk.py
+++ b/tests/process/test_ticket_desk.py
@@ -59,7 +59,7 @@
             after_apply=self.appender.observe,
             retry=QUICK,
         )
-        self.desk = ticket_desk.TicketDesk(
+        self.desk = ticket_desk.TicketHandler(
             self.appender,
             self.fold,
             self.follower,
