--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -37,7 +37,7 @@
 
     def make_room(
         self,
-        books: scheduling_state.ZoneBooks,
+        books: scheduling_state.SchedulingState,
         made: dispatcher_module.Round,
         per_hour: int,
         now_ms: int,
@@ -51,7 +51,7 @@
 
     def act(
         self,
-        books: scheduling_state.ZoneBooks,
+        books: scheduling_state.SchedulingState,
         worker: str,
         action: interference_control.Action,
         per_hour: int,
@@ -70,7 +70,7 @@
 
     def _evict(
         self,
-        books: scheduling_state.ZoneBooks,
+        books: scheduling_state.SchedulingState,
         worker: str,
         jobs: tuple[str, ...],
         keep_first: bool,
@@ -89,7 +89,7 @@
 
     def _plan(
         self,
-        books: scheduling_state.ZoneBooks,
+        books: scheduling_state.SchedulingState,
         state: job_state.JobState,
         may_evict: _MayEvict,
         now_ms: int,
@@ -113,7 +113,7 @@
 
     def _reclaim(
         self,
-        books: scheduling_state.ZoneBooks,
+        books: scheduling_state.SchedulingState,
         state: job_state.JobState,
         per_hour: int,
         now_ms: int,
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -21,7 +21,7 @@
 
 
 @final
-class ZoneBooks:
+class SchedulingState:
     """Built anew from the fold at the start of each term. One thread.
 
     Attributes:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -101,8 +101,8 @@
             target=self._run, name="zone-owner", daemon=True
         )
 
-    def _new_books(self) -> scheduling_state.ZoneBooks:
-        return scheduling_state.ZoneBooks(
+    def _new_books(self) -> scheduling_state.SchedulingState:
+        return scheduling_state.SchedulingState(
             self._zone,
             self._term,
             self._fold,
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -194,9 +194,9 @@
 
 def make_books(
     workers_known: int, fold: zone_fold.ZoneFold | None = None
-) -> scheduling_state.ZoneBooks:
+) -> scheduling_state.SchedulingState:
     """An owner's books with workers and teams, and no job."""
-    books = scheduling_state.ZoneBooks(
+    books = scheduling_state.SchedulingState(
         "zone-0",
         TERM,
         fold or zone_fold.ZoneFold(),
@@ -215,7 +215,7 @@
     return books
 
 
-def _books(count: int) -> scheduling_state.ZoneBooks:
+def _books(count: int) -> scheduling_state.SchedulingState:
     books = make_books(workers_known=count // TASKS_PER_WORKER + 1)
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -65,7 +65,7 @@
         self.fold = zone_fold.ZoneFold()
         self._offset = 0
         self._jobs = 0
-        self.books = scheduling_state.ZoneBooks(
+        self.books = scheduling_state.SchedulingState(
             fake_zone.ZONE,
             1,
             self.fold,
