--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -15,7 +15,7 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import advice as advice_module
-from comfreylatch._process.cell import advice_desk
+from comfreylatch._process.cell import advice_fetcher
 from comfreylatch._process.cell import cell_report
 from comfreylatch._process.cell import durations as durations_module
 from comfreylatch._process.cell import events
@@ -139,7 +139,7 @@
         """Opens those services of the platform that there are."""
         self._advice_desk = None
         if parts.adviser is not None:
-            self._advice_desk = advice_desk.AdviceDesk(
+            self._advice_desk = advice_fetcher.AdviceDesk(
                 parts.adviser, self._events.put, parts.clock
             )
         self._machine_desk = None
