--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -26,6 +26,7 @@
 from comfreylatch._process.cell import learning
 from comfreylatch._process.cell import machine_desk
 from comfreylatch._process.cell import maintenance
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import planner as planner_module
 from comfreylatch._process.cell import ranking as ranking_module
 from comfreylatch._process.cell import reasons
@@ -34,7 +35,6 @@
 from comfreylatch._process.cell import run_orders
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import scribe as scribe_module
-from comfreylatch._process.cell import tenure_parts
 from comfreylatch._process.cell import worker_session
 from comfreylatch._process.cell import worker_table as worker_table_module
 
@@ -71,7 +71,7 @@
         self,
         inheritance: inheritance_module.Inheritance,
         scribe: scribe_module.Scribe,
-        parts: tenure_parts.TenureParts,
+        parts: owner_dependencies.TenureParts,
         host_name: str,
     ) -> None:
         clock, metrics = parts.clock, parts.metrics
@@ -134,7 +134,7 @@
         )
 
     def _open_desks(
-        self, parts: tenure_parts.TenureParts, host_name: str
+        self, parts: owner_dependencies.TenureParts, host_name: str
     ) -> None:
         """Opens those services of the platform that there are."""
         self._advice_desk = None
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -9,9 +9,9 @@
 from comfreylatch._process import logs
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import inheritance
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import scribe as scribe_module
-from comfreylatch._process.cell import tenure_parts
 from comfreylatch._process.cell import worker_view
 
 CATCH_UP_MS = 3_000
@@ -30,7 +30,7 @@
 
 
 def take_over(
-    parts: tenure_parts.TenureParts,
+    parts: owner_dependencies.TenureParts,
     host: claiming.HostIdentity,
     token: int,
     scribe: scribe_module.Scribe,
@@ -74,7 +74,7 @@
     )
 
 
-def _read_work(parts: tenure_parts.TenureParts) -> _Work | None:
+def _read_work(parts: owner_dependencies.TenureParts) -> _Work | None:
     """Reads what the owner before has recorded; None while it can't be."""
     match parts.store.newest(records.WORK_TOPIC, parts.cell):
         case result.Ok(batch):
--- a/src/comfreylatch/_process/cell/tenure.py
+++ b/src/comfreylatch/_process/cell/tenure.py
@@ -25,11 +25,11 @@
 from comfreylatch._process.cell import forgetting
 from comfreylatch._process.cell import job_book
 from comfreylatch._process.cell import owner as owner_module
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import takeover
-from comfreylatch._process.cell import tenure_parts
 
 # For how long most workers must be out of reach before the owner gives up.
 ISOLATION_MS = 900
@@ -47,7 +47,7 @@
     """Watches a cell and owns it when it has to. Runs in its own thread."""
 
     def __init__(
-        self, parts: tenure_parts.TenureParts, host: claiming.HostIdentity
+        self, parts: owner_dependencies.TenureParts, host: claiming.HostIdentity
     ) -> None:
         self._parts = parts
         self._host = host
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -27,10 +27,10 @@
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import intake as intake_module
 from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import tenure as tenure_module
-from comfreylatch._process.cell import tenure_parts
 from comfreylatch.platform import advice
 from comfreylatch.platform import callers
 from comfreylatch.platform import configuration
@@ -201,7 +201,7 @@
                 )
             )
         return tenure_module.Tenure(
-            tenure_parts.TenureParts(
+            owner_dependencies.TenureParts(
                 cell=CELL,
                 store=self._store,
                 book=self._book,
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -20,13 +20,13 @@
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import intake as intake_module
 from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import takeover
 from comfreylatch._process.cell import tenure as tenure_module
-from comfreylatch._process.cell import tenure_parts
 from testing.fakes import cell_workers as fake_workers
 from testing.fakes import record_store
 from tests.process.cell import harness
@@ -128,7 +128,7 @@
             self.book, self.tail, keeper, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
-        self.parts = tenure_parts.TenureParts(
+        self.parts = owner_dependencies.TenureParts(
             cell=0,
             store=self.store,
             book=self.book,
