--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -46,9 +46,9 @@
 from comfreylatch._process import shares as shares_module
 from comfreylatch._process import shutdown
 from comfreylatch._process import snapshot_publisher
+from comfreylatch._process import startup_waits
 from comfreylatch._process import stream_state
 from comfreylatch._process import ticket_desk
-from comfreylatch._process import waits
 from comfreylatch._process.batch import service as batch_service
 from comfreylatch._request import dispatch_guard
 from comfreylatch._request import router as router_module
@@ -190,7 +190,7 @@
     def _make_requests(self) -> None:
         settings = self._settings
         seed = settings.routing.seed or secrets.randbits(32)
-        longest = waits.LongestHold(self._fold)
+        longest = startup_waits.LongestHold(self._fold)
         shares = shares_module.FixedShares(
             self._fold,
             settings.zone,
@@ -218,7 +218,7 @@
                 self._fold,
                 self._membership,
                 shares,
-                lambda: waits.left_over_ms(longest, self._ledger),
+                lambda: startup_waits.left_over_ms(longest, self._ledger),
                 self._marks.assume_complete,
                 self._clock,
             )
@@ -227,7 +227,7 @@
             self._clock,
             lambda _: shares.hold_until(
                 self._clock.monotonic_ms()
-                + waits.seat_check_ms(settings.timing)
+                + startup_waits.seat_check_ms(settings.timing)
             ),
         )
         self._client = endpoint_client.EndpointClient(
