--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -37,21 +37,21 @@
 
     def make_room(
         self,
-        books: scheduling_state.SchedulingState,
+        scheduling: scheduling_state.SchedulingState,
         made: dispatcher_module.Round,
         per_hour: int,
         now_ms: int,
     ) -> None:
         """Plans evictions for jobs that found no room in a round."""
         for state in made.waiting_urgent[:MAX_PLANS_PER_ROUND]:
-            self._plan(books, state, _not_urgent, now_ms)
+            self._plan(scheduling, state, _not_urgent, now_ms)
         due = self._due(made.waiting_entitled, now_ms)
         for state in due[:MAX_PLANS_PER_ROUND]:
-            self._reclaim(books, state, per_hour, now_ms)
+            self._reclaim(scheduling, state, per_hour, now_ms)
 
     def act(
         self,
-        books: scheduling_state.SchedulingState,
+        scheduling: scheduling_state.SchedulingState,
         worker: str,
         action: interference_control.Action,
         per_hour: int,
@@ -62,15 +62,15 @@
             case interference_control.Throttle(shares, relaxes):
                 self._count("relaxed" if relaxes else "throttled")
                 for share in shares:
-                    books.table.throttle(share.job, share.share_milli)
+                    scheduling.table.throttle(share.job, share.share_milli)
             case interference_control.Move(jobs):
-                self._evict(books, worker, jobs, True, per_hour, now_ms)
+                self._evict(scheduling, worker, jobs, True, per_hour, now_ms)
             case interference_control.Stop(jobs):
-                self._evict(books, worker, jobs, False, per_hour, now_ms)
+                self._evict(scheduling, worker, jobs, False, per_hour, now_ms)
 
     def _evict(
         self,
-        books: scheduling_state.SchedulingState,
+        scheduling: scheduling_state.SchedulingState,
         worker: str,
         jobs: tuple[str, ...],
         keep_first: bool,
@@ -81,26 +81,26 @@
             self._count("eviction-budget-spent")
             return
         for job in jobs:
-            attempt = books.table.attempt(job)
+            attempt = scheduling.table.attempt(job)
             if attempt is not None:
-                books.mix.avoid(worker, attempt.state.spec.job_class)
-            books.table.evict(job, now_ms, keep_first)
+                scheduling.mix.avoid(worker, attempt.state.spec.job_class)
+            scheduling.table.evict(job, now_ms, keep_first)
             logs.event(_events, "evict", job=job, worker=worker, cause="slow")
 
     def _plan(
         self,
-        books: scheduling_state.SchedulingState,
+        scheduling: scheduling_state.SchedulingState,
         state: job_state.JobState,
         may_evict: _MayEvict,
         now_ms: int,
     ) -> eviction.EvictionPlan | None:
         job = state.spec.id
         size = state.spec.resources
-        plan = books.planner.make(job, size, may_evict, now_ms)
+        plan = scheduling.planner.make(job, size, may_evict, now_ms)
         if plan is None:
             return None
         for victim in plan.victims:
-            books.table.evict(victim, now_ms)
+            scheduling.table.evict(victim, now_ms)
         logs.event(
             _events,
             "evict",
@@ -113,7 +113,7 @@
 
     def _reclaim(
         self,
-        books: scheduling_state.SchedulingState,
+        scheduling: scheduling_state.SchedulingState,
         state: job_state.JobState,
         per_hour: int,
         now_ms: int,
@@ -124,11 +124,11 @@
             return
 
         def borrows(attempt: attempt_module.Attempt) -> bool:
-            share_milli = books.queue.share_of(attempt.state.spec.team)
+            share_milli = scheduling.queue.share_of(attempt.state.spec.team)
             over = share_milli > job_queue.FULL_SHARE_MILLI
             return over and _not_urgent(attempt)
 
-        plan = self._plan(books, state, borrows, now_ms)
+        plan = self._plan(scheduling, state, borrows, now_ms)
         if plan is not None:
             # A plan may take more than is left; the next one then waits.
             self._budget.spend(len(plan.victims), now_ms)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -192,25 +192,25 @@
             self._books.sync_job(state, now_ms)
 
     def _refresh_workers(self, now_ms: int) -> None:
-        books = self._books
+        scheduling = self._books
         host_list = self._host_list
         if host_list is not None and host_list is not self._used_list:
             self._used_list = host_list
-            books.workers.set_list(host_list)
-        elif host_list is not None and not books.workers.listed():
-            books.workers.set_list(host_list)
-        listed = books.workers.listed()
-        self._pool.update(listed.values(), books.table.workers())
+            scheduling.workers.set_list(host_list)
+        elif host_list is not None and not scheduling.workers.listed():
+            scheduling.workers.set_list(host_list)
+        listed = scheduling.workers.listed()
+        self._pool.update(listed.values(), scheduling.table.workers())
         configuration = self._source.current()
-        books.workers.set_configuration(configuration)
-        books.queue.set_teams(configuration.teams)
-        books.refresh_workers()
+        scheduling.workers.set_configuration(configuration)
+        scheduling.queue.set_teams(configuration.teams)
+        scheduling.refresh_workers()
         allowed = configuration.limits.service_slowdown_percent / 100
-        books.mix.now_ms = now_ms
-        books.mix.allowed_slowdown = allowed
+        scheduling.mix.now_ms = now_ms
+        scheduling.mix.allowed_slowdown = allowed
         self._usage.control.allowed_slowdown = allowed
         for name, host in listed.items():
-            books.ledger.set_open(name, self._is_open(host, now_ms))
+            scheduling.ledger.set_open(name, self._is_open(host, now_ms))
 
     def _is_open(self, host: hosts.ListedHost, now_ms: int) -> bool:
         session = self._pool.session(host.name)
@@ -333,20 +333,22 @@
 
     def _place(self) -> None:
         now_ms = self._clock.monotonic_ms()
-        books = self._books
-        if books.dispatcher.queued == 0 or now_ms < self._append_after_ms:
+        scheduling = self._books
+        if scheduling.dispatcher.queued == 0 or now_ms < self._append_after_ms:
             return
-        if not books.dispatcher.take_changed() and now_ms < self._place_ms:
+        if not scheduling.dispatcher.take_changed() and now_ms < self._place_ms:
             return
         self._place_ms = now_ms + IDLE_ROUND_MS
         limits = self._source.current().limits
         planned = self._assign_planned(now_ms)
-        made = books.dispatcher.run_round(
+        made = scheduling.dispatcher.run_round(
             self._term,
             limits.max_attempts,
-            lambda job: books.planner.plan_for(job) is not None,
+            lambda job: scheduling.planner.plan_for(job) is not None,
+        )
+        self._evictor.make_room(
+            scheduling, made, limits.evictions_per_hour, now_ms
         )
-        self._evictor.make_room(books, made, limits.evictions_per_hour, now_ms)
         assigned = [*planned, *made.assigned]
         bodies: list[Any] = [*assigned, *made.parked]
         if not bodies:
@@ -359,13 +361,13 @@
 
     def _assign_planned(self, now_ms: int) -> list[job_records.AttemptAssigned]:
         """Assigns jobs for which evictions have made room."""
-        books = self._books
+        scheduling = self._books
         assigned = []
-        for plan in books.planner.ready(now_ms):
-            books.planner.finish(plan.job)
+        for plan in scheduling.planner.ready(now_ms):
+            scheduling.planner.finish(plan.job)
             state = self._fold.job(plan.job)
             if state is not None:
-                body = books.dispatcher.assign(
+                body = scheduling.dispatcher.assign(
                     state, plan.worker, plan.size, self._term
                 )
                 assigned.append(body)
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -196,7 +196,7 @@
     workers_known: int, fold: zone_fold.ZoneFold | None = None
 ) -> scheduling_state.SchedulingState:
     """An owner's books with workers and teams, and no job."""
-    books = scheduling_state.SchedulingState(
+    scheduling = scheduling_state.SchedulingState(
         "zone-0",
         TERM,
         fold or zone_fold.ZoneFold(),
@@ -206,35 +206,37 @@
         metrics_module.Metrics(),
     )
     quota = objects.Team(workers.Resources(10**9, 10**9, 0))
-    books.queue.set_teams({f"team-{index}": quota for index in range(TEAMS)})
+    scheduling.queue.set_teams(
+        {f"team-{index}": quota for index in range(TEAMS)}
+    )
     for index in range(workers_known):
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
-        books.ledger.set_worker(name, rack, HOST, capacity.NOTHING, True)
-        books.mix.set_worker(name, HOST.processors_milli)
-    return books
+        scheduling.ledger.set_worker(name, rack, HOST, capacity.NOTHING, True)
+        scheduling.mix.set_worker(name, HOST.processors_milli)
+    return scheduling
 
 
 def _books(count: int) -> scheduling_state.SchedulingState:
-    books = make_books(workers_known=count // TASKS_PER_WORKER + 1)
+    scheduling = make_books(workers_known=count // TASKS_PER_WORKER + 1)
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
-        books.sync_job(job_of(index, worker), 0)
-    return books
+        scheduling.sync_job(job_of(index, worker), 0)
+    return scheduling
 
 
 def _start_us(workers_known: int) -> float:
-    books = make_books(workers_known)
+    scheduling = make_books(workers_known)
     first = workers_known * TASKS_PER_WORKER
     for index in range(first):
-        books.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
+        scheduling.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
     starts = dispatcher.MAX_STARTS_PER_ROUND
     fresh = itertools.count(first)
 
     def one_round() -> None:
         for index in itertools.islice(fresh, starts):
-            books.sync_job(job_of(index, ""), 0)
-        decided = books.dispatcher.run_round(TERM, 4)
+            scheduling.sync_job(job_of(index, ""), 0)
+        decided = scheduling.dispatcher.run_round(TERM, 4)
         assert len(decided.assigned) == starts, decided
 
     return slope.cpu_us(one_round, 1) / starts
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -130,10 +130,10 @@
 
 def _report_us(tasks: int) -> float:
     zone = batch_slopes.running_zone(tasks, 1)
-    books = batch_slopes.make_books(1, zone.fold)
+    scheduling = batch_slopes.make_books(1, zone.fold)
     usage = usage_intake.UsageIntake()
     for state in zone.fold.jobs():
-        books.sync_job(state, 0)
+        scheduling.sync_job(state, 0)
     now_ms = 0
 
     def take() -> None:
@@ -143,8 +143,8 @@
         event = worker_session.Reported(
             "worker-0", batch_slopes.TERM, report, (), now_ms, False
         )
-        books.table.on_reported(event, batch_slopes.BOUNDS, now_ms)
-        attempts = books.table.on_worker("worker-0")
+        scheduling.table.on_reported(event, batch_slopes.BOUNDS, now_ms)
+        attempts = scheduling.table.on_worker("worker-0")
         usage.take(report, zone.fold.job, attempts, now_ms)
 
     made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -65,7 +65,7 @@
         self.fold = zone_fold.ZoneFold()
         self._offset = 0
         self._jobs = 0
-        self.books = scheduling_state.SchedulingState(
+        self.scheduling = scheduling_state.SchedulingState(
             fake_zone.ZONE,
             1,
             self.fold,
@@ -93,17 +93,17 @@
         teams = {
             f"team-{index}": objects.Team(AMOUNT) for index in range(TEAMS)
         }
-        self.books.workers.set_list(hosts.HostList(listed))
-        self.books.workers.set_configuration(
+        self.scheduling.workers.set_list(hosts.HostList(listed))
+        self.scheduling.workers.set_configuration(
             configuration_module.Configuration(
                 worker_classes={"standard": objects.WorkerClass(AMOUNT)},
                 teams=teams,
             )
         )
-        self.books.queue.set_teams(teams)
-        self.books.refresh_workers()
+        self.scheduling.queue.set_teams(teams)
+        self.scheduling.refresh_workers()
         for host in listed:
-            self.books.ledger.set_open(host.name, True)
+            self.scheduling.ledger.set_open(host.name, True)
 
     def append(self, body: object) -> None:
         """Encodes, decodes and folds one record, as the log would carry it."""
@@ -136,11 +136,11 @@
         for job in changed:
             state = self.fold.job(job)
             if state is not None:
-                self.books.sync_job(state, 0)
+                self.scheduling.sync_job(state, 0)
 
     def place(self) -> list[str]:
         """One round: chooses, appends and folds; returns the jobs placed."""
-        made = self.books.dispatcher.run_round(1, 4)
+        made = self.scheduling.dispatcher.run_round(1, 4)
         for body in made.assigned:
             self.append(body)
         self.sync()
@@ -179,7 +179,7 @@
     while done < starts:
         source.shuffle(running)
         ending = [running.pop() for _ in range(8)]
-        while bench.books.dispatcher.queued < QUEUED:
+        while bench.scheduling.dispatcher.queued < QUEUED:
             bench.submit()
             bench.sync()
         began = time.process_time()
