--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -19,7 +19,7 @@
 
 
 @final
-class AdviceDesk:
+class AdviceFetcher:
     """Asks, one call at a time. A context manager.
 
     Args:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -139,7 +139,7 @@
         """Opens those services of the platform that there are."""
         self._advice_desk = None
         if parts.adviser is not None:
-            self._advice_desk = advice_fetcher.AdviceDesk(
+            self._advice_desk = advice_fetcher.AdviceFetcher(
                 parts.adviser, self._events.put, parts.clock
             )
         self._machine_desk = None
