--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -28,9 +28,9 @@
 from comfreylatch._process.cell import intake as intake_module
 from comfreylatch._process.cell import job_book
 from comfreylatch._process.cell import owner_dependencies
+from comfreylatch._process.cell import ownership as ownership_module
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import tail as tail_module
-from comfreylatch._process.cell import tenure as tenure_module
 from comfreylatch.platform import advice
 from comfreylatch.platform import callers
 from comfreylatch.platform import configuration
@@ -178,7 +178,7 @@
             self._store, topic, CELL, apply, self._clock, wait_ms
         )
 
-    def _make_tenure(self) -> tenure_module.Tenure:
+    def _make_tenure(self) -> ownership_module.Tenure:
         settings = self._settings
         host = claiming.HostIdentity(
             name=settings.name,
@@ -200,7 +200,7 @@
                     settings.machine_api.address, self._store
                 )
             )
-        return tenure_module.Tenure(
+        return ownership_module.Tenure(
             owner_dependencies.TenureParts(
                 cell=CELL,
                 store=self._store,
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -21,12 +21,12 @@
 from comfreylatch._process.cell import intake as intake_module
 from comfreylatch._process.cell import job_book
 from comfreylatch._process.cell import owner_dependencies
+from comfreylatch._process.cell import ownership as ownership_module
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import takeover
-from comfreylatch._process.cell import tenure as tenure_module
 from testing.fakes import cell_workers as fake_workers
 from testing.fakes import record_store
 from tests.process.cell import harness
@@ -142,7 +142,7 @@
             adviser=OneAllowed(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
-        self.tenure = tenure_module.Tenure(self.parts, self.identity)
+        self.tenure = ownership_module.Tenure(self.parts, self.identity)
         stack.callback(self.tenure.stop, 2_000)
 
     def die(self) -> None:
