--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -190,7 +190,7 @@
     def _make_requests(self) -> None:
         settings = self._settings
         seed = settings.routing.seed or secrets.randbits(32)
-        longest = startup_waits.LongestHold(self._fold)
+        longest = startup_waits.MaxSlotHoldTime(self._fold)
         shares = shares_module.FixedShares(
             self._fold,
             settings.zone,
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -16,7 +16,7 @@
 
 
 @final
-class LongestHold:
+class MaxSlotHoldTime:
     """The longest time a slot is held, worked out once for each version."""
 
     def __init__(self, source: configuration_port.ConfigurationSource) -> None:
@@ -31,7 +31,7 @@
         self._longest_ms = shares.longest_hold_ms(new)
 
 
-def left_over_ms(longest: LongestHold, ledger: loans.LoanLedger) -> int:
+def left_over_ms(longest: MaxSlotHoldTime, ledger: loans.LoanLedger) -> int:
     """How long requests and loans of a killed predecessor may last."""
     loan_ms = ledger.loan_ms()
     margin_ms = loan_ms // slot_book.DRIFT_DIVISOR + 1
