--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -95,7 +95,7 @@
         self._observer = end_observer.EndObserver(
             zone, fold, self._health, journal, metrics
         )
-        self._books = self._new_books()
+        self._scheduling = self._new_books()
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="zone-owner", daemon=True
@@ -145,14 +145,14 @@
         To be called from the thread that calls `step`.
         """
         now_ms = self._clock.monotonic_ms()
-        if not self._books.table.evict(job, now_ms):
+        if not self._scheduling.table.evict(job, now_ms):
             return False
         logs.event(_events, "evict", job=job, reason=reason)
         return True
 
     def throttle(self, job: str, share_milli: int) -> None:
         """Limits a running attempt; from the thread that calls `step`."""
-        self._books.table.throttle(job, share_milli)
+        self._scheduling.table.throttle(job, share_milli)
 
     def step(self) -> int:
         """Does all that is due; returns milliseconds until the next step."""
@@ -173,7 +173,7 @@
             self._place()
         now_ms = self._clock.monotonic_ms()
         hold = self._ownership.hold()
-        self._books.table.drive(hold.may_start(now_ms), now_ms)
+        self._scheduling.table.drive(hold.may_start(now_ms), now_ms)
         return STEP_MS
 
     # Inputs.
@@ -183,16 +183,16 @@
         self._pool.clear_commands()
         self._uncertain.clear()
         self._checked_ms = -CHECK_MS
-        self._books = self._new_books()
+        self._scheduling = self._new_books()
         if term == 0:
             self._pool.stop_all()
             return
         now_ms = self._clock.monotonic_ms()
         for state in self._fold.jobs():
-            self._books.sync_job(state, now_ms)
+            self._scheduling.sync_job(state, now_ms)
 
     def _refresh_workers(self, now_ms: int) -> None:
-        scheduling = self._books
+        scheduling = self._scheduling
         host_list = self._host_list
         if host_list is not None and host_list is not self._used_list:
             self._used_list = host_list
@@ -222,7 +222,7 @@
             case worker_health.Standing.GOOD:
                 return True
             case worker_health.Standing.PROBED:
-                return not self._books.table.on_worker(host.name)
+                return not self._scheduling.table.on_worker(host.name)
             case worker_health.Standing.QUARANTINED:
                 return False
 
@@ -239,7 +239,7 @@
 
     def _sync_job(self, state: job_state.JobState, now_ms: int) -> None:
         self._uncertain.pop(state.spec.id, None)
-        self._books.sync_job(state, now_ms)
+        self._scheduling.sync_job(state, now_ms)
 
     def _take_events(self, bounds: job_records.HoldBounds, now_ms: int) -> None:
         for event in self._pool.take_events():
@@ -248,36 +248,36 @@
             match event:
                 case worker_session.Reported():
                     amount = event.report.capacity
-                    self._books.workers.set_reported(event.worker, amount)
-                    self._books.table.on_reported(event, bounds, now_ms)
+                    self._scheduling.workers.set_reported(event.worker, amount)
+                    self._scheduling.table.on_reported(event, bounds, now_ms)
                     self._take_usage(event.report, now_ms)
                 case worker_session.Unanswered():
-                    self._books.table.on_unanswered(event)
-                    self._books.ledger.set_open(event.worker, False)
+                    self._scheduling.table.on_unanswered(event)
+                    self._scheduling.ledger.set_open(event.worker, False)
 
     def _take_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
         if self._policy is placement_module.Policy.FIRST_FIT:
             return
-        attempts = self._books.table.on_worker(report.worker)
+        attempts = self._scheduling.table.on_worker(report.worker)
         action = self._usage.take(report, self._fold.job, attempts, now_ms)
         if self._usage.control.is_slow(report.worker):
             self._pool.poll_by(report.worker, now_ms + SLOW_POLL_MS)
         if action is not None:
             per_hour = self._source.current().limits.evictions_per_hour
             self._evictor.act(
-                self._books, report.worker, action, per_hour, now_ms
+                self._scheduling, report.worker, action, per_hour, now_ms
             )
 
     def _check_lost(self, bounds: job_records.HoldBounds, now_ms: int) -> None:
         guard_until_ms = self._ownership.guard_until_ms()
-        table = self._books.table
+        table = self._scheduling.table
         for worker in table.workers():
             table.declare_lost(worker, guard_until_ms, bounds, now_ms)
 
     # Outputs.
 
     def _append_pending(self, now_ms: int) -> None:
-        pending: list[Any] = self._books.table.pending_records()
+        pending: list[Any] = self._scheduling.table.pending_records()
         if not pending and self._uncertain:
             # Anything known to stand settles what was sent before it.
             host = self._ownership.host_id
@@ -302,7 +302,7 @@
                 if folded:
                     self._observer.note_folded(
                         bodies,
-                        len(self._books.workers.listed()),
+                        len(self._scheduling.workers.listed()),
                         self._clock.monotonic_ms(),
                     )
                 return folded
@@ -324,7 +324,7 @@
             self._uncertain.pop(body.job, None)
             state = self._fold.job(body.job)
             if state is not None:
-                self._books.dispatcher.sync(state)
+                self._scheduling.dispatcher.sync(state)
 
     def _settle_uncertain(self) -> None:
         settled = tuple(self._uncertain.values())
@@ -333,7 +333,7 @@
 
     def _place(self) -> None:
         now_ms = self._clock.monotonic_ms()
-        scheduling = self._books
+        scheduling = self._scheduling
         if scheduling.dispatcher.queued == 0 or now_ms < self._append_after_ms:
             return
         if not scheduling.dispatcher.take_changed() and now_ms < self._place_ms:
@@ -361,7 +361,7 @@
 
     def _assign_planned(self, now_ms: int) -> list[job_records.AttemptAssigned]:
         """Assigns jobs for which evictions have made room."""
-        scheduling = self._books
+        scheduling = self._scheduling
         assigned = []
         for plan in scheduling.planner.ready(now_ms):
             scheduling.planner.finish(plan.job)
