--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -137,9 +137,9 @@
         self, parts: owner_dependencies.TenureParts, host_name: str
     ) -> None:
         """Opens those services of the platform that there are."""
-        self._advice_desk = None
+        self._advice_fetcher = None
         if parts.adviser is not None:
-            self._advice_desk = advice_fetcher.AdviceFetcher(
+            self._advice_fetcher = advice_fetcher.AdviceFetcher(
                 parts.adviser, self._events.put, parts.clock
             )
         self._machine_desk = None
@@ -173,8 +173,8 @@
         traceback: types.TracebackType | None,
     ) -> None:
         self._workers.__exit__(exc_type, exc, traceback)
-        if self._advice_desk is not None:
-            self._advice_desk.__exit__(exc_type, exc, traceback)
+        if self._advice_fetcher is not None:
+            self._advice_fetcher.__exit__(exc_type, exc, traceback)
         if self._machine_desk is not None:
             self._machine_desk.__exit__(exc_type, exc, traceback)
 
@@ -367,8 +367,8 @@
         """Asks which workers may run steps that a policy is for."""
         wanted = steps + self._jobs.soon_ready_steps()
         for request in self._advice.prepare(wanted, self._workers, now_ms):
-            if self._advice_desk is not None:
-                self._advice_desk.ask(request)
+            if self._advice_fetcher is not None:
+                self._advice_fetcher.ask(request)
                 continue
             self._advice.note_missing(
                 request.step,
