--- a/src/comfreylatch/_process/cell/claiming.py
+++ b/src/comfreylatch/_process/cell/claiming.py
@@ -5,7 +5,7 @@
 import attrs
 import xxhash
 
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import reasons
 
 # Three heartbeats. Shorter, and a slow append of the owner would cost it its
@@ -57,7 +57,7 @@
     now_ms: int
     view_age_ms: int
     reachable_ms: int
-    owner: job_book.OwnerSighting | None
+    owner: job_replica.OwnerSighting | None
     started_ms: int
 
 
@@ -88,6 +88,8 @@
     return None
 
 
-def is_outdated(view: ClaimView, owner: job_book.OwnerSighting | None) -> bool:
+def is_outdated(
+    view: ClaimView, owner: job_replica.OwnerSighting | None
+) -> bool:
     """Whether a heartbeat has come since a view was taken."""
     return owner != view.owner
--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -8,7 +8,7 @@
 from comfreylatch._ports import advice as advice_port
 from comfreylatch._ports import cell_workers
 from comfreylatch._ports import machines as machines_port
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import runs as runs_module
 
 
@@ -16,7 +16,7 @@
 class BookChanged:
     """A job was accepted or cancelled."""
 
-    change: job_book.BookChange
+    change: job_replica.BookChange
 
 
 @attrs.frozen
--- a/src/comfreylatch/_process/cell/forgetting.py
+++ b/src/comfreylatch/_process/cell/forgetting.py
@@ -8,7 +8,7 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import scribe as scribe_module
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        book: job_book.JobBook,
+        book: job_replica.JobBook,
         scribe: scribe_module.Scribe,
         keep_ms: int,
         clock: clock_port.Clock,
--- a/src/comfreylatch/_process/cell/inheritance.py
+++ b/src/comfreylatch/_process/cell/inheritance.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
 
 
@@ -24,7 +24,7 @@
     """
 
     token: int
-    jobs: tuple[job_book.JobEntry, ...]
+    jobs: tuple[job_replica.JobEntry, ...]
     progress: dict[str, records.ProgressRecord]
     release_after_ms: int
     known_workers: dict[str, int]
--- a/src/comfreylatch/_process/cell/intake.py
+++ b/src/comfreylatch/_process/cell/intake.py
@@ -18,7 +18,7 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
@@ -213,7 +213,7 @@
 
     def __init__(
         self,
-        book: job_book.JobBook,
+        book: job_replica.JobBook,
         tail: tail_module.Tail,
         keeper: RecordKeeper,
         metrics: metrics_module.Metrics,
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -21,7 +21,7 @@
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import inheritance as inheritance_module
 from comfreylatch._process.cell import interference
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import learning
 from comfreylatch._process.cell import machine_desk
@@ -182,7 +182,7 @@
         """Tells the owner something; any thread may call it."""
         self._events.put(event)
 
-    def post_change(self, change: job_book.BookChange) -> None:
+    def post_change(self, change: job_replica.BookChange) -> None:
         """Tells the owner of a job accepted or cancelled."""
         self._events.put(events.BookChanged(change))
 
@@ -253,13 +253,13 @@
             case events.StopReturned():
                 self._orders.take_stop(event)
 
-    def _handle_change(self, change: job_book.BookChange) -> None:
+    def _handle_change(self, change: job_replica.BookChange) -> None:
         match change:
-            case job_book.JobAdded(spec):
+            case job_replica.JobAdded(spec):
                 job = self._jobs.add(spec)
                 if job is not None:
                     self._ranker.note_job(job)
-            case job_book.JobCancelled(job_id):
+            case job_replica.JobCancelled(job_id):
                 self._cancel(job_id)
 
     def _handle_maintenance(
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -12,7 +12,7 @@
 from comfreylatch._ports import machines as machines_port
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import worker_session
 
@@ -42,7 +42,7 @@
 
     cell: int
     store: store_port.RecordStore
-    book: job_book.JobBook
+    book: job_replica.JobBook
     jobs_tail: tail_module.Tail
     connect: worker_session.Connect
     follow_workers: Callable[
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -23,7 +23,7 @@
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import forgetting
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner as owner_module
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import reasons
@@ -214,10 +214,10 @@
                 for entry in parts.book.listen(owner.post_change):
                     if entry.spec is None:
                         continue
-                    owner.post_change(job_book.JobAdded(entry.spec))
+                    owner.post_change(job_replica.JobAdded(entry.spec))
                     if entry.is_cancelled:
                         owner.post_change(
-                            job_book.JobCancelled(entry.spec.job_id)
+                            job_replica.JobCancelled(entry.spec.job_id)
                         )
                 self.is_owner = True
                 forgetter = forgetting.Forgetter(
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -26,7 +26,7 @@
 from comfreylatch._process import metrics_text
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import intake as intake_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
 from comfreylatch._process.cell import records
@@ -123,7 +123,7 @@
         self._store = store.StoreClient(settings.store.address)
         self._configured = views.ConfigurationView()
         self._waves = views.WavesView()
-        self._book = job_book.JobBook(self._clock)
+        self._book = job_replica.JobBook(self._clock)
         self._jobs_tail = self._tail(records.JOBS_TOPIC, self._book.apply)
         self._keeper = intake_module.RecordKeeper(
             self._store, CELL, self._clock
--- a/tests/process/cell/test_intake.py
+++ b/tests/process/cell/test_intake.py
@@ -9,7 +9,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import intake as intake_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import tail as tail_module
 from testing.fakes import record_store
@@ -28,7 +28,7 @@
         self.addCleanup(stack.close)
         clock = clock_port.SystemClock()
         self.store = record_store.MemoryStore()
-        self.book = job_book.JobBook(clock)
+        self.book = job_replica.JobBook(clock)
         self.tail = stack.enter_context(
             tail_module.Tail(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
--- a/tests/process/cell/test_job_book.py
+++ b/tests/process/cell/test_job_replica.py
@@ -5,7 +5,7 @@
 import testtools
 
 from comfreylatch._ports import store as store_port
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
 from testing.fakes import clock as fake_clock
 from tests.process.cell import harness
@@ -20,7 +20,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = job_book.JobBook(fake_clock.FakeClock(harness.START_MS))
+        self.book = job_replica.JobBook(fake_clock.FakeClock(harness.START_MS))
         self.offset = 0
 
     def tell(self, key: str, record: object | None) -> None:
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -19,7 +19,7 @@
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import intake as intake_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
 from comfreylatch._process.cell import records
@@ -114,7 +114,7 @@
         self.clock = clock = clock_port.SystemClock()
         self.is_dark = False
         self.store = HostStore(store)
-        self.book = job_book.JobBook(clock)
+        self.book = job_replica.JobBook(clock)
         self.tail = stack.enter_context(
             tail_module.Tail(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
