--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -218,7 +218,9 @@
                 self._fold,
                 self._membership,
                 shares,
-                lambda: startup_waits.left_over_ms(longest, self._ledger),
+                lambda: startup_waits.predecessor_hold_ms(
+                    longest, self._ledger
+                ),
                 self._marks.assume_complete,
                 self._clock,
             )
--- a/src/comfreylatch/_process/own_state.py
+++ b/src/comfreylatch/_process/own_state.py
@@ -119,7 +119,7 @@
     source: configuration_port.ConfigurationSource
     membership: membership_module.Membership
     shares: shares_module.FixedShares
-    left_over_ms: Callable[[], int]
+    predecessor_hold_ms: Callable[[], int]
     on_first_start: Callable[[], None]
     clock: clock_port.Clock
 
@@ -186,6 +186,6 @@
         if parts.membership.is_predecessor_drained():
             return "predecessor-drained"
         waited_ms = parts.clock.monotonic_ms() - self._started_ms
-        if waited_ms >= parts.left_over_ms():
+        if waited_ms >= parts.predecessor_hold_ms():
             return "waited"
         return ""
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -31,7 +31,9 @@
         self._longest_ms = shares.longest_hold_ms(new)
 
 
-def left_over_ms(longest: MaxSlotHoldTime, ledger: loans.LoanLedger) -> int:
+def predecessor_hold_ms(
+    longest: MaxSlotHoldTime, ledger: loans.LoanLedger
+) -> int:
     """How long requests and loans of a killed predecessor may last."""
     loan_ms = ledger.loan_ms()
     margin_ms = loan_ms // slot_book.DRIFT_DIVISOR + 1
--- a/tests/process/test_own_state.py
+++ b/tests/process/test_own_state.py
@@ -38,7 +38,7 @@
     def is_predecessor_drained(self) -> bool:
         return self.drained
 
-    def left_over_ms(self) -> int:
+    def predecessor_hold_ms(self) -> int:
         return LEFT_OVER_MS
 
 
