--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -95,13 +95,13 @@
         self._observer = end_observer.EndObserver(
             zone, fold, self._health, journal, metrics
         )
-        self._scheduling = self._new_books()
+        self._scheduling = self._new_scheduling_state()
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="zone-owner", daemon=True
         )
 
-    def _new_books(self) -> scheduling_state.SchedulingState:
+    def _new_scheduling_state(self) -> scheduling_state.SchedulingState:
         return scheduling_state.SchedulingState(
             self._zone,
             self._term,
@@ -183,7 +183,7 @@
         self._pool.clear_commands()
         self._uncertain.clear()
         self._checked_ms = -CHECK_MS
-        self._scheduling = self._new_books()
+        self._scheduling = self._new_scheduling_state()
         if term == 0:
             self._pool.stop_all()
             return
