--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -24,7 +24,7 @@
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import learning
-from comfreylatch._process.cell import machine_desk
+from comfreylatch._process.cell import machine_caller
 from comfreylatch._process.cell import maintenance
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import planner as planner_module
@@ -144,7 +144,7 @@
             )
         self._machine_desk = None
         if parts.machines is not None:
-            self._machine_desk = machine_desk.MachineDesk(
+            self._machine_desk = machine_caller.MachineDesk(
                 parts.machines,
                 host_name,
                 self._inheritance.token,
