--- a/src/comfreylatch/_process/cell/forgetting.py
+++ b/src/comfreylatch/_process/cell/forgetting.py
@@ -8,9 +8,9 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 
 # Between two looks for jobs to be dropped.
 LOOK_INTERVAL_MS = 5_000
@@ -28,7 +28,7 @@
     def __init__(
         self,
         book: job_replica.JobBook,
-        scribe: scribe_module.Scribe,
+        scribe: fenced_writer_module.Scribe,
         keep_ms: int,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -19,6 +19,7 @@
 from comfreylatch._process.cell import cell_report
 from comfreylatch._process.cell import durations as durations_module
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import inheritance as inheritance_module
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_replica
@@ -34,7 +35,6 @@
 from comfreylatch._process.cell import run_control as run_control_module
 from comfreylatch._process.cell import run_orders
 from comfreylatch._process.cell import runs as runs_module
-from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import worker_session
 from comfreylatch._process.cell import worker_table as worker_table_module
 
@@ -70,7 +70,7 @@
     def __init__(
         self,
         inheritance: inheritance_module.Inheritance,
-        scribe: scribe_module.Scribe,
+        scribe: fenced_writer_module.Scribe,
         parts: owner_dependencies.TenureParts,
         host_name: str,
     ) -> None:
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -22,13 +22,13 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import forgetting
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner as owner_module
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import takeover
 
 # For how long most workers must be out of reach before the owner gives up.
@@ -199,7 +199,7 @@
             for post in inbox:
                 post(events.Fenced(detail))
 
-        with scribe_module.Scribe(
+        with fenced_writer_module.Scribe(
             parts.store, parts.cell, heartbeat, on_fenced, parts.clock
         ) as scribe:
             inheritance = takeover.take_over(
@@ -229,7 +229,7 @@
     def _run(
         self,
         owner: owner_module.Owner,
-        scribe: scribe_module.Scribe,
+        scribe: fenced_writer_module.Scribe,
         heartbeat: records.HeartbeatRecord,
         forgetter: forgetting.Forgetter,
     ) -> None:
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -8,10 +8,10 @@
 
 from comfreylatch._process import logs
 from comfreylatch._process.cell import claiming
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import inheritance
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import worker_view
 
 CATCH_UP_MS = 3_000
@@ -33,7 +33,7 @@
     parts: owner_dependencies.TenureParts,
     host: claiming.HostIdentity,
     token: int,
-    scribe: scribe_module.Scribe,
+    scribe: fenced_writer_module.Scribe,
     predecessor: records.HeartbeatRecord | None,
 ) -> inheritance.Inheritance | None:
     """Fences the owner before and reads what it has recorded."""
@@ -52,7 +52,7 @@
     if predecessor is None:
         release_after_ms = started_ms
     elif not (predecessor.is_released or predecessor.host == host.name):
-        release_after_ms += scribe_module.AUTONOMY_MS
+        release_after_ms += fenced_writer_module.AUTONOMY_MS
     jobs = parts.book.listen(None)
     logs.event(
         _logger,
--- a/tests/process/cell/test_scribe.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -8,8 +8,8 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process.cell import claiming
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 from testing.fakes import record_store
 
 WAIT_S = 5
@@ -23,9 +23,9 @@
         self.store = record_store.MemoryStore()
         self.fenced = threading.Event()
 
-    def scribe(self, token: int) -> scribe_module.Scribe:
+    def scribe(self, token: int) -> fenced_writer_module.Scribe:
         """A scribe that has not begun."""
-        return scribe_module.Scribe(
+        return fenced_writer_module.Scribe(
             self.store,
             0,
             records.HeartbeatRecord("bole-1", "boot", token),
@@ -33,7 +33,7 @@
             clock_port.SystemClock(),
         )
 
-    def write(self, scribe: scribe_module.Scribe, key: str) -> bool:
+    def write(self, scribe: fenced_writer_module.Scribe, key: str) -> bool:
         """Writes a record; returns whether it was reported as kept."""
         kept = threading.Event()
         scribe.write({key: b"{}"}, {}, [kept.set])
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -18,12 +18,12 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import claiming
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import intake as intake_module
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import takeover
@@ -258,7 +258,7 @@
         )
         self.store.append(records.WORK_TOPIC, 0, (record,))
         heartbeat = records.HeartbeatRecord("two", "boot-two", 9)
-        with scribe_module.Scribe(
+        with fenced_writer_module.Scribe(
             self.second.store, 0, heartbeat, lambda _: None, self.second.clock
         ) as scribe:
             inheritance = takeover.take_over(
