--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -229,7 +229,7 @@
             self._clock,
             lambda _: shares.hold_until(
                 self._clock.monotonic_ms()
-                + startup_waits.seat_check_ms(settings.timing)
+                + startup_waits.seat_conflict_wait_ms(settings.timing)
             ),
         )
         self._client = endpoint_client.EndpointClient(
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -40,6 +40,6 @@
     return loan_ms + margin_ms + LONGEST_HOLDS_LEFT * longest.ms()
 
 
-def seat_check_ms(timing: settings_module.TimingSettings) -> int:
+def seat_conflict_wait_ms(timing: settings_module.TimingSettings) -> int:
     """How long peers need to say that another process has the seat."""
     return 2 * timing.heartbeat_ms + timing.peer_timeout_ms
