--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -192,7 +192,7 @@
 SESSION = Session()
 
 
-def make_books(
+def make_scheduling_state(
     workers_known: int, fold: zone_fold.ZoneFold | None = None
 ) -> scheduling_state.SchedulingState:
     """An owner's books with workers and teams, and no job."""
@@ -218,7 +218,9 @@
 
 
 def _books(count: int) -> scheduling_state.SchedulingState:
-    scheduling = make_books(workers_known=count // TASKS_PER_WORKER + 1)
+    scheduling = make_scheduling_state(
+        workers_known=count // TASKS_PER_WORKER + 1
+    )
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
         scheduling.sync_job(job_of(index, worker), 0)
@@ -226,7 +228,7 @@
 
 
 def _start_us(workers_known: int) -> float:
-    scheduling = make_books(workers_known)
+    scheduling = make_scheduling_state(workers_known)
     first = workers_known * TASKS_PER_WORKER
     for index in range(first):
         scheduling.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
