--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -20,7 +20,7 @@
 
 
 @final
-class MachineDesk:
+class MachineCaller:
     """Lists and orders, one call at a time. A context manager.
 
     Args:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -144,7 +144,7 @@
             )
         self._machine_desk = None
         if parts.machines is not None:
-            self._machine_desk = machine_caller.MachineDesk(
+            self._machine_desk = machine_caller.MachineCaller(
                 parts.machines,
                 host_name,
                 self._inheritance.token,
