--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -20,7 +20,6 @@
 from comfreylatch._process.cell import durations as durations_module
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import fenced_writer as fenced_writer_module
-from comfreylatch._process.cell import inheritance as inheritance_module
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import job_table as job_table_module
@@ -32,6 +31,7 @@
 from comfreylatch._process.cell import ranking as ranking_module
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import recorded_lives
+from comfreylatch._process.cell import recovered_state as recovered_state_module
 from comfreylatch._process.cell import run_control as run_control_module
 from comfreylatch._process.cell import run_orders
 from comfreylatch._process.cell import runs as runs_module
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        inheritance: inheritance_module.Inheritance,
+        inheritance: recovered_state_module.Inheritance,
         scribe: fenced_writer_module.Scribe,
         parts: owner_dependencies.TenureParts,
         host_name: str,
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -9,9 +9,9 @@
 from comfreylatch._process import logs
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import fenced_writer as fenced_writer_module
-from comfreylatch._process.cell import inheritance
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import records
+from comfreylatch._process.cell import recovered_state
 from comfreylatch._process.cell import worker_view
 
 CATCH_UP_MS = 3_000
@@ -35,7 +35,7 @@
     token: int,
     scribe: fenced_writer_module.Scribe,
     predecessor: records.HeartbeatRecord | None,
-) -> inheritance.Inheritance | None:
+) -> recovered_state.Inheritance | None:
     """Fences the owner before and reads what it has recorded."""
     started_ms = parts.clock.monotonic_ms()
     first_offset = scribe.fence()
@@ -63,7 +63,7 @@
         jobs=len(jobs),
         took_ms=parts.clock.monotonic_ms() - started_ms,
     )
-    return inheritance.Inheritance(
+    return recovered_state.Inheritance(
         token,
         tuple(jobs),
         work.progress,
