--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -40,7 +40,7 @@
 from comfreylatch._process import pause_watch
 from comfreylatch._process import peer_service
 from comfreylatch._process import reasons
-from comfreylatch._process import record_push
+from comfreylatch._process import record_pusher
 from comfreylatch._process import resident
 from comfreylatch._process import settings as settings_module
 from comfreylatch._process import shares as shares_module
@@ -156,7 +156,7 @@
         self._config_appender = appender_module.StreamAppender(
             self._log, CONFIG_STREAM, self.host_id, self._metrics, self._clock
         )
-        push = record_push.OwnRecordPush(self._membership, self.host_id)
+        push = record_pusher.OwnRecordPush(self._membership, self.host_id)
 
         def after_apply(applied: stream_state.Applied) -> None:
             self._config_appender.observe(applied)
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -10,7 +10,7 @@
 from comfreylatch._process import catch_up
 from comfreylatch._process import follower
 from comfreylatch._process import metrics
-from comfreylatch._process import record_push
+from comfreylatch._process import record_pusher
 from comfreylatch._process import snapshot_stream
 from comfreylatch._process import stream_state
 from comfreylatch._version import records
@@ -200,7 +200,7 @@
         self.assertEqual(before, self.follower.position())
 
     def test_own_record_reaches_a_host_cut_from_the_log(self) -> None:
-        push = record_push.OwnRecordPush(self.peers, "writer")
+        push = record_pusher.OwnRecordPush(self.peers, "writer")
         cut_fold = stream_history.NoteFold()
         self.peers.followers["cut"] = self.make(cut_fold)
         self.put(2)
