--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -60,7 +60,9 @@
         queued_bytes=_memory(f"{name}, queued", _queued),
         running_bytes=_memory(f"{name}, running", _running),
         ended_bytes=_memory(f"{name}, ended", _ended),
-        books_bytes=_memory("owner's queue and ledgers", _books),
+        books_bytes=_memory(
+            "owner's queue and ledgers", _populated_scheduling_state
+        ),
         record_us=slope.fit(
             "one record of a job decoded and folded",
             "running jobs",
@@ -217,7 +219,7 @@
     return scheduling
 
 
-def _books(count: int) -> scheduling_state.SchedulingState:
+def _populated_scheduling_state(count: int) -> scheduling_state.SchedulingState:
     scheduling = make_scheduling_state(
         workers_known=count // TASKS_PER_WORKER + 1
     )
