--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -142,9 +142,9 @@
             self._advice_fetcher = advice_fetcher.AdviceFetcher(
                 parts.adviser, self._events.put, parts.clock
             )
-        self._machine_desk = None
+        self._machine_caller = None
         if parts.machines is not None:
-            self._machine_desk = machine_caller.MachineCaller(
+            self._machine_caller = machine_caller.MachineCaller(
                 parts.machines,
                 host_name,
                 self._inheritance.token,
@@ -175,8 +175,8 @@
         self._workers.__exit__(exc_type, exc, traceback)
         if self._advice_fetcher is not None:
             self._advice_fetcher.__exit__(exc_type, exc, traceback)
-        if self._machine_desk is not None:
-            self._machine_desk.__exit__(exc_type, exc, traceback)
+        if self._machine_caller is not None:
+            self._machine_caller.__exit__(exc_type, exc, traceback)
 
     def post(self, event: events.Event) -> None:
         """Tells the owner something; any thread may call it."""
@@ -379,12 +379,12 @@
     def _maintain(self, now_ms: int) -> None:
         """Takes the machines of waves through their maintenance."""
         waves = self._waves()
-        if not waves or self._machine_desk is None:
+        if not waves or self._machine_caller is None:
             return
         for action in self._maintenance.plan(
             waves, self._workers.by_id(), now_ms, self._clock.wall_ms()
         ):
-            self._machine_desk.do(action)
+            self._machine_caller.do(action)
 
     def _record_timer(self) -> Callable[[], None]:
         """What measures the time until ends seen now are recorded."""
