--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -30,7 +30,7 @@
 from comfreylatch._process.cell import planner as planner_module
 from comfreylatch._process.cell import ranking as ranking_module
 from comfreylatch._process.cell import reasons
-from comfreylatch._process.cell import recorded_lives
+from comfreylatch._process.cell import recorded_workers
 from comfreylatch._process.cell import recovered_state as recovered_state_module
 from comfreylatch._process.cell import run_control as run_control_module
 from comfreylatch._process.cell import run_orders
@@ -126,7 +126,7 @@
         self._pass_took_ms = 0
         self._stop_reason: reasons.TenureEnd | None = None
         self._must_acknowledge: set[str] = set()
-        self._lives = recorded_lives.RecordedLives(
+        self._lives = recorded_workers.RecordedLives(
             self._workers, inheritance.known_workers, self._events.put
         )
         self._learning = learning.Learning(
