--- a/src/comfreylatch/_process/record_pusher.py
+++ b/src/comfreylatch/_process/record_pusher.py
@@ -10,7 +10,7 @@
 
 
 @final
-class OwnRecordPush:
+class OwnRecordPusher:
     """For `after_apply`: pushes what this host wrote and read back.
 
     Only the writer pushes, so that a record costs one message a host; a host
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -200,7 +200,7 @@
         self.assertEqual(before, self.follower.position())
 
     def test_own_record_reaches_a_host_cut_from_the_log(self) -> None:
-        push = record_pusher.OwnRecordPush(self.peers, "writer")
+        push = record_pusher.OwnRecordPusher(self.peers, "writer")
         cut_fold = stream_history.NoteFold()
         self.peers.followers["cut"] = self.make(cut_fold)
         self.put(2)
