--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -13,7 +13,7 @@
 from comfreylatch._process.batch import eviction
 from comfreylatch._process.batch import job_queue
 from comfreylatch._process.batch import placement as placement_module
-from comfreylatch._process.batch import usage_intake
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._process.batch import worker_mix
 from comfreylatch._process.batch import zone_workers
 from comfreylatch._version import job_state
@@ -40,7 +40,7 @@
         term: int,
         fold: zone_fold.ZoneFold,
         sink: attempt_module.CommandSink,
-        usage: usage_intake.UsageIntake,
+        usage: usage_analyzer.UsageIntake,
         policy: placement_module.Policy,
         metrics: metrics_module.Metrics,
     ) -> None:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -30,7 +30,7 @@
 from comfreylatch._process.batch import ownership as ownership_module
 from comfreylatch._process.batch import placement as placement_module
 from comfreylatch._process.batch import scheduling_state
-from comfreylatch._process.batch import usage_intake
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._process.batch import worker_health
 from comfreylatch._process.batch import worker_session
 from comfreylatch._version import job_records
@@ -90,7 +90,7 @@
         self._place_ms = 0
         self._uncertain: dict[str, job_records.AttemptAssigned] = {}
         self._health = worker_health.WorkerHealth()
-        self._usage = usage_intake.UsageIntake()
+        self._usage = usage_analyzer.UsageIntake()
         self._evictor = evictor.Evictor(metrics)
         self._observer = end_observer.EndObserver(
             zone, fold, self._health, journal, metrics
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -16,7 +16,7 @@
 from comfreylatch._process.batch import dispatcher
 from comfreylatch._process.batch import placement
 from comfreylatch._process.batch import scheduling_state
-from comfreylatch._process.batch import usage_intake
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._version import job_records
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
@@ -203,7 +203,7 @@
         TERM,
         fold or zone_fold.ZoneFold(),
         Sink(),
-        usage_intake.UsageIntake(),
+        usage_analyzer.UsageIntake(),
         placement.Policy.PREDICTED_COST,
         metrics_module.Metrics(),
     )
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -11,7 +11,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import ownership
-from comfreylatch._process.batch import usage_intake
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._process.batch import worker_session
 from comfreylatch._process.batch import zone_owner
 from comfreylatch._version import configuration
@@ -131,7 +131,7 @@
 def _report_us(tasks: int) -> float:
     zone = batch_slopes.running_zone(tasks, 1)
     scheduling = batch_slopes.make_scheduling_state(1, zone.fold)
-    usage = usage_intake.UsageIntake()
+    usage = usage_analyzer.UsageIntake()
     for state in zone.fold.jobs():
         scheduling.sync_job(state, 0)
     now_ms = 0
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -22,7 +22,7 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import placement
 from comfreylatch._process.batch import scheduling_state
-from comfreylatch._process.batch import usage_intake
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._version import configuration as configuration_module
 from comfreylatch._version import job_records
 from comfreylatch._version import objects
@@ -70,7 +70,7 @@
             1,
             self.fold,
             fake_zone.FakePool("bench"),
-            usage_intake.UsageIntake(),
+            usage_analyzer.UsageIntake(),
             policy,
             metrics_module.Metrics(),
         )
