--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -23,9 +23,9 @@
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import job_table as job_table_module
-from comfreylatch._process.cell import learning
 from comfreylatch._process.cell import machine_caller
 from comfreylatch._process.cell import maintenance
+from comfreylatch._process.cell import model_persistence
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import planner as planner_module
 from comfreylatch._process.cell import ranking as ranking_module
@@ -129,7 +129,7 @@
         self._lives = recorded_workers.RecordedLives(
             self._workers, inheritance.known_workers, self._events.put
         )
-        self._learning = learning.Learning(
+        self._learning = model_persistence.Learning(
             model, self._durations, inheritance.learned, clock
         )
 
