--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -23,8 +23,8 @@
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import fenced_writer as fenced_writer_module
-from comfreylatch._process.cell import forgetting
 from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import job_retention
 from comfreylatch._process.cell import owner as owner_module
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import reasons
@@ -220,7 +220,7 @@
                             job_replica.JobCancelled(entry.spec.job_id)
                         )
                 self.is_owner = True
-                forgetter = forgetting.Forgetter(
+                forgetter = job_retention.Forgetter(
                     parts.book, scribe, parts.keep_ended_ms, parts.clock
                 )
                 parts.jobs_tail.pause_ms = 0
@@ -231,7 +231,7 @@
         owner: owner_module.Owner,
         scribe: fenced_writer_module.Scribe,
         heartbeat: records.HeartbeatRecord,
-        forgetter: forgetting.Forgetter,
+        forgetter: job_retention.Forgetter,
     ) -> None:
         def on_workers(
             entries: dict[str, cell_workers.WorkerEntry],
