--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -15,7 +15,7 @@
 
 
 @final
-class Learning:
+class ModelPersistence:
     """Begins with what an owner before has learned, and hands on what is.
 
     Only the owner's thread uses it.
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -129,7 +129,7 @@
         self._lives = recorded_workers.RecordedLives(
             self._workers, inheritance.known_workers, self._events.put
         )
-        self._learning = model_persistence.Learning(
+        self._learning = model_persistence.ModelPersistence(
             model, self._durations, inheritance.learned, clock
         )
 
