--- a/src/comfreylatch/_process/cell/intake.py
+++ b/src/comfreylatch/_process/cell/intake.py
@@ -19,10 +19,12 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
-from comfreylatch._process.cell import tail as tail_module
 
 APPEND_TIMEOUT_MS = 700
 RETRY_PAUSE_MS = 50
@@ -214,7 +216,7 @@
     def __init__(
         self,
         book: job_replica.JobBook,
-        tail: tail_module.Tail,
+        tail: partition_reader_module.Tail,
         keeper: RecordKeeper,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -13,7 +13,9 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import job_replica
-from comfreylatch._process.cell import tail as tail_module
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import worker_session
 
 
@@ -43,11 +45,11 @@
     cell: int
     store: store_port.RecordStore
     book: job_replica.JobBook
-    jobs_tail: tail_module.Tail
+    jobs_tail: partition_reader_module.Tail
     connect: worker_session.Connect
     follow_workers: Callable[
         [Callable[[dict[str, cell_workers.WorkerEntry]], None]],
-        tail_module.Tail,
+        partition_reader_module.Tail,
     ]
     lease_ms: int
     keep_ended_ms: int
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -29,8 +29,10 @@
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import tail as tail_module
 from comfreylatch.platform import advice
 from comfreylatch.platform import callers
 from comfreylatch.platform import configuration
@@ -171,10 +173,10 @@
     def _tail(
         self,
         topic: str,
-        apply: tail_module.Apply,
-        wait_ms: int = tail_module.READ_WAIT_MS,
-    ) -> tail_module.Tail:
-        return tail_module.Tail(
+        apply: partition_reader_module.Apply,
+        wait_ms: int = partition_reader_module.READ_WAIT_MS,
+    ) -> partition_reader_module.Tail:
+        return partition_reader_module.Tail(
             self._store, topic, CELL, apply, self._clock, wait_ms
         )
 
--- a/tests/process/cell/test_intake.py
+++ b/tests/process/cell/test_intake.py
@@ -10,8 +10,10 @@
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import intake as intake_module
 from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import tail as tail_module
 from testing.fakes import record_store
 from tests.process.cell import harness
 
@@ -30,7 +32,7 @@
         self.store = record_store.MemoryStore()
         self.book = job_replica.JobBook(clock)
         self.tail = stack.enter_context(
-            tail_module.Tail(
+            partition_reader_module.Tail(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
             )
         )
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -23,9 +23,11 @@
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
-from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import takeover
 from testing.fakes import cell_workers as fake_workers
 from testing.fakes import record_store
@@ -116,7 +118,7 @@
         self.store = HostStore(store)
         self.book = job_replica.JobBook(clock)
         self.tail = stack.enter_context(
-            tail_module.Tail(
+            partition_reader_module.Tail(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
             )
         )
