--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -136,7 +136,7 @@
         """
         pending = self.submit(bodies)
         if not pending.done.wait(timeout_ms / 1_000):
-            self.give_up(pending)
+            self.abandon(pending)
         assert pending.outcome is not None
         return pending.outcome
 
@@ -153,7 +153,7 @@
             self._wake.notify_all()
             return pending
 
-    def give_up(self, pending: append_batch.PendingAppend) -> None:
+    def abandon(self, pending: append_batch.PendingAppend) -> None:
         """Ends the wait for records; those not yet sent are taken back."""
         with self._wake:
             if pending.outcome is not None:
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -168,7 +168,7 @@
                 host.follower.step()
             case ActionKind.GIVE_UP:
                 for pending in host.pending.values():
-                    host.appender.give_up(pending)
+                    host.appender.abandon(pending)
             case ActionKind.RESTART:
                 self._abandoned.update(host.pending)
                 self._hosts[action.host % HOSTS] = self._start()
--- a/tests/process/test_appender.py
+++ b/tests/process/test_appender.py
@@ -97,7 +97,7 @@
         self.log.down = True
         self.step()
         self.assertIsNone(pending.outcome)
-        self.appender.give_up(pending)
+        self.appender.abandon(pending)
         assert pending.outcome is not None
         self.assertIsInstance(pending.outcome.err(), streams.AppendUnknown)
 
@@ -113,7 +113,7 @@
 
     def test_record_not_yet_sent_is_taken_back(self) -> None:
         pending = self.submit()
-        self.appender.give_up(pending)
+        self.appender.abandon(pending)
         self.step()
         assert pending.outcome is not None
         self.assertIsInstance(pending.outcome.err(), streams.NotAccepted)
