--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -40,7 +40,7 @@
         term: int,
         fold: zone_fold.ZoneFold,
         sink: attempt_module.CommandSink,
-        usage: usage_analyzer.UsageIntake,
+        usage: usage_analyzer.UsageAnalyzer,
         policy: placement_module.Policy,
         metrics: metrics_module.Metrics,
     ) -> None:
--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -14,7 +14,7 @@
 
 
 @final
-class UsageIntake:
+class UsageAnalyzer:
     """Learns sizes and interference. Used by one thread."""
 
     def __init__(self) -> None:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -90,7 +90,7 @@
         self._place_ms = 0
         self._uncertain: dict[str, job_records.AttemptAssigned] = {}
         self._health = worker_health.WorkerHealth()
-        self._usage = usage_analyzer.UsageIntake()
+        self._usage = usage_analyzer.UsageAnalyzer()
         self._evictor = evictor.Evictor(metrics)
         self._observer = end_observer.EndObserver(
             zone, fold, self._health, journal, metrics
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -203,7 +203,7 @@
         TERM,
         fold or zone_fold.ZoneFold(),
         Sink(),
-        usage_analyzer.UsageIntake(),
+        usage_analyzer.UsageAnalyzer(),
         placement.Policy.PREDICTED_COST,
         metrics_module.Metrics(),
     )
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -131,7 +131,7 @@
 def _report_us(tasks: int) -> float:
     zone = batch_slopes.running_zone(tasks, 1)
     scheduling = batch_slopes.make_scheduling_state(1, zone.fold)
-    usage = usage_analyzer.UsageIntake()
+    usage = usage_analyzer.UsageAnalyzer()
     for state in zone.fold.jobs():
         scheduling.sync_job(state, 0)
     now_ms = 0
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -70,7 +70,7 @@
             1,
             self.fold,
             fake_zone.FakePool("bench"),
-            usage_analyzer.UsageIntake(),
+            usage_analyzer.UsageAnalyzer(),
             policy,
             metrics_module.Metrics(),
         )
