--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -129,7 +129,7 @@
         self._lives = recorded_workers.RecordedLives(
             self._workers, inheritance.known_workers, self._events.put
         )
-        self._learning = model_persistence.ModelPersistence(
+        self._model_persistence = model_persistence.ModelPersistence(
             model, self._durations, inheritance.learned, clock
         )
 
@@ -402,7 +402,7 @@
         writes = self._jobs.drain_writes()
         recorded: list[Callable[[], None]] = []
         self._lives.add_writes(writes.work, recorded, self._is_settled)
-        self._learning.add_writes(writes.work)
+        self._model_persistence.add_writes(writes.work)
         writes.work.update(self._maintenance.drain_writes())
         if self._must_acknowledge:
             recorded.append(self._record_timer())
