--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -12,7 +12,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import intake as intake_module
+from comfreylatch._process.cell import job_api as job_api_module
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
@@ -38,7 +38,7 @@
     def __init__(
         self,
         configured: Configured,
-        intake: intake_module.Intake,
+        intake: job_api_module.Intake,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
@@ -130,16 +130,16 @@
         match self._intake.state(job_id):
             case records.JobState() as state:
                 return http.json_reply(200, {"State": state.value})
-            case intake_module.Unknown():
+            case job_api_module.Unknown():
                 return self._unknown(job_id)
-            case intake_module.CannotTell(age_ms):
+            case job_api_module.CannotTell(age_ms):
                 return self._stale(age_ms)
 
     def _waiting(self, queue: specs.QueueSpec) -> http.HttpReply:
         match self._intake.waiting(queue):
             case int() as count:
                 return http.json_reply(200, {"Waiting": count})
-            case intake_module.CannotTell(age_ms):
+            case job_api_module.CannotTell(age_ms):
                 return self._stale(age_ms)
 
     def _refuse(
@@ -168,29 +168,29 @@
             503,
             reasons.Refusal.VIEW_TOO_OLD,
             f"this host's view of jobs is {age_ms} ms old; ask another one",
-            intake_module.RETRY_AFTER_MS,
+            job_api_module.RETRY_AFTER_MS,
         )
 
     def _outcome_reply(
         self,
         job_id: str,
-        outcome: intake_module.SubmitOutcome | intake_module.Unknown,
+        outcome: job_api_module.SubmitOutcome | job_api_module.Unknown,
     ) -> http.HttpReply:
         match outcome:
-            case intake_module.Accepted():
+            case job_api_module.Accepted():
                 return http.json_reply(200, {})
-            case intake_module.Refused(reason, retry_after_ms):
+            case job_api_module.Refused(reason, retry_after_ms):
                 return self._refuse(
                     503,
                     reason,
                     f"nothing was kept for job {job_id}",
                     retry_after_ms,
                 )
-            case intake_module.Undecided(detail):
+            case job_api_module.Undecided(detail):
                 return self._refuse(
                     504,
                     reasons.Refusal.UNDECIDED,
                     f"job {job_id} may have been kept: {detail}",
                 )
-            case intake_module.Unknown():
+            case job_api_module.Unknown():
                 return self._unknown(job_id)
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -25,7 +25,7 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import metrics_text
 from comfreylatch._process.cell import claiming
-from comfreylatch._process.cell import intake as intake_module
+from comfreylatch._process.cell import job_api as job_api_module
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
@@ -127,7 +127,7 @@
         self._waves = views.WavesView()
         self._book = job_replica.JobBook(self._clock)
         self._jobs_tail = self._tail(records.JOBS_TOPIC, self._book.apply)
-        self._keeper = intake_module.RecordKeeper(
+        self._keeper = job_api_module.RecordKeeper(
             self._store, CELL, self._clock
         )
         self._tenure = self._make_tenure()
@@ -225,7 +225,7 @@
         )
 
     def _make_callers(self) -> http_server.HttpServer:
-        intake = intake_module.Intake(
+        intake = job_api_module.Intake(
             self._book,
             self._jobs_tail,
             self._keeper,
--- a/tests/process/cell/test_intake.py
+++ b/tests/process/cell/test_job_api.py
@@ -8,7 +8,7 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import metrics
-from comfreylatch._process.cell import intake as intake_module
+from comfreylatch._process.cell import job_api as job_api_module
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import (
     partition_reader as partition_reader_module,
@@ -37,56 +37,56 @@
             )
         )
         keeper = stack.enter_context(
-            intake_module.RecordKeeper(self.store, 0, clock)
+            job_api_module.RecordKeeper(self.store, 0, clock)
         )
-        self.intake = intake_module.Intake(
+        self.intake = job_api_module.Intake(
             self.book, self.tail, keeper, metrics.Metrics(), clock
         )
         self.assertTrue(self.tail.wait_for(-1, WAIT_MS))
 
-    def submit(self) -> intake_module.SubmitOutcome:
+    def submit(self) -> job_api_module.SubmitOutcome:
         return self.intake.submit(harness.job(), WAIT_MS)
 
     def test_accepted_job_is_shown_as_queued(self) -> None:
-        self.assertEqual(intake_module.Accepted(), self.submit())
+        self.assertEqual(job_api_module.Accepted(), self.submit())
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
         self.assertIs(records.JobState.QUEUED, self.intake.state(ID))
         self.assertEqual(1, self.intake.waiting(harness.QUEUE))
 
     def test_refused_job_is_not_in_the_store(self) -> None:
         self.store.is_down = True
-        self.assertIsInstance(self.submit(), intake_module.Refused)
+        self.assertIsInstance(self.submit(), job_api_module.Refused)
         self.assertEqual([], self.store.keys(records.JOBS_TOPIC, 0))
 
     def test_lost_answer_is_never_a_refusal(self) -> None:
         self.store.lose_answers = 1
-        self.assertEqual(intake_module.Accepted(), self.submit())
+        self.assertEqual(job_api_module.Accepted(), self.submit())
 
     def test_lost_answer_then_outage_stays_undecided(self) -> None:
         self.store.lose_answers = 10**6
         outcome = self.intake.submit(harness.job(), 120)
-        self.assertNotIsInstance(outcome, intake_module.Refused)
+        self.assertNotIsInstance(outcome, job_api_module.Refused)
 
     def test_repeat_of_a_known_job_writes_nothing(self) -> None:
         self.submit()
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
         before = self.store.appends
-        self.assertEqual(intake_module.Accepted(), self.submit())
+        self.assertEqual(job_api_module.Accepted(), self.submit())
         self.assertEqual(before, self.store.appends)
 
     def test_cancelled_job_is_shown_so(self) -> None:
         self.submit()
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
         self.assertEqual(
-            intake_module.Accepted(), self.intake.cancel(ID, WAIT_MS)
+            job_api_module.Accepted(), self.intake.cancel(ID, WAIT_MS)
         )
         self.assertTrue(self.tail.wait_for(1, WAIT_MS))
         self.assertIs(records.JobState.CANCELLED, self.intake.state(ID))
 
     def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
-        self.assertEqual(intake_module.Unknown(), self.intake.state(ID))
+        self.assertEqual(job_api_module.Unknown(), self.intake.state(ID))
         self.store.is_down = True
-        old = testtools.matchers.IsInstance(intake_module.CannotTell)
+        old = testtools.matchers.IsInstance(job_api_module.CannotTell)
         deadline = clock_port.SystemClock()
         until_ms = deadline.monotonic_ms() + 5_000
         while deadline.monotonic_ms() < until_ms:
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -19,7 +19,7 @@
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import fenced_writer as fenced_writer_module
-from comfreylatch._process.cell import intake as intake_module
+from comfreylatch._process.cell import job_api as job_api_module
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import ownership as ownership_module
@@ -123,10 +123,10 @@
             )
         )
         keeper = stack.enter_context(
-            intake_module.RecordKeeper(self.store, 0, clock)
+            job_api_module.RecordKeeper(self.store, 0, clock)
         )
         counted = metrics.Metrics()
-        self.intake = intake_module.Intake(
+        self.intake = job_api_module.Intake(
             self.book, self.tail, keeper, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
@@ -226,7 +226,7 @@
         self.wait_for(lambda: len(self.running()) == 1)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
-        gone = intake_module.Unknown()
+        gone = job_api_module.Unknown()
         self.wait_for(lambda: self.second.intake.state(ID) == gone)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         self.assertEqual(["owner"], [one.key for one in newest.records])
