--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -4,7 +4,7 @@
 
 from typing import final
 
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_view
 
@@ -17,7 +17,7 @@
 class Evacuation:
     """Chooses runs to be stopped on leaving workers."""
 
-    def __init__(self, durations: durations_module.Durations) -> None:
+    def __init__(self, durations: duration_model_module.Durations) -> None:
         self._durations = durations
 
     def to_move(self, worker: worker_view.WorkerView) -> list[runs_module.Run]:
--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -5,7 +5,7 @@
 from typing import final
 
 from comfreylatch._ports import clock as clock_port
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import records
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         model: interference.InterferenceModel,
-        durations: durations_module.Durations,
+        durations: duration_model_module.Durations,
         inherited: records.LearnedRecord,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -17,7 +17,7 @@
 from comfreylatch._process.cell import advice as advice_module
 from comfreylatch._process.cell import advice_fetcher
 from comfreylatch._process.cell import cell_report
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import fenced_writer as fenced_writer_module
 from comfreylatch._process.cell import interference
@@ -81,7 +81,7 @@
         self._clock = clock
         self._events: queue.SimpleQueue[events.Event] = queue.SimpleQueue()
         self._jobs = job_table_module.JobTable(inheritance.token, clock)
-        self._durations = durations_module.Durations()
+        self._durations = duration_model_module.Durations()
         self._ranker = ranking_module.Ranker(self._durations)
         terms = worker_session.LeaseTerms(
             inheritance.token, parts.lease_ms, scribe.may_act
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import runs as runs_module
 
 # A job that ends within this many times its objective still earns something.
@@ -61,7 +61,7 @@
 class Ranker:
     """Ranks jobs by what is known of durations."""
 
-    def __init__(self, durations: durations_module.Durations) -> None:
+    def __init__(self, durations: duration_model_module.Durations) -> None:
         self._durations = durations
         self._queues: dict[str, QueueWork] = {}
 
--- a/src/comfreylatch/_process/cell/run_control.py
+++ b/src/comfreylatch/_process/cell/run_control.py
@@ -11,7 +11,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import evacuation
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import interference
@@ -48,7 +48,7 @@
         orders: run_orders.RunOrders,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
-        durations: durations_module.Durations,
+        durations: duration_model_module.Durations,
         model: interference.InterferenceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -9,7 +9,7 @@
 
 from comfreylatch._ports import cell_workers
 from comfreylatch._process import metrics
-from comfreylatch._process.cell import durations
+from comfreylatch._process.cell import duration_model
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table
@@ -95,7 +95,7 @@
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
-        self.durations = durations.Durations()
+        self.durations = duration_model.Durations()
         self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
