--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -32,8 +32,8 @@
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import recorded_workers
 from comfreylatch._process.cell import recovered_state as recovered_state_module
-from comfreylatch._process.cell import run_control as run_control_module
 from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_reconciler as run_reconciler_module
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_session
 from comfreylatch._process.cell import worker_table as worker_table_module
@@ -98,7 +98,7 @@
         self._orders = run_orders.RunOrders(
             self._jobs, self._workers, model, metrics, clock
         )
-        self._control = run_control_module.RunControl(
+        self._control = run_reconciler_module.RunControl(
             self._orders,
             self._jobs,
             self._workers,
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -15,8 +15,8 @@
 from comfreylatch._process.cell import job_table
 from comfreylatch._process.cell import planner
 from comfreylatch._process.cell import ranking
-from comfreylatch._process.cell import run_control
 from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_reconciler
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_table
 from testing.fakes import cell_workers as fake_workers
@@ -102,7 +102,7 @@
         self.orders = run_orders.RunOrders(
             self.jobs, self.workers, self.model, counted, self.clock
         )
-        self.control = run_control.RunControl(
+        self.control = run_reconciler.RunControl(
             self.orders,
             self.jobs,
             self.workers,
