--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -22,7 +22,7 @@
         self.model = interference.InterferenceModel()
         self.control = interference_control.InterferenceControl(self.model)
 
-    def take(
+    def process(
         self,
         report: workers.WorkerReport,
         job_of: Callable[[str], job_state.JobState | None],
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -259,7 +259,7 @@
         if self._policy is placement_module.Policy.FIRST_FIT:
             return
         attempts = self._scheduling.table.on_worker(report.worker)
-        action = self._usage.take(report, self._fold.job, attempts, now_ms)
+        action = self._usage.process(report, self._fold.job, attempts, now_ms)
         if self._usage.control.is_slow(report.worker):
             self._pool.poll_by(report.worker, now_ms + SLOW_POLL_MS)
         if action is not None:
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -145,7 +145,7 @@
         )
         scheduling.table.on_reported(event, batch_slopes.BOUNDS, now_ms)
         attempts = scheduling.table.on_worker("worker-0")
-        usage.take(report, zone.fold.job, attempts, now_ms)
+        usage.process(report, zone.fold.job, attempts, now_ms)
 
     made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
     return max(slope.cpu_us(take, STEPS) - made_us, 0.0)
