--- a/src/comfreylatch/_process/cell/duration_model.py
+++ b/src/comfreylatch/_process/cell/duration_model.py
@@ -16,7 +16,7 @@
 
 
 @final
-class Durations:
+class DurationModel:
     """Smoothed ratio of real to declared duration by queue and image."""
 
     def __init__(self) -> None:
--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -17,7 +17,7 @@
 class Evacuation:
     """Chooses runs to be stopped on leaving workers."""
 
-    def __init__(self, durations: duration_model_module.Durations) -> None:
+    def __init__(self, durations: duration_model_module.DurationModel) -> None:
         self._durations = durations
 
     def to_move(self, worker: worker_view.WorkerView) -> list[runs_module.Run]:
--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -24,7 +24,7 @@
     def __init__(
         self,
         model: interference.InterferenceModel,
-        durations: duration_model_module.Durations,
+        durations: duration_model_module.DurationModel,
         inherited: records.LearnedRecord,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -81,7 +81,7 @@
         self._clock = clock
         self._events: queue.SimpleQueue[events.Event] = queue.SimpleQueue()
         self._jobs = job_table_module.JobTable(inheritance.token, clock)
-        self._durations = duration_model_module.Durations()
+        self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
         terms = worker_session.LeaseTerms(
             inheritance.token, parts.lease_ms, scribe.may_act
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -61,7 +61,7 @@
 class Ranker:
     """Ranks jobs by what is known of durations."""
 
-    def __init__(self, durations: duration_model_module.Durations) -> None:
+    def __init__(self, durations: duration_model_module.DurationModel) -> None:
         self._durations = durations
         self._queues: dict[str, QueueWork] = {}
 
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -48,7 +48,7 @@
         orders: run_orders.RunOrders,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
-        durations: duration_model_module.Durations,
+        durations: duration_model_module.DurationModel,
         model: interference.InterferenceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -95,7 +95,7 @@
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
-        self.durations = duration_model.Durations()
+        self.durations = duration_model.DurationModel()
         self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
