--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -32,7 +32,7 @@
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import recorded_workers
 from comfreylatch._process.cell import recovered_state as recovered_state_module
-from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_dispatcher
 from comfreylatch._process.cell import run_reconciler as run_reconciler_module
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_session
@@ -95,7 +95,7 @@
         )
         model = interference.InterferenceModel()
         self._model = model
-        self._orders = run_orders.RunOrders(
+        self._orders = run_dispatcher.RunOrders(
             self._jobs, self._workers, model, metrics, clock
         )
         self._control = run_reconciler_module.RunControl(
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -17,7 +17,7 @@
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import reasons
-from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_dispatcher
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        orders: run_orders.RunOrders,
+        orders: run_dispatcher.RunOrders,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
         durations: duration_model_module.DurationModel,
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -15,7 +15,7 @@
 from comfreylatch._process.cell import job_table
 from comfreylatch._process.cell import planner
 from comfreylatch._process.cell import ranking
-from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_dispatcher
 from comfreylatch._process.cell import run_reconciler
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_table
@@ -99,7 +99,7 @@
         self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
-        self.orders = run_orders.RunOrders(
+        self.orders = run_dispatcher.RunOrders(
             self.jobs, self.workers, self.model, counted, self.clock
         )
         self.control = run_reconciler.RunControl(
