--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -11,10 +11,10 @@
 from comfreylatch._process.batch import capacity
 from comfreylatch._process.batch import dispatcher as dispatcher_module
 from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import interference_cost
 from comfreylatch._process.batch import job_queue
 from comfreylatch._process.batch import placement as placement_module
 from comfreylatch._process.batch import usage_analyzer
-from comfreylatch._process.batch import worker_mix
 from comfreylatch._process.batch import zone_workers
 from comfreylatch._version import job_state
 from comfreylatch._version import zone_fold
@@ -51,7 +51,7 @@
         self.ledger = capacity.CapacityLedger()
         self.workers = zone_workers.ZoneWorkers(zone, self.ledger)
         self.queue = job_queue.JobQueue()
-        self.mix = worker_mix.WorkerMix(usage.model, usage.sizes)
+        self.mix = interference_cost.WorkerMix(usage.model, usage.sizes)
         self.dispatcher = dispatcher_module.Dispatcher(
             self.queue,
             placement_module.Placement(self.ledger, self.mix, policy),
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -11,10 +11,10 @@
 from comfreylatch._process.batch import capacity
 from comfreylatch._process.batch import eviction
 from comfreylatch._process.batch import interference
+from comfreylatch._process.batch import interference_cost
 from comfreylatch._process.batch import job_queue
 from comfreylatch._process.batch import learned_sizes
 from comfreylatch._process.batch import placement
-from comfreylatch._process.batch import worker_mix
 from comfreylatch._version import job_records
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
@@ -54,7 +54,7 @@
 
 
 def placement_on(
-    ledger: capacity.CapacityLedger, mix: worker_mix.WorkerMix
+    ledger: capacity.CapacityLedger, mix: interference_cost.WorkerMix
 ) -> placement.Placement:
     """A placement by predicted cost."""
     for account in ledger.accounts():
@@ -62,10 +62,10 @@
     return placement.Placement(ledger, mix)
 
 
-def empty_mix() -> worker_mix.WorkerMix:
+def empty_mix() -> interference_cost.WorkerMix:
     """Nothing learned, nothing running."""
     model = interference.InterferenceModel()
-    return worker_mix.WorkerMix(model, learned_sizes.LearnedSizes())
+    return interference_cost.WorkerMix(model, learned_sizes.LearnedSizes())
 
 
 class LedgerTest(testtools.TestCase):
@@ -133,7 +133,7 @@
     def test_harmful_class_is_not_piled_up(self) -> None:
         """A class known to slow a service down runs once a worker."""
         model = interference.InterferenceModel()
-        mix = worker_mix.WorkerMix(model, learned_sizes.LearnedSizes())
+        mix = interference_cost.WorkerMix(model, learned_sizes.LearnedSizes())
         for _ in range(50):
             loads = {"noisy": 0.25}
             sample = interference.Sample(loads, {"skyproc": 1.2}, 0.25)
