--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -28,7 +28,7 @@
         go if they have checkpoints and would not end in time; without
         checkpoints they may as well run on.
         """
-        if not (worker.entry.is_draining or worker.is_emptied):
+        if not (worker.entry.is_draining or worker.is_being_emptied):
             return []
         moving = [
             run
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -188,7 +188,7 @@
             one.worker_id = worker_id
             view = workers.get(worker_id)
             if view is not None:
-                view.is_emptied = True
+                view.is_being_emptied = True
             self._enter(one, wave_work.Phase.EMPTYING, now_ms)
 
     def _is_empty(
@@ -202,7 +202,7 @@
         if view is None:
             return True
         # The owner may have been told of the worker anew.
-        view.is_emptied = True
+        view.is_being_emptied = True
         return not view.runs or now_ms - one.since_ms > MOST_EVACUATION_MS
 
     def _enter(
@@ -270,7 +270,7 @@
         """Lets a machine's worker take work, if it is still the same one."""
         view = workers.get(one.worker_id)
         if view is not None:
-            view.is_emptied = False
+            view.is_being_emptied = False
 
     def take_order(
         self,
--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -65,7 +65,7 @@
     slowness: float = 1.0
     revision: int = 0
     is_recorded: bool = False
-    is_emptied: bool = False
+    is_being_emptied: bool = False
     cleared_until_ms: int = -(10**9)
     release_after_ms: int = 0
 
@@ -105,7 +105,7 @@
             and self.is_answering
             and self.is_recorded
             and not self.entry.is_draining
-            and not self.is_emptied
+            and not self.is_being_emptied
             and now_ms >= self.avoided_until_ms
         )
 
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -128,7 +128,9 @@
         runs = {run.worker_id: run for run in self.cell.place()}
         self.assertEqual([], self.orders())
         (worker_id,) = (
-            view.worker_id for view in self.cell.workers if view.is_emptied
+            view.worker_id
+            for view in self.cell.workers
+            if view.is_being_emptied
         )
         self.cell.submit(harness.job(harness.step(9), job_id="b" * 16))
         placed = {run.worker_id for run in self.cell.place()}
@@ -153,7 +155,7 @@
         (first,) = self.orders()
         busy = machines_port.MaintenanceRefused(machines_port.Refusal.BUSY)
         self.answer(first, result.Err(busy))
-        self.assertFalse(any(one.is_emptied for one in self.cell.workers))
+        self.assertFalse(any(one.is_being_emptied for one in self.cell.workers))
         self.assertEqual(1, len(self.orders()))
 
     def test_wave_is_completed_when_all_are_back_or_have_left(self) -> None:
@@ -197,7 +199,7 @@
         self.answer(first, result.Ok(None))
         self.orders()
         worker = self.cell.workers.find(first.replace("m", "w"))
-        self.assertFalse(worker.is_emptied)
+        self.assertFalse(worker.is_being_emptied)
 
     def test_next_owner_waits_before_its_first_order(self) -> None:
         self.plan = self.new_plan(handover_ms=3_000)
--- a/tests/process/cell/test_moving.py
+++ b/tests/process/cell/test_moving.py
@@ -58,7 +58,7 @@
         cell.hold("w1", running=tuple(harness.listed(r, 100.0) for r in runs))
         worker = cell.workers.find("w1")
         assert worker is not None
-        worker.is_emptied = True
+        worker.is_being_emptied = True
         cell.control.look_after(cell.clock.now_ms)
         cell.control.look_after(cell.clock.now_ms)
         return len(cell.sent["w1"].stops)
