--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -21,7 +21,7 @@
 
 
 @final
-class WorkerMix:
+class InterferenceCostModel:
     """Implements `placement.CostModel`. Used by one thread.
 
     Attributes:
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -51,7 +51,9 @@
         self.ledger = capacity.CapacityLedger()
         self.workers = zone_workers.ZoneWorkers(zone, self.ledger)
         self.queue = job_queue.JobQueue()
-        self.mix = interference_cost.WorkerMix(usage.model, usage.sizes)
+        self.mix = interference_cost.InterferenceCostModel(
+            usage.model, usage.sizes
+        )
         self.dispatcher = dispatcher_module.Dispatcher(
             self.queue,
             placement_module.Placement(self.ledger, self.mix, policy),
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -54,7 +54,8 @@
 
 
 def placement_on(
-    ledger: capacity.CapacityLedger, mix: interference_cost.WorkerMix
+    ledger: capacity.CapacityLedger,
+    mix: interference_cost.InterferenceCostModel,
 ) -> placement.Placement:
     """A placement by predicted cost."""
     for account in ledger.accounts():
@@ -62,10 +63,12 @@
     return placement.Placement(ledger, mix)
 
 
-def empty_mix() -> interference_cost.WorkerMix:
+def empty_mix() -> interference_cost.InterferenceCostModel:
     """Nothing learned, nothing running."""
     model = interference.InterferenceModel()
-    return interference_cost.WorkerMix(model, learned_sizes.LearnedSizes())
+    return interference_cost.InterferenceCostModel(
+        model, learned_sizes.LearnedSizes()
+    )
 
 
 class LedgerTest(testtools.TestCase):
@@ -133,7 +136,9 @@
     def test_harmful_class_is_not_piled_up(self) -> None:
         """A class known to slow a service down runs once a worker."""
         model = interference.InterferenceModel()
-        mix = interference_cost.WorkerMix(model, learned_sizes.LearnedSizes())
+        mix = interference_cost.InterferenceCostModel(
+            model, learned_sizes.LearnedSizes()
+        )
         for _ in range(50):
             loads = {"noisy": 0.25}
             sample = interference.Sample(loads, {"skyproc": 1.2}, 0.25)
