--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -93,7 +93,7 @@
             return []
         self._forget_ended()
         views = {worker.worker_id: worker for worker in workers}
-        taking = [one for one in views.values() if one.takes_work(now_ms)]
+        taking = [one for one in views.values() if one.accepts_work(now_ms)]
         requests = []
         for step in advised:
             _drop_expired(step, views, now_ms)
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -79,7 +79,7 @@
     ) -> list[Placement]:
         """Reserves room for as many tasks as fit; returns their runs."""
         taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
         if not taking or not steps:
             return []
@@ -108,7 +108,7 @@
         if not stragglers:
             return []
         taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
         this_pass = self._new_pass(taking, now_ms)
         placed = (
@@ -134,7 +134,7 @@
             clearing.end_early(self._workers, now_ms)
             return []
         taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
         worker = clearing.choose_worker(taking, demand, now_ms)
         if worker is None:
@@ -157,7 +157,7 @@
         if not urgent:
             return []
         taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
         lasting = sum(
             run.task.step.spec.is_lasting
--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -98,7 +98,7 @@
         lasting_idle = self.lasting_millicores * (1 - LASTING_USE_SHARE)
         return int(self.free_cpu + lasting_idle - self.fill_millicores)
 
-    def takes_work(self, now_ms: int) -> bool:
+    def accepts_work(self, now_ms: int) -> bool:
         """Whether new tasks may be placed on it."""
         return (
             self.is_listed
