--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -140,7 +140,7 @@
         """The state after the current offset."""
         return self._state.snapshot()
 
-    def offer(self, entries: Sequence[log_port.LogEntry]) -> bool:
+    def apply_from_peer(self, entries: Sequence[log_port.LogEntry]) -> bool:
         """Takes entries which a peer has read from the log.
 
         Returns:
--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -242,7 +242,7 @@
     ) -> None:
         """See `Peers.push`."""
         for member in self._members.values():
-            member.offer(stream, entries)
+            member.apply_from_peer(stream, entries)
 
     def say_drained(self) -> None:
         """Tells every peer at once that this process has ended its work."""
@@ -310,7 +310,7 @@
             self._stopping = True
             self._wake.notify()
 
-    def offer(
+    def apply_from_peer(
         self, stream: str, entries: tuple[ttypes.StreamEntry, ...]
     ) -> None:
         """Queues records to be pushed; the oldest give way when it's full."""
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -102,7 +102,7 @@
         """Takes records that continue this host's own."""
         follower = self._followers.get(stream)
         if follower is not None:
-            follower.offer(catch_up.entries_from_wire(entries))
+            follower.apply_from_peer(catch_up.entries_from_wire(entries))
 
     def borrow(self, request: ttypes.LoanRequest) -> ttypes.LoanReply:
         """Lends slots out of this host's share."""
--- a/testing/fakes/peers.py
+++ b/testing/fakes/peers.py
@@ -50,4 +50,4 @@
         """See `Peers.push`."""
         del stream
         for follower in self.followers.values():
-            follower.offer(catch_up.entries_from_wire(entries))
+            follower.apply_from_peer(catch_up.entries_from_wire(entries))
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -207,7 +207,7 @@
             log_port.LogEntry(offset, payload)
             for offset, payload in enumerate(payloads)
         ]
-        host.follower.offer(entries[start % (len(entries) + 1) :])
+        host.follower.apply_from_peer(entries[start % (len(entries) + 1) :])
 
     def _snapshot(self, host: _Host) -> None:
         """Publishes a snapshot and lets the records in it expire."""
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -103,11 +103,11 @@
         )
 
     def test_entries_from_a_peer_must_continue_exactly(self) -> None:
-        self.assertFalse(self.follower.offer(entries(1)))
-        self.assertTrue(self.follower.offer(entries(0, 1)))
-        self.assertTrue(self.follower.offer(entries(1, 2)))
-        self.assertFalse(self.follower.offer(entries(0, 1, 2)))
-        self.assertFalse(self.follower.offer(entries(4)))
+        self.assertFalse(self.follower.apply_from_peer(entries(1)))
+        self.assertTrue(self.follower.apply_from_peer(entries(0, 1)))
+        self.assertTrue(self.follower.apply_from_peer(entries(1, 2)))
+        self.assertFalse(self.follower.apply_from_peer(entries(0, 1, 2)))
+        self.assertFalse(self.follower.apply_from_peer(entries(4)))
         self.assertEqual([0, 1, 2], self.fold.notes)
 
     def test_age_grows_while_the_log_is_down(self) -> None:
@@ -209,7 +209,7 @@
         self.assertEqual([0, 1], cut_fold.notes)
 
     def test_log_that_lost_its_tail_does_not_take_the_state_back(self) -> None:
-        self.follower.offer(entries(0, 1, 2))
+        self.follower.apply_from_peer(entries(0, 1, 2))
         self.put(1)
         self.follower.step()
         self.assertEqual(2, self.follower.offset())
