--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -83,7 +83,9 @@
         for job in jobs:
             attempt = scheduling.table.attempt(job)
             if attempt is not None:
-                scheduling.mix.avoid(worker, attempt.state.spec.job_class)
+                scheduling.cost_model.avoid(
+                    worker, attempt.state.spec.job_class
+                )
             scheduling.table.evict(job, now_ms, keep_first)
             logs.event(_events, "evict", job=job, worker=worker, cause="slow")
 
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -51,12 +51,12 @@
         self.ledger = capacity.CapacityLedger()
         self.workers = zone_workers.ZoneWorkers(zone, self.ledger)
         self.queue = job_queue.JobQueue()
-        self.mix = interference_cost.InterferenceCostModel(
+        self.cost_model = interference_cost.InterferenceCostModel(
             usage.model, usage.sizes
         )
         self.dispatcher = dispatcher_module.Dispatcher(
             self.queue,
-            placement_module.Placement(self.ledger, self.mix, policy),
+            placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
         )
         self.table = attempt_table.AttemptTable(
@@ -90,11 +90,13 @@
             usable = account.usable
             if usable.processors_milli > self._largest.processors_milli:
                 self._largest = usable
-            self.mix.set_worker(account.name, account.total.processors_milli)
+            self.cost_model.set_worker(
+                account.name, account.total.processors_milli
+            )
             services = self.workers.services_on(account.name)
-            self.mix.set_services(account.name, services)
+            self.cost_model.set_services(account.name, services)
 
     def _share_for(self, job: str) -> int:
         if self._policy is placement_module.Policy.FIRST_FIT:
             return attempt_table.FULL_SHARE_MILLI
-        return self.mix.share_milli(job)
+        return self.cost_model.share_milli(job)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -206,8 +206,8 @@
         scheduling.queue.set_teams(configuration.teams)
         scheduling.refresh_workers()
         allowed = configuration.limits.service_slowdown_percent / 100
-        scheduling.mix.now_ms = now_ms
-        scheduling.mix.allowed_slowdown = allowed
+        scheduling.cost_model.now_ms = now_ms
+        scheduling.cost_model.allowed_slowdown = allowed
         self._usage.control.allowed_slowdown = allowed
         for name, host in listed.items():
             scheduling.ledger.set_open(name, self._is_open(host, now_ms))
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -215,7 +215,7 @@
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
         scheduling.ledger.set_worker(name, rack, HOST, capacity.NOTHING, True)
-        scheduling.mix.set_worker(name, HOST.processors_milli)
+        scheduling.cost_model.set_worker(name, HOST.processors_milli)
     return scheduling
 
 
