--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -35,7 +35,7 @@
     def __init__(self, token: int, clock: clock_port.Clock) -> None:
         self._token = token
         self._clock = clock
-        self._jobs: dict[str, runs_module.JobRun] = {}
+        self._jobs: dict[str, runs_module.ActiveJob] = {}
         self._ready: dict[str, runs_module.StepRun] = {}
         self._timed: set[str] = set()
         self._state_writes: dict[str, bytes | None] = {}
@@ -45,10 +45,10 @@
     def __len__(self) -> int:
         return len(self._jobs)
 
-    def __iter__(self) -> Iterator[runs_module.JobRun]:
+    def __iter__(self) -> Iterator[runs_module.ActiveJob]:
         return iter(self._jobs.values())
 
-    def find(self, job_id: str) -> runs_module.JobRun | None:
+    def find(self, job_id: str) -> runs_module.ActiveJob | None:
         """An unfinished job."""
         return self._jobs.get(job_id)
 
@@ -74,13 +74,13 @@
         run_floor: int = 0,
         progress: records.ProgressRecord | None = None,
         state: records.JobState = records.JobState.QUEUED,
-    ) -> runs_module.JobRun | None:
+    ) -> runs_module.ActiveJob | None:
         """Takes in an accepted job; None when it is here already."""
         if spec.job_id in self._jobs:
             return None
         now_ms = self._clock.monotonic_ms()
         age_ms = max(self._clock.wall_ms() - spec.accepted_wall_ms, 0)
-        job = runs_module.JobRun(
+        job = runs_module.ActiveJob(
             spec, now_ms - age_ms, run_floor=run_floor, state=state
         )
         self._jobs[spec.job_id] = job
@@ -115,7 +115,7 @@
             if job.next_occurrence >= job.occurrence_count:
                 self._timed.discard(job_id)
 
-    def _note_ready(self, job: runs_module.JobRun, occurrence: int) -> None:
+    def _note_ready(self, job: runs_module.ActiveJob, occurrence: int) -> None:
         for step in job.steps[occurrence]:
             if step.undone and job.is_ready(step):
                 step.ready_ms = step.ready_ms or self._clock.monotonic_ms()
@@ -138,7 +138,7 @@
             if step.undone and not job.is_ready(step) and job.is_soon(step)
         ]
 
-    def note_started(self, job: runs_module.JobRun) -> None:
+    def note_started(self, job: runs_module.ActiveJob) -> None:
         """A worker has begun a task of a job."""
         if job.state is records.JobState.QUEUED:
             job.state = records.JobState.RUNNING
@@ -182,7 +182,7 @@
                 member.checkpoint = checkpoint
             self._dirty.add(task.step.job.spec.job_id)
 
-    def cancel(self, job_id: str) -> runs_module.JobRun | None:
+    def cancel(self, job_id: str) -> runs_module.ActiveJob | None:
         """A caller has cancelled a job; returns it when it was unfinished."""
         job = self._jobs.get(job_id)
         if job is not None:
@@ -190,7 +190,9 @@
             self.finish(job, records.JobState.CANCELLED)
         return job
 
-    def finish(self, job: runs_module.JobRun, state: records.JobState) -> None:
+    def finish(
+        self, job: runs_module.ActiveJob, state: records.JobState
+    ) -> None:
         """Ends a job for good; its runs may still be there."""
         job_id = job.spec.job_id
         if self._jobs.pop(job_id, None) is None:
@@ -217,7 +219,7 @@
             token=self._token,
         )
 
-    def _record_state(self, job: runs_module.JobRun) -> None:
+    def _record_state(self, job: runs_module.ActiveJob) -> None:
         record = records.StateRecord(job.state, self._token)
         key = records.STATE_PREFIX + job.spec.job_id
         self._state_writes[key] = records.encode(record)
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -94,7 +94,7 @@
         return placements
 
     def place_copies(
-        self, jobs: Iterable[runs_module.JobRun], now_ms: int
+        self, jobs: Iterable[runs_module.ActiveJob], now_ms: int
     ) -> list[Placement]:
         """Places second runs of tasks that take much longer than the rest."""
         stragglers = [
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -65,13 +65,13 @@
         self._durations = durations
         self._queues: dict[str, QueueWork] = {}
 
-    def note_job(self, job: runs_module.JobRun) -> None:
+    def note_job(self, job: runs_module.ActiveJob) -> None:
         """Takes in a new job's work."""
         queue = job.spec.queue.name
         work = self._queues.setdefault(queue, QueueWork())
         work.note(self._whole_core_ms(job))
 
-    def _whole_core_ms(self, job: runs_module.JobRun) -> float:
+    def _whole_core_ms(self, job: runs_module.ActiveJob) -> float:
         queue = job.spec.queue.name
         return sum(
             self._durations.estimate_ms(queue, step)
@@ -81,7 +81,7 @@
             for step in job.spec.steps
         )
 
-    def chain_ms(self, job: runs_module.JobRun) -> float:
+    def chain_ms(self, job: runs_module.ActiveJob) -> float:
         """Expected length of a job's longest chain of steps."""
         queue = job.spec.queue.name
         ends: list[float] = []
@@ -93,12 +93,12 @@
             ends.append(before + self._durations.estimate_ms(queue, step))
         return max(ends, default=0.0)
 
-    def objective_ms(self, job: runs_module.JobRun) -> float:
+    def objective_ms(self, job: runs_module.ActiveJob) -> float:
         """Time from its acceptance in which a job should end."""
         queue = job.spec.queue
         return queue.slack_factor * self.chain_ms(job) + queue.target_ms
 
-    def _left(self, job: runs_module.JobRun, occurrence: int) -> _Left:
+    def _left(self, job: runs_module.ActiveJob, occurrence: int) -> _Left:
         queue = job.spec.queue.name
         ends: list[float] = []
         core_ms = 0.0
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -124,7 +124,7 @@
         if session is not None:
             session.stop(run, run.task.name, run.number)
 
-    def stop_all(self, job: runs_module.JobRun) -> None:
+    def stop_all(self, job: runs_module.ActiveJob) -> None:
         """Stops every run of a job that has ended."""
         for run in list(job.all_runs()):
             self.stop(run, reasons.StopReason.JOB_ENDED, job.state)
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -150,7 +150,7 @@
         durations_ms: Durations of its undisturbed runs.
     """
 
-    job: JobRun
+    job: ActiveJob
     occurrence: int
     number: int
     spec: specs.StepSpec
@@ -221,7 +221,7 @@
 
 
 @attrs.define(eq=False)
-class JobRun:
+class ActiveJob:
     """A job that has not ended.
 
     Attributes:
