--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -287,11 +287,11 @@
             self._orders.stop_all(job)
 
     def _handle_hold(self, event: events.HoldReturned) -> None:
-        if not self._workers.take_hold(event):
+        if not self._workers.handle_hold(event):
             return
         match event.outcome:
             case result.Ok(answer):
-                if self._control.take_hold(event, answer):
+                if self._control.handle_hold(event, answer):
                     self._must_acknowledge.add(event.worker_id)
             case result.Err(cell_workers.OrderRefused(reason)):
                 if reason is cell_workers.Refusal.FENCED:
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -62,7 +62,7 @@
         self._evacuation = evacuation.Evacuation(durations)
         self._clock = clock
 
-    def take_hold(
+    def handle_hold(
         self, event: events.HoldReturned, answer: cell_workers.HoldAnswer
     ) -> bool:
         """Takes in a worker's lists; whether there are ends to record."""
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -138,7 +138,7 @@
                 view.unlisted_ms = now_ms
         return LostRuns(tuple(lost), reasons.LossReason.REBORN)
 
-    def take_hold(self, event: events.HoldReturned) -> bool:
+    def handle_hold(self, event: events.HoldReturned) -> bool:
         """Notes what a hold says of the worker; whether it is of this life."""
         view = self._views.get(event.worker_id)
         if view is None or view.entry.born_ms != event.born_ms:
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -156,14 +156,14 @@
         event = events.HoldReturned(
             worker_id, 1, now_ms, now_ms, 0, result.Ok(answer)
         )
-        assert self.workers.take_hold(event)
-        self.control.take_hold(event, answer)
+        assert self.workers.handle_hold(event)
+        self.control.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
         """A hold that got no answer."""
         now_ms = self.clock.monotonic_ms()
         error = cell_workers.OrderUnanswered("dark")
-        self.workers.take_hold(
+        self.workers.handle_hold(
             events.HoldReturned(
                 worker_id, 1, now_ms, now_ms, 0, result.Err(error)
             )
