--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -384,7 +384,7 @@
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
-    with logs.LogOutput(settings.log_level):
+    with logs.TextLogOutput(settings.log_level):
         resident.mark(resident.LIBRARIES)
         with EntryHost(settings) as host:
             while not stop.wait(STOP_CHECK_S):
--- a/src/comfreylatch/_process/logs.py
+++ b/src/comfreylatch/_process/logs.py
@@ -39,7 +39,7 @@
 
 
 @final
-class LogOutput:
+class TextLogOutput:
     """Sends every logger's lines to one stream while it is open.
 
     Args:
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -16,7 +16,7 @@
     def lines_of(self, level: str, **fields: object) -> list[str]:
         stream = io.StringIO()
         logger = logbook.Logger("test")
-        with logs.LogOutput(level, stream):
+        with logs.TextLogOutput(level, stream):
             logs.event(logger, "job-placed", **fields)
         return stream.getvalue().splitlines()
 
@@ -38,7 +38,7 @@
     def test_traceback_stays_on_the_line_of_its_event(self) -> None:
         stream = io.StringIO()
         logger = logbook.Logger("test")
-        with logs.LogOutput("info", stream):
+        with logs.TextLogOutput("info", stream):
             try:
                 raise ValueError("one\ntwo")
             except ValueError:
