--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -7,7 +7,7 @@
 from comfreylatch._ports import workers
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import attempt_table
+from comfreylatch._process.batch import attempt_tracker
 from comfreylatch._process.batch import capacity
 from comfreylatch._process.batch import dispatcher as dispatcher_module
 from comfreylatch._process.batch import eviction
@@ -59,7 +59,7 @@
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
         )
-        self.table = attempt_table.AttemptTable(
+        self.table = attempt_tracker.AttemptTable(
             fold, sink, metrics, self._share_for
         )
         self.table.reset(term)
@@ -98,5 +98,5 @@
 
     def _share_for(self, job: str) -> int:
         if self._policy is placement_module.Policy.FIRST_FIT:
-            return attempt_table.FULL_SHARE_MILLI
+            return attempt_tracker.FULL_SHARE_MILLI
         return self.cost_model.share_milli(job)
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -6,7 +6,7 @@
 
 from comfreylatch._process import journal
 from comfreylatch._process import settings
-from comfreylatch._process.batch import attempt_table
+from comfreylatch._process.batch import attempt_tracker
 from comfreylatch._process.batch import ownership
 from comfreylatch._process.batch import zone_owner
 from comfreylatch._request import dispatch_guard
@@ -197,7 +197,7 @@
     def zone_records_per_s(self) -> dict[str, float]:
         """Records on one zone's stream at the peak, by kind."""
         starts = self.size.zone_starts_per_s
-        interval_s = attempt_table.CHECKPOINT_EVERY_MS / MS_PER_S
+        interval_s = attempt_tracker.CHECKPOINT_EVERY_MS / MS_PER_S
         return {
             "admissions": starts,
             "assignments": starts,
