--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -53,7 +53,7 @@
         workers: Birth times of the workers named, by id.
     """
 
-    step: runs_module.StepRun
+    step: runs_module.StepInstance
     workers: dict[str, int]
 
 
@@ -78,12 +78,12 @@
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
-        self._steps: dict[runs_module.StepRun, _StepAdvice] = {}
+        self._steps: dict[runs_module.StepInstance, _StepAdvice] = {}
         self._shares: dict[str, float] = {}
 
     def prepare(
         self,
-        steps: Iterable[runs_module.StepRun],
+        steps: Iterable[runs_module.StepInstance],
         workers: Iterable[worker_view.WorkerView],
         now_ms: int,
     ) -> list[AdviceRequest]:
@@ -122,7 +122,7 @@
 
     def _choose(
         self,
-        step: runs_module.StepRun,
+        step: runs_module.StepInstance,
         known: _StepAdvice,
         taking: list[worker_view.WorkerView],
     ) -> list[worker_view.WorkerView]:
@@ -175,7 +175,7 @@
 
     def note_missing(
         self,
-        step: runs_module.StepRun,
+        step: runs_module.StepInstance,
         reason: reasons.MissingAdvice,
         detail: str,
     ) -> None:
@@ -225,7 +225,9 @@
         )
 
 
-def _fitting(worker: worker_view.WorkerView, step: runs_module.StepRun) -> int:
+def _fitting(
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
+) -> int:
     """How many tasks of a step would fit on a worker now."""
     need = step.spec.need
     count = len(step.open_tasks)
@@ -241,7 +243,7 @@
 
 
 def _drop_expired(
-    step: runs_module.StepRun,
+    step: runs_module.StepInstance,
     views: dict[str, worker_view.WorkerView],
     now_ms: int,
 ) -> None:
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -33,7 +33,7 @@
 
 
 def waiting_millicores(
-    steps: Iterable[runs_module.StepRun],
+    steps: Iterable[runs_module.StepInstance],
     model: interference.InterferenceModel,
     now_ms: int,
 ) -> int:
--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -53,7 +53,7 @@
 def _within_bounds(moving: list[runs_module.Run]) -> list[runs_module.Run]:
     """Those of some runs that may be away now by their steps' bounds."""
     allowed = []
-    stopped: dict[runs_module.StepRun, int] = {}
+    stopped: dict[runs_module.StepInstance, int] = {}
     for run in moving:
         step = run.task.step
         most = step.spec.max_unavailable
--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -78,7 +78,7 @@
         outcome: What came of it.
     """
 
-    step: runs_module.StepRun
+    step: runs_module.StepInstance
     workers: dict[str, int]
     sent_ms: int
     received_ms: int
--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -88,7 +88,9 @@
     def __init__(self) -> None:
         self.pressures = pressures.Pressures()
         self._base_ms: dict[str, float] = {}
-        self._loads: dict[runs_module.StepRun, serving_load.ServingLoad] = {}
+        self._loads: dict[
+            runs_module.StepInstance, serving_load.ServingLoad
+        ] = {}
 
     def restore(self, learned: records.LearnedRecord) -> None:
         """Begins with what an owner before has learned."""
@@ -124,7 +126,7 @@
         """What is known of the load of a lasting task's step."""
         return self._loads.setdefault(run.task.step, serving_load.ServingLoad())
 
-    def forget(self, step: runs_module.StepRun) -> None:
+    def forget(self, step: runs_module.StepInstance) -> None:
         """Drops what is known of a step that has ended."""
         self._loads.pop(step, None)
         self.pressures.forget(step)
--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -36,7 +36,7 @@
         self._token = token
         self._clock = clock
         self._jobs: dict[str, runs_module.ActiveJob] = {}
-        self._ready: dict[str, runs_module.StepRun] = {}
+        self._ready: dict[str, runs_module.StepInstance] = {}
         self._timed: set[str] = set()
         self._state_writes: dict[str, bytes | None] = {}
         self._work_writes: dict[str, bytes | None] = {}
@@ -121,11 +121,11 @@
                 step.ready_ms = step.ready_ms or self._clock.monotonic_ms()
                 self._ready[step.name] = step
 
-    def ready_steps(self) -> list[runs_module.StepRun]:
+    def ready_steps(self) -> list[runs_module.StepInstance]:
         """Steps that may run and have tasks without a run."""
         return [step for step in self._ready.values() if step.open_tasks]
 
-    def soon_ready_steps(self) -> list[runs_module.StepRun]:
+    def soon_ready_steps(self) -> list[runs_module.StepInstance]:
         """Steps that wait only for tasks which are mostly done.
 
         Looked for where a policy demands advice, which takes its time.
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -362,7 +362,7 @@
         self._pass_took_ms = self._clock.monotonic_ms() - now_ms
 
     def _ask_advice(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
         """Asks which workers may run steps that a policy is for."""
         wanted = steps + self._jobs.soon_ready_steps()
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -33,7 +33,7 @@
 
 
 def is_allowed(
-    worker: worker_view.WorkerView, step: runs_module.StepRun
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
     """Whether a worker may run a task of a step at all, room aside."""
     if not suits(worker, step):
@@ -44,7 +44,9 @@
     return step.tickets is None or worker.worker_id in step.tickets
 
 
-def suits(worker: worker_view.WorkerView, step: runs_module.StepRun) -> bool:
+def suits(
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
+) -> bool:
     """Whether a worker may run a step's tasks, policy and room aside."""
     label = step.spec.required_label
     return worker.entry.service == step.job.spec.queue.service and (
@@ -52,7 +54,9 @@
     )
 
 
-def room_cost(step: runs_module.StepRun, wanted_rack: str) -> candidates.Cost:
+def room_cost(
+    step: runs_module.StepInstance, wanted_rack: str
+) -> candidates.Cost:
     """The cost of workers for tasks that reserve what they need."""
     spec = step.spec
     need = spec.need
@@ -76,7 +80,7 @@
 
 
 def _fitting_together(
-    worker: worker_view.WorkerView, step: runs_module.StepRun
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> int:
     """How many tasks of a step a worker would have in the end.
 
@@ -94,7 +98,7 @@
     return together
 
 
-def wanted_rack(step: runs_module.StepRun, racks: dict[str, str]) -> str:
+def wanted_rack(step: runs_module.StepInstance, racks: dict[str, str]) -> str:
     """The rack that a step's tasks are faster on; empty for any.
 
     `racks` gives the rack of each worker.
@@ -152,7 +156,7 @@
             self._known[worker.worker_id] = known
         return known.slacks
 
-    def cost(self, step: runs_module.StepRun) -> candidates.Cost:
+    def cost(self, step: runs_module.StepInstance) -> candidates.Cost:
         """The cost of workers for tasks that fill idle processors.
 
         Beside lasting tasks it is lower the more room these are left with to
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -54,7 +54,7 @@
     now_ms: int
     smallest_unfit_cpu: int = 1 << 60
     smallest_unfit_fill: dict[str, int] = attrs.field(factory=dict)
-    candidates: dict[runs_module.StepRun, candidates_module.Candidates] = (
+    candidates: dict[runs_module.StepInstance, candidates_module.Candidates] = (
         attrs.field(factory=dict)
     )
 
@@ -75,7 +75,7 @@
         self._fill_rooms = placement.FillRooms(model)
 
     def place(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[Placement]:
         """Reserves room for as many tasks as fit; returns their runs."""
         taking = [
@@ -126,7 +126,7 @@
         return _Pass(workers, cleared, self._workers.racks(), now_ms)
 
     def clear_worker(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
         """Clears a worker where there is cause; returns runs to be stopped."""
         demand = clearing.waiting_millicores(steps, self._interference, now_ms)
@@ -145,7 +145,7 @@
         ]
 
     def choose_victims(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
         """Lasting runs to be stopped for short tasks that find no room.
 
@@ -178,7 +178,7 @@
                 victims.append(victim)
         return victims
 
-    def _may_preempt(self, step: runs_module.StepRun, now_ms: int) -> bool:
+    def _may_preempt(self, step: runs_module.StepInstance, now_ms: int) -> bool:
         spec = step.spec
         if spec.is_lasting or spec.fills_idle or spec.is_gang:
             return False
@@ -188,7 +188,7 @@
         return rank.prospect is ranking_module.Prospect.ON_TIME
 
     def _place_step(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _Pass
     ) -> list[Placement]:
         placements: list[Placement] = []
         if self._is_known_unfit(step, this_pass):
@@ -204,7 +204,7 @@
         return placements
 
     def _is_known_unfit(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _Pass
     ) -> bool:
         """Whether a search must fail, as one for less has failed."""
         spec = step.spec
@@ -213,7 +213,9 @@
             unfit = this_pass.smallest_unfit_fill.get(spec.image, 1 << 60)
         return spec.cpu_millicores >= unfit
 
-    def _note_unfit(self, step: runs_module.StepRun, this_pass: _Pass) -> None:
+    def _note_unfit(
+        self, step: runs_module.StepInstance, this_pass: _Pass
+    ) -> None:
         """Spares the rest of the pass a search that must fail, too."""
         spec = step.spec
         is_plain = not (
@@ -235,7 +237,7 @@
             )
 
     def _has_memory_bound(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _Pass
     ) -> bool:
         """Whether memory rather than processors kept a step out."""
         return any(
@@ -244,7 +246,7 @@
         )
 
     def _candidates(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _Pass
     ) -> candidates_module.Candidates:
         found = this_pass.candidates.get(step)
         if found is not None:
@@ -287,7 +289,7 @@
         return Placement(run, worker)
 
     def _place_gang(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _Pass
     ) -> list[Placement]:
         """Places all tasks of a gang at once, or none."""
         if len(step.open_tasks) < len(step.tasks):
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -115,7 +115,7 @@
             )
         return _Left(max(ends, default=0.0), core_ms)
 
-    def rank(self, step: runs_module.StepRun, now_ms: int) -> Rank:
+    def rank(self, step: runs_module.StepInstance, now_ms: int) -> Rank:
         """The rank of a step that is ready."""
         job = step.job
         queue = job.spec.queue
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -111,7 +111,7 @@
 
     name: str
     index: int
-    step: StepRun
+    step: StepInstance
     last_run: int = 0
     checkpoint: str = ""
     failed_runs: frozenset[int] = frozenset()
@@ -133,7 +133,7 @@
 
 
 @attrs.define(eq=False)
-class StepRun:
+class StepInstance:
     """One step of one repetition of a job.
 
     Attributes:
@@ -239,7 +239,7 @@
 
     spec: specs.JobSpec
     accepted_ms: int
-    steps: dict[int, list[StepRun]] = attrs.field(factory=dict)
+    steps: dict[int, list[StepInstance]] = attrs.field(factory=dict)
     next_occurrence: int = 0
     state: records.JobState = records.JobState.QUEUED
     is_cancelled: bool = False
@@ -258,11 +258,11 @@
             return 0
         return self.spec.first_due_ms + occurrence * self.spec.interval_ms
 
-    def open_occurrence(self, occurrence: int) -> list[StepRun]:
+    def open_occurrence(self, occurrence: int) -> list[StepInstance]:
         """Creates the steps of a repetition."""
         steps = []
         for number, spec in enumerate(self.spec.steps):
-            step = StepRun(self, occurrence, number, spec)
+            step = StepInstance(self, occurrence, number, spec)
             if self.spec.queue.advice is not None:
                 step.tickets = {}
             for index in range(spec.task_count):
@@ -276,7 +276,7 @@
         self.next_occurrence = max(self.next_occurrence, occurrence + 1)
         return steps
 
-    def all_steps(self) -> Iterator[StepRun]:
+    def all_steps(self) -> Iterator[StepInstance]:
         """The steps of all repetitions that are due."""
         for steps in self.steps.values():
             yield from steps
@@ -302,7 +302,7 @@
             return False
         return all(step.undone == 0 for step in self.all_steps())
 
-    def is_ready(self, step: StepRun) -> bool:
+    def is_ready(self, step: StepInstance) -> bool:
         """Whether all that a step depends on is done."""
         siblings = self.steps[step.occurrence]
         return all(
@@ -311,7 +311,7 @@
             if number < len(siblings)
         )
 
-    def is_soon(self, step: StepRun) -> bool:
+    def is_soon(self, step: StepInstance) -> bool:
         """Whether all tasks that a step waits for are more than half done."""
         siblings = self.steps[step.occurrence]
         return all(
