--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -226,7 +226,7 @@
             case events.BookChanged(change):
                 self._handle_change(change)
             case events.WorkersListed(entries):
-                self._orders.take_lost(self._workers.list_workers(entries))
+                self._orders.take_lost(self._workers.apply_listing(entries))
             case events.HoldReturned():
                 self._handle_hold(event)
             case events.StartReturned() | events.StopReturned():
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -113,7 +113,7 @@
             if view.is_answering or view.runs
         }
 
-    def list_workers(
+    def apply_listing(
         self, entries: dict[str, cell_workers.WorkerEntry]
     ) -> LostRuns:
         """Takes in the listed workers; returns runs of lives that are over."""
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -116,7 +116,7 @@
             f"w{n}": fake_workers.entry(f"w{n}", cpu_millicores)
             for n in range(1, workers + 1)
         }
-        self.workers.list_workers(entries)
+        self.workers.apply_listing(entries)
         for worker_id in entries:
             self.hold(worker_id)
         self.workers.allow_starts(self.workers.lives())
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -92,7 +92,7 @@
             view.worker_id: attrs.evolve(view.entry, born_ms=2)
             for view in self.cell.workers
         }
-        self.cell.workers.list_workers(entries)
+        self.cell.workers.apply_listing(entries)
         self.prepare()
         self.assertEqual({}, self.step.tickets)
 
