--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -359,7 +359,9 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "append-step-failed", stream=self._stream)
+                logs.exception(
+                    _events, "append-step-failed", stream=self._stream
+                )
                 delay_ms = self._retry.max_ms
                 self._suspect_sent()
             with self._wake:
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -374,6 +374,8 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "ownership-step-failed", zone=self._zone)
+                logs.exception(
+                    _events, "ownership-step-failed", zone=self._zone
+                )
                 delay_ms = STEP_MS
             self._stopping.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -102,7 +102,7 @@
             try:
                 delay_ms = self._step()
             except Exception:
-                logs.failure(
+                logs.exception(
                     _events, "exchange-failed", worker=self.session.worker
                 )
                 delay_ms = MAX_RETRY_MS
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -378,7 +378,7 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "owner-step-failed", zone=self._zone)
+                logs.exception(_events, "owner-step-failed", zone=self._zone)
                 delay_ms = IDLE_STEP_MS
             self._stopping.wait(LEAST_STEP_MS / 1_000)
             self._pool.woken.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -97,7 +97,9 @@
         try:
             self._own(token, predecessor)
         except Exception:
-            logs.failure(_logger, "owner-failed", cell=parts.cell, token=token)
+            logs.exception(
+                _logger, "owner-failed", cell=parts.cell, token=token
+            )
         finally:
             parts.book.listen(None)
             self.is_owner = False
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -281,6 +281,8 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "follow-step-failed", stream=self._stream)
+                logs.exception(
+                    _events, "follow-step-failed", stream=self._stream
+                )
                 delay_ms = self._retry.max_ms
             self._closing.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/logs.py
+++ b/src/comfreylatch/_process/logs.py
@@ -83,7 +83,7 @@
     logger.error(Line(name, fields))
 
 
-def failure(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
+def exception(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs the exception being handled, with its traceback."""
     logger.exception(Line(name, fields))
 
--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -193,7 +193,7 @@
             try:
                 self.step()
             except Exception:
-                logs.failure(
+                logs.exception(
                     _events,
                     "snapshot-step-failed",
                     stream=self._follower.stream,
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -216,7 +216,7 @@
             self._fold.apply(offset, envelope, body)
         except Exception:
             # Every host fails alike on it, and the stream must go on.
-            logs.failure(_events, "fold-failed", offset=offset)
+            logs.exception(_events, "fold-failed", offset=offset)
             self._bad_record(offset, f"fold of {envelope.kind} failed")
 
     def _remember(self, entry: log_port.LogEntry) -> None:
@@ -234,7 +234,7 @@
         try:
             self._after_apply(applied)
         except Exception:
-            logs.failure(_events, "after-apply-failed", stream=self._stream)
+            logs.exception(_events, "after-apply-failed", stream=self._stream)
 
     def _bad_record(self, offset: int, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_RECORDS, self._stream)
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -339,7 +339,7 @@
             listener(news)
         except Exception:
             # The state is right; one faulty listener must not stop it.
-            logs.failure(_events, "listener-failed")
+            logs.exception(_events, "listener-failed")
 
 
 _FIELDS = tuple(_FIELD_BY_KIND.items())
