--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -29,7 +29,7 @@
 
 
 @final
-class AttemptTable:
+class AttemptTracker:
     """All assigned attempts of the zone. Used by one thread."""
 
     def __init__(
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -59,7 +59,7 @@
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
         )
-        self.table = attempt_tracker.AttemptTable(
+        self.table = attempt_tracker.AttemptTracker(
             fold, sink, metrics, self._share_for
         )
         self.table.reset(term)
