--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -284,7 +284,7 @@
             this_pass.now_ms,
         )
         task.last_run = number
-        step.note_run(run)
+        step.add_run(run)
         worker.add(run)
         return Placement(run, worker)
 
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -223,7 +223,7 @@
                 percent=listed.percent,
             )
             task.last_run = max(task.last_run, listed.run)
-            task.step.note_run(run)
+            task.step.add_run(run)
             worker.add(run)
             self._jobs.note_started(task.step.job)
             return
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -189,7 +189,7 @@
         """Its id, `job.occurrence.step`."""
         return f"{self.job.spec.job_id}.{self.occurrence}.{self.number}"
 
-    def note_run(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Counts a new run of one of its tasks."""
         run.task.runs.append(run)
         self.open_tasks.pop(run.task.index, None)
