--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -49,7 +49,7 @@
         Until all is known that the owner before started, its lives stay among
         them, so that an owner after this one asks there, too.
         """
-        born_ms = self._workers.lives()
+        born_ms = self._workers.incarnations()
         if not is_settled:
             born_ms = {**self._inherited, **born_ms}
         if born_ms == self._queued:
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -105,7 +105,7 @@
         """The rack of each worker."""
         return {view.worker_id: view.rack for view in self}
 
-    def lives(self) -> dict[str, int]:
+    def incarnations(self) -> dict[str, int]:
         """Birth times of the workers on which something may run."""
         return {
             view.worker_id: view.entry.born_ms
@@ -214,12 +214,12 @@
                 lost.append(LostRuns(runs, reasons.LossReason.LEASE_OVER))
         return lost
 
-    def has_unknown(self, lives: dict[str, int]) -> bool:
+    def has_unknown(self, incarnations: dict[str, int]) -> bool:
         """Whether one of some lives may run something that isn't known here.
 
         A life is known once it has answered, or when a later one has begun.
         """
-        for worker_id, born_ms in lives.items():
+        for worker_id, born_ms in incarnations.items():
             view = self._views.get(worker_id)
             if view is None or view.entry.born_ms < born_ms:
                 return True
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -119,7 +119,7 @@
         self.workers.apply_listing(entries)
         for worker_id in entries:
             self.hold(worker_id)
-        self.workers.allow_starts(self.workers.lives())
+        self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
         return self.sent.setdefault(entry.worker_id, _Sent())
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -287,6 +287,8 @@
         batch = self.store.newest(records.WORK_TOPIC, 0).unwrap()
         for record in batch.records:
             if record.key == records.WORKERS_KEY and record.value is not None:
-                lives = records.decode(records.WorkersRecord, record.value)
-                return set(lives.born_ms)
+                incarnations = records.decode(
+                    records.WorkersRecord, record.value
+                )
+                return set(incarnations.born_ms)
         return set()
