--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -226,7 +226,7 @@
                     producer = attrs.evolve(producer, sequence=sequence)
                     continue
                 case result.Err(error):
-                    logs.detail(
+                    logs.debug(
                         _logger, "append-retried", topic=topic, error=error
                     )
             if self._ended and self.append_age_ms > 2 * APPEND_TIMEOUT_MS:
--- a/src/comfreylatch/_process/logs.py
+++ b/src/comfreylatch/_process/logs.py
@@ -68,7 +68,7 @@
     logger.info(Line(name, fields))
 
 
-def detail(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
+def debug(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs something only wanted in a close look, at level debug."""
     logger.debug(Line(name, fields))
 
