--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -62,7 +62,7 @@
             case interference_control.Throttle(shares, relaxes):
                 self._count("relaxed" if relaxes else "throttled")
                 for share in shares:
-                    scheduling.table.throttle(share.job, share.share_milli)
+                    scheduling.attempts.throttle(share.job, share.share_milli)
             case interference_control.Move(jobs):
                 self._evict(scheduling, worker, jobs, True, per_hour, now_ms)
             case interference_control.Stop(jobs):
@@ -81,12 +81,12 @@
             self._count("eviction-budget-spent")
             return
         for job in jobs:
-            attempt = scheduling.table.attempt(job)
+            attempt = scheduling.attempts.attempt(job)
             if attempt is not None:
                 scheduling.cost_model.avoid(
                     worker, attempt.state.spec.job_class
                 )
-            scheduling.table.evict(job, now_ms, keep_first)
+            scheduling.attempts.evict(job, now_ms, keep_first)
             logs.event(_events, "evict", job=job, worker=worker, cause="slow")
 
     def _plan(
@@ -102,7 +102,7 @@
         if plan is None:
             return None
         for victim in plan.victims:
-            scheduling.table.evict(victim, now_ms)
+            scheduling.attempts.evict(victim, now_ms)
         logs.event(
             _events,
             "evict",
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -59,18 +59,18 @@
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
         )
-        self.table = attempt_tracker.AttemptTracker(
+        self.attempts = attempt_tracker.AttemptTracker(
             fold, sink, metrics, self._share_for
         )
-        self.table.reset(term)
+        self.attempts.reset(term)
         self.planner = eviction.EvictionPlanner(
-            self.ledger, self.table.on_worker
+            self.ledger, self.attempts.on_worker
         )
 
     def sync_job(self, state: job_state.JobState, now_ms: int) -> None:
         """Takes a job's state from the fold."""
         self.dispatcher.sync(state)
-        self.table.sync(state, now_ms)
+        self.attempts.sync(state, now_ms)
 
     def size_for(self, state: job_state.JobState) -> workers.Resources:
         """What to reserve for a job's next attempt."""
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -145,14 +145,14 @@
         To be called from the thread that calls `step`.
         """
         now_ms = self._clock.monotonic_ms()
-        if not self._scheduling.table.evict(job, now_ms):
+        if not self._scheduling.attempts.evict(job, now_ms):
             return False
         logs.event(_events, "evict", job=job, reason=reason)
         return True
 
     def throttle(self, job: str, share_milli: int) -> None:
         """Limits a running attempt; from the thread that calls `step`."""
-        self._scheduling.table.throttle(job, share_milli)
+        self._scheduling.attempts.throttle(job, share_milli)
 
     def step(self) -> int:
         """Does all that is due; returns milliseconds until the next step."""
@@ -173,7 +173,7 @@
             self._place()
         now_ms = self._clock.monotonic_ms()
         hold = self._ownership.hold()
-        self._scheduling.table.drive(hold.may_start(now_ms), now_ms)
+        self._scheduling.attempts.drive(hold.may_start(now_ms), now_ms)
         return STEP_MS
 
     # Inputs.
@@ -200,7 +200,7 @@
         elif host_list is not None and not scheduling.workers.listed():
             scheduling.workers.set_list(host_list)
         listed = scheduling.workers.listed()
-        self._pool.update(listed.values(), scheduling.table.workers())
+        self._pool.update(listed.values(), scheduling.attempts.workers())
         configuration = self._source.current()
         scheduling.workers.set_configuration(configuration)
         scheduling.queue.set_teams(configuration.teams)
@@ -222,7 +222,7 @@
             case worker_health.Standing.GOOD:
                 return True
             case worker_health.Standing.PROBED:
-                return not self._scheduling.table.on_worker(host.name)
+                return not self._scheduling.attempts.on_worker(host.name)
             case worker_health.Standing.QUARANTINED:
                 return False
 
@@ -249,16 +249,16 @@
                 case worker_session.Reported():
                     amount = event.report.capacity
                     self._scheduling.workers.set_reported(event.worker, amount)
-                    self._scheduling.table.on_reported(event, bounds, now_ms)
+                    self._scheduling.attempts.on_reported(event, bounds, now_ms)
                     self._take_usage(event.report, now_ms)
                 case worker_session.Unanswered():
-                    self._scheduling.table.on_unanswered(event)
+                    self._scheduling.attempts.on_unanswered(event)
                     self._scheduling.ledger.set_open(event.worker, False)
 
     def _take_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
         if self._policy is placement_module.Policy.FIRST_FIT:
             return
-        attempts = self._scheduling.table.on_worker(report.worker)
+        attempts = self._scheduling.attempts.on_worker(report.worker)
         action = self._usage.process(report, self._fold.job, attempts, now_ms)
         if self._usage.control.is_slow(report.worker):
             self._pool.poll_by(report.worker, now_ms + SLOW_POLL_MS)
@@ -270,14 +270,14 @@
 
     def _check_lost(self, bounds: job_records.HoldBounds, now_ms: int) -> None:
         guard_until_ms = self._ownership.guard_until_ms()
-        table = self._scheduling.table
-        for worker in table.workers():
-            table.declare_lost(worker, guard_until_ms, bounds, now_ms)
+        attempts = self._scheduling.attempts
+        for worker in attempts.workers():
+            attempts.declare_lost(worker, guard_until_ms, bounds, now_ms)
 
     # Outputs.
 
     def _append_pending(self, now_ms: int) -> None:
-        pending: list[Any] = self._scheduling.table.pending_records()
+        pending: list[Any] = self._scheduling.attempts.pending_records()
         if not pending and self._uncertain:
             # Anything known to stand settles what was sent before it.
             host = self._ownership.host_id
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -143,8 +143,8 @@
         event = worker_session.Reported(
             "worker-0", batch_slopes.TERM, report, (), now_ms, False
         )
-        scheduling.table.on_reported(event, batch_slopes.BOUNDS, now_ms)
-        attempts = scheduling.table.on_worker("worker-0")
+        scheduling.attempts.on_reported(event, batch_slopes.BOUNDS, now_ms)
+        attempts = scheduling.attempts.on_worker("worker-0")
         usage.process(report, zone.fold.job, attempts, now_ms)
 
     made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
