--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -303,7 +303,7 @@
             if placed is None:
                 for made in placements:
                     made.worker.remove(made.run)
-                    step.note_gone(made.run, this_pass.now_ms)
+                    step.remove_run(made.run, this_pass.now_ms)
                 return []
             placements.append(placed)
         return placements
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -144,7 +144,7 @@
                 phase=run.phase.value,
             )
             self._metrics.count(metrics_module.Counter.RUNS_LOST, lost.reason)
-            run.task.step.note_gone(run, self._clock.monotonic_ms())
+            run.task.step.remove_run(run, self._clock.monotonic_ms())
 
     def take_start(self, event: events.StartReturned) -> None:
         """Takes in what came of a start order."""
@@ -230,7 +230,7 @@
         worker = self._workers.find(run.worker_id)
         if worker is not None:
             worker.remove(run)
-        run.task.step.note_gone(run, self._clock.monotonic_ms())
+        run.task.step.remove_run(run, self._clock.monotonic_ms())
 
     def take_stop(self, event: events.StopReturned) -> None:
         """Takes in what came of a stop order."""
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -100,7 +100,7 @@
         self._metrics.count(metrics_module.Counter.RUN_ENDS, end.how)
         if run is not None:
             worker.remove(run)
-            run.task.step.note_gone(run, self._clock.monotonic_ms())
+            run.task.step.remove_run(run, self._clock.monotonic_ms())
         if task is None:
             return
         task.last_run = max(task.last_run, end.run)
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -197,7 +197,7 @@
             self.per_worker.get(run.worker_id, 0) + 1
         )
 
-    def note_gone(self, run: Run, now_ms: int) -> None:
+    def remove_run(self, run: Run, now_ms: int) -> None:
         """Forgets a run that has ended."""
         task = run.task
         if run not in task.runs:
