--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -304,7 +304,9 @@
         self._maintain(now_ms)
         self._control.look_after(now_ms)
         if self._is_settled and self._scribe.may_act():
-            for copy in self._planner.place_copies(self._jobs, now_ms):
+            for copy in self._planner.place_speculative_runs(
+                self._jobs, now_ms
+            ):
                 self._orders.send_start(copy.run)
         if now_ms - self._reported_ms >= REPORT_MS:
             self._reported_ms = now_ms
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -93,7 +93,7 @@
                 placements.extend(self._place_step(step, this_pass))
         return placements
 
-    def place_copies(
+    def place_speculative_runs(
         self, jobs: Iterable[runs_module.ActiveJob], now_ms: int
     ) -> list[Placement]:
         """Places second runs of tasks that take much longer than the rest."""
--- a/tests/process/cell/test_moving.py
+++ b/tests/process/cell/test_moving.py
@@ -89,7 +89,7 @@
     ) -> None:
         cell = self.straggle(True)
         jobs = list(cell.jobs)
-        (copy,) = cell.planner.place_copies(jobs, cell.clock.now_ms)
+        (copy,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
         (slow,) = [run for run in copy.run.task.runs if run is not copy.run]
         self.assertNotEqual(slow.worker_id, copy.run.worker_id)
         end = harness.ended(copy.run, DONE, 2)
@@ -101,4 +101,6 @@
 
     def test_step_that_forbids_it_gets_no_copy(self) -> None:
         cell = self.straggle(False)
-        self.assertEqual([], cell.planner.place_copies(list(cell.jobs), 10**9))
+        self.assertEqual(
+            [], cell.planner.place_speculative_runs(list(cell.jobs), 10**9)
+        )
