--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -10,10 +10,10 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import dispatcher as dispatcher_module
 from comfreylatch._process.batch import eviction
 from comfreylatch._process.batch import interference_control
 from comfreylatch._process.batch import job_queue
+from comfreylatch._process.batch import job_scheduler as job_scheduler_module
 from comfreylatch._process.batch import scheduling_state
 from comfreylatch._version import job_state
 
@@ -38,7 +38,7 @@
     def make_room(
         self,
         scheduling: scheduling_state.SchedulingState,
-        made: dispatcher_module.Round,
+        made: job_scheduler_module.Round,
         per_hour: int,
         now_ms: int,
     ) -> None:
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -9,10 +9,10 @@
 from comfreylatch._process.batch import attempt as attempt_module
 from comfreylatch._process.batch import attempt_tracker
 from comfreylatch._process.batch import capacity
-from comfreylatch._process.batch import dispatcher as dispatcher_module
 from comfreylatch._process.batch import eviction
 from comfreylatch._process.batch import interference_cost
 from comfreylatch._process.batch import job_queue
+from comfreylatch._process.batch import job_scheduler as job_scheduler_module
 from comfreylatch._process.batch import placement as placement_module
 from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._process.batch import zone_workers
@@ -54,7 +54,7 @@
         self.cost_model = interference_cost.InterferenceCostModel(
             usage.model, usage.sizes
         )
-        self.dispatcher = dispatcher_module.Dispatcher(
+        self.dispatcher = job_scheduler_module.Dispatcher(
             self.queue,
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -13,7 +13,7 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import stream_state
 from comfreylatch._process.batch import capacity
-from comfreylatch._process.batch import dispatcher
+from comfreylatch._process.batch import job_scheduler
 from comfreylatch._process.batch import placement
 from comfreylatch._process.batch import scheduling_state
 from comfreylatch._process.batch import usage_analyzer
@@ -234,7 +234,7 @@
     first = workers_known * TASKS_PER_WORKER
     for index in range(first):
         scheduling.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
-    starts = dispatcher.MAX_STARTS_PER_ROUND
+    starts = job_scheduler.MAX_STARTS_PER_ROUND
     fresh = itertools.count(first)
 
     def one_round() -> None:
