--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -128,7 +128,7 @@
     ) -> list[worker_view.WorkerView]:
         """Workers to be named; none where tickets leave room enough."""
         tickets = step.tickets or {}
-        needed = float(len(step.open_tasks))
+        needed = float(len(step.pending_tasks))
         candidates = []
         for worker in taking:
             if not placement.suits(worker, step):
@@ -230,7 +230,7 @@
 ) -> int:
     """How many tasks of a step would fit on a worker now."""
     need = step.spec.need
-    count = len(step.open_tasks)
+    count = len(step.pending_tasks)
     if need.cpu_millicores:
         count = min(count, worker.free_cpu // need.cpu_millicores)
     if need.memory_mb:
--- a/src/comfreylatch/_process/cell/cell_report.py
+++ b/src/comfreylatch/_process/cell/cell_report.py
@@ -47,7 +47,7 @@
         fill_millicores=sum(view.fill_millicores for view in answering),
         jobs=len(jobs),
         waiting_steps=len(steps),
-        waiting_tasks=sum(len(step.open_tasks) for step in steps),
+        waiting_tasks=sum(len(step.pending_tasks) for step in steps),
         append_age_ms=append_age_ms,
         pressures=pressures,
     )
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -43,7 +43,7 @@
     away leaves hardly more than it takes in worth.
     """
     return sum(
-        len(step.open_tasks) * step.spec.cpu_millicores
+        len(step.pending_tasks) * step.spec.cpu_millicores
         for step in steps
         if step.spec.fills_idle
         and now_ms - step.ready_ms >= WAIT_MS
--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -123,7 +123,7 @@
 
     def ready_steps(self) -> list[runs_module.StepInstance]:
         """Steps that may run and have tasks without a run."""
-        return [step for step in self._ready.values() if step.open_tasks]
+        return [step for step in self._ready.values() if step.pending_tasks]
 
     def soon_ready_steps(self) -> list[runs_module.StepInstance]:
         """Steps that wait only for tasks which are mostly done.
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -356,7 +356,7 @@
         self._ask_advice(steps, now_ms)
         for placement in self._planner.place(steps, now_ms):
             self._orders.send_start(placement.run)
-        left = [step for step in steps if step.open_tasks]
+        left = [step for step in steps if step.pending_tasks]
         for victim in self._planner.choose_victims(left, now_ms):
             self._orders.stop(victim, reasons.StopReason.SHORT_TASK)
         for run in self._planner.clear_worker(left, now_ms):
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -92,7 +92,7 @@
     placed = step.per_worker.get(worker.worker_id, 0)
     room = worker.free_cpu // max(spec.cpu_millicores, 1)
     room = min(room, worker.free_memory // max(spec.memory_mb, 1))
-    together = placed + min(room, len(step.open_tasks))
+    together = placed + min(room, len(step.pending_tasks))
     if spec.max_per_worker:
         together = min(together, spec.max_per_worker)
     return together
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -167,7 +167,7 @@
         room = preemption.VirtualRoom(taking)
         victims: list[runs_module.Run] = []
         for step in urgent:
-            for task in list(step.open_tasks.values())[:MOST_TASKS_FOR]:
+            for task in list(step.pending_tasks.values())[:MOST_TASKS_FOR]:
                 if room.take(task):
                     continue
                 if room.stopping_count >= lasting * MOST_STOPPED_SHARE:
@@ -193,7 +193,7 @@
         placements: list[Placement] = []
         if self._is_known_unfit(step, this_pass):
             return placements
-        for task in list(step.open_tasks.values()):
+        for task in list(step.pending_tasks.values()):
             if task.not_before_ms > this_pass.now_ms:
                 continue
             placed = self._place_task(task, this_pass, task.last_run + 1)
@@ -292,7 +292,7 @@
         self, step: runs_module.StepInstance, this_pass: _Pass
     ) -> list[Placement]:
         """Places all tasks of a gang at once, or none."""
-        if len(step.open_tasks) < len(step.tasks):
+        if len(step.pending_tasks) < len(step.tasks):
             return []
         if any(task.not_before_ms > this_pass.now_ms for task in step.tasks):
             return []
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -155,7 +155,7 @@
     number: int
     spec: specs.StepSpec
     tasks: list[Task] = attrs.field(factory=list)
-    open_tasks: dict[int, Task] = attrs.field(factory=dict)
+    pending_tasks: dict[int, Task] = attrs.field(factory=dict)
     undone: int = 0
     per_worker: dict[str, int] = attrs.field(factory=dict)
     tickets: dict[str, Ticket] | None = None
@@ -179,7 +179,7 @@
         return min(
             (
                 max(task.open_since_ms, self.ready_ms)
-                for task in self.open_tasks.values()
+                for task in self.pending_tasks.values()
             ),
             default=0,
         )
@@ -192,7 +192,7 @@
     def add_run(self, run: Run) -> None:
         """Counts a new run of one of its tasks."""
         run.task.runs.append(run)
-        self.open_tasks.pop(run.task.index, None)
+        self.pending_tasks.pop(run.task.index, None)
         self.per_worker[run.worker_id] = (
             self.per_worker.get(run.worker_id, 0) + 1
         )
@@ -210,14 +210,14 @@
             self.per_worker.pop(run.worker_id, None)
         if task.is_open:
             task.open_since_ms = now_ms
-            self.open_tasks[task.index] = task
+            self.pending_tasks[task.index] = task
 
     def note_done(self, task: Task) -> None:
         """Counts the end of a task."""
         if not task.is_done:
             task.is_done = True
             self.undone -= 1
-            self.open_tasks.pop(task.index, None)
+            self.pending_tasks.pop(task.index, None)
 
 
 @attrs.define(eq=False)
@@ -269,7 +269,7 @@
                 name = f"{step.name}.{index}"
                 task = Task(name, index, step, last_run=self.run_floor)
                 step.tasks.append(task)
-                step.open_tasks[index] = task
+                step.pending_tasks[index] = task
             step.undone = spec.task_count
             steps.append(step)
         self.steps[occurrence] = steps
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -113,7 +113,7 @@
             events.StartReturned(placed[0].run, now_ms, 1, result.Err(refused))
         )
         self.assertNotIn("w2", self.step.tickets)
-        self.assertEqual(1, len(self.step.open_tasks))
+        self.assertEqual(1, len(self.step.pending_tasks))
 
     def test_next_step_is_asked_about_before_its_turn(self) -> None:
         job = attrs.evolve(
