--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -161,7 +161,7 @@
             progress = self._inheritance.progress.get(entry.spec.job_id)
             job = self._jobs.add(entry.spec, floor, progress, entry.state)
             if job is not None:
-                self._ranker.note_job(job)
+                self._ranker.add_job(job)
             if entry.is_cancelled:
                 self._jobs.cancel(entry.spec.job_id)
         return self
@@ -258,7 +258,7 @@
             case job_replica.JobAdded(spec):
                 job = self._jobs.add(spec)
                 if job is not None:
-                    self._ranker.note_job(job)
+                    self._ranker.add_job(job)
             case job_replica.JobCancelled(job_id):
                 self._cancel(job_id)
 
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -65,7 +65,7 @@
         self._durations = durations
         self._queues: dict[str, QueueWork] = {}
 
-    def note_job(self, job: runs_module.ActiveJob) -> None:
+    def add_job(self, job: runs_module.ActiveJob) -> None:
         """Takes in a new job's work."""
         queue = job.spec.queue.name
         work = self._queues.setdefault(queue, QueueWork())
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -128,7 +128,7 @@
         """Takes in a job."""
         added = self.jobs.add(spec)
         assert added is not None
-        self.ranker.note_job(added)
+        self.ranker.add_job(added)
         return added
 
     def place(self) -> list[Any]:
