--- a/src/comfreylatch/_process/batch/job_scheduler.py
+++ b/src/comfreylatch/_process/batch/job_scheduler.py
@@ -53,7 +53,7 @@
 
 
 @final
-class Dispatcher:
+class JobScheduler:
     """Queue, ledgers and choice of worker. Used by one thread."""
 
     def __init__(
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -54,7 +54,7 @@
         self.cost_model = interference_cost.InterferenceCostModel(
             usage.model, usage.sizes
         )
-        self.dispatcher = job_scheduler_module.Dispatcher(
+        self.dispatcher = job_scheduler_module.JobScheduler(
             self.queue,
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
