--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -115,7 +115,7 @@
         ended = [
             step
             for step in self._steps
-            if not step.undone or step.job.state.is_final
+            if not step.unfinished_count or step.job.state.is_final
         ]
         for step in ended:
             del self._steps[step]
--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -117,7 +117,7 @@
 
     def _note_ready(self, job: runs_module.ActiveJob, occurrence: int) -> None:
         for step in job.steps[occurrence]:
-            if step.undone and job.is_ready(step):
+            if step.unfinished_count and job.is_ready(step):
                 step.ready_ms = step.ready_ms or self._clock.monotonic_ms()
                 self._ready[step.name] = step
 
@@ -135,7 +135,9 @@
             for job in self._jobs.values()
             if job.spec.queue.advice is not None
             for step in job.all_steps()
-            if step.undone and not job.is_ready(step) and job.is_soon(step)
+            if step.unfinished_count
+            and not job.is_ready(step)
+            and job.is_soon(step)
         ]
 
     def note_started(self, job: runs_module.ActiveJob) -> None:
@@ -152,7 +154,7 @@
             step.note_done(member)
         job = step.job
         self._dirty.add(job.spec.job_id)
-        if step.undone:
+        if step.unfinished_count:
             return
         self._ready.pop(step.name, None)
         if job.is_complete:
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -101,7 +101,7 @@
             task
             for job in jobs
             for step in job.all_steps()
-            if step.spec.is_speculative and step.undone
+            if step.spec.is_speculative and step.unfinished_count
             for task in step.tasks
             if copies.is_straggling(task, now_ms)
         ]
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -108,10 +108,13 @@
                 (ends[n] for n in step.spec.depends_on if n < len(ends)),
                 default=0.0,
             )
-            own = estimate_ms if step.undone else 0.0
+            own = estimate_ms if step.unfinished_count else 0.0
             ends.append(before + own)
             core_ms += (
-                step.undone * estimate_ms * step.spec.cpu_millicores / 1_000
+                step.unfinished_count
+                * estimate_ms
+                * step.spec.cpu_millicores
+                / 1_000
             )
         return _Left(max(ends, default=0.0), core_ms)
 
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -156,7 +156,7 @@
     spec: specs.StepSpec
     tasks: list[Task] = attrs.field(factory=list)
     pending_tasks: dict[int, Task] = attrs.field(factory=dict)
-    undone: int = 0
+    unfinished_count: int = 0
     per_worker: dict[str, int] = attrs.field(factory=dict)
     tickets: dict[str, Ticket] | None = None
     ready_ms: int = 0
@@ -216,7 +216,7 @@
         """Counts the end of a task."""
         if not task.is_done:
             task.is_done = True
-            self.undone -= 1
+            self.unfinished_count -= 1
             self.pending_tasks.pop(task.index, None)
 
 
@@ -270,7 +270,7 @@
                 task = Task(name, index, step, last_run=self.run_floor)
                 step.tasks.append(task)
                 step.pending_tasks[index] = task
-            step.undone = spec.task_count
+            step.unfinished_count = spec.task_count
             steps.append(step)
         self.steps[occurrence] = steps
         self.next_occurrence = max(self.next_occurrence, occurrence + 1)
@@ -300,13 +300,13 @@
         """Whether every task of every repetition is done."""
         if self.next_occurrence < self.occurrence_count:
             return False
-        return all(step.undone == 0 for step in self.all_steps())
+        return all(step.unfinished_count == 0 for step in self.all_steps())
 
     def is_ready(self, step: StepInstance) -> bool:
         """Whether all that a step depends on is done."""
         siblings = self.steps[step.occurrence]
         return all(
-            siblings[number].undone == 0
+            siblings[number].unfinished_count == 0
             for number in step.spec.depends_on
             if number < len(siblings)
         )
