--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -164,7 +164,7 @@
                 else:
                     run.is_in_doubt = True
                 if event.tries:
-                    self._workers.note_failing(worker, detail)
+                    self._workers.mark_failing(worker, detail)
             case result.Err(cell_workers.OrderUnanswered(detail)):
                 run.is_in_doubt = True
                 run.unanswered += event.tries
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -159,10 +159,10 @@
                 view.answered_ms = event.received_ms
                 view.failing_since_ms = 0
             case result.Err(error):
-                self.note_failing(view, str(error))
+                self.mark_failing(view, str(error))
         return True
 
-    def note_failing(self, view: worker_view.WorkerView, detail: str) -> None:
+    def mark_failing(self, view: worker_view.WorkerView, detail: str) -> None:
         """A call to a worker got no answer."""
         if view.failing_since_ms == 0:
             view.failing_since_ms = self._clock.monotonic_ms()
