--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -54,7 +54,7 @@
         self.cost_model = interference_cost.InterferenceCostModel(
             usage.model, usage.sizes
         )
-        self.dispatcher = job_scheduler_module.JobScheduler(
+        self.scheduler = job_scheduler_module.JobScheduler(
             self.queue,
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
@@ -69,7 +69,7 @@
 
     def sync_job(self, state: job_state.JobState, now_ms: int) -> None:
         """Takes a job's state from the fold."""
-        self.dispatcher.sync(state)
+        self.scheduler.sync(state)
         self.attempts.sync(state, now_ms)
 
     def size_for(self, state: job_state.JobState) -> workers.Resources:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -324,7 +324,7 @@
             self._uncertain.pop(body.job, None)
             state = self._fold.job(body.job)
             if state is not None:
-                self._scheduling.dispatcher.sync(state)
+                self._scheduling.scheduler.sync(state)
 
     def _settle_uncertain(self) -> None:
         settled = tuple(self._uncertain.values())
@@ -334,14 +334,14 @@
     def _place(self) -> None:
         now_ms = self._clock.monotonic_ms()
         scheduling = self._scheduling
-        if scheduling.dispatcher.queued == 0 or now_ms < self._append_after_ms:
+        if scheduling.scheduler.queued == 0 or now_ms < self._append_after_ms:
             return
-        if not scheduling.dispatcher.take_changed() and now_ms < self._place_ms:
+        if not scheduling.scheduler.take_changed() and now_ms < self._place_ms:
             return
         self._place_ms = now_ms + IDLE_ROUND_MS
         limits = self._source.current().limits
         planned = self._assign_planned(now_ms)
-        made = scheduling.dispatcher.run_round(
+        made = scheduling.scheduler.run_round(
             self._term,
             limits.max_attempts,
             lambda job: scheduling.planner.plan_for(job) is not None,
@@ -367,7 +367,7 @@
             scheduling.planner.finish(plan.job)
             state = self._fold.job(plan.job)
             if state is not None:
-                body = scheduling.dispatcher.assign(
+                body = scheduling.scheduler.assign(
                     state, plan.worker, plan.size, self._term
                 )
                 assigned.append(body)
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -240,7 +240,7 @@
     def one_round() -> None:
         for index in itertools.islice(fresh, starts):
             scheduling.sync_job(job_of(index, ""), 0)
-        decided = scheduling.dispatcher.run_round(TERM, 4)
+        decided = scheduling.scheduler.run_round(TERM, 4)
         assert len(decided.assigned) == starts, decided
 
     return slope.cpu_us(one_round, 1) / starts
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -140,7 +140,7 @@
 
     def place(self) -> list[str]:
         """One round: chooses, appends and folds; returns the jobs placed."""
-        made = self.scheduling.dispatcher.run_round(1, 4)
+        made = self.scheduling.scheduler.run_round(1, 4)
         for body in made.assigned:
             self.append(body)
         self.sync()
@@ -179,7 +179,7 @@
     while done < starts:
         source.shuffle(running)
         ending = [running.pop() for _ in range(8)]
-        while bench.scheduling.dispatcher.queued < QUEUED:
+        while bench.scheduling.scheduler.queued < QUEUED:
             bench.submit()
             bench.sync()
         began = time.process_time()
