--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -273,7 +273,9 @@
             task, this_pass.now_ms
         ):
             barred |= this_pass.cleared
-        worker = self._candidates(step, this_pass).pick(task.shunned, barred)
+        worker = self._candidates(step, this_pass).pick(
+            task.avoided_workers, barred
+        )
         if worker is None:
             return None
         run = runs_module.Run(
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -157,7 +157,7 @@
         end: cell_workers.EndedRun,
     ) -> None:
         worker.recent_failures += 1
-        task.shunned |= {worker.worker_id}
+        task.avoided_workers |= {worker.worker_id}
         if worker.recent_failures >= FAILING_WORKER_RUNS:
             now_ms = self._clock.monotonic_ms()
             worker.avoided_until_ms = now_ms + FAILING_WORKER_PAUSE_MS
@@ -284,7 +284,7 @@
         if run.phase is not runs_module.RunPhase.RUNNING:
             return None
         if self._is_stalled(run, now_ms):
-            run.task.shunned |= {run.worker_id}
+            run.task.avoided_workers |= {run.worker_id}
             return reasons.StopReason.STALLED
         is_slow = (
             run.slow_since_ms > 0
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -118,7 +118,7 @@
     is_done: bool = False
     runs: list[Run] = attrs.field(factory=list)
     not_before_ms: int = 0
-    shunned: frozenset[str] = frozenset()
+    avoided_workers: frozenset[str] = frozenset()
     open_since_ms: int = 0
 
     @property
