--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -169,11 +169,13 @@
         match event.outcome:
             case result.Err(advice_port.AdviceUnavailable(detail)):
                 known.not_before_ms = now_ms + RETRY_PAUSE_MS
-                self.note_missing(step, reasons.MissingAdvice.NO_ANSWER, detail)
+                self.report_missing(
+                    step, reasons.MissingAdvice.NO_ANSWER, detail
+                )
             case result.Ok(advice):
                 self._take_advice(event, known, advice)
 
-    def note_missing(
+    def report_missing(
         self,
         step: runs_module.StepInstance,
         reason: reasons.MissingAdvice,
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -372,7 +372,7 @@
             if self._advice_fetcher is not None:
                 self._advice_fetcher.ask(request)
                 continue
-            self._advice.note_missing(
+            self._advice.report_missing(
                 request.step,
                 reasons.MissingAdvice.NO_SERVICE,
                 "the settings name no service for advice",
