--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -94,7 +94,7 @@
         if not team.urgent and not team.normal:
             del self._teams[name]
 
-    def hold(self, job: str, team: str, size: workers.Resources) -> None:
+    def add_usage(self, job: str, team: str, size: workers.Resources) -> None:
         """Counts a placed job against its team."""
         self.free(job)
         self._held[job] = (team, size)
--- a/src/comfreylatch/_process/batch/job_scheduler.py
+++ b/src/comfreylatch/_process/batch/job_scheduler.py
@@ -85,7 +85,7 @@
         if state.phase is job_state.JobPhase.ASSIGNED:
             self._queue.discard(job)
             self._placement.place(state, state.worker, state.size)
-            self._queue.hold(job, state.spec.team, state.size)
+            self._queue.add_usage(job, state.spec.team, state.size)
             return
         self._placement.remove(job)
         self._queue.free(job)
@@ -140,7 +140,7 @@
         job = state.spec.id
         self._queue.discard(job)
         self._placement.place(state, worker, size)
-        self._queue.hold(job, state.spec.team, size)
+        self._queue.add_usage(job, state.spec.team, size)
         return job_records.AttemptAssigned(
             term=term,
             job=job,
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -177,7 +177,7 @@
         queue = job_queue.JobQueue()
         quota = objects.Team(workers.Resources(2_000, 2_000))
         queue.set_teams({"a": quota, "b": quota})
-        queue.hold("running", "a", workers.Resources(1_000, 0))
+        queue.add_usage("running", "a", workers.Resources(1_000, 0))
         queue.add(queued("of-a", "a"))
         queue.add(queued("of-b", "b"))
         order = []
