--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -39,7 +39,7 @@
     if not suits(worker, step):
         return False
     most = step.spec.max_per_worker
-    if most and step.per_worker.get(worker.worker_id, 0) >= most:
+    if most and step.runs_per_worker.get(worker.worker_id, 0) >= most:
         return False
     return step.tickets is None or worker.worker_id in step.tickets
 
@@ -89,7 +89,7 @@
     turns, somebody is always busy.
     """
     spec = step.spec
-    placed = step.per_worker.get(worker.worker_id, 0)
+    placed = step.runs_per_worker.get(worker.worker_id, 0)
     room = worker.free_cpu // max(spec.cpu_millicores, 1)
     room = min(room, worker.free_memory // max(spec.memory_mb, 1))
     together = placed + min(room, len(step.pending_tasks))
@@ -108,7 +108,7 @@
     if not step.spec.needs_one_rack:
         return ""
     counts: dict[str, int] = {}
-    for worker_id, count in step.per_worker.items():
+    for worker_id, count in step.runs_per_worker.items():
         rack = racks.get(worker_id, "")
         counts[rack] = counts.get(rack, 0) + count
     return max(counts, key=lambda rack: counts[rack]) if counts else ""
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -157,7 +157,7 @@
     tasks: list[Task] = attrs.field(factory=list)
     pending_tasks: dict[int, Task] = attrs.field(factory=dict)
     unfinished_count: int = 0
-    per_worker: dict[str, int] = attrs.field(factory=dict)
+    runs_per_worker: dict[str, int] = attrs.field(factory=dict)
     tickets: dict[str, Ticket] | None = None
     ready_ms: int = 0
     durations_ms: list[int] = attrs.field(factory=list)
@@ -193,8 +193,8 @@
         """Counts a new run of one of its tasks."""
         run.task.runs.append(run)
         self.pending_tasks.pop(run.task.index, None)
-        self.per_worker[run.worker_id] = (
-            self.per_worker.get(run.worker_id, 0) + 1
+        self.runs_per_worker[run.worker_id] = (
+            self.runs_per_worker.get(run.worker_id, 0) + 1
         )
 
     def remove_run(self, run: Run, now_ms: int) -> None:
@@ -203,11 +203,11 @@
         if run not in task.runs:
             return
         task.runs.remove(run)
-        left = self.per_worker.get(run.worker_id, 0) - 1
+        left = self.runs_per_worker.get(run.worker_id, 0) - 1
         if left > 0:
-            self.per_worker[run.worker_id] = left
+            self.runs_per_worker[run.worker_id] = left
         else:
-            self.per_worker.pop(run.worker_id, None)
+            self.runs_per_worker.pop(run.worker_id, None)
         if task.is_open:
             task.open_since_ms = now_ms
             self.pending_tasks[task.index] = task
