--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -20,7 +20,9 @@
     def __init__(self, durations: duration_model_module.DurationModel) -> None:
         self._durations = durations
 
-    def to_move(self, worker: worker_view.WorkerView) -> list[runs_module.Run]:
+    def runs_to_move(
+        self, worker: worker_view.WorkerView
+    ) -> list[runs_module.Run]:
         """Runs that have to go on elsewhere.
 
         Lasting tasks go at once off a worker that drains, any number of them;
