--- a/src/comfreylatch/_process/batch/job_scheduler.py
+++ b/src/comfreylatch/_process/batch/job_scheduler.py
@@ -88,7 +88,7 @@
             self._queue.add_usage(job, state.spec.team, state.size)
             return
         self._placement.remove(job)
-        self._queue.free(job)
+        self._queue.remove_usage(job)
         if state.phase is job_state.JobPhase.QUEUED:
             self._queue.add(state)
         else:
