--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -60,7 +60,7 @@
         step = run.task.step
         most = step.spec.max_unavailable
         if most:
-            away = step.away_count + stopped.get(step, 0)
+            away = step.unavailable_count + stopped.get(step, 0)
             if away >= most:
                 continue
             stopped[step] = stopped.get(step, 0) + 1
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -163,7 +163,7 @@
     durations_ms: list[int] = attrs.field(factory=list)
 
     @property
-    def away_count(self) -> int:
+    def unavailable_count(self) -> int:
         """How many of its tasks are not at work, for whatever cause."""
         return sum(
             not any(
