--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -14,7 +14,7 @@
 
 
 @final
-class Evacuation:
+class EvacuationPolicy:
     """Chooses runs to be stopped on leaving workers."""
 
     def __init__(self, durations: duration_model_module.DurationModel) -> None:
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -59,7 +59,7 @@
         self._durations = durations
         self._interference = model
         self._metrics = metrics
-        self._evacuation = evacuation.Evacuation(durations)
+        self._evacuation = evacuation.EvacuationPolicy(durations)
         self._clock = clock
 
     def handle_hold(
