--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -96,12 +96,12 @@
 
     def add_usage(self, job: str, team: str, size: workers.Resources) -> None:
         """Counts a placed job against its team."""
-        self.free(job)
+        self.remove_usage(job)
         self._held[job] = (team, size)
         used = self._used.get(team, capacity.NOTHING)
         self._used[team] = capacity.plus(used, size)
 
-    def free(self, job: str) -> None:
+    def remove_usage(self, job: str) -> None:
         """Stops counting a job against its team."""
         held = self._held.pop(job, None)
         if held is None:
