--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -302,7 +302,7 @@
         for lost in self._workers.expire():
             self._orders.take_lost(lost)
         self._maintain(now_ms)
-        self._control.look_after(now_ms)
+        self._control.move_runs(now_ms)
         if self._is_settled and self._scribe.may_act():
             for copy in self._planner.place_speculative_runs(
                 self._jobs, now_ms
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -265,7 +265,7 @@
             elif run.is_in_doubt:
                 self._orders.resolve(run)
 
-    def look_after(self, now_ms: int) -> None:
+    def move_runs(self, now_ms: int) -> None:
         """Stops runs that should go on elsewhere."""
         for worker in self._workers:
             if not worker.is_answering:
