--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -83,7 +83,7 @@
         self._jobs = job_table_module.JobTable(inheritance.token, clock)
         self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
-        terms = worker_session.LeaseTerms(
+        terms = worker_session.LeaseParameters(
             inheritance.token, parts.lease_ms, scribe.may_act
         )
         self._workers = worker_table_module.WorkerTable(
--- a/src/comfreylatch/_process/cell/worker_session.py
+++ b/src/comfreylatch/_process/cell/worker_session.py
@@ -36,7 +36,7 @@
 
 
 @attrs.frozen
-class LeaseTerms:
+class LeaseParameters:
     """The owner's part in leases.
 
     Attributes:
@@ -84,7 +84,7 @@
         self,
         entry: cell_workers.WorkerEntry,
         orders: cell_workers.WorkerOrders,
-        terms: LeaseTerms,
+        terms: LeaseParameters,
         post: Post,
         clock: clock_port.Clock,
     ) -> None:
--- a/tests/process/cell/test_worker_session.py
+++ b/tests/process/cell/test_worker_session.py
@@ -28,7 +28,7 @@
         self.may_renew = True
         entry = fake_workers.entry("w1")
         self.worker = fake_workers.FakeWorker(entry, clock)
-        terms = worker_session.LeaseTerms(1, 4_000, lambda: self.may_renew)
+        terms = worker_session.LeaseParameters(1, 4_000, lambda: self.may_renew)
         self.session = worker_session.WorkerSession(
             entry, self.worker, terms, self.events.append, clock
         )
