--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class Hold:
+class OwnerPermissions:
     """What this host may do as owner, on its monotonic clock.
 
     Attributes:
@@ -83,7 +83,7 @@
         return self.term > 0 and now_ms < self.renew_until_ms
 
 
-NO_HOLD = Hold()
+NO_HOLD = OwnerPermissions()
 
 
 def hold_span_ms(claim: job_state.Claim) -> int:
@@ -160,7 +160,7 @@
         """Id of this host, as in its claims."""
         return self._host_id
 
-    def hold(self) -> Hold:
+    def hold(self) -> OwnerPermissions:
         """What this host may do now; check it right before each exchange."""
         with self._lock:
             if self._fenced_term > self._hold.term:
@@ -258,7 +258,7 @@
         bounds = claim.bounds
         renew_ms = max(bounds.autonomy_ms, bounds.claim_ms)
         gained = self._hold.term != claim.term
-        self._hold = Hold(
+        self._hold = OwnerPermissions(
             term=claim.term,
             bounds=bounds,
             command_until_ms=self._proved_ms + bounds.claim_ms,
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -121,7 +121,7 @@
             self._commands.clear()
             self._later.clear()
 
-    def due_in_ms(self, hold: ownership.Hold, now_ms: int) -> int:
+    def due_in_ms(self, hold: ownership.OwnerPermissions, now_ms: int) -> int:
         """Time until the next exchange is due; 0 when it is."""
         if hold.bounds is None or self._fenced_term < hold.term:
             return 0
@@ -133,7 +133,7 @@
         return max(0, due_ms - now_ms)
 
     def next_exchange(
-        self, hold: ownership.Hold, now_ms: int
+        self, hold: ownership.OwnerPermissions, now_ms: int
     ) -> workers.Exchange | None:
         """The exchange to send now, or None when none may be sent.
 
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -76,8 +76,8 @@
 
     host_id = batch_slopes.WRITER
 
-    def hold(self) -> ownership.Hold:
-        return ownership.Hold(
+    def hold(self) -> ownership.OwnerPermissions:
+        return ownership.OwnerPermissions(
             batch_slopes.TERM, batch_slopes.BOUNDS, FAR_MS, FAR_MS
         )
 
