--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -98,7 +98,7 @@
         self._orders = run_dispatcher.RunOrders(
             self._jobs, self._workers, model, metrics, clock
         )
-        self._control = run_reconciler_module.RunControl(
+        self._control = run_reconciler_module.RunReconciler(
             self._orders,
             self._jobs,
             self._workers,
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -40,7 +40,7 @@
 
 
 @final
-class RunControl:
+class RunReconciler:
     """Keeps runs, workers and jobs in step. Only the owner's thread uses it."""
 
     def __init__(
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -102,7 +102,7 @@
         self.orders = run_dispatcher.RunOrders(
             self.jobs, self.workers, self.model, counted, self.clock
         )
-        self.control = run_reconciler.RunControl(
+        self.control = run_reconciler.RunReconciler(
             self.orders,
             self.jobs,
             self.workers,
