--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -73,7 +73,7 @@
 
 
 @final
-class AdvicePlan:
+class AdvicePlanner:
     """Decides what to ask. Only the owner's thread uses it."""
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -110,7 +110,7 @@
         self._planner = planner_module.Planner(
             self._workers, self._ranker, model
         )
-        self._advice = advice_module.AdvicePlan(metrics)
+        self._advice = advice_module.AdvicePlanner(metrics)
         self._waves = parts.waves
         self._maintenance = maintenance.MaintenancePlan(
             inheritance.waves,
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -29,7 +29,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.cell = harness.Cell(workers=3)
-        self.plan = advice.AdvicePlan(metrics.Metrics())
+        self.plan = advice.AdvicePlanner(metrics.Metrics())
         job = attrs.evolve(harness.job(harness.step(2)), queue=POLICY)
         self.job = self.cell.submit(job)
         (self.step,) = self.job.steps[0]
