--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -160,7 +160,7 @@
         """Id of this host, as in its claims."""
         return self._host_id
 
-    def hold(self) -> OwnerPermissions:
+    def permissions(self) -> OwnerPermissions:
         """What this host may do now; check it right before each exchange."""
         with self._lock:
             if self._fenced_term > self._hold.term:
@@ -199,17 +199,17 @@
         """Gives the claim up; nothing may be sent to workers any more."""
         self._stopping.set()
         with self._lock:
-            hold = self._hold
+            permissions = self._hold
             self._hold = NO_HOLD
-        if hold.term == 0:
+        if permissions.term == 0:
             return
-        body = job_records.OwnerReleased(hold.term, self._host_id)
+        body = job_records.OwnerReleased(permissions.term, self._host_id)
         outcome = self._appender.append([body], APPEND_TIMEOUT_MS)
         logs.event(
             _events,
             "released",
             zone=self._zone,
-            term=hold.term,
+            term=permissions.term,
             known=outcome.is_ok(),
         )
 
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -34,7 +34,7 @@
 ) -> worker_session.LinkEvent | None:
     """Makes one exchange if the hold allows it; checked right before it."""
     now_ms = clock.monotonic_ms()
-    exchange = session.next_exchange(holder.hold(), now_ms)
+    exchange = session.next_exchange(holder.permissions(), now_ms)
     if exchange is None:
         return None
     before_ms = session.sending(exchange, now_ms)
@@ -111,10 +111,10 @@
 
     def _step(self) -> int:
         now_ms = self._clock.monotonic_ms()
-        hold = self._holder.hold()
-        if not hold.may_renew(now_ms):
+        permissions = self._holder.permissions()
+        if not permissions.may_renew(now_ms):
             return IDLE_MS
-        due_ms = self.session.due_in_ms(hold, now_ms)
+        due_ms = self.session.due_in_ms(permissions, now_ms)
         if due_ms > 0:
             return due_ms
         event = exchange_once(
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -121,39 +121,41 @@
             self._commands.clear()
             self._later.clear()
 
-    def due_in_ms(self, hold: ownership.OwnerPermissions, now_ms: int) -> int:
+    def due_in_ms(
+        self, permissions: ownership.OwnerPermissions, now_ms: int
+    ) -> int:
         """Time until the next exchange is due; 0 when it is."""
-        if hold.bounds is None or self._fenced_term < hold.term:
+        if permissions.bounds is None or self._fenced_term < permissions.term:
             return 0
         with self._lock:
-            if self._commands and hold.may_start(now_ms):
+            if self._commands and permissions.may_start(now_ms):
                 return 0
-        interval_ms = hold.bounds.lease_ms // 3
+        interval_ms = permissions.bounds.lease_ms // 3
         due_ms = min(self._lease_sent_ms + interval_ms, self._poll_ms)
         return max(0, due_ms - now_ms)
 
     def next_exchange(
-        self, hold: ownership.OwnerPermissions, now_ms: int
+        self, permissions: ownership.OwnerPermissions, now_ms: int
     ) -> workers.Exchange | None:
         """The exchange to send now, or None when none may be sent.
 
         A report that would be stale on arrival is renewed first, by an
         exchange that carries nothing.
         """
-        if not hold.may_renew(now_ms) or hold.bounds is None:
+        if not permissions.may_renew(now_ms) or permissions.bounds is None:
             return None
-        ttl_ms = hold.bounds.command_ttl_ms
+        ttl_ms = permissions.bounds.command_ttl_ms
         with self._lock:
             age_ms = now_ms - self._report_sent_ms
-            fenced = self._fenced_term == hold.term
+            fenced = self._fenced_term == permissions.term
             if not fenced or self._report == 0 or age_ms > ttl_ms // 2:
-                return workers.Exchange(self._host_id, hold.term, 0, 0)
+                return workers.Exchange(self._host_id, permissions.term, 0, 0)
             return workers.Exchange(
                 owner=self._host_id,
-                term=hold.term,
+                term=permissions.term,
                 quoted_report=self._report,
-                lease_ms=hold.bounds.lease_ms,
-                commands=self._take(hold.may_start(now_ms)),
+                lease_ms=permissions.bounds.lease_ms,
+                commands=self._take(permissions.may_start(now_ms)),
             )
 
     def sending(self, exchange: workers.Exchange, now_ms: int) -> int:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -135,7 +135,7 @@
     def status(self) -> owner_status.OwnerStatus:
         """What `status` shows; any thread may call it."""
         now_ms = self._clock.monotonic_ms()
-        holds = self._ownership.hold().may_start(now_ms)
+        holds = self._ownership.permissions().may_start(now_ms)
         quarantined = self._health.quarantined()
         return owner_status.of_fold(self._fold, holds, quarantined)
 
@@ -156,24 +156,24 @@
 
     def step(self) -> int:
         """Does all that is due; returns milliseconds until the next step."""
-        hold = self._ownership.hold()
-        if hold.term != self._term:
-            self._change_term(hold.term)
-        if hold.bounds is None:
+        permissions = self._ownership.permissions()
+        if permissions.term != self._term:
+            self._change_term(permissions.term)
+        if permissions.bounds is None:
             return IDLE_STEP_MS
         now_ms = self._clock.monotonic_ms()
         self._sync_fold(now_ms)
-        self._take_events(hold.bounds, now_ms)
+        self._take_events(permissions.bounds, now_ms)
         if now_ms - self._checked_ms >= CHECK_MS:
             self._checked_ms = now_ms
             self._refresh_workers(now_ms)
-            self._check_lost(hold.bounds, now_ms)
+            self._check_lost(permissions.bounds, now_ms)
         self._append_pending(now_ms)
-        if hold.may_start(self._clock.monotonic_ms()):
+        if permissions.may_start(self._clock.monotonic_ms()):
             self._place()
         now_ms = self._clock.monotonic_ms()
-        hold = self._ownership.hold()
-        self._scheduling.attempts.drive(hold.may_start(now_ms), now_ms)
+        permissions = self._ownership.permissions()
+        self._scheduling.attempts.drive(permissions.may_start(now_ms), now_ms)
         return STEP_MS
 
     # Inputs.
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -76,7 +76,7 @@
 
     host_id = batch_slopes.WRITER
 
-    def hold(self) -> ownership.OwnerPermissions:
+    def permissions(self) -> ownership.OwnerPermissions:
         return ownership.OwnerPermissions(
             batch_slopes.TERM, batch_slopes.BOUNDS, FAR_MS, FAR_MS
         )
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -278,8 +278,8 @@
     def exchange(self, session: worker_session.WorkerSession) -> None:
         """Makes the exchange that is due with one worker, if any."""
         for _ in range(2):
-            hold = self.ownership.hold()
-            if session.due_in_ms(hold, self._clock.now_ms):
+            permissions = self.ownership.permissions()
+            if session.due_in_ms(permissions, self._clock.now_ms):
                 return
             event = worker_link.exchange_once(
                 session, self._port, self.ownership, self._clock
@@ -375,7 +375,7 @@
     def owner(self) -> FakeHost | None:
         """The host that may start work now."""
         for host in self.hosts:
-            if host.ownership.hold().may_start(self.clock.now_ms):
+            if host.ownership.permissions().may_start(self.clock.now_ms):
                 return host
         return None
 
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -36,10 +36,10 @@
         holders = [
             host
             for host in zone.hosts
-            if host.ownership.hold().may_start(zone.clock.now_ms)
+            if host.ownership.permissions().may_start(zone.clock.now_ms)
         ]
         self.assertEqual([owner], holders)
-        self.assertEqual(1, owner.ownership.hold().term)
+        self.assertEqual(1, owner.ownership.permissions().term)
 
     def test_zone_that_is_not_configured_is_not_claimed(self) -> None:
         """A first claim by default bounds would hold its successor up."""
@@ -64,11 +64,11 @@
     def test_woken_owner_does_nothing_more(self) -> None:
         """Its hold has run out by its own monotonic clock."""
         zone, owner = owned_zone()
-        hold = owner.ownership.hold()
+        permissions = owner.ownership.permissions()
         zone.clock.advance(CLAIM_MS + 1)
-        self.assertFalse(hold.may_start(zone.clock.now_ms))
+        self.assertFalse(permissions.may_start(zone.clock.now_ms))
         zone.clock.advance(AUTONOMY_MS)
-        self.assertFalse(hold.may_renew(zone.clock.now_ms))
+        self.assertFalse(permissions.may_renew(zone.clock.now_ms))
 
     def test_renewal_with_lost_answer_is_proved_by_reading(self) -> None:
         """The owner holds on when only answers are lost."""
@@ -77,7 +77,7 @@
             owner.appender.lose_next = True
             zone.run(500)
         self.assertIs(owner, zone.owner())
-        self.assertEqual(1, owner.ownership.hold().term)
+        self.assertEqual(1, owner.ownership.permissions().term)
 
     def test_host_behind_the_head_does_not_claim(self) -> None:
         """A host cut from the log can't tell whether the owner lives."""
