--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -95,7 +95,7 @@
         )
         model = interference.InterferenceModel()
         self._model = model
-        self._orders = run_dispatcher.RunOrders(
+        self._orders = run_dispatcher.RunDispatcher(
             self._jobs, self._workers, model, metrics, clock
         )
         self._control = run_reconciler_module.RunReconciler(
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -31,7 +31,7 @@
 
 
 @final
-class RunOrders:
+class RunDispatcher:
     """Starts, stops and paces runs. Only the owner's thread uses it."""
 
     def __init__(
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        orders: run_dispatcher.RunOrders,
+        orders: run_dispatcher.RunDispatcher,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
         durations: duration_model_module.DurationModel,
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -99,7 +99,7 @@
         self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
-        self.orders = run_dispatcher.RunOrders(
+        self.orders = run_dispatcher.RunDispatcher(
             self.jobs, self.workers, self.model, counted, self.clock
         )
         self.control = run_reconciler.RunReconciler(
