--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -35,7 +35,7 @@
 
 
 @final
-class MaintenancePlan:
+class MaintenancePlanner:
     """Decides what to do about waves. Only the owner's thread uses it.
 
     Args:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -112,7 +112,7 @@
         )
         self._advice = advice_module.AdvicePlanner(metrics)
         self._waves = parts.waves
-        self._maintenance = maintenance.MaintenancePlan(
+        self._maintenance = maintenance.MaintenancePlanner(
             inheritance.waves,
             clock.monotonic_ms() + parts.handover_ms,
             metrics,
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -48,9 +48,9 @@
         self,
         handover_ms: int = 0,
         recorded: records.WaveRecord | None = None,
-    ) -> maintenance.MaintenancePlan:
+    ) -> maintenance.MaintenancePlanner:
         """The plan of an owner that begins now."""
-        return maintenance.MaintenancePlan(
+        return maintenance.MaintenancePlanner(
             {} if recorded is None else {1: recorded},
             self.cell.clock.monotonic_ms() + handover_ms,
             metrics.Metrics(),
