--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -286,7 +286,7 @@
     def declare_lost(
         self,
         worker: str,
-        guard_until_ms: int,
+        predecessor_tasks_until_ms: int,
         bounds: job_records.HoldBounds,
         now_ms: int,
     ) -> None:
@@ -305,7 +305,11 @@
         gone_ms = sent_ms + span_ms if sent_ms >= 0 else 0
         for attempt in self.on_worker(worker):
             inherited = attempt.state.term < self._term
-            until_ms = max(gone_ms, guard_until_ms) if inherited else gone_ms
+            until_ms = (
+                max(gone_ms, predecessor_tasks_until_ms)
+                if inherited
+                else gone_ms
+            )
             if not inherited and self._never_sent(attempt, now_ms):
                 until_ms = attempt.since_ms + GIVE_UP_UNSENT_MS
             if now_ms >= until_ms:
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -167,7 +167,7 @@
                 return NO_HOLD
             return self._hold
 
-    def guard_until_ms(self) -> int:
+    def predecessor_tasks_until_ms(self) -> int:
         """Until when unfenced workers may run what other hosts started."""
         with self._lock:
             return max(self._guards_ms.values(), default=0)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -269,10 +269,14 @@
             )
 
     def _check_lost(self, bounds: job_records.HoldBounds, now_ms: int) -> None:
-        guard_until_ms = self._ownership.guard_until_ms()
+        predecessor_tasks_until_ms = (
+            self._ownership.predecessor_tasks_until_ms()
+        )
         attempts = self._scheduling.attempts
         for worker in attempts.workers():
-            attempts.declare_lost(worker, guard_until_ms, bounds, now_ms)
+            attempts.declare_lost(
+                worker, predecessor_tasks_until_ms, bounds, now_ms
+            )
 
     # Outputs.
 
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -81,7 +81,7 @@
             batch_slopes.TERM, batch_slopes.BOUNDS, FAR_MS, FAR_MS
         )
 
-    def guard_until_ms(self) -> int:
+    def predecessor_tasks_until_ms(self) -> int:
         return 0
 
 
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -199,6 +199,6 @@
         self.change_limits(zone)
         zone.run(5_000)
         self.assertGreater(
-            owner.ownership.guard_until_ms(),
+            owner.ownership.predecessor_tasks_until_ms(),
             zone.clock.now_ms - 5_000 + ownership.hold_span_ms(old),
         )
