--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -249,7 +249,7 @@
     ) -> None:
         match event:
             case events.StartReturned():
-                self._orders.take_start(event)
+                self._orders.handle_start(event)
             case events.StopReturned():
                 self._orders.take_stop(event)
 
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -146,7 +146,7 @@
             self._metrics.count(metrics_module.Counter.RUNS_LOST, lost.reason)
             run.task.step.remove_run(run, self._clock.monotonic_ms())
 
-    def take_start(self, event: events.StartReturned) -> None:
+    def handle_start(self, event: events.StartReturned) -> None:
         """Takes in what came of a start order."""
         run = event.run
         worker = self._workers.find(run.worker_id)
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -137,7 +137,7 @@
         placed = self.planner.place(self.jobs.ready_steps(), now_ms)
         for placement in placed:
             self.orders.send_start(placement.run)
-            self.orders.take_start(
+            self.orders.handle_start(
                 events.StartReturned(
                     placement.run, now_ms, 1, result.Ok(now_ms)
                 )
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -108,7 +108,7 @@
         run = placed.run
         cell.orders.send_start(run)
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
-        cell.orders.take_start(events.StartReturned(run, now_ms, 2, lost))
+        cell.orders.handle_start(events.StartReturned(run, now_ms, 2, lost))
         self.assertEqual([], cell.place())
         cell.hold(run.worker_id)
         self.assertIs(runs_module.RunPhase.STOPPING, run.phase)
@@ -130,7 +130,7 @@
         (placed,) = cell.planner.place(cell.jobs.ready_steps(), now_ms)
         run = placed.run
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
-        cell.orders.take_start(events.StartReturned(run, now_ms, 2, lost))
+        cell.orders.handle_start(events.StartReturned(run, now_ms, 2, lost))
         cell.hold(run.worker_id, running=(harness.listed(run),))
         self.assertIs(runs_module.RunPhase.RUNNING, run.phase)
 
