--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -218,7 +218,7 @@
             phase=phase.value,
         )
 
-    def take_machines(
+    def handle_machines_listed(
         self,
         event: events.MachinesListed,
         workers: dict[str, worker_view.WorkerView],
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -271,7 +271,7 @@
         now_ms = self._clock.monotonic_ms()
         match event:
             case events.MachinesListed():
-                self._maintenance.take_machines(
+                self._maintenance.handle_machines_listed(
                     event, self._workers.by_id(), now_ms
                 )
             case events.MaintenanceReturned():
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -69,7 +69,7 @@
             machines_port.Machine(name, state, name.replace("m", "w"))
             for name, state in self.states.items()
         )
-        self.plan.take_machines(
+        self.plan.handle_machines_listed(
             events.MachinesListed(now_ms, result.Ok(found)),
             self.cell.workers.by_id(),
             now_ms,
