--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -172,7 +172,7 @@
         with self._lock:
             return max(self._guards_ms.values(), default=0)
 
-    def fenced(self, term: int) -> None:
+    def report_fenced(self, term: int) -> None:
         """Tells that a worker has seen a higher term than this host's."""
         with self._lock:
             self._fenced_term = max(self._fenced_term, term)
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -42,7 +42,7 @@
     match answer:
         case result.Ok(report):
             if report.highest_term > exchange.term:
-                holder.fenced(report.highest_term)
+                holder.report_fenced(report.highest_term)
             return session.answered(
                 exchange, report, now_ms, clock.monotonic_ms()
             )
