--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -251,7 +251,7 @@
             case events.StartReturned():
                 self._orders.handle_start(event)
             case events.StopReturned():
-                self._orders.take_stop(event)
+                self._orders.handle_stop(event)
 
     def _handle_change(self, change: job_replica.BookChange) -> None:
         match change:
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -232,7 +232,7 @@
             worker.remove(run)
         run.task.step.remove_run(run, self._clock.monotonic_ms())
 
-    def take_stop(self, event: events.StopReturned) -> None:
+    def handle_stop(self, event: events.StopReturned) -> None:
         """Takes in what came of a stop order."""
         run = event.run
         if run is None or run not in run.task.runs:
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -114,7 +114,7 @@
         self.assertIs(runs_module.RunPhase.STOPPING, run.phase)
         self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
         cell.clock.advance(10)
-        cell.orders.take_stop(
+        cell.orders.handle_stop(
             events.StopReturned(run.worker_id, run, result.Ok(0))
         )
         self.assertEqual([], cell.place())
