--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -272,7 +272,7 @@
         if view is not None:
             view.is_being_emptied = False
 
-    def take_order(
+    def handle_maintenance_returned(
         self,
         event: events.MaintenanceReturned,
         workers: dict[str, worker_view.WorkerView],
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -275,7 +275,7 @@
                     event, self._workers.by_id(), now_ms
                 )
             case events.MaintenanceReturned():
-                self._maintenance.take_order(
+                self._maintenance.handle_maintenance_returned(
                     event, self._workers.by_id(), now_ms
                 )
             case events.ReportFailed(wave):
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -100,7 +100,7 @@
 
     def answer(self, machine_id: str, outcome: Any) -> None:
         """Something comes of an order."""
-        self.plan.take_order(
+        self.plan.handle_maintenance_returned(
             events.MaintenanceReturned(machine_id, 1, outcome),
             self.cell.workers.by_id(),
             self.cell.clock.monotonic_ms(),
