--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -150,7 +150,7 @@
         account.open = is_open
         self._index(account)
 
-    def set_open(self, worker: str, is_open: bool) -> None:
+    def set_schedulable(self, worker: str, is_open: bool) -> None:
         """Opens a worker for placement, or closes it."""
         account = self._accounts.get(worker)
         if account is not None and account.open != is_open:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -210,7 +210,7 @@
         scheduling.cost_model.allowed_slowdown = allowed
         self._usage.control.allowed_slowdown = allowed
         for name, host in listed.items():
-            scheduling.ledger.set_open(name, self._is_open(host, now_ms))
+            scheduling.ledger.set_schedulable(name, self._is_open(host, now_ms))
 
     def _is_open(self, host: hosts.ListedHost, now_ms: int) -> bool:
         session = self._pool.session(host.name)
@@ -253,7 +253,7 @@
                     self._take_usage(event.report, now_ms)
                 case worker_session.Unanswered():
                     self._scheduling.attempts.on_unanswered(event)
-                    self._scheduling.ledger.set_open(event.worker, False)
+                    self._scheduling.ledger.set_schedulable(event.worker, False)
 
     def _take_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
         if self._policy is placement_module.Policy.FIRST_FIT:
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -83,7 +83,7 @@
             )
         for account in tuple(self._ledger.accounts()):
             if account.name not in self._listed:
-                self._ledger.set_open(account.name, False)
+                self._ledger.set_schedulable(account.name, False)
                 self._ledger.remove_worker(account.name)
                 self._reported.pop(account.name, None)
         return True
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -103,7 +103,7 @@
         self.scheduling.queue.set_teams(teams)
         self.scheduling.refresh_workers()
         for host in listed:
-            self.scheduling.ledger.set_open(host.name, True)
+            self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
         """Encodes, decodes and folds one record, as the log would carry it."""
