--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -226,7 +226,7 @@
             case events.BookChanged(change):
                 self._handle_change(change)
             case events.WorkersListed(entries):
-                self._orders.take_lost(self._workers.apply_listing(entries))
+                self._orders.handle_lost(self._workers.apply_listing(entries))
             case events.HoldReturned():
                 self._handle_hold(event)
             case events.StartReturned() | events.StopReturned():
@@ -300,7 +300,7 @@
     def _tick(self, now_ms: int) -> None:
         self._jobs.open_due()
         for lost in self._workers.expire():
-            self._orders.take_lost(lost)
+            self._orders.handle_lost(lost)
         self._maintain(now_ms)
         self._control.move_runs(now_ms)
         if self._is_settled and self._scribe.may_act():
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -131,7 +131,7 @@
         for step in job.all_steps():
             self._interference.forget(step)
 
-    def take_lost(self, lost: worker_table_module.LostRuns) -> None:
+    def handle_lost(self, lost: worker_table_module.LostRuns) -> None:
         """Takes in runs that are surely over, without an end."""
         for run in lost.runs:
             logs.event(
