--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -349,7 +349,7 @@
         self._dirty.clear()
         return writes
 
-    def report_failed(self, wave: int) -> None:
+    def handle_report_failed(self, wave: int) -> None:
         """A report could not be written; it is made again."""
         work = self._waves.get(wave)
         if work is not None:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -279,7 +279,7 @@
                     event, self._workers.by_id(), now_ms
                 )
             case events.ReportFailed(wave):
-                self._maintenance.report_failed(wave)
+                self._maintenance.handle_report_failed(wave)
 
     def _cancel(self, job_id: str) -> None:
         job = self._jobs.cancel(job_id)
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -211,5 +211,5 @@
         first = self.ask(WAVE)
         self.assertIn(wave_work.Report(1, False), first)
         self.assertNotIn(wave_work.Report(1, False), self.ask(WAVE))
-        self.plan.report_failed(1)
+        self.plan.handle_report_failed(1)
         self.assertIn(wave_work.Report(1, False), self.ask(WAVE))
