--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -11,7 +11,7 @@
 from comfreylatch._ports import workers
 
 MAX_LOOKS = 96
-NOTHING = workers.Resources(0, 0, 0)
+NO_RESOURCES = workers.Resources(0, 0, 0)
 
 
 def plus(
@@ -83,10 +83,10 @@
 
     name: str
     rack: str = ""
-    total: workers.Resources = NOTHING
-    services: workers.Resources = NOTHING
+    total: workers.Resources = NO_RESOURCES
+    services: workers.Resources = NO_RESOURCES
     open: bool = False
-    reserved: workers.Resources = NOTHING
+    reserved: workers.Resources = NO_RESOURCES
     by_job: dict[str, workers.Resources] = attrs.field(factory=dict)
     cell: tuple[int, int, int] | None = None
 
--- a/src/comfreylatch/_process/batch/eviction.py
+++ b/src/comfreylatch/_process/batch/eviction.py
@@ -154,7 +154,7 @@
             held = self._ledger.worker_of(plan.job) == plan.worker
             if account is None or not account.open or not held:
                 self.drop(plan.job)
-            elif capacity.fits(capacity.NOTHING, account.free):
+            elif capacity.fits(capacity.NO_RESOURCES, account.free):
                 found.append(plan)
             elif now_ms - plan.made_ms > PLAN_TIMEOUT_MS:
                 self.drop(plan.job)
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -98,7 +98,7 @@
         """Counts a placed job against its team."""
         self.remove_usage(job)
         self._held[job] = (team, size)
-        used = self._used.get(team, capacity.NOTHING)
+        used = self._used.get(team, capacity.NO_RESOURCES)
         self._used[team] = capacity.plus(used, size)
 
     def remove_usage(self, job: str) -> None:
@@ -108,20 +108,24 @@
             return
         team, size = held
         self._used[team] = capacity.minus(self._used[team], size)
-        if self._used[team] == capacity.NOTHING:
+        if self._used[team] == capacity.NO_RESOURCES:
             del self._used[team]
 
     def share_of(self, team: str) -> int:
         """Part of its quota that a team uses, in thousandths."""
-        used = self._used.get(team, capacity.NOTHING)
+        used = self._used.get(team, capacity.NO_RESOURCES)
         quota = self._quotas.get(team)
-        return share_milli(used, quota.quota if quota else capacity.NOTHING)
+        return share_milli(
+            used, quota.quota if quota else capacity.NO_RESOURCES
+        )
 
     def share_with(self, team: str, size: workers.Resources) -> int:
         """Part of its quota that a team would use with one more job."""
-        used = capacity.plus(self._used.get(team, capacity.NOTHING), size)
+        used = capacity.plus(self._used.get(team, capacity.NO_RESOURCES), size)
         quota = self._quotas.get(team)
-        return share_milli(used, quota.quota if quota else capacity.NOTHING)
+        return share_milli(
+            used, quota.quota if quota else capacity.NO_RESOURCES
+        )
 
     def may_borrow(self, team: str) -> bool:
         """Whether a team may go above its quota."""
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -46,7 +46,7 @@
     ) -> None:
         self._usage = usage
         self._policy = policy
-        self._largest = capacity.NOTHING
+        self._largest = capacity.NO_RESOURCES
         self.term = term
         self.ledger = capacity.CapacityLedger()
         self.workers = zone_workers.ZoneWorkers(zone, self.ledger)
@@ -85,7 +85,7 @@
         """Brings what depends on the list and configuration up to date."""
         if not self.workers.refresh():
             return
-        self._largest = capacity.NOTHING
+        self._largest = capacity.NO_RESOURCES
         for account in self.ledger.accounts():
             usable = account.usable
             if usable.processors_milli > self._largest.processors_milli:
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -43,7 +43,7 @@
             return
         self._configuration = configuration
         services: dict[str, workers.Resources] = collections.defaultdict(
-            lambda: capacity.NOTHING
+            lambda: capacity.NO_RESOURCES
         )
         names: dict[str, set[str]] = collections.defaultdict(set)
         for endpoint in configuration.endpoints.values():
@@ -78,7 +78,7 @@
                 name,
                 host.rack,
                 self._total(host),
-                self._services.get(name, capacity.NOTHING),
+                self._services.get(name, capacity.NO_RESOURCES),
                 is_open=account is not None and account.open,
             )
         for account in tuple(self._ledger.accounts()):
@@ -92,7 +92,7 @@
         configured = self._configuration.worker_classes.get(host.worker_class)
         reported = self._reported.get(host.name)
         if configured is None:
-            return reported or capacity.NOTHING
+            return reported or capacity.NO_RESOURCES
         if reported is None:
             return configured.capacity
         return capacity.least(configured.capacity, reported)
@@ -123,12 +123,12 @@
     services: dict[str, workers.Resources] = {}
     for endpoint in configuration.endpoints.values():
         if endpoint.worker:
-            held = services.get(endpoint.worker, capacity.NOTHING)
+            held = services.get(endpoint.worker, capacity.NO_RESOURCES)
             services[endpoint.worker] = capacity.plus(held, endpoint.resources)
     return [
         capacity.minus(
             classes[host.worker_class].capacity,
-            services.get(host.name, capacity.NOTHING),
+            services.get(host.name, capacity.NO_RESOURCES),
         )
         for host in listed.values()
         if host.worker_class in classes
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -214,7 +214,9 @@
     for index in range(workers_known):
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
-        scheduling.ledger.set_worker(name, rack, HOST, capacity.NOTHING, True)
+        scheduling.ledger.set_worker(
+            name, rack, HOST, capacity.NO_RESOURCES, True
+        )
         scheduling.cost_model.set_worker(name, HOST.processors_milli)
     return scheduling
 
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -150,7 +150,7 @@
 
     def used(self) -> workers.Resources:
         """What running tasks hold."""
-        total = capacity.NOTHING
+        total = capacity.NO_RESOURCES
         for task in self.running():
             total = capacity.plus(total, task.start.resources)
         return total
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -48,7 +48,11 @@
     ledger = capacity.CapacityLedger()
     for index in range(count):
         ledger.set_worker(
-            f"w{index}", f"rack-{index // 2}", AMOUNT, capacity.NOTHING, True
+            f"w{index}",
+            f"rack-{index // 2}",
+            AMOUNT,
+            capacity.NO_RESOURCES,
+            True,
         )
     return ledger
 
@@ -208,7 +212,7 @@
         """One victim is enough, and it is the youngest."""
         attempts = [self._attempt("old", 90_000), self._attempt("new", 10)]
         victims = eviction.fewest_victims(
-            workers.Resources(1_000, 100), capacity.NOTHING, attempts
+            workers.Resources(1_000, 100), capacity.NO_RESOURCES, attempts
         )
         self.assertEqual(["new"], [victim.job for victim in victims])
 
@@ -216,7 +220,7 @@
         """Nobody is stopped in vain."""
         victims = eviction.fewest_victims(
             workers.Resources(3_000, 100),
-            capacity.NOTHING,
+            capacity.NO_RESOURCES,
             [self._attempt("one", 0)],
         )
         self.assertIsNone(victims)
