--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -53,7 +53,7 @@
 
 def is_overdue(task: runs_module.Task, now_ms: int) -> bool:
     """Whether a lasting task may go on a cleared worker, too."""
-    since_ms = max(task.open_since_ms, task.step.ready_ms)
+    since_ms = max(task.pending_since_ms, task.step.ready_ms)
     return now_ms - since_ms > OVERDUE_MS
 
 
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -119,7 +119,7 @@
     runs: list[Run] = attrs.field(factory=list)
     not_before_ms: int = 0
     avoided_workers: frozenset[str] = frozenset()
-    open_since_ms: int = 0
+    pending_since_ms: int = 0
 
     @property
     def failures(self) -> int:
@@ -178,7 +178,7 @@
         """Since when its longest waiting task has needed a run."""
         return min(
             (
-                max(task.open_since_ms, self.ready_ms)
+                max(task.pending_since_ms, self.ready_ms)
                 for task in self.pending_tasks.values()
             ),
             default=0,
@@ -209,7 +209,7 @@
         else:
             self.runs_per_worker.pop(run.worker_id, None)
         if task.is_open:
-            task.open_since_ms = now_ms
+            task.pending_since_ms = now_ms
             self.pending_tasks[task.index] = task
 
     def note_done(self, task: Task) -> None:
