--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -81,7 +81,7 @@
         self._steps: dict[runs_module.StepInstance, _StepAdvice] = {}
         self._shares: dict[str, float] = {}
 
-    def prepare(
+    def plan_requests(
         self,
         steps: Iterable[runs_module.StepInstance],
         workers: Iterable[worker_view.WorkerView],
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -368,7 +368,9 @@
     ) -> None:
         """Asks which workers may run steps that a policy is for."""
         wanted = steps + self._jobs.soon_ready_steps()
-        for request in self._advice.prepare(wanted, self._workers, now_ms):
+        for request in self._advice.plan_requests(
+            wanted, self._workers, now_ms
+        ):
             if self._advice_fetcher is not None:
                 self._advice_fetcher.ask(request)
                 continue
