--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -123,7 +123,7 @@
         job = step.job
         queue = job.spec.queue
         if step.spec.is_lasting:
-            since_ms = step.oldest_open_ms
+            since_ms = step.oldest_pending_ms
             return Rank(Prospect.ON_TIME, queue.priority, 0, since_ms)
         left = self._left(job, step.occurrence)
         objective_ms = self.objective_ms(job)
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -174,7 +174,7 @@
         )
 
     @property
-    def oldest_open_ms(self) -> int:
+    def oldest_pending_ms(self) -> int:
         """Since when its longest waiting task has needed a run."""
         return min(
             (
