--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -125,7 +125,7 @@
         """Steps that may run and have tasks without a run."""
         return [step for step in self._ready.values() if step.pending_tasks]
 
-    def soon_ready_steps(self) -> list[runs_module.StepInstance]:
+    def nearly_ready_steps(self) -> list[runs_module.StepInstance]:
         """Steps that wait only for tasks which are mostly done.
 
         Looked for where a policy demands advice, which takes its time.
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -367,7 +367,7 @@
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
         """Asks which workers may run steps that a policy is for."""
-        wanted = steps + self._jobs.soon_ready_steps()
+        wanted = steps + self._jobs.nearly_ready_steps()
         for request in self._advice.plan_requests(
             wanted, self._workers, now_ms
         ):
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -123,7 +123,7 @@
             queue=POLICY,
         )
         first, second = self.cell.submit(job).steps[0]
-        self.assertEqual([], self.cell.jobs.soon_ready_steps())
+        self.assertEqual([], self.cell.jobs.nearly_ready_steps())
         first.tickets = dict.fromkeys(
             ("w1", "w2"),
             self.ticket(),
@@ -132,7 +132,7 @@
         self.cell.hold(
             run.worker_id, running=(harness.listed(run, percent=60.0),)
         )
-        self.assertEqual([second], self.cell.jobs.soon_ready_steps())
+        self.assertEqual([second], self.cell.jobs.nearly_ready_steps())
 
     def ticket(self) -> Any:
         """A ticket that holds."""
