--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -270,7 +270,7 @@
         for worker in self._workers:
             if not worker.is_answering:
                 continue
-            for run in self._evacuation.to_move(worker):
+            for run in self._evacuation.runs_to_move(worker):
                 self._orders.stop(run, reasons.StopReason.WORKER_LEAVES)
             for run in list(worker.runs.values()):
                 reason = self._reason_to_move(run, now_ms)
