--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -85,7 +85,7 @@
     is_in_doubt: bool = False
 
     @property
-    def is_wanted(self) -> bool:
+    def should_start(self) -> bool:
         """Whether it should be started, if it hasn't been; any thread asks."""
         return self.phase is not RunPhase.STOPPING and not self.task.is_done
 
--- a/src/comfreylatch/_process/cell/worker_session.py
+++ b/src/comfreylatch/_process/cell/worker_session.py
@@ -257,7 +257,7 @@
         while tries < START_TRIES:
             deadline_ms = self._deadline_ms()
             # The run may have been given up while its start was queued.
-            if deadline_ms == 0 or not order.run.is_wanted:
+            if deadline_ms == 0 or not order.run.should_start:
                 break
             tries += 1
             outcome = self._orders.start(
--- a/tests/process/cell/test_worker_session.py
+++ b/tests/process/cell/test_worker_session.py
@@ -92,7 +92,7 @@
         ahead, copy = _Run("a.0.0.0"), _Run("b.0.0.0")
         self.session.start(ahead, "text", "", "")
         self.session.start(copy, "text", "", "")
-        copy.is_wanted = False
+        copy.should_start = False
         release.set()
         self.wait_for(lambda: len(self.returned()) == 2)
         self.assertEqual({"a.0.0.0": 1}, self.worker.running)
@@ -114,4 +114,4 @@
         self.task = self
         self.name = task
         self.number = 1
-        self.is_wanted = True
+        self.should_start = True
