--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -34,9 +34,9 @@
         self.job = self.cell.submit(job)
         (self.step,) = self.job.steps[0]
 
-    def prepare(self) -> list[Any]:
+    def plan_requests(self) -> list[Any]:
         """The calls that are needed now."""
-        return self.plan.prepare(
+        return self.plan.plan_requests(
             self.cell.jobs.ready_steps(),
             self.cell.workers,
             self.cell.clock.monotonic_ms(),
@@ -58,53 +58,53 @@
         )
 
     def test_nothing_starts_before_advice(self) -> None:
-        self.prepare()
+        self.plan_requests()
         self.assertEqual([], self.cell.place())
 
     def test_step_starts_only_where_it_is_allowed(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.assertEqual({"w1", "w2", "w3"}, set(request.workers))
         self.answer(request, "w2")
         placed = self.cell.place()
         self.assertEqual(["w2", "w2"], [run.worker_id for run in placed])
 
     def test_no_second_call_while_one_is_on_its_way(self) -> None:
-        self.prepare()
-        self.assertEqual([], self.prepare())
+        self.plan_requests()
+        self.assertEqual([], self.plan_requests())
 
     def test_no_call_while_tickets_leave_room(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.answer(request, "w2")
-        self.assertEqual([], self.prepare())
+        self.assertEqual([], self.plan_requests())
 
     def test_expired_ticket_is_renewed_for_allowed_workers_alone(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.answer(request, "w2")
         self.cell.clock.advance(VALID_MS)
-        (again,) = self.prepare()
+        (again,) = self.plan_requests()
         self.assertEqual({"w2"}, set(again.workers))
         self.assertEqual([], self.cell.place())
 
     def test_new_life_of_a_worker_needs_a_new_ticket(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.answer(request, "w2")
         entries = {
             view.worker_id: attrs.evolve(view.entry, born_ms=2)
             for view in self.cell.workers
         }
         self.cell.workers.apply_listing(entries)
-        self.prepare()
+        self.plan_requests()
         self.assertEqual({}, self.step.tickets)
 
     def test_unanswered_call_is_repeated_after_a_pause(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.take(request, result.Err(advice_port.AdviceUnavailable("429")))
-        self.assertEqual([], self.prepare())
+        self.assertEqual([], self.plan_requests())
         self.cell.clock.advance(advice.RETRY_PAUSE_MS)
-        self.assertEqual(1, len(self.prepare()))
+        self.assertEqual(1, len(self.plan_requests()))
 
     def test_refused_ticket_is_not_used_again(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.answer(request, "w2")
         now_ms = self.cell.clock.monotonic_ms()
         placed = self.cell.planner.place(self.cell.jobs.ready_steps(), now_ms)
@@ -139,10 +139,10 @@
         return runs_module.Ticket("t", 1, 10**9)
 
     def test_what_ended_is_forgotten(self) -> None:
-        (request,) = self.prepare()
+        (request,) = self.plan_requests()
         self.cell.jobs.cancel(self.job.spec.job_id)
         other = attrs.evolve(harness.job(job_id="c" * 16), queue=POLICY)
         self.cell.submit(other)
-        self.prepare()
+        self.plan_requests()
         self.answer(request, "w1")
         self.assertEqual({}, self.step.tickets)
