--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -118,7 +118,7 @@
     def on_reported(
         self,
         event: worker_session.Reported,
-        bounds: job_records.HoldBounds,
+        bounds: job_records.ClaimBounds,
         now_ms: int,
     ) -> None:
         """Takes a worker's answer to an exchange of the current term."""
@@ -133,7 +133,7 @@
     def _take_lines(
         self,
         event: worker_session.Reported,
-        bounds: job_records.HoldBounds,
+        bounds: job_records.ClaimBounds,
         now_ms: int,
     ) -> None:
         lines = {(line.job, line.attempt): line for line in event.report.tasks}
@@ -180,7 +180,7 @@
         self,
         attempt: attempt_module.Attempt,
         event: worker_session.Reported,
-        bounds: job_records.HoldBounds,
+        bounds: job_records.ClaimBounds,
     ) -> None:
         """An attempt that the report doesn't name."""
         if attempt.state.term < self._term or attempt.seen:
@@ -287,7 +287,7 @@
         self,
         worker: str,
         predecessor_tasks_until_ms: int,
-        bounds: job_records.HoldBounds,
+        bounds: job_records.ClaimBounds,
         now_ms: int,
     ) -> None:
         """Ends attempts of a silent worker once they can't run any more."""
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -70,7 +70,7 @@
     """
 
     term: int = 0
-    bounds: job_records.HoldBounds | None = None
+    bounds: job_records.ClaimBounds | None = None
     command_until_ms: int = 0
     renew_until_ms: int = 0
 
@@ -285,12 +285,12 @@
         lapse_ms = claim.bounds.claim_ms + claim.bounds.drift_margin_ms
         return waited_ms >= lapse_ms
 
-    def _configured_bounds(self) -> job_records.HoldBounds:
+    def _configured_bounds(self) -> job_records.ClaimBounds:
         configuration = self._source.current()
         limits = configuration.limits
         zone = configuration.zones.get(self._zone)
         autonomy_ms = zone.autonomy_ms if zone else DEFAULT_AUTONOMY_MS
-        return job_records.HoldBounds(
+        return job_records.ClaimBounds(
             claim_ms=limits.claim_ms,
             lease_ms=limits.lease_ms,
             autonomy_ms=autonomy_ms,
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -241,7 +241,9 @@
         self._uncertain.pop(state.spec.id, None)
         self._scheduling.sync_job(state, now_ms)
 
-    def _take_events(self, bounds: job_records.HoldBounds, now_ms: int) -> None:
+    def _take_events(
+        self, bounds: job_records.ClaimBounds, now_ms: int
+    ) -> None:
         for event in self._pool.take_events():
             if event.term != self._term:
                 continue
@@ -268,7 +270,7 @@
                 self._scheduling, report.worker, action, per_hour, now_ms
             )
 
-    def _check_lost(self, bounds: job_records.HoldBounds, now_ms: int) -> None:
+    def _check_lost(self, bounds: job_records.ClaimBounds, now_ms: int) -> None:
         predecessor_tasks_until_ms = (
             self._ownership.predecessor_tasks_until_ms()
         )
--- a/src/comfreylatch/_version/job_records.py
+++ b/src/comfreylatch/_version/job_records.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class HoldBounds:
+class ClaimBounds:
     """Bounds that an owner keeps for the whole of its term.
 
     Attributes:
@@ -100,7 +100,7 @@
     term: int
     replaces: int
     host: str
-    bounds: HoldBounds
+    bounds: ClaimBounds
 
 
 @attrs.frozen
--- a/src/comfreylatch/_version/job_state.py
+++ b/src/comfreylatch/_version/job_state.py
@@ -91,7 +91,7 @@
 
     term: int
     host: str
-    bounds: job_records.HoldBounds
+    bounds: job_records.ClaimBounds
     offset: int
     touched_offset: int
     released: bool = False
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -31,7 +31,7 @@
 WRITER = "zone-0-1-0a1b2c3d"
 HOST = workers.Resources(32_000, 128_000, 0)
 SIZE = workers.Resources(1_000, 2_048, 0)
-BOUNDS = job_records.HoldBounds(6_000, 6_000, 60_000, 2_000, 500)
+BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 CLASSES = 20
 # Placed on each worker before starts are measured.
 TASKS_PER_WORKER = 24
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -36,7 +36,7 @@
 TEAMS = 240
 CLASSES = 20
 QUEUED = 200
-BOUNDS = job_records.HoldBounds(6_000, 6_000, 60_000, 2_000, 500)
+BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 
 
 @attrs.frozen
--- a/tests/version/test_zone_fold.py
+++ b/tests/version/test_zone_fold.py
@@ -12,7 +12,7 @@
 from comfreylatch._version import records
 from comfreylatch._version import zone_fold
 
-BOUNDS = job_records.HoldBounds(6_000, 6_000, 60_000, 2_000, 500)
+BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 EVENT = zone_fold.FoldEvent
 PHASE = job_state.JobPhase
 
