--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -305,7 +305,7 @@
 
 def _note_intensity(fill: runs_module.Run, now_ms: int) -> None:
     """Takes in how much of what it asks for a task that fills uses."""
-    since_ms = max(fill.confirmed_ms, fill.paced_ms)
+    since_ms = max(fill.confirmed_ms, fill.pace_changed_ms)
     if not fill.confirmed_ms or now_ms - since_ms < READING_MS:
         return
     if fill.pace_percent <= LEAST_READ_PACE or fill.reading <= 0:
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -265,7 +265,7 @@
                 percent=change.percent,
             )
             run.pace_percent = change.percent
-            run.paced_ms = self._clock.monotonic_ms()
+            run.pace_changed_ms = self._clock.monotonic_ms()
             if change.percent > SLOW_PACE:
                 run.slow_since_ms = 0
             elif run.slow_since_ms == 0:
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -80,7 +80,7 @@
     pace_percent: int = 100
     slow_since_ms: int = 0
     intensity: float = USUAL_INTENSITY
-    paced_ms: int = 0
+    pace_changed_ms: int = 0
     unanswered: int = 0
     is_in_doubt: bool = False
 
