--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -159,7 +159,9 @@
             chosen.append(worker)
         return chosen
 
-    def take(self, event: events.AdviceReturned, now_ms: int) -> None:
+    def handle_advice_returned(
+        self, event: events.AdviceReturned, now_ms: int
+    ) -> None:
         """Takes in what came of a call."""
         step = event.step
         known = self._steps.get(step)
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -234,7 +234,9 @@
             case events.LivesRecorded(born_ms):
                 self._lives.note_kept(born_ms)
             case events.AdviceReturned():
-                self._advice.take(event, self._clock.monotonic_ms())
+                self._advice.handle_advice_returned(
+                    event, self._clock.monotonic_ms()
+                )
             case (
                 events.MachinesListed()
                 | events.MaintenanceReturned()
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -45,12 +45,14 @@
     def answer(self, request: Any, *allowed: str) -> None:
         """The service allows some of the workers named."""
         tickets = {name: f"ticket-{name}" for name in allowed}
-        self.take(request, result.Ok(advice_port.Advice(tickets, VALID_MS)))
+        self.handle_advice_returned(
+            request, result.Ok(advice_port.Advice(tickets, VALID_MS))
+        )
 
-    def take(self, request: Any, outcome: Any) -> None:
+    def handle_advice_returned(self, request: Any, outcome: Any) -> None:
         """Something comes of a call."""
         now_ms = self.cell.clock.monotonic_ms()
-        self.plan.take(
+        self.plan.handle_advice_returned(
             events.AdviceReturned(
                 request.step, request.workers, now_ms, now_ms, outcome
             ),
@@ -98,7 +100,9 @@
 
     def test_unanswered_call_is_repeated_after_a_pause(self) -> None:
         (request,) = self.plan_requests()
-        self.take(request, result.Err(advice_port.AdviceUnavailable("429")))
+        self.handle_advice_returned(
+            request, result.Err(advice_port.AdviceUnavailable("429"))
+        )
         self.assertEqual([], self.plan_requests())
         self.cell.clock.advance(advice.RETRY_PAUSE_MS)
         self.assertEqual(1, len(self.plan_requests()))
