--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -23,7 +23,7 @@
 END_SLACK_MS = 100
 LEAST_POLL_MS = 400
 LONGEST_POLL_MS = 5_000
-CHECKPOINT_EVERY_MS = 60_000
+CHECKPOINT_INTERVAL_MS = 60_000
 FULL_SHARE_MILLI = 1_000
 GIVE_UP_UNSENT_MS = 2_000
 
@@ -223,7 +223,7 @@
 
     def _keep(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Asks for a checkpoint now and then, with the next renewal."""
-        if now_ms - attempt.kept_ms < CHECKPOINT_EVERY_MS:
+        if now_ms - attempt.kept_ms < CHECKPOINT_INTERVAL_MS:
             return
         attempt.kept_ms = now_ms
         command = attempt.checkpoint_command()
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -197,7 +197,7 @@
     def zone_records_per_s(self) -> dict[str, float]:
         """Records on one zone's stream at the peak, by kind."""
         starts = self.size.zone_starts_per_s
-        interval_s = attempt_tracker.CHECKPOINT_EVERY_MS / MS_PER_S
+        interval_s = attempt_tracker.CHECKPOINT_INTERVAL_MS / MS_PER_S
         return {
             "admissions": starts,
             "assignments": starts,
