--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -182,7 +182,7 @@
         """The worker says that a run is there."""
         run.is_in_doubt = False
         run.confirmed_ms = now_ms
-        run.moved_ms = now_ms
+        run.progressed_ms = now_ms
         if run.phase is runs_module.RunPhase.STARTING:
             run.phase = runs_module.RunPhase.RUNNING
         self._jobs.note_started(run.task.step.job)
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -188,9 +188,9 @@
             return
         if run.phase is runs_module.RunPhase.STARTING:
             self._orders.confirm(run, now_ms)
-        if listed.percent > run.percent or run.moved_ms == 0:
+        if listed.percent > run.percent or run.progressed_ms == 0:
             run.percent = listed.percent
-            run.moved_ms = now_ms
+            run.progressed_ms = now_ms
         run.reading = listed.reading
         if listed.checkpoint and run.number == run.task.last_run:
             run.task.checkpoint = listed.checkpoint
@@ -219,7 +219,7 @@
                 runs_module.RunPhase.RUNNING,
                 now_ms,
                 confirmed_ms=now_ms,
-                moved_ms=now_ms,
+                progressed_ms=now_ms,
                 percent=listed.percent,
             )
             task.last_run = max(task.last_run, listed.run)
@@ -299,6 +299,6 @@
             not spec.is_lasting
             and not spec.fills_idle
             and not spec.is_gang
-            and run.moved_ms > 0
-            and now_ms - run.moved_ms > STALLED_MS
+            and run.progressed_ms > 0
+            and now_ms - run.progressed_ms > STALLED_MS
         )
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -75,7 +75,7 @@
     since_ms: int
     confirmed_ms: int = 0
     percent: float = 0.0
-    moved_ms: int = 0
+    progressed_ms: int = 0
     reading: int = 0
     pace_percent: int = 100
     slow_since_ms: int = 0
