--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -50,7 +50,7 @@
     ) -> None:
         self._desk.__exit__(exc_type, exc, traceback)
 
-    def ask(self, request: advice.AdviceRequest) -> None:
+    def fetch(self, request: advice.AdviceRequest) -> None:
         """Queues a call."""
         self._desk.do(lambda: self._ask(request))
 
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -374,7 +374,7 @@
             wanted, self._workers, now_ms
         ):
             if self._advice_fetcher is not None:
-                self._advice_fetcher.ask(request)
+                self._advice_fetcher.fetch(request)
                 continue
             self._advice.report_missing(
                 request.step,
