--- a/src/comfreylatch/_process/batch/end_observer.py
+++ b/src/comfreylatch/_process/batch/end_observer.py
@@ -98,10 +98,10 @@
     def _note(self, job: str, reason: str, sentence: str) -> None:
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         offset = self._fold.offset()
-        self._journal.note(reasons.Subject.JOB, job, reason, sentence, offset)
+        self._journal.record(reasons.Subject.JOB, job, reason, sentence, offset)
 
     def _note_worker(self, worker: str, reason: str) -> None:
         logs.event(_events, reason, worker=worker, zone=self._zone)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         sentence = "compared with the other workers' ends of attempts"
-        self._journal.note(reasons.Subject.WORKER, worker, reason, sentence)
+        self._journal.record(reasons.Subject.WORKER, worker, reason, sentence)
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -337,7 +337,7 @@
         )
 
     def _note(self, job: str, reason: str, sentence: str, offset: int) -> None:
-        self._journal.note(reasons.Subject.JOB, job, reason, sentence, offset)
+        self._journal.record(reasons.Subject.JOB, job, reason, sentence, offset)
 
 
 def _unknown_job(job: str, zone: str) -> _Refusal:
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -365,7 +365,7 @@
     def _note(self, reason: str, sentence: str, offset: int) -> None:
         logs.event(_events, reason, zone=self._zone, detail=sentence)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
-        self._journal.note(
+        self._journal.record(
             reasons.Subject.WORKER, self._zone, reason, sentence, offset
         )
 
--- a/src/comfreylatch/_process/journal.py
+++ b/src/comfreylatch/_process/journal.py
@@ -53,7 +53,7 @@
         )
         self._forgotten = 0
 
-    def note(
+    def record(
         self,
         subject: reasons.Subject,
         name: str,
--- a/src/comfreylatch/_process/ticket_desk.py
+++ b/src/comfreylatch/_process/ticket_desk.py
@@ -133,7 +133,7 @@
         sentence = f"{what} on {self._seat}"
         if line.detail:
             sentence += f": {line.detail}"
-        self._journal.note(
+        self._journal.record(
             reasons.Subject.TICKET,
             str(line.number),
             line.verdict,
@@ -286,7 +286,7 @@
     def _note(
         self, ticket: tickets.Ticket, reason: str, sentence: str, offset: int
     ) -> None:
-        self._journal.note(
+        self._journal.record(
             reasons.Subject.TICKET,
             str(ticket.number),
             reason,
--- a/src/comfreylatch/_request/observations.py
+++ b/src/comfreylatch/_request/observations.py
@@ -94,7 +94,7 @@
         self._parts.metrics.count(
             metrics_module.Counter.EJECTIONS, ejection.endpoint
         )
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.ENDPOINT,
             ejection.endpoint,
             "ejected",
@@ -108,6 +108,6 @@
     def _drain_endpoint(self, endpoint: str, sentence: str) -> None:
         self._parts.table.leaving_changed()
         self._parts.client.forget(self._state.addresses.get(endpoint, ""))
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.ENDPOINT, endpoint, "leaving", sentence
         )
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -233,7 +233,7 @@
                     metrics_module.Counter.OUTCOMES,
                     reasons.Outcome.ANSWERED.value,
                 )
-                self._parts.journal.note(
+                self._parts.journal.record(
                     reasons.Subject.REQUEST,
                     request_id,
                     reasons.Outcome.ANSWERED.value,
@@ -247,7 +247,7 @@
                 word = reasons.Outcome.UNKNOWN
         metrics.count(metrics_module.Counter.OUTCOMES, word.value)
         metrics.count(metrics_module.Counter.REFUSALS, outcome.reason.value)
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.REQUEST,
             request_id,
             outcome.reason.value,
@@ -304,6 +304,6 @@
                 self._note_endpoint(endpoint, "leaving", f"{how}: {sign}")
 
     def _note_endpoint(self, endpoint: str, reason: str, sentence: str) -> None:
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.ENDPOINT, endpoint, reason, sentence
         )
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -191,7 +191,7 @@
     def _note(self, call: call_module.Call, seat: str) -> None:
         reason = reasons.RetryReason.SPILLED
         self._parts.metrics.count(metrics_module.Counter.RETRIES, reason.value)
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.REQUEST,
             call.request_id,
             reason.value,
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -390,7 +390,7 @@
 
     def _note_retry(self, reason: reasons.RetryReason, sentence: str) -> None:
         self._count_retry(reason)
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.REQUEST,
             self._call.request_id,
             reason.value,
--- a/testing/capacity/process_slopes.py
+++ b/testing/capacity/process_slopes.py
@@ -125,7 +125,7 @@
         "zone-0-1-0a1b2c3d", clock_fake.FakeClock(), count
     )
     for index in range(count):
-        journal.note(
+        journal.record(
             reasons.Subject.REQUEST,
             f"request-{index:032d}",
             reasons.RefusalReason.NO_FREE_SLOT,
--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -39,7 +39,7 @@
 ) -> journal_module.Journal:
     journal = journal_module.Journal(host, FixedClock(now_ms), max_decisions)
     for name in names:
-        journal.note(JOB, name, "placed", f"Job {name} was placed.")
+        journal.record(JOB, name, "placed", f"Job {name} was placed.")
     return journal
 
 
