--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -14,9 +14,7 @@
 NO_RESOURCES = workers.Resources(0, 0, 0)
 
 
-def plus(
-    left: workers.Resources, right: workers.Resources
-) -> workers.Resources:
+def add(left: workers.Resources, right: workers.Resources) -> workers.Resources:
     """Sum by dimension."""
     return workers.Resources(
         left.processors_milli + right.processors_milli,
@@ -174,7 +172,7 @@
             account = WorkerAccount(worker)
             self._accounts[worker] = account
         account.by_job[job] = size
-        account.reserved = plus(account.reserved, size)
+        account.reserved = add(account.reserved, size)
         self._worker_by_job[job] = worker
         self._index(account)
 
--- a/src/comfreylatch/_process/batch/eviction.py
+++ b/src/comfreylatch/_process/batch/eviction.py
@@ -85,7 +85,7 @@
         if capacity.fits(size, free):
             break
         chosen.append(attempt)
-        free = capacity.plus(free, attempt.state.size)
+        free = capacity.add(free, attempt.state.size)
     if not capacity.fits(size, free):
         return None
     for attempt in sorted(chosen, key=lost_ms, reverse=True):
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -99,7 +99,7 @@
         self.remove_usage(job)
         self._held[job] = (team, size)
         used = self._used.get(team, capacity.NO_RESOURCES)
-        self._used[team] = capacity.plus(used, size)
+        self._used[team] = capacity.add(used, size)
 
     def remove_usage(self, job: str) -> None:
         """Stops counting a job against its team."""
@@ -121,7 +121,7 @@
 
     def share_with(self, team: str, size: workers.Resources) -> int:
         """Part of its quota that a team would use with one more job."""
-        used = capacity.plus(self._used.get(team, capacity.NO_RESOURCES), size)
+        used = capacity.add(self._used.get(team, capacity.NO_RESOURCES), size)
         quota = self._quotas.get(team)
         return share_milli(
             used, quota.quota if quota else capacity.NO_RESOURCES
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -49,7 +49,7 @@
         for endpoint in configuration.endpoints.values():
             if endpoint.worker:
                 held = services[endpoint.worker]
-                services[endpoint.worker] = capacity.plus(
+                services[endpoint.worker] = capacity.add(
                     held, endpoint.resources
                 )
                 names[endpoint.worker].add(endpoint.service)
@@ -124,7 +124,7 @@
     for endpoint in configuration.endpoints.values():
         if endpoint.worker:
             held = services.get(endpoint.worker, capacity.NO_RESOURCES)
-            services[endpoint.worker] = capacity.plus(held, endpoint.resources)
+            services[endpoint.worker] = capacity.add(held, endpoint.resources)
     return [
         capacity.minus(
             classes[host.worker_class].capacity,
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -152,7 +152,7 @@
         """What running tasks hold."""
         total = capacity.NO_RESOURCES
         for task in self.running():
-            total = capacity.plus(total, task.start.resources)
+            total = capacity.add(total, task.start.resources)
         return total
 
     def _refusal(
