--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -37,7 +37,7 @@
         self._adviser = adviser
         self._post = post
         self._clock = clock
-        self._desk = call_executor.CallDesk("advice")
+        self._desk = call_executor.CallExecutor("advice")
 
     def __enter__(self) -> Self:
         return self
--- a/src/comfreylatch/_process/cell/call_executor.py
+++ b/src/comfreylatch/_process/cell/call_executor.py
@@ -13,7 +13,7 @@
 
 
 @final
-class CallDesk:
+class CallExecutor:
     """A thread that makes calls in their order. A context manager.
 
     The thread begins with the first call, as most tenures make none.
--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -47,7 +47,7 @@
         self._may_act = may_act
         self._post = post
         self._clock = clock
-        self._desk = call_executor.CallDesk("machines")
+        self._desk = call_executor.CallExecutor("machines")
 
     def __enter__(self) -> Self:
         return self
