--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -52,7 +52,7 @@
 
     def fetch(self, request: advice.AdviceRequest) -> None:
         """Queues a call."""
-        self._desk.do(lambda: self._ask(request))
+        self._desk.submit(lambda: self._ask(request))
 
     def _ask(self, request: advice.AdviceRequest) -> None:
         sent_ms = self._clock.monotonic_ms()
--- a/src/comfreylatch/_process/cell/call_executor.py
+++ b/src/comfreylatch/_process/cell/call_executor.py
@@ -35,7 +35,7 @@
     ) -> None:
         self._queue.put(None)
 
-    def do(self, call: Call) -> None:
+    def submit(self, call: Call) -> None:
         """Queues a call; only the owner's thread may."""
         if self._thread is None:
             self._thread = threading.Thread(
--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -60,9 +60,9 @@
     ) -> None:
         self._desk.__exit__(exc_type, exc, traceback)
 
-    def do(self, action: wave_work.Action) -> None:
+    def submit(self, action: wave_work.Action) -> None:
         """Queues a call."""
-        self._desk.do(lambda: self._do(action))
+        self._desk.submit(lambda: self._do(action))
 
     def _do(self, action: wave_work.Action) -> None:
         match action:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -390,7 +390,7 @@
         for action in self._maintenance.plan(
             waves, self._workers.by_id(), now_ms, self._clock.wall_ms()
         ):
-            self._machine_caller.do(action)
+            self._machine_caller.submit(action)
 
     def _record_timer(self) -> Callable[[], None]:
         """What measures the time until ends seen now are recorded."""
