--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -255,7 +255,7 @@
             token=heartbeat.token,
             reason=reason,
         )
-        parts.metrics.count(metrics_module.Counter.TENURES_ENDED, reason)
+        parts.metrics.count(metrics_module.Counter.OWNERSHIPS_ENDED, reason)
         if reason in (
             reasons.TenureEnd.STOPPING,
             reasons.TenureEnd.ISOLATED,
--- a/src/comfreylatch/_process/metrics.py
+++ b/src/comfreylatch/_process/metrics.py
@@ -36,7 +36,7 @@
     RUN_STOPS = "tasks-stopped"
     RUNS_LOST = "runs-lost"
     CLAIMS = "claims"
-    TENURES_ENDED = "tenures-ended"
+    OWNERSHIPS_ENDED = "tenures-ended"
     ADVICE_ANSWERS = "advice-answers"
     ADVICE_MISSING = "advice-missing"
     MAINTENANCES = "maintenances"
