--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -43,7 +43,7 @@
 
 
 @final
-class Tenure:
+class Ownership:
     """Watches a cell and owns it when it has to. Runs in its own thread."""
 
     def __init__(
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -180,7 +180,7 @@
             self._store, topic, CELL, apply, self._clock, wait_ms
         )
 
-    def _make_tenure(self) -> ownership_module.Tenure:
+    def _make_tenure(self) -> ownership_module.Ownership:
         settings = self._settings
         host = claiming.HostIdentity(
             name=settings.name,
@@ -202,7 +202,7 @@
                     settings.machine_api.address, self._store
                 )
             )
-        return ownership_module.Tenure(
+        return ownership_module.Ownership(
             owner_dependencies.TenureParts(
                 cell=CELL,
                 store=self._store,
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -144,7 +144,7 @@
             adviser=OneAllowed(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
-        self.tenure = ownership_module.Tenure(self.parts, self.identity)
+        self.tenure = ownership_module.Ownership(self.parts, self.identity)
         stack.callback(self.tenure.stop, 2_000)
 
     def die(self) -> None:
