--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -126,10 +126,10 @@
         """What is known of the load of a lasting task's step."""
         return self._loads.setdefault(run.task.step, serving_load.ServingLoad())
 
-    def forget(self, step: runs_module.StepInstance) -> None:
+    def discard_step(self, step: runs_module.StepInstance) -> None:
         """Drops what is known of a step that has ended."""
         self._loads.pop(step, None)
-        self.pressures.forget(step)
+        self.pressures.discard_step(step)
 
     def learn(self, worker: worker_view.WorkerView, now_ms: int) -> None:
         """Takes in a worker's newest readings."""
--- a/src/comfreylatch/_process/cell/pressures.py
+++ b/src/comfreylatch/_process/cell/pressures.py
@@ -149,7 +149,7 @@
         own = self._by_pair.get((serving, filling), 0.0)
         return min(max(self.common(filling) + own, 0.0), HIGHEST_PRESSURE)
 
-    def forget(self, step: object) -> None:
+    def discard_step(self, step: object) -> None:
         """Drops the comparison of a step that has ended."""
         self._open.pop(step, None)
 
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -129,7 +129,7 @@
         for run in list(job.all_runs()):
             self.stop(run, reasons.StopReason.JOB_ENDED, job.state)
         for step in job.all_steps():
-            self._interference.forget(step)
+            self._interference.discard_step(step)
 
     def handle_lost(self, lost: worker_table_module.LostRuns) -> None:
         """Takes in runs that are surely over, without an end."""
