--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -71,7 +71,7 @@
         self,
         inheritance: recovered_state_module.Inheritance,
         scribe: fenced_writer_module.Scribe,
-        parts: owner_dependencies.TenureParts,
+        parts: owner_dependencies.OwnerDependencies,
         host_name: str,
     ) -> None:
         clock, metrics = parts.clock, parts.metrics
@@ -134,7 +134,7 @@
         )
 
     def _open_desks(
-        self, parts: owner_dependencies.TenureParts, host_name: str
+        self, parts: owner_dependencies.OwnerDependencies, host_name: str
     ) -> None:
         """Opens those services of the platform that there are."""
         self._advice_fetcher = None
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class TenureParts:
+class OwnerDependencies:
     """What a tenure needs of its host.
 
     Attributes:
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -47,7 +47,9 @@
     """Watches a cell and owns it when it has to. Runs in its own thread."""
 
     def __init__(
-        self, parts: owner_dependencies.TenureParts, host: claiming.HostIdentity
+        self,
+        parts: owner_dependencies.OwnerDependencies,
+        host: claiming.HostIdentity,
     ) -> None:
         self._parts = parts
         self._host = host
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -30,7 +30,7 @@
 
 
 def take_over(
-    parts: owner_dependencies.TenureParts,
+    parts: owner_dependencies.OwnerDependencies,
     host: claiming.HostIdentity,
     token: int,
     scribe: fenced_writer_module.Scribe,
@@ -74,7 +74,7 @@
     )
 
 
-def _read_work(parts: owner_dependencies.TenureParts) -> _Work | None:
+def _read_work(parts: owner_dependencies.OwnerDependencies) -> _Work | None:
     """Reads what the owner before has recorded; None while it can't be."""
     match parts.store.newest(records.WORK_TOPIC, parts.cell):
         case result.Ok(batch):
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -203,7 +203,7 @@
                 )
             )
         return ownership_module.Ownership(
-            owner_dependencies.TenureParts(
+            owner_dependencies.OwnerDependencies(
                 cell=CELL,
                 store=self._store,
                 book=self._book,
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -130,7 +130,7 @@
             self.book, self.tail, keeper, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
-        self.parts = owner_dependencies.TenureParts(
+        self.parts = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
             book=self.book,
