--- a/src/comfreylatch/_process/cell/duration_model.py
+++ b/src/comfreylatch/_process/cell/duration_model.py
@@ -22,7 +22,9 @@
     def __init__(self) -> None:
         self._ratios: dict[str, float] = {}
 
-    def note(self, queue: str, spec: specs.StepSpec, duration_ms: int) -> None:
+    def observe(
+        self, queue: str, spec: specs.StepSpec, duration_ms: int
+    ) -> None:
         """Takes in the duration of a task that went undisturbed."""
         declared_ms = spec.estimated_ms or DEFAULT_ESTIMATE_MS
         ratio = min(max(duration_ms / declared_ms, LOWEST_RATIO), HIGHEST_RATIO)
--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -162,7 +162,7 @@
             if error > 0:
                 state.update(error, now_ms)
             return
-        self.pressures.note(
+        self.pressures.observe(
             run.task.step, image, run.worker_id, seen, uses, now_ms
         )
         variance = serving_load.READING_SD**2
--- a/src/comfreylatch/_process/cell/pressures.py
+++ b/src/comfreylatch/_process/cell/pressures.py
@@ -153,7 +153,7 @@
         """Drops the comparison of a step that has ended."""
         self._open.pop(step, None)
 
-    def note(
+    def observe(
         self,
         step: object,
         serving: str,
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -51,7 +51,7 @@
 
     mean_core_ms: float = 0.0
 
-    def note(self, core_ms: float) -> None:
+    def observe(self, core_ms: float) -> None:
         """Takes in the declared work of a job."""
         if self.mean_core_ms == 0:
             self.mean_core_ms = core_ms
@@ -69,7 +69,7 @@
         """Takes in a new job's work."""
         queue = job.spec.queue.name
         work = self._queues.setdefault(queue, QueueWork())
-        work.note(self._whole_core_ms(job))
+        work.observe(self._whole_core_ms(job))
 
     def _whole_core_ms(self, job: runs_module.ActiveJob) -> float:
         queue = job.spec.queue.name
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -142,7 +142,7 @@
             return
         took_ms = self._clock.monotonic_ms() - run.confirmed_ms
         queue = step.job.spec.queue.name
-        self._durations.note(queue, step.spec, took_ms)
+        self._durations.observe(queue, step.spec, took_ms)
         step.durations_ms.append(took_ms)
         if len(step.durations_ms) >= 3:
             usual_ms = max(statistics.median(step.durations_ms), 1)
--- a/tests/process/cell/test_placement_of_fills.py
+++ b/tests/process/cell/test_placement_of_fills.py
@@ -35,7 +35,7 @@
             for worker, use in enumerate((0.0, 0.1, 0.2)):
                 uses = {"press": use, "idle": use * ((tick % 2) * 2 - 1)}
                 busy = 0.4 + 2.0 * use
-                learned.note(
+                learned.observe(
                     "other", "serve", f"x{worker}", busy, uses, 500 * tick
                 )
 
--- a/tests/process/cell/test_pressures.py
+++ b/tests/process/cell/test_pressures.py
@@ -34,7 +34,7 @@
                 }
                 pressed = sum(images[name] * uses[name] for name in names)
                 noise = self.random.gauss(0, 0.05)
-                self.learned.note(
+                self.learned.observe(
                     "step",
                     "serve",
                     f"w{worker}",
