--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -215,7 +215,7 @@
 
     def __init__(
         self,
-        book: job_replica.JobBook,
+        book: job_replica.JobReplica,
         tail: partition_reader_module.Tail,
         keeper: RecordKeeper,
         metrics: metrics_module.Metrics,
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -73,7 +73,7 @@
 
 
 @final
-class JobBook:
+class JobReplica:
     """Folds the topic of jobs. Thread-safe.
 
     Only ids and states of ended jobs are kept; their text is dropped.
--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        book: job_replica.JobBook,
+        book: job_replica.JobReplica,
         scribe: fenced_writer_module.Scribe,
         keep_ms: int,
         clock: clock_port.Clock,
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -44,7 +44,7 @@
 
     cell: int
     store: store_port.RecordStore
-    book: job_replica.JobBook
+    book: job_replica.JobReplica
     jobs_tail: partition_reader_module.Tail
     connect: worker_session.Connect
     follow_workers: Callable[
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -125,7 +125,7 @@
         self._store = store.StoreClient(settings.store.address)
         self._configured = views.ConfigurationView()
         self._waves = views.WavesView()
-        self._book = job_replica.JobBook(self._clock)
+        self._book = job_replica.JobReplica(self._clock)
         self._jobs_tail = self._tail(records.JOBS_TOPIC, self._book.apply)
         self._keeper = job_api_module.RecordKeeper(
             self._store, CELL, self._clock
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -30,7 +30,7 @@
         self.addCleanup(stack.close)
         clock = clock_port.SystemClock()
         self.store = record_store.MemoryStore()
-        self.book = job_replica.JobBook(clock)
+        self.book = job_replica.JobReplica(clock)
         self.tail = stack.enter_context(
             partition_reader_module.Tail(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -20,7 +20,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = job_replica.JobBook(fake_clock.FakeClock(harness.START_MS))
+        self.book = job_replica.JobReplica(
+            fake_clock.FakeClock(harness.START_MS)
+        )
         self.offset = 0
 
     def tell(self, key: str, record: object | None) -> None:
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -116,7 +116,7 @@
         self.clock = clock = clock_port.SystemClock()
         self.is_dark = False
         self.store = HostStore(store)
-        self.book = job_replica.JobBook(clock)
+        self.book = job_replica.JobReplica(clock)
         self.tail = stack.enter_context(
             partition_reader_module.Tail(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
