--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -210,7 +210,7 @@
 
 
 @final
-class Intake:
+class JobApi:
     """Jobs of a cell as callers see them, on any host."""
 
     def __init__(
--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -38,7 +38,7 @@
     def __init__(
         self,
         configured: Configured,
-        intake: job_api_module.Intake,
+        intake: job_api_module.JobApi,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -225,7 +225,7 @@
         )
 
     def _make_callers(self) -> http_server.HttpServer:
-        intake = job_api_module.Intake(
+        intake = job_api_module.JobApi(
             self._book,
             self._jobs_tail,
             self._keeper,
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -39,7 +39,7 @@
         keeper = stack.enter_context(
             job_api_module.RecordKeeper(self.store, 0, clock)
         )
-        self.intake = job_api_module.Intake(
+        self.intake = job_api_module.JobApi(
             self.book, self.tail, keeper, metrics.Metrics(), clock
         )
         self.assertTrue(self.tail.wait_for(-1, WAIT_MS))
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -126,7 +126,7 @@
             job_api_module.RecordKeeper(self.store, 0, clock)
         )
         counted = metrics.Metrics()
-        self.intake = job_api_module.Intake(
+        self.intake = job_api_module.JobApi(
             self.book, self.tail, keeper, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
