--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -73,7 +73,7 @@
 
 
 @final
-class RecordKeeper:
+class BatchAppender:
     """Appends callers' records, many in one call. A context manager.
 
     Records that could not be sent are refused at once; one whose answer was
@@ -217,7 +217,7 @@
         self,
         book: job_replica.JobReplica,
         tail: partition_reader_module.Tail,
-        keeper: RecordKeeper,
+        keeper: BatchAppender,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -127,7 +127,7 @@
         self._waves = views.WavesView()
         self._book = job_replica.JobReplica(self._clock)
         self._jobs_tail = self._tail(records.JOBS_TOPIC, self._book.apply)
-        self._keeper = job_api_module.RecordKeeper(
+        self._keeper = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
         self._tenure = self._make_tenure()
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -37,7 +37,7 @@
             )
         )
         keeper = stack.enter_context(
-            job_api_module.RecordKeeper(self.store, 0, clock)
+            job_api_module.BatchAppender(self.store, 0, clock)
         )
         self.intake = job_api_module.JobApi(
             self.book, self.tail, keeper, metrics.Metrics(), clock
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -123,7 +123,7 @@
             )
         )
         keeper = stack.enter_context(
-            job_api_module.RecordKeeper(self.store, 0, clock)
+            job_api_module.BatchAppender(self.store, 0, clock)
         )
         counted = metrics.Metrics()
         self.intake = job_api_module.JobApi(
