--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -216,7 +216,7 @@
     def __init__(
         self,
         book: job_replica.JobReplica,
-        tail: partition_reader_module.Tail,
+        tail: partition_reader_module.PartitionReader,
         keeper: BatchAppender,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -45,11 +45,11 @@
     cell: int
     store: store_port.RecordStore
     book: job_replica.JobReplica
-    jobs_tail: partition_reader_module.Tail
+    jobs_tail: partition_reader_module.PartitionReader
     connect: worker_session.Connect
     follow_workers: Callable[
         [Callable[[dict[str, cell_workers.WorkerEntry]], None]],
-        partition_reader_module.Tail,
+        partition_reader_module.PartitionReader,
     ]
     lease_ms: int
     keep_ended_ms: int
--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -29,7 +29,7 @@
 
 
 @final
-class Tail:
+class PartitionReader:
     """A thread that reads a partition from its newest records on.
 
     A context manager: entering starts the thread, leaving ends it.
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -175,8 +175,8 @@
         topic: str,
         apply: partition_reader_module.Apply,
         wait_ms: int = partition_reader_module.READ_WAIT_MS,
-    ) -> partition_reader_module.Tail:
-        return partition_reader_module.Tail(
+    ) -> partition_reader_module.PartitionReader:
+        return partition_reader_module.PartitionReader(
             self._store, topic, CELL, apply, self._clock, wait_ms
         )
 
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -118,7 +118,7 @@
         self.store = HostStore(store)
         self.book = job_replica.JobReplica(clock)
         self.tail = stack.enter_context(
-            partition_reader_module.Tail(
+            partition_reader_module.PartitionReader(
                 self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
             )
         )
