--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -45,7 +45,7 @@
     cell: int
     store: store_port.RecordStore
     book: job_replica.JobReplica
-    jobs_tail: partition_reader_module.PartitionReader
+    jobs_reader: partition_reader_module.PartitionReader
     connect: worker_session.Connect
     follow_workers: Callable[
         [Callable[[dict[str, cell_workers.WorkerEntry]], None]],
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -63,7 +63,7 @@
 
     def start(self) -> None:
         """Begins to watch the cell."""
-        self._parts.jobs_tail.pause_ms = WATCH_PAUSE_MS
+        self._parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
         threading.Thread(
             target=self._watch, name=f"tenure-{self._parts.cell}", daemon=True
         ).start()
@@ -84,8 +84,8 @@
         parts = self._parts
         view = claiming.ClaimView(
             now_ms=parts.clock.monotonic_ms(),
-            view_age_ms=parts.jobs_tail.age_ms,
-            reachable_ms=parts.jobs_tail.reachable_ms,
+            view_age_ms=parts.jobs_reader.age_ms,
+            reachable_ms=parts.jobs_reader.reachable_ms,
             owner=parts.book.owner,
             started_ms=self._started_ms,
         )
@@ -105,7 +105,7 @@
         finally:
             parts.book.listen(None)
             self.is_owner = False
-            parts.jobs_tail.pause_ms = WATCH_PAUSE_MS
+            parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
 
     def _claim(
         self, reason: reasons.ClaimReason, view: claiming.ClaimView
@@ -227,7 +227,7 @@
                 forgetter = job_retention.Forgetter(
                     parts.book, scribe, parts.keep_ended_ms, parts.clock
                 )
-                parts.jobs_tail.pause_ms = 0
+                parts.jobs_reader.pause_ms = 0
                 self._run(owner, scribe, heartbeat, forgetter)
 
     def _run(
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -42,7 +42,7 @@
     if first_offset is None:
         return None
     # The book then has all that the owner before may have started.
-    if not parts.jobs_tail.wait_for(first_offset, CATCH_UP_MS):
+    if not parts.jobs_reader.wait_for(first_offset, CATCH_UP_MS):
         return None
     work = _read_work(parts)
     if work is None:
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -207,7 +207,7 @@
                 cell=CELL,
                 store=self._store,
                 book=self._book,
-                jobs_tail=self._jobs_tail,
+                jobs_reader=self._jobs_tail,
                 connect=workers.WorkerClient,
                 follow_workers=lambda tell: self._tail(
                     WORKERS_TOPIC, views.WorkersView(tell).apply
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -134,7 +134,7 @@
             cell=0,
             store=self.store,
             book=self.book,
-            jobs_tail=self.tail,
+            jobs_reader=self.tail,
             connect=lambda entry: HostWorker(self, workers[entry.worker_id]),
             follow_workers=lambda tell: Listing(entries, tell),
             lease_ms=LEASE_MS,
