--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -126,7 +126,7 @@
         self._configured = views.ConfigurationView()
         self._waves = views.WavesView()
         self._book = job_replica.JobReplica(self._clock)
-        self._jobs_tail = self._tail(records.JOBS_TOPIC, self._book.apply)
+        self._jobs_reader = self._tail(records.JOBS_TOPIC, self._book.apply)
         self._keeper = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
@@ -149,7 +149,7 @@
                 CONFIGURATION_WAIT_MS,
             )
         )
-        enter(self._jobs_tail)
+        enter(self._jobs_reader)
         enter(self._keeper)
         self._tenure.start()
         enter(self._readiness)
@@ -207,7 +207,7 @@
                 cell=CELL,
                 store=self._store,
                 book=self._book,
-                jobs_reader=self._jobs_tail,
+                jobs_reader=self._jobs_reader,
                 connect=workers.WorkerClient,
                 follow_workers=lambda tell: self._tail(
                     WORKERS_TOPIC, views.WorkersView(tell).apply
@@ -227,7 +227,7 @@
     def _make_callers(self) -> http_server.HttpServer:
         intake = job_api_module.JobApi(
             self._book,
-            self._jobs_tail,
+            self._jobs_reader,
             self._keeper,
             self._metrics,
             self._clock,
@@ -250,7 +250,7 @@
         return (
             not self._stopping.is_set()
             and self._configured.current is not None
-            and self._jobs_tail.age_ms < OLDEST_READY_VIEW_MS
+            and self._jobs_reader.age_ms < OLDEST_READY_VIEW_MS
         )
 
     def _answer_readiness(self, request: http.HttpRequest) -> http.HttpReply:
