--- a/src/comfreylatch/_process/cell/claiming.py
+++ b/src/comfreylatch/_process/cell/claiming.py
@@ -32,13 +32,13 @@
     name: str
     boot: str
     zone: str
-    core_share: float
+    cpu_cores: float
 
     @property
     def turn_ms(self) -> int:
         """How long it lets others go first."""
         spread = xxhash.xxh32_intdigest(self.name.encode()) % 100 / 100
-        weakness = 1 / (1 + self.core_share)
+        weakness = 1 / (1 + self.cpu_cores)
         return int(LONGEST_TURN_MS * (0.5 * spread + 0.5 * weakness))
 
 
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -186,7 +186,7 @@
             name=settings.name,
             boot=uuid.uuid4().hex,
             zone=settings.zone,
-            core_share=settings.limits.cpu_share * settings.limits.cores,
+            cpu_cores=settings.limits.cpu_share * settings.limits.cores,
         )
         logs.event(_logger, "starting", host=host.name, boot=host.boot)
         keep_ended_s = settings.bounds.status_s * KEEP_FACTOR
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -75,7 +75,7 @@
         )
 
     def test_hosts_with_more_processors_come_first(self) -> None:
-        strong = attrs.evolve(HOST, core_share=2.15)
+        strong = attrs.evolve(HOST, cpu_cores=2.15)
         self.assertLess(strong.turn_ms, HOST.turn_ms)
 
 
