--- a/src/comfreylatch/_process/cell/specs.py
+++ b/src/comfreylatch/_process/cell/specs.py
@@ -127,7 +127,7 @@
     queues: tuple[QueueSpec, ...]
     services: tuple[ServiceSpec, ...]
 
-    def queue_of(self, host: str, path: str) -> QueueSpec | None:
+    def find_queue(self, host: str, path: str) -> QueueSpec | None:
         """The queue with the longest prefix of a path."""
         found = None
         for queue in self.queues:
--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -58,7 +58,7 @@
                 NO_CONFIGURATION_RETRY_MS,
             )
         host = request.headers.get("host", "").partition(":")[0]
-        queue = configured.queue_of(host, request.path)
+        queue = configured.find_queue(host, request.path)
         if queue is None:
             return self._refuse(
                 404,
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -102,10 +102,10 @@
         ]
         value = json.dumps({"Version": 3, "Routes": routes}).encode()
         found = configuration.decode_configuration(value)
-        queue = found.queue_of("a", "/a/b/0")
+        queue = found.find_queue("a", "/a/b/0")
         assert queue is not None
         self.assertEqual("r2", queue.name)
-        self.assertIs(None, found.queue_of("b", "/a/b/0"))
+        self.assertIs(None, found.find_queue("b", "/a/b/0"))
 
     def test_faulty_configuration_is_refused(self) -> None:
         self.assertRaises(
