--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -203,7 +203,7 @@
 
 
 @attrs.frozen
-class CannotTell:
+class StaleView:
     """This host's view is too old to say."""
 
     view_age_ms: int
@@ -273,7 +273,7 @@
             entry.spec is not None or entry.state.is_final
         )
 
-    def state(self, job_id: str) -> records.JobState | Unknown | CannotTell:
+    def state(self, job_id: str) -> records.JobState | Unknown | StaleView:
         """The state of a job."""
         if self._is_known(job_id):
             entry = self._book.find(job_id)
@@ -281,7 +281,7 @@
                 self._note_shown(job_id, entry.shown_state)
                 return entry.shown_state
         if self._tail.age_ms > OLDEST_VIEW_MS:
-            return CannotTell(self._tail.age_ms)
+            return StaleView(self._tail.age_ms)
         return Unknown()
 
     def _note_shown(self, job_id: str, state: records.JobState) -> None:
@@ -330,8 +330,8 @@
             case PerhapsKept(detail):
                 return Undecided(detail)
 
-    def waiting(self, queue: specs.QueueSpec) -> int | CannotTell:
+    def waiting(self, queue: specs.QueueSpec) -> int | StaleView:
         """Accepted jobs of a queue of which nothing has started."""
         if self._tail.age_ms > OLDEST_VIEW_MS:
-            return CannotTell(self._tail.age_ms)
+            return StaleView(self._tail.age_ms)
         return self._book.waiting(queue.prefix, queue.host)
--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -132,14 +132,14 @@
                 return http.json_reply(200, {"State": state.value})
             case job_api_module.Unknown():
                 return self._unknown(job_id)
-            case job_api_module.CannotTell(age_ms):
+            case job_api_module.StaleView(age_ms):
                 return self._stale(age_ms)
 
     def _waiting(self, queue: specs.QueueSpec) -> http.HttpReply:
         match self._intake.waiting(queue):
             case int() as count:
                 return http.json_reply(200, {"Waiting": count})
-            case job_api_module.CannotTell(age_ms):
+            case job_api_module.StaleView(age_ms):
                 return self._stale(age_ms)
 
     def _refuse(
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -86,7 +86,7 @@
     def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
         self.assertEqual(job_api_module.Unknown(), self.intake.state(ID))
         self.store.is_down = True
-        old = testtools.matchers.IsInstance(job_api_module.CannotTell)
+        old = testtools.matchers.IsInstance(job_api_module.StaleView)
         deadline = clock_port.SystemClock()
         until_ms = deadline.monotonic_ms() + 5_000
         while deadline.monotonic_ms() < until_ms:
