--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -51,7 +51,7 @@
 
 
 @final
-class Scribe:
+class FencedWriter:
     """A thread that appends the owner's records, one round after the other.
 
     A context manager; leaving it writes what is pending, for a bounded time.
--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -28,7 +28,7 @@
     def __init__(
         self,
         book: job_replica.JobReplica,
-        scribe: fenced_writer_module.Scribe,
+        scribe: fenced_writer_module.FencedWriter,
         keep_ms: int,
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -70,7 +70,7 @@
     def __init__(
         self,
         inheritance: recovered_state_module.Inheritance,
-        scribe: fenced_writer_module.Scribe,
+        scribe: fenced_writer_module.FencedWriter,
         parts: owner_dependencies.OwnerDependencies,
         host_name: str,
     ) -> None:
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -203,7 +203,7 @@
             for post in inbox:
                 post(events.Fenced(detail))
 
-        with fenced_writer_module.Scribe(
+        with fenced_writer_module.FencedWriter(
             parts.store, parts.cell, heartbeat, on_fenced, parts.clock
         ) as scribe:
             inheritance = takeover.take_over(
@@ -233,7 +233,7 @@
     def _run(
         self,
         owner: owner_module.Owner,
-        scribe: fenced_writer_module.Scribe,
+        scribe: fenced_writer_module.FencedWriter,
         heartbeat: records.HeartbeatRecord,
         forgetter: job_retention.Forgetter,
     ) -> None:
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -33,7 +33,7 @@
     parts: owner_dependencies.OwnerDependencies,
     host: claiming.HostIdentity,
     token: int,
-    scribe: fenced_writer_module.Scribe,
+    scribe: fenced_writer_module.FencedWriter,
     predecessor: records.HeartbeatRecord | None,
 ) -> recovered_state.Inheritance | None:
     """Fences the owner before and reads what it has recorded."""
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -23,9 +23,9 @@
         self.store = record_store.MemoryStore()
         self.fenced = threading.Event()
 
-    def scribe(self, token: int) -> fenced_writer_module.Scribe:
+    def scribe(self, token: int) -> fenced_writer_module.FencedWriter:
         """A scribe that has not begun."""
-        return fenced_writer_module.Scribe(
+        return fenced_writer_module.FencedWriter(
             self.store,
             0,
             records.HeartbeatRecord("bole-1", "boot", token),
@@ -33,7 +33,9 @@
             clock_port.SystemClock(),
         )
 
-    def write(self, scribe: fenced_writer_module.Scribe, key: str) -> bool:
+    def write(
+        self, scribe: fenced_writer_module.FencedWriter, key: str
+    ) -> bool:
         """Writes a record; returns whether it was reported as kept."""
         kept = threading.Event()
         scribe.write({key: b"{}"}, {}, [kept.set])
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -260,7 +260,7 @@
         )
         self.store.append(records.WORK_TOPIC, 0, (record,))
         heartbeat = records.HeartbeatRecord("two", "boot-two", 9)
-        with fenced_writer_module.Scribe(
+        with fenced_writer_module.FencedWriter(
             self.second.store, 0, heartbeat, lambda _: None, self.second.clock
         ) as scribe:
             inheritance = takeover.take_over(
