--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -124,7 +124,7 @@
         self._reported_ms = 0
         self._placed_ms = 0
         self._pass_took_ms = 0
-        self._stop_reason: reasons.TenureEnd | None = None
+        self._stop_reason: reasons.OwnershipEnd | None = None
         self._must_acknowledge: set[str] = set()
         self._lives = recorded_workers.RecordedLives(
             self._workers, inheritance.known_workers, self._events.put
@@ -194,8 +194,8 @@
         return bool(listed) and 2 * len(failing) > len(listed)
 
     def run(
-        self, must_stop: Callable[[], reasons.TenureEnd | None]
-    ) -> reasons.TenureEnd:
+        self, must_stop: Callable[[], reasons.OwnershipEnd | None]
+    ) -> reasons.OwnershipEnd:
         """Works until told to stop; returns why it stopped.
 
         `must_stop` is asked often, and says why or returns None.
@@ -244,7 +244,7 @@
             ):
                 self._handle_maintenance(event)
             case events.Fenced():
-                self._stop_reason = reasons.TenureEnd.FENCED
+                self._stop_reason = reasons.OwnershipEnd.FENCED
 
     def _handle_order(
         self, event: events.StartReturned | events.StopReturned
@@ -297,7 +297,7 @@
                     self._must_acknowledge.add(event.worker_id)
             case result.Err(cell_workers.OrderRefused(reason)):
                 if reason is cell_workers.Refusal.FENCED:
-                    self._stop_reason = reasons.TenureEnd.FENCED
+                    self._stop_reason = reasons.OwnershipEnd.FENCED
 
     def _tick(self, now_ms: int) -> None:
         self._jobs.open_due()
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -242,7 +242,7 @@
         ) -> None:
             owner.post(events.WorkersListed(entries))
 
-        def must_stop() -> reasons.TenureEnd | None:
+        def must_stop() -> reasons.OwnershipEnd | None:
             forgetter.forget()
             return self._reason_to_stop(owner, heartbeat)
 
@@ -259,13 +259,13 @@
         )
         parts.metrics.count(metrics_module.Counter.OWNERSHIPS_ENDED, reason)
         if reason in (
-            reasons.TenureEnd.STOPPING,
-            reasons.TenureEnd.ISOLATED,
+            reasons.OwnershipEnd.STOPPING,
+            reasons.OwnershipEnd.ISOLATED,
         ):
             last = attrs.evolve(
                 heartbeat,
                 is_released=True,
-                is_isolated=reason is reasons.TenureEnd.ISOLATED,
+                is_isolated=reason is reasons.OwnershipEnd.ISOLATED,
             )
             scribe.release(last)
 
@@ -273,17 +273,17 @@
         self,
         owner: owner_module.Owner,
         heartbeat: records.HeartbeatRecord,
-    ) -> reasons.TenureEnd | None:
+    ) -> reasons.OwnershipEnd | None:
         if self._stopping.is_set():
-            return reasons.TenureEnd.STOPPING
+            return reasons.OwnershipEnd.STOPPING
         sighting = self._parts.book.owner
         if sighting and sighting.heartbeat.token > heartbeat.token:
-            return reasons.TenureEnd.SUPERSEDED
+            return reasons.OwnershipEnd.SUPERSEDED
         now_ms = self._parts.clock.monotonic_ms()
         if not owner.is_isolated:
             self._isolated_since_ms = 0
         elif self._isolated_since_ms == 0:
             self._isolated_since_ms = now_ms
         elif now_ms - self._isolated_since_ms > ISOLATION_MS:
-            return reasons.TenureEnd.ISOLATED
+            return reasons.OwnershipEnd.ISOLATED
         return None
--- a/src/comfreylatch/_process/cell/reasons.py
+++ b/src/comfreylatch/_process/cell/reasons.py
@@ -59,7 +59,7 @@
     OWNER_SILENT = "owner-silent"
 
 
-class TenureEnd(enum.StrEnum):
+class OwnershipEnd(enum.StrEnum):
     """Why a host stopped owning a cell."""
 
     STOPPING = "stopping"
