--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -126,7 +126,7 @@
         self._pass_took_ms = 0
         self._stop_reason: reasons.OwnershipEnd | None = None
         self._must_acknowledge: set[str] = set()
-        self._lives = recorded_workers.RecordedLives(
+        self._lives = recorded_workers.RecordedWorkers(
             self._workers, inheritance.known_workers, self._events.put
         )
         self._model_persistence = model_persistence.ModelPersistence(
--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -11,7 +11,7 @@
 
 
 @final
-class RecordedLives:
+class RecordedWorkers:
     """Has tasks started only where the next owner will ask what runs.
 
     Only the owner's thread uses it.
