--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -112,7 +112,7 @@
 
 
 @attrs.frozen
-class LivesRecorded:
+class WorkersRecorded:
     """The store knows of the workers on which something may run.
 
     Attributes:
@@ -139,6 +139,6 @@
     | MachinesListed
     | MaintenanceReturned
     | ReportFailed
-    | LivesRecorded
+    | WorkersRecorded
     | Fenced
 )
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -231,7 +231,7 @@
                 self._handle_hold(event)
             case events.StartReturned() | events.StopReturned():
                 self._handle_order(event)
-            case events.LivesRecorded(born_ms):
+            case events.WorkersRecorded(born_ms):
                 self._lives.note_kept(born_ms)
             case events.AdviceReturned():
                 self._advice.handle_advice_returned(
--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -63,4 +63,4 @@
         work[records.WORKERS_KEY] = records.encode(
             records.WorkersRecord(born_ms)
         )
-        recorded.append(lambda: self._post(events.LivesRecorded(born_ms)))
+        recorded.append(lambda: self._post(events.WorkersRecorded(born_ms)))
