--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -69,7 +69,7 @@
 
     def __init__(
         self,
-        inheritance: recovered_state_module.Inheritance,
+        inheritance: recovered_state_module.RecoveredState,
         scribe: fenced_writer_module.FencedWriter,
         parts: owner_dependencies.OwnerDependencies,
         host_name: str,
--- a/src/comfreylatch/_process/cell/recovered_state.py
+++ b/src/comfreylatch/_process/cell/recovered_state.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Inheritance:
+class RecoveredState:
     """What a new owner takes over.
 
     Attributes:
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -35,7 +35,7 @@
     token: int,
     scribe: fenced_writer_module.FencedWriter,
     predecessor: records.HeartbeatRecord | None,
-) -> recovered_state.Inheritance | None:
+) -> recovered_state.RecoveredState | None:
     """Fences the owner before and reads what it has recorded."""
     started_ms = parts.clock.monotonic_ms()
     first_offset = scribe.fence()
@@ -63,7 +63,7 @@
         jobs=len(jobs),
         took_ms=parts.clock.monotonic_ms() - started_ms,
     )
-    return recovered_state.Inheritance(
+    return recovered_state.RecoveredState(
         token,
         tuple(jobs),
         work.progress,
