--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class BookChanged:
+class JobChanged:
     """A job was accepted or cancelled."""
 
     change: job_replica.BookChange
@@ -130,7 +130,7 @@
 
 
 Event = (
-    BookChanged
+    JobChanged
     | WorkersListed
     | HoldReturned
     | StartReturned
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -184,7 +184,7 @@
 
     def post_change(self, change: job_replica.BookChange) -> None:
         """Tells the owner of a job accepted or cancelled."""
-        self._events.put(events.BookChanged(change))
+        self._events.put(events.JobChanged(change))
 
     @property
     def is_isolated(self) -> bool:
@@ -223,7 +223,7 @@
 
     def _handle(self, event: events.Event) -> None:
         match event:
-            case events.BookChanged(change):
+            case events.JobChanged(change):
                 self._handle_change(change)
             case events.WorkersListed(entries):
                 self._orders.handle_lost(self._workers.apply_listing(entries))
