--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -16,7 +16,7 @@
 class JobChanged:
     """A job was accepted or cancelled."""
 
-    change: job_replica.BookChange
+    change: job_replica.JobChange
 
 
 @attrs.frozen
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -51,25 +51,25 @@
     seen_ms: int
 
 
-class BookChange:
+class JobChange:
     """Base of the changes that a listener is told."""
 
 
 @attrs.frozen
-class JobAdded(BookChange):
+class JobAdded(JobChange):
     """A job was accepted."""
 
     spec: specs.JobSpec
 
 
 @attrs.frozen
-class JobCancelled(BookChange):
+class JobCancelled(JobChange):
     """A caller has cancelled a job."""
 
     job_id: str
 
 
-Listener = Callable[[BookChange], None]
+Listener = Callable[[JobChange], None]
 
 
 @final
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -182,7 +182,7 @@
         """Tells the owner something; any thread may call it."""
         self._events.put(event)
 
-    def post_change(self, change: job_replica.BookChange) -> None:
+    def post_change(self, change: job_replica.JobChange) -> None:
         """Tells the owner of a job accepted or cancelled."""
         self._events.put(events.JobChanged(change))
 
@@ -255,7 +255,7 @@
             case events.StopReturned():
                 self._orders.handle_stop(event)
 
-    def _handle_change(self, change: job_replica.BookChange) -> None:
+    def _handle_change(self, change: job_replica.JobChange) -> None:
         match change:
             case job_replica.JobAdded(spec):
                 job = self._jobs.add(spec)
