--- a/src/comfreylatch/_process/cell/claiming.py
+++ b/src/comfreylatch/_process/cell/claiming.py
@@ -57,7 +57,7 @@
     now_ms: int
     view_age_ms: int
     reachable_ms: int
-    owner: job_replica.OwnerSighting | None
+    owner: job_replica.ObservedHeartbeat | None
     started_ms: int
 
 
@@ -89,7 +89,7 @@
 
 
 def is_outdated(
-    view: ClaimView, owner: job_replica.OwnerSighting | None
+    view: ClaimView, owner: job_replica.ObservedHeartbeat | None
 ) -> bool:
     """Whether a heartbeat has come since a view was taken."""
     return owner != view.owner
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class OwnerSighting:
+class ObservedHeartbeat:
     """The newest heartbeat of the owner, and when it was seen here."""
 
     heartbeat: records.HeartbeatRecord
@@ -83,7 +83,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._jobs: dict[str, JobEntry] = {}
-        self._owner: OwnerSighting | None = None
+        self._owner: ObservedHeartbeat | None = None
         self._listener: Listener | None = None
 
     def listen(self, listener: Listener | None) -> list[JobEntry]:
@@ -124,7 +124,7 @@
             )
 
     @property
-    def owner(self) -> OwnerSighting | None:
+    def owner(self) -> ObservedHeartbeat | None:
         """The owner's newest heartbeat."""
         return self._owner
 
@@ -155,7 +155,7 @@
             return
         if record.key == records.HEARTBEAT_KEY:
             beat = records.decode(records.HeartbeatRecord, record.value)
-            self._owner = OwnerSighting(beat, self._clock.monotonic_ms())
+            self._owner = ObservedHeartbeat(beat, self._clock.monotonic_ms())
         elif kind + "/" == records.JOB_PREFIX:
             self._add(records.decode(specs.JobSpec, record.value))
         elif kind + "/" == records.CANCEL_PREFIX:
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -22,7 +22,7 @@
         now_ms=100_000,
         view_age_ms=50,
         reachable_ms=60_000,
-        owner=job_replica.OwnerSighting(beat, 100_000 - silent_ms),
+        owner=job_replica.ObservedHeartbeat(beat, 100_000 - silent_ms),
         started_ms=0,
     )
     return attrs.evolve(seen, **fields)
@@ -90,13 +90,13 @@
         newer = attrs.evolve(BEAT, host="kality-1", token=8)
         self.assertTrue(
             claiming.is_outdated(
-                seen, job_replica.OwnerSighting(newer, 100_000)
+                seen, job_replica.ObservedHeartbeat(newer, 100_000)
             )
         )
 
     def test_heartbeat_of_the_silent_owner_ends_the_claim(self) -> None:
         seen = view(2_000, BEAT)
-        again = job_replica.OwnerSighting(BEAT, 100_000)
+        again = job_replica.ObservedHeartbeat(BEAT, 100_000)
         self.assertTrue(claiming.is_outdated(seen, again))
 
     def test_view_without_news_holds(self) -> None:
