--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -19,7 +19,7 @@
 
 
 @final
-class Forgetter:
+class JobRetention:
     """Drops the records of ended jobs, so that store and hosts don't fill up.
 
     Only the owner's thread uses it.
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -224,7 +224,7 @@
                             job_replica.JobCancelled(entry.spec.job_id)
                         )
                 self.is_owner = True
-                forgetter = job_retention.Forgetter(
+                forgetter = job_retention.JobRetention(
                     parts.book, scribe, parts.keep_ended_ms, parts.clock
                 )
                 parts.jobs_reader.pause_ms = 0
@@ -235,7 +235,7 @@
         owner: owner_module.Owner,
         scribe: fenced_writer_module.FencedWriter,
         heartbeat: records.HeartbeatRecord,
-        forgetter: job_retention.Forgetter,
+        forgetter: job_retention.JobRetention,
     ) -> None:
         def on_workers(
             entries: dict[str, cell_workers.WorkerEntry],
