--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -215,13 +215,13 @@
 
     def __init__(
         self,
-        book: job_replica.JobReplica,
+        replica: job_replica.JobReplica,
         tail: partition_reader_module.PartitionReader,
         keeper: BatchAppender,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
-        self._book = book
+        self._book = replica
         self._tail = tail
         self._keeper = keeper
         self._metrics = metrics
--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -27,12 +27,12 @@
 
     def __init__(
         self,
-        book: job_replica.JobReplica,
+        replica: job_replica.JobReplica,
         scribe: fenced_writer_module.FencedWriter,
         keep_ms: int,
         clock: clock_port.Clock,
     ) -> None:
-        self._book = book
+        self._book = replica
         self._scribe = scribe
         self._keep_ms = keep_ms
         self._clock = clock
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -44,7 +44,7 @@
 
     cell: int
     store: store_port.RecordStore
-    book: job_replica.JobReplica
+    replica: job_replica.JobReplica
     jobs_reader: partition_reader_module.PartitionReader
     connect: worker_session.Connect
     follow_workers: Callable[
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -86,7 +86,7 @@
             now_ms=parts.clock.monotonic_ms(),
             view_age_ms=parts.jobs_reader.age_ms,
             reachable_ms=parts.jobs_reader.reachable_ms,
-            owner=parts.book.owner,
+            owner=parts.replica.owner,
             started_ms=self._started_ms,
         )
         reason = claiming.reason_to_claim(view, self._host)
@@ -103,7 +103,7 @@
                 _logger, "owner-failed", cell=parts.cell, token=token
             )
         finally:
-            parts.book.listen(None)
+            parts.replica.listen(None)
             self.is_owner = False
             parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
 
@@ -124,7 +124,7 @@
             return None
         # The claims were read after the view was taken; a heartbeat that came
         # in between may be the one of their newest.
-        if claiming.is_outdated(view, parts.book.owner):
+        if claiming.is_outdated(view, parts.replica.owner):
             return None
         claim = records.ClaimRecord(
             parts.cell, self._host.name, self._host.boot, self._host.zone
@@ -159,7 +159,7 @@
         for record in claims:
             if record.key != key or record.value is None:
                 continue
-            sighting = self._parts.book.owner
+            sighting = self._parts.replica.owner
             seen_token = sighting.heartbeat.token if sighting else 0
             if record.offset + 1 <= seen_token:
                 return False
@@ -215,7 +215,7 @@
                 inheritance, scribe, parts, self._host.name
             ) as owner:
                 inbox.append(owner.post)
-                for entry in parts.book.listen(owner.post_change):
+                for entry in parts.replica.listen(owner.post_change):
                     if entry.spec is None:
                         continue
                     owner.post_change(job_replica.JobAdded(entry.spec))
@@ -225,7 +225,7 @@
                         )
                 self.is_owner = True
                 forgetter = job_retention.JobRetention(
-                    parts.book, scribe, parts.keep_ended_ms, parts.clock
+                    parts.replica, scribe, parts.keep_ended_ms, parts.clock
                 )
                 parts.jobs_reader.pause_ms = 0
                 self._run(owner, scribe, heartbeat, forgetter)
@@ -276,7 +276,7 @@
     ) -> reasons.OwnershipEnd | None:
         if self._stopping.is_set():
             return reasons.OwnershipEnd.STOPPING
-        sighting = self._parts.book.owner
+        sighting = self._parts.replica.owner
         if sighting and sighting.heartbeat.token > heartbeat.token:
             return reasons.OwnershipEnd.SUPERSEDED
         now_ms = self._parts.clock.monotonic_ms()
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -53,7 +53,7 @@
         release_after_ms = started_ms
     elif not (predecessor.is_released or predecessor.host == host.name):
         release_after_ms += fenced_writer_module.AUTONOMY_MS
-    jobs = parts.book.listen(None)
+    jobs = parts.replica.listen(None)
     logs.event(
         _logger,
         "takeover",
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -206,7 +206,7 @@
             owner_dependencies.OwnerDependencies(
                 cell=CELL,
                 store=self._store,
-                book=self._book,
+                replica=self._book,
                 jobs_reader=self._jobs_reader,
                 connect=workers.WorkerClient,
                 follow_workers=lambda tell: self._tail(
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -30,17 +30,17 @@
         self.addCleanup(stack.close)
         clock = clock_port.SystemClock()
         self.store = record_store.MemoryStore()
-        self.book = job_replica.JobReplica(clock)
+        self.replica = job_replica.JobReplica(clock)
         self.tail = stack.enter_context(
             partition_reader_module.PartitionReader(
-                self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
+                self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
         )
         keeper = stack.enter_context(
             job_api_module.BatchAppender(self.store, 0, clock)
         )
         self.intake = job_api_module.JobApi(
-            self.book, self.tail, keeper, metrics.Metrics(), clock
+            self.replica, self.tail, keeper, metrics.Metrics(), clock
         )
         self.assertTrue(self.tail.wait_for(-1, WAIT_MS))
 
--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -20,7 +20,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = job_replica.JobReplica(
+        self.replica = job_replica.JobReplica(
             fake_clock.FakeClock(harness.START_MS)
         )
         self.offset = 0
@@ -28,7 +28,7 @@
     def tell(self, key: str, record: object | None) -> None:
         """One more record."""
         value = None if record is None else records.encode(record)
-        self.book.apply(
+        self.replica.apply(
             (store_port.StoredRecord(self.offset, key, value),), False
         )
         self.offset += 1
@@ -41,7 +41,7 @@
 
     def shown(self) -> records.JobState | None:
         """The state that callers are told."""
-        entry = self.book.find(ID)
+        entry = self.replica.find(ID)
         return None if entry is None else entry.shown_state
 
     def test_state_outlives_the_text(self) -> None:
@@ -59,7 +59,7 @@
     def test_repeat_after_the_end_is_not_run_again(self) -> None:
         heard: list[object] = []
         self.end()
-        self.book.listen(heard.append)
+        self.replica.listen(heard.append)
         self.tell(JOB, None)
         self.tell(JOB, harness.job())
         self.assertEqual([], heard)
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -116,10 +116,10 @@
         self.clock = clock = clock_port.SystemClock()
         self.is_dark = False
         self.store = HostStore(store)
-        self.book = job_replica.JobReplica(clock)
+        self.replica = job_replica.JobReplica(clock)
         self.tail = stack.enter_context(
             partition_reader_module.PartitionReader(
-                self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
+                self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
         )
         keeper = stack.enter_context(
@@ -127,13 +127,13 @@
         )
         counted = metrics.Metrics()
         self.intake = job_api_module.JobApi(
-            self.book, self.tail, keeper, counted, clock
+            self.replica, self.tail, keeper, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
         self.parts = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
-            book=self.book,
+            replica=self.replica,
             jobs_reader=self.tail,
             connect=lambda entry: HostWorker(self, workers[entry.worker_id]),
             follow_workers=lambda tell: Listing(entries, tell),
