--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -99,11 +99,11 @@
         self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
-        self.orders = run_dispatcher.RunDispatcher(
+        self.dispatcher = run_dispatcher.RunDispatcher(
             self.jobs, self.workers, self.model, counted, self.clock
         )
         self.control = run_reconciler.RunReconciler(
-            self.orders,
+            self.dispatcher,
             self.jobs,
             self.workers,
             self.durations,
@@ -136,8 +136,8 @@
         now_ms = self.clock.monotonic_ms()
         placed = self.planner.place(self.jobs.ready_steps(), now_ms)
         for placement in placed:
-            self.orders.send_start(placement.run)
-            self.orders.handle_start(
+            self.dispatcher.send_start(placement.run)
+            self.dispatcher.handle_start(
                 events.StartReturned(
                     placement.run, now_ms, 1, result.Ok(now_ms)
                 )
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -113,7 +113,7 @@
         now_ms = self.cell.clock.monotonic_ms()
         placed = self.cell.planner.place(self.cell.jobs.ready_steps(), now_ms)
         refused = cell_workers.OrderRefused(cell_workers.Refusal.NO_TICKET)
-        self.cell.orders.handle_start(
+        self.cell.dispatcher.handle_start(
             events.StartReturned(placed[0].run, now_ms, 1, result.Err(refused))
         )
         self.assertNotIn("w2", self.step.tickets)
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -79,7 +79,7 @@
         cell = harness.Cell()
         cell.submit(harness.job(harness.step(1, has_checkpoints=True)))
         (run,) = cell.place()
-        cell.orders.stop(run, reasons.StopReason.STALLED)
+        cell.dispatcher.stop(run, reasons.StopReason.STALLED)
         stopped = cell_workers.RunEnd.STOPPED
         end = harness.ended(run, stopped, checkpoint="half")
         cell.hold(run.worker_id, ended=(end,))
@@ -106,15 +106,15 @@
         now_ms = cell.clock.monotonic_ms()
         (placed,) = cell.planner.place(cell.jobs.ready_steps(), now_ms)
         run = placed.run
-        cell.orders.send_start(run)
+        cell.dispatcher.send_start(run)
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
-        cell.orders.handle_start(events.StartReturned(run, now_ms, 2, lost))
+        cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
         self.assertEqual([], cell.place())
         cell.hold(run.worker_id)
         self.assertIs(runs_module.RunPhase.STOPPING, run.phase)
         self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
         cell.clock.advance(10)
-        cell.orders.handle_stop(
+        cell.dispatcher.handle_stop(
             events.StopReturned(run.worker_id, run, result.Ok(0))
         )
         self.assertEqual([], cell.place())
@@ -130,7 +130,7 @@
         (placed,) = cell.planner.place(cell.jobs.ready_steps(), now_ms)
         run = placed.run
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
-        cell.orders.handle_start(events.StartReturned(run, now_ms, 2, lost))
+        cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
         cell.hold(run.worker_id, running=(harness.listed(run),))
         self.assertIs(runs_module.RunPhase.RUNNING, run.phase)
 
