--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -102,7 +102,7 @@
         self.dispatcher = run_dispatcher.RunDispatcher(
             self.jobs, self.workers, self.model, counted, self.clock
         )
-        self.control = run_reconciler.RunReconciler(
+        self.reconciler = run_reconciler.RunReconciler(
             self.dispatcher,
             self.jobs,
             self.workers,
@@ -157,7 +157,7 @@
             worker_id, 1, now_ms, now_ms, 0, result.Ok(answer)
         )
         assert self.workers.handle_hold(event)
-        self.control.handle_hold(event, answer)
+        self.reconciler.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
         """A hold that got no answer."""
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -90,7 +90,7 @@
         found = []
         for _ in range(10):
             self.cell.clock.advance(100)
-            self.cell.control.move_runs(self.cell.clock.monotonic_ms())
+            self.cell.reconciler.move_runs(self.cell.clock.monotonic_ms())
             found += [
                 one.machine_id
                 for one in self.step(wave)
--- a/tests/process/cell/test_moving.py
+++ b/tests/process/cell/test_moving.py
@@ -20,7 +20,7 @@
         worker = cell.workers.find(worker_id)
         assert worker is not None
         worker.entry = attrs.evolve(worker.entry, is_draining=True)
-        cell.control.move_runs(cell.clock.now_ms)
+        cell.reconciler.move_runs(cell.clock.now_ms)
 
     def stops(self, step: object, percent: float = 10.0) -> int:
         """How many runs of a step are stopped when their worker leaves."""
@@ -59,8 +59,8 @@
         worker = cell.workers.find("w1")
         assert worker is not None
         worker.is_being_emptied = True
-        cell.control.move_runs(cell.clock.now_ms)
-        cell.control.move_runs(cell.clock.now_ms)
+        cell.reconciler.move_runs(cell.clock.now_ms)
+        cell.reconciler.move_runs(cell.clock.now_ms)
         return len(cell.sent["w1"].stops)
 
     def test_lasting_tasks_move_at_once(self) -> None:
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -172,5 +172,5 @@
         cell.hold(run.worker_id, running=(harness.listed(run),))
         cell.clock.advance(5_000)
         cell.hold(run.worker_id, running=(harness.listed(run),))
-        cell.control.move_runs(cell.clock.now_ms)
+        cell.reconciler.move_runs(cell.clock.now_ms)
         self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
