--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -198,7 +198,7 @@
 
 
 @attrs.frozen
-class Unknown:
+class UnknownJob:
     """No such job was ever accepted."""
 
 
@@ -273,7 +273,7 @@
             entry.spec is not None or entry.state.is_final
         )
 
-    def state(self, job_id: str) -> records.JobState | Unknown | StaleView:
+    def state(self, job_id: str) -> records.JobState | UnknownJob | StaleView:
         """The state of a job."""
         if self._is_known(job_id):
             entry = self._book.find(job_id)
@@ -282,7 +282,7 @@
                 return entry.shown_state
         if self._tail.age_ms > OLDEST_VIEW_MS:
             return StaleView(self._tail.age_ms)
-        return Unknown()
+        return UnknownJob()
 
     def _note_shown(self, job_id: str, state: records.JobState) -> None:
         """Logs the first showing of a state on this host."""
@@ -299,7 +299,7 @@
 
     def cancel(
         self, job_id: str, wait_ms: int
-    ) -> Accepted | Refused | Undecided | Unknown:
+    ) -> Accepted | Refused | Undecided | UnknownJob:
         """Cancels a job; Accepted also when it has ended already."""
         entry = self._book.find(job_id)
         if entry is not None and (entry.is_cancelled or entry.state.is_final):
@@ -307,7 +307,7 @@
         if not self._is_known(job_id):
             if self._tail.age_ms > OLDEST_VIEW_MS:
                 return Refused(reasons.Refusal.VIEW_TOO_OLD, RETRY_AFTER_MS)
-            return Unknown()
+            return UnknownJob()
         record = store_port.NewRecord(
             records.CANCEL_PREFIX + job_id,
             records.encode(records.CancelRecord(self._clock.wall_ms())),
--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -130,7 +130,7 @@
         match self._intake.state(job_id):
             case records.JobState() as state:
                 return http.json_reply(200, {"State": state.value})
-            case job_api_module.Unknown():
+            case job_api_module.UnknownJob():
                 return self._unknown(job_id)
             case job_api_module.StaleView(age_ms):
                 return self._stale(age_ms)
@@ -174,7 +174,7 @@
     def _outcome_reply(
         self,
         job_id: str,
-        outcome: job_api_module.SubmitOutcome | job_api_module.Unknown,
+        outcome: job_api_module.SubmitOutcome | job_api_module.UnknownJob,
     ) -> http.HttpReply:
         match outcome:
             case job_api_module.Accepted():
@@ -192,5 +192,5 @@
                     reasons.Refusal.UNDECIDED,
                     f"job {job_id} may have been kept: {detail}",
                 )
-            case job_api_module.Unknown():
+            case job_api_module.UnknownJob():
                 return self._unknown(job_id)
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -84,7 +84,7 @@
         self.assertIs(records.JobState.CANCELLED, self.intake.state(ID))
 
     def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
-        self.assertEqual(job_api_module.Unknown(), self.intake.state(ID))
+        self.assertEqual(job_api_module.UnknownJob(), self.intake.state(ID))
         self.store.is_down = True
         old = testtools.matchers.IsInstance(job_api_module.StaleView)
         deadline = clock_port.SystemClock()
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -226,7 +226,7 @@
         self.wait_for(lambda: len(self.running()) == 1)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
-        gone = job_api_module.Unknown()
+        gone = job_api_module.UnknownJob()
         self.wait_for(lambda: self.second.intake.state(ID) == gone)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         self.assertEqual(["owner"], [one.key for one in newest.records])
