--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -130,7 +130,7 @@
         self._keeper = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
-        self._tenure = self._make_tenure()
+        self._ownership = self._make_tenure()
         self._callers = self._make_callers()
         self._readiness = http_server.HttpServer(
             settings.listen.readiness,
@@ -151,7 +151,7 @@
         )
         enter(self._jobs_reader)
         enter(self._keeper)
-        self._tenure.start()
+        self._ownership.start()
         enter(self._readiness)
         enter(self._callers)
         return self
@@ -262,6 +262,6 @@
     def stop(self) -> None:
         """Gives the cell up, leaves the rotation and answers what has come."""
         self._callers.close_after_replies()
-        self._tenure.stop(RELEASE_MS)
+        self._ownership.stop(RELEASE_MS)
         time.sleep(LEAVE_ROTATION_MS / 1_000)
         self._callers.drain(DRAIN_MS)
