--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -130,7 +130,7 @@
         self._keeper = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
-        self._ownership = self._make_tenure()
+        self._ownership = self._make_ownership()
         self._callers = self._make_callers()
         self._readiness = http_server.HttpServer(
             settings.listen.readiness,
@@ -180,7 +180,7 @@
             self._store, topic, CELL, apply, self._clock, wait_ms
         )
 
-    def _make_tenure(self) -> ownership_module.Ownership:
+    def _make_ownership(self) -> ownership_module.Ownership:
         settings = self._settings
         host = claiming.HostIdentity(
             name=settings.name,
