--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -221,7 +221,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
-        self._book = replica
+        self._replica = replica
         self._tail = tail
         self._keeper = keeper
         self._metrics = metrics
@@ -268,7 +268,7 @@
                 return Undecided(detail)
 
     def _is_known(self, job_id: str) -> bool:
-        entry = self._book.find(job_id)
+        entry = self._replica.find(job_id)
         return entry is not None and (
             entry.spec is not None or entry.state.is_final
         )
@@ -276,7 +276,7 @@
     def state(self, job_id: str) -> records.JobState | UnknownJob | StaleView:
         """The state of a job."""
         if self._is_known(job_id):
-            entry = self._book.find(job_id)
+            entry = self._replica.find(job_id)
             if entry is not None:
                 self._note_shown(job_id, entry.shown_state)
                 return entry.shown_state
@@ -301,7 +301,7 @@
         self, job_id: str, wait_ms: int
     ) -> Accepted | Refused | Undecided | UnknownJob:
         """Cancels a job; Accepted also when it has ended already."""
-        entry = self._book.find(job_id)
+        entry = self._replica.find(job_id)
         if entry is not None and (entry.is_cancelled or entry.state.is_final):
             return Accepted()
         if not self._is_known(job_id):
@@ -334,4 +334,4 @@
         """Accepted jobs of a queue of which nothing has started."""
         if self._tail.age_ms > OLDEST_VIEW_MS:
             return StaleView(self._tail.age_ms)
-        return self._book.waiting(queue.prefix, queue.host)
+        return self._replica.waiting(queue.prefix, queue.host)
--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -32,7 +32,7 @@
         keep_ms: int,
         clock: clock_port.Clock,
     ) -> None:
-        self._book = replica
+        self._replica = replica
         self._scribe = scribe
         self._keep_ms = keep_ms
         self._clock = clock
@@ -44,7 +44,7 @@
         if now_ms - self._looked_ms < LOOK_INTERVAL_MS:
             return
         self._looked_ms = now_ms
-        ended = self._book.ended_before(now_ms - self._keep_ms)
+        ended = self._replica.ended_before(now_ms - self._keep_ms)
         if not ended:
             return
         drops: dict[str, bytes | None] = {}
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -125,8 +125,8 @@
         self._store = store.StoreClient(settings.store.address)
         self._configured = views.ConfigurationView()
         self._waves = views.WavesView()
-        self._book = job_replica.JobReplica(self._clock)
-        self._jobs_reader = self._tail(records.JOBS_TOPIC, self._book.apply)
+        self._replica = job_replica.JobReplica(self._clock)
+        self._jobs_reader = self._tail(records.JOBS_TOPIC, self._replica.apply)
         self._keeper = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
@@ -206,7 +206,7 @@
             owner_dependencies.OwnerDependencies(
                 cell=CELL,
                 store=self._store,
-                replica=self._book,
+                replica=self._replica,
                 jobs_reader=self._jobs_reader,
                 connect=workers.WorkerClient,
                 follow_workers=lambda tell: self._tail(
@@ -226,7 +226,7 @@
 
     def _make_callers(self) -> http_server.HttpServer:
         intake = job_api_module.JobApi(
-            self._book,
+            self._replica,
             self._jobs_reader,
             self._keeper,
             self._metrics,
