--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -23,7 +23,7 @@
 RETRY_FIRST_MS = 50
 RETRY_LONGEST_MS = 400
 
-Apply = Callable[[tuple[store_port.StoredRecord, ...], bool], None]
+ApplyRecords = Callable[[tuple[store_port.StoredRecord, ...], bool], None]
 
 _logger = logbook.Logger(__name__)
 
@@ -51,7 +51,7 @@
         store: store_port.RecordStore,
         topic: str,
         partition: int,
-        apply: Apply,
+        apply: ApplyRecords,
         clock: clock_port.Clock,
         read_wait_ms: int = READ_TIMEOUT_MS,
         pause_ms: int = 0,
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -173,7 +173,7 @@
     def _tail(
         self,
         topic: str,
-        apply: partition_reader_module.Apply,
+        apply: partition_reader_module.ApplyRecords,
         wait_ms: int = partition_reader_module.READ_TIMEOUT_MS,
     ) -> partition_reader_module.PartitionReader:
         return partition_reader_module.PartitionReader(
