--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -43,7 +43,7 @@
         clock: clock_port.Clock,
     ) -> None:
         self._configured = configured
-        self._intake = intake
+        self._job_api = intake
         self._metrics = metrics
         self._clock = clock
 
@@ -118,16 +118,16 @@
                 f"the text of job {job_id} is over {MAX_PAYLOAD_BYTES} bytes",
             )
         return self._outcome_reply(
-            job_id, self._intake.submit(spec, self._wait_ms(request))
+            job_id, self._job_api.submit(spec, self._wait_ms(request))
         )
 
     def _cancel(self, request: http.HttpRequest, job_id: str) -> http.HttpReply:
         return self._outcome_reply(
-            job_id, self._intake.cancel(job_id, self._wait_ms(request))
+            job_id, self._job_api.cancel(job_id, self._wait_ms(request))
         )
 
     def _state(self, job_id: str) -> http.HttpReply:
-        match self._intake.state(job_id):
+        match self._job_api.state(job_id):
             case records.JobState() as state:
                 return http.json_reply(200, {"State": state.value})
             case job_api_module.UnknownJob():
@@ -136,7 +136,7 @@
                 return self._stale(age_ms)
 
     def _waiting(self, queue: specs.QueueSpec) -> http.HttpReply:
-        match self._intake.waiting(queue):
+        match self._job_api.waiting(queue):
             case int() as count:
                 return http.json_reply(200, {"Waiting": count})
             case job_api_module.StaleView(age_ms):
