--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -223,7 +223,7 @@
     ) -> None:
         self._replica = replica
         self._tail = tail
-        self._keeper = keeper
+        self._appender = keeper
         self._metrics = metrics
         self._shown: dict[str, records.JobState] = {}
         self._clock = clock
@@ -237,7 +237,7 @@
             records.JOB_PREFIX + spec.job_id, records.encode(spec)
         )
         started_ms = self._clock.monotonic_ms()
-        outcome = self._keeper.keep(record, started_ms + wait_ms)
+        outcome = self._appender.keep(record, started_ms + wait_ms)
         took_ms = self._clock.monotonic_ms() - started_ms
         logs.event(
             _logger,
@@ -313,7 +313,7 @@
             records.encode(records.CancelRecord(self._clock.wall_ms())),
         )
         deadline_ms = self._clock.monotonic_ms() + wait_ms
-        outcome = self._keeper.keep(record, deadline_ms)
+        outcome = self._appender.keep(record, deadline_ms)
         logs.event(
             _logger,
             "job-cancelled",
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -127,7 +127,7 @@
         self._waves = views.WavesView()
         self._replica = job_replica.JobReplica(self._clock)
         self._jobs_reader = self._tail(records.JOBS_TOPIC, self._replica.apply)
-        self._keeper = job_api_module.BatchAppender(
+        self._appender = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
         self._ownership = self._make_ownership()
@@ -150,7 +150,7 @@
             )
         )
         enter(self._jobs_reader)
-        enter(self._keeper)
+        enter(self._appender)
         self._ownership.start()
         enter(self._readiness)
         enter(self._callers)
@@ -228,7 +228,7 @@
         intake = job_api_module.JobApi(
             self._replica,
             self._jobs_reader,
-            self._keeper,
+            self._appender,
             self._metrics,
             self._clock,
         )
