--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -217,13 +217,13 @@
         self,
         replica: job_replica.JobReplica,
         tail: partition_reader_module.PartitionReader,
-        keeper: BatchAppender,
+        appender: BatchAppender,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self._replica = replica
         self._tail = tail
-        self._appender = keeper
+        self._appender = appender
         self._metrics = metrics
         self._shown: dict[str, records.JobState] = {}
         self._clock = clock
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -36,11 +36,11 @@
                 self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
         )
-        keeper = stack.enter_context(
+        appender = stack.enter_context(
             job_api_module.BatchAppender(self.store, 0, clock)
         )
         self.intake = job_api_module.JobApi(
-            self.replica, self.tail, keeper, metrics.Metrics(), clock
+            self.replica, self.tail, appender, metrics.Metrics(), clock
         )
         self.assertTrue(self.tail.wait_for(-1, WAIT_MS))
 
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -122,12 +122,12 @@
                 self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
         )
-        keeper = stack.enter_context(
+        appender = stack.enter_context(
             job_api_module.BatchAppender(self.store, 0, clock)
         )
         counted = metrics.Metrics()
         self.intake = job_api_module.JobApi(
-            self.replica, self.tail, keeper, counted, clock
+            self.replica, self.tail, appender, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
         self.parts = owner_dependencies.OwnerDependencies(
