--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -48,7 +48,7 @@
 from comfreylatch._process import snapshot_publisher
 from comfreylatch._process import startup_waits
 from comfreylatch._process import stream_state
-from comfreylatch._process import ticket_desk
+from comfreylatch._process import ticket_handler
 from comfreylatch._process.batch import service as batch_service
 from comfreylatch._request import dispatch_guard
 from comfreylatch._request import router as router_module
@@ -176,7 +176,7 @@
             after_apply=after_apply,
         )
         self._fold.use_age_source(self._config.age_ms)
-        self._desk = ticket_desk.TicketHandler(
+        self._ticket_handler = ticket_handler.TicketHandler(
             self._config_appender,
             self._fold,
             self._config,
@@ -336,7 +336,7 @@
         )
         return [
             *pages.routes(),
-            *self._desk.routes(),
+            *self._ticket_handler.routes(),
             *self._batch.routes(),
         ]
 
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -24,7 +24,7 @@
 from comfreylatch._process import follower
 from comfreylatch._process import journal
 from comfreylatch._process import metrics
-from comfreylatch._process import ticket_desk
+from comfreylatch._process import ticket_handler
 from comfreylatch._version import configuration_fold
 from comfreylatch._version import records
 from comfreylatch._version import snapshots
@@ -80,7 +80,7 @@
     reader = follower.StreamFollower(
         log, "config", fold, counted, machine, after_apply=writer.observe
     )
-    desk = ticket_desk.TicketHandler(
+    handler = ticket_handler.TicketHandler(
         writer,
         fold,
         reader,
@@ -100,7 +100,7 @@
             body = msgspec.json.encode(samples.ticket(number, change))
             request = http.HttpRequest("POST", "/tickets", {}, {}, body)
             started_ns = time.perf_counter_ns()
-            statuses.append(desk.submit(request).status)
+            statuses.append(handler.submit(request).status)
             elapsed_us.append((time.perf_counter_ns() - started_ns) // 1_000)
 
     with contextlib.ExitStack() as running:
--- a/tests/process/test_ticket_desk.py
+++ b/tests/process/test_ticket_handler.py
@@ -18,7 +18,7 @@
 from comfreylatch._process import journal
 from comfreylatch._process import metrics
 from comfreylatch._process import reasons
-from comfreylatch._process import ticket_desk
+from comfreylatch._process import ticket_handler
 from comfreylatch._version import configuration_fold
 from testing.fakes import log as fake_log
 from testing.fakes import peers as fake_peers
@@ -59,7 +59,7 @@
             after_apply=self.appender.observe,
             retry=QUICK,
         )
-        self.desk = ticket_desk.TicketHandler(
+        self.handler = ticket_handler.TicketHandler(
             self.appender,
             self.fold,
             self.follower,
@@ -78,11 +78,11 @@
             {"x-timeout-ms": str(timeout_ms)},
             msgspec.json.encode(value),
         )
-        return decoded(self.desk.submit(request))
+        return decoded(self.handler.submit(request))
 
     def show(self, number: int) -> Reply:
         request = http.HttpRequest("GET", f"/tickets/{number}", {}, {}, b"")
-        return decoded(self.desk.show_ticket(request))
+        return decoded(self.handler.show_ticket(request))
 
 
 def decoded(reply: http.HttpReply) -> Reply:
@@ -90,7 +90,7 @@
     return Reply(reply.status, body, dict(reply.headers))
 
 
-class DeskTest(testtools.TestCase):
+class TicketHandlerTest(testtools.TestCase):
     """Two hosts on one log, with their threads."""
 
     def setUp(self) -> None:
@@ -120,7 +120,7 @@
         paths = {problem["path"] for problem in reply.body["problems"]}
         self.assertEqual({"author", "reason", "changes"}, paths)
         request = http.HttpRequest("POST", "/tickets", {}, {}, b"\xff{")
-        self.assertEqual(400, self.host.desk.submit(request).status)
+        self.assertEqual(400, self.host.handler.submit(request).status)
         self.assertEqual([], self.log.payloads("config"))
 
     def test_conflicting_tickets_through_two_hosts_get_one_verdict(
@@ -241,6 +241,6 @@
     def test_objects_are_listed_with_their_versions(self) -> None:
         self.host.submit(samples.ticket(1, samples.zone("bole")))
         request = http.HttpRequest("GET", "/objects", {}, {}, b"")
-        page = decoded(self.host.desk.list_objects(request)).body
+        page = decoded(self.host.handler.list_objects(request)).body
         self.assertEqual("bole", page["objects"][0]["name"])
         self.assertEqual(1, page["objects"][0]["version"])
