--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -30,7 +30,7 @@
 MIN_RETRY_AFTER_MS = 500
 # One batch may find its answer lost by chance; twice in a row is an outage.
 LOST_ANSWERS_OF_OUTAGE = 2
-DEFAULT_SPACING_MS = 50
+DEFAULT_MIN_APPEND_INTERVAL_MS = 50
 # Without word from the log for so long, a read goes before the next append.
 SILENCE_MS = 1_000
 
@@ -47,7 +47,7 @@
     records are refused at once. After a silence a read goes first, so that a
     cut is found by a call which leaves nothing unknown.
 
-    `spacing_ms` is the least time between two appends: the stream's share of
+    `min_append_interval_ms` is the least time between two appends: the stream's share of
     what the log takes.
     """
 
@@ -59,7 +59,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         *,
-        spacing_ms: int = DEFAULT_SPACING_MS,
+        min_append_interval_ms: int = DEFAULT_MIN_APPEND_INTERVAL_MS,
         retry: backoff.Backoff | None = None,
         source: random.Random | None = None,
     ) -> None:
@@ -68,7 +68,7 @@
         self._writer = writer
         self._metrics = metrics
         self._clock = clock
-        self._spacing_ms = spacing_ms
+        self._min_append_interval_ms = min_append_interval_ms
         self._retry = retry or backoff.Backoff()
         self._source = source or random.Random()
         self._wake = threading.Condition()
@@ -286,7 +286,7 @@
             metrics_module.Latency.LOG_APPEND, elapsed_ms * 1_000, self._stream
         )
         with self._wake:
-            self._next_try_ms = started_ms + self._spacing_ms
+            self._next_try_ms = started_ms + self._min_append_interval_ms
             match answer:
                 case result.Ok(first_offset):
                     self._appended(batch, first_offset)
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -44,7 +44,7 @@
 
     callers: int
     append_ms: float
-    spacing_ms: int
+    min_append_interval_ms: int
     tickets: int
     accepted: int
     p50_us: int
@@ -66,7 +66,7 @@
 
 
 def measure_submit(
-    callers: int, each: int, append_ms: float, spacing_ms: int
+    callers: int, each: int, append_ms: float, min_append_interval_ms: int
 ) -> SubmitLine:
     """Submits tickets from several threads, each on a zone of its own."""
     log = fake_log.FakeLog()
@@ -75,7 +75,12 @@
     counted = metrics.Metrics()
     fold = configuration_fold.ConfigurationFold()
     writer = appender.StreamAppender(
-        log, "config", "host", counted, machine, spacing_ms=spacing_ms
+        log,
+        "config",
+        "host",
+        counted,
+        machine,
+        min_append_interval_ms=min_append_interval_ms,
     )
     reader = follower.StreamFollower(
         log, "config", fold, counted, machine, after_apply=writer.observe
@@ -122,7 +127,7 @@
     return SubmitLine(
         callers=callers,
         append_ms=append_ms,
-        spacing_ms=spacing_ms,
+        min_append_interval_ms=min_append_interval_ms,
         tickets=len(statuses),
         accepted=statuses.count(200),
         p50_us=elapsed_us[len(elapsed_us) // 2],
@@ -226,9 +231,9 @@
 ) -> None:
     """Prints a JSON line for each measurement."""
     lines = [
-        measure_submit(1, 100, 0.0, appender.DEFAULT_SPACING_MS),
-        measure_submit(1, 100, 5.0, appender.DEFAULT_SPACING_MS),
-        measure_submit(32, 20, 5.0, appender.DEFAULT_SPACING_MS),
+        measure_submit(1, 100, 0.0, appender.DEFAULT_MIN_APPEND_INTERVAL_MS),
+        measure_submit(1, 100, 5.0, appender.DEFAULT_MIN_APPEND_INTERVAL_MS),
+        measure_submit(32, 20, 5.0, appender.DEFAULT_MIN_APPEND_INTERVAL_MS),
         measure_submit(32, 20, 5.0, 0),
         measure_submit(1, 300, 0.0, 0),
     ]
--- a/tests/process/test_appender.py
+++ b/tests/process/test_appender.py
@@ -62,7 +62,9 @@
         self.submit()
         self.step()
         self.submit()
-        self.assertEqual(appender.DEFAULT_SPACING_MS, self.appender.step())
+        self.assertEqual(
+            appender.DEFAULT_MIN_APPEND_INTERVAL_MS, self.appender.step()
+        )
         self.assertEqual(1, self.log.appends["s"])
 
     def test_lost_answer_is_sent_again_with_the_same_sequence(self) -> None:
@@ -134,7 +136,7 @@
         self.step()
         self.log.read = lambda stream, *_: reads.append(stream)
         self.submit()
-        self.clock.advance(appender.DEFAULT_SPACING_MS)
+        self.clock.advance(appender.DEFAULT_MIN_APPEND_INTERVAL_MS)
         self.appender.step()
         self.assertEqual([], reads)
         self.assertEqual(2, len(self.log.payloads("s")))
--- a/tests/process/test_stream_threads.py
+++ b/tests/process/test_stream_threads.py
@@ -72,7 +72,7 @@
             f"writer-{id(fold)}",
             counted,
             machine,
-            spacing_ms=0,
+            min_append_interval_ms=0,
             retry=RETRY,
         )
         reader = follower.StreamFollower(
