--- a/src/comfreylatch/_process/append_batch.py
+++ b/src/comfreylatch/_process/append_batch.py
@@ -9,7 +9,7 @@
 
 from comfreylatch._ports import streams
 
-Outcome = result.Result[streams.Appended, streams.AppendRefusal]
+AppendOutcome = result.Result[streams.Appended, streams.AppendRefusal]
 
 
 @attrs.define(eq=False)
@@ -19,9 +19,9 @@
     payloads: tuple[bytes, ...]
     first_sequence: int
     done: threading.Event = attrs.field(factory=threading.Event)
-    outcome: Outcome | None = None
+    outcome: AppendOutcome | None = None
 
-    def settle(self, outcome: Outcome) -> None:
+    def settle(self, outcome: AppendOutcome) -> None:
         """Sets the outcome, once."""
         if self.outcome is None:
             self.outcome = outcome
@@ -39,7 +39,7 @@
         settled: Whether the callers have been told.
     """
 
-    calls: tuple[PendingAppend, ...]
+    appends: tuple[PendingAppend, ...]
     payloads: tuple[bytes, ...]
     maybe_appended: bool = False
     settled: bool = False
@@ -47,24 +47,24 @@
     @property
     def first_sequence(self) -> int:
         """Sequence of the first record."""
-        return self.calls[0].first_sequence
+        return self.appends[0].first_sequence
 
     @property
     def last_sequence(self) -> int:
         """Sequence of the last record."""
-        last = self.calls[-1]
+        last = self.appends[-1]
         return last.first_sequence + len(last.payloads) - 1
 
     def settle_appended(self, first_offset: int) -> None:
         """Tells the callers that all records are on the stream."""
         offset = first_offset
-        for call in self.calls:
-            call.settle(result.Ok(streams.Appended(offset)))
-            offset += len(call.payloads)
+        for pending in self.appends:
+            pending.settle(result.Ok(streams.Appended(offset)))
+            offset += len(pending.payloads)
         self.settled = True
 
     def settle_refused(self, refusal: streams.AppendRefusal) -> None:
         """Tells the callers why their records are not, or not known to be."""
-        for call in self.calls:
-            call.settle(result.Err(refusal))
+        for pending in self.appends:
+            pending.settle(result.Err(refusal))
         self.settled = True
--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -29,10 +29,10 @@
 MAX_QUEUED_RECORDS = 4_096
 MIN_RETRY_AFTER_MS = 500
 # One batch may find its answer lost by chance; twice in a row is an outage.
-LOST_ANSWERS_OF_OUTAGE = 2
+LOST_ANSWERS_BEFORE_OUTAGE = 2
 DEFAULT_MIN_APPEND_INTERVAL_MS = 50
 # Without word from the log for so long, a read goes before the next append.
-SILENCE_MS = 1_000
+PROBE_AFTER_IDLE_MS = 1_000
 
 _events = logbook.Logger(__name__)
 
@@ -71,7 +71,7 @@
         self._min_append_interval_ms = min_append_interval_ms
         self._retry = retry or backoff.Backoff()
         self._source = source or random.Random()
-        self._wake = threading.Condition()
+        self._condition = threading.Condition()
         self._queue: collections.deque[append_batch.PendingAppend] = (
             collections.deque()
         )
@@ -81,7 +81,7 @@
         self._failures = 0
         self._down = False
         self._next_try_ms = 0
-        self._heard_ms = -SILENCE_MS
+        self._last_contact_ms = -PROBE_AFTER_IDLE_MS
         self._closing = False
         self._thread = threading.Thread(
             target=self._run, name=f"append-{stream}", daemon=True
@@ -98,12 +98,12 @@
         traceback: types.TracebackType | None,
     ) -> None:
         """Ends the thread; what was sent without an answer stays unknown."""
-        with self._wake:
+        with self._condition:
             self._closing = True
             self._refuse_queue("this host is stopping")
-            self._wake.notify_all()
+            self._condition.notify_all()
         self._thread.join()
-        with self._wake:
+        with self._condition:
             if self._batch is not None and not self._batch.settled:
                 self._batch.settle_refused(
                     streams.AppendUnknown("this host stopped")
@@ -122,13 +122,13 @@
     @property
     def busy(self) -> bool:
         """Whether records wait for the log or for its answer."""
-        with self._wake:
+        with self._condition:
             self._drop_settled()
             return self._batch is not None or bool(self._queue)
 
     def append(
         self, bodies: Sequence[Any], timeout_ms: int
-    ) -> append_batch.Outcome:
+    ) -> append_batch.AppendOutcome:
         """See `RecordAppender.append`.
 
         Records not yet sent when the time is up are taken back, and
@@ -142,7 +142,7 @@
 
     def submit(self, bodies: Sequence[Any]) -> append_batch.PendingAppend:
         """Queues records, or refuses them at once; does not wait."""
-        with self._wake:
+        with self._condition:
             pending = self._encode(bodies)
             refusal = self._refusal(len(bodies))
             if refusal is not None:
@@ -150,12 +150,12 @@
                 return pending
             self._queue.append(pending)
             self._queued_records += len(pending.payloads)
-            self._wake.notify_all()
+            self._condition.notify_all()
             return pending
 
     def abandon(self, pending: append_batch.PendingAppend) -> None:
         """Ends the wait for records; those not yet sent are taken back."""
-        with self._wake:
+        with self._condition:
             if pending.outcome is not None:
                 return
             if pending in self._queue:
@@ -175,15 +175,15 @@
             seen_sequence: Its sequence.
             offset: Its offset, of the first copy on the stream.
         """
-        with self._wake:
+        with self._condition:
             batch = self._batch
             if batch is None or batch.settled:
                 return
             if batch.first_sequence <= seen_sequence <= batch.last_sequence:
                 first = offset - (seen_sequence - batch.first_sequence)
                 batch.settle_appended(first)
-                self._heard()
-                self._wake.notify_all()
+                self._mark_reachable()
+                self._condition.notify_all()
 
     def observe(self, applied: stream_state.Applied) -> None:
         """Resolves unknown appends by what a follower has read back."""
@@ -197,19 +197,19 @@
         Returns:
             Milliseconds to wait before the next step; 0 for none.
         """
-        with self._wake:
+        with self._condition:
             wait_ms = self._next_try_ms - self._clock.monotonic_ms()
             self._drop_settled()
             if wait_ms > 0 and self._has_work():
                 return wait_ms
-            ask_first = self._batch is None and self._must_ask()
-        if ask_first:
-            self._ask()
-        with self._wake:
-            batch = self._batch or self._take()
+            probe_first = self._batch is None and self._needs_probe()
+        if probe_first:
+            self._probe()
+        with self._condition:
+            batch = self._batch or self._start_batch()
         if batch is not None:
             self._send(batch)
-        with self._wake:
+        with self._condition:
             self._drop_settled()
             if not self._has_work():
                 return 0
@@ -234,20 +234,22 @@
         return None
 
     def _not_accepted(self, detail: str) -> streams.NotAccepted:
-        left_ms = self._next_try_ms - self._clock.monotonic_ms()
-        retry_after_ms = max(MIN_RETRY_AFTER_MS, left_ms)
+        remaining_ms = self._next_try_ms - self._clock.monotonic_ms()
+        retry_after_ms = max(MIN_RETRY_AFTER_MS, remaining_ms)
         return streams.NotAccepted(detail, retry_after_ms)
 
     def _has_work(self) -> bool:
         return self._batch is not None or bool(self._queue) or self._down
 
-    def _must_ask(self) -> bool:
+    def _needs_probe(self) -> bool:
         """Whether the log is to be asked for before anything new is sent."""
-        silent_ms = self._clock.monotonic_ms() - self._heard_ms
-        return self._down or (bool(self._queue) and silent_ms >= SILENCE_MS)
+        idle_ms = self._clock.monotonic_ms() - self._last_contact_ms
+        return self._down or (
+            bool(self._queue) and idle_ms >= PROBE_AFTER_IDLE_MS
+        )
 
-    def _heard(self) -> None:
-        self._heard_ms = self._clock.monotonic_ms()
+    def _mark_reachable(self) -> None:
+        self._last_contact_ms = self._clock.monotonic_ms()
         self._failures = 0
         self._down = False
 
@@ -255,26 +257,26 @@
         if self._batch is not None and self._batch.settled:
             self._batch = None
 
-    def _take(self) -> append_batch.AppendBatch | None:
+    def _start_batch(self) -> append_batch.AppendBatch | None:
         """Moves calls from the queue into a new batch."""
-        calls: list[append_batch.PendingAppend] = []
+        appends: list[append_batch.PendingAppend] = []
         payloads: list[bytes] = []
         size_bytes = 0
         while self._queue:
-            call = self._queue[0]
-            call_bytes = sum(map(len, call.payloads))
-            too_many = len(payloads) + len(call.payloads) > MAX_BATCH_RECORDS
-            too_long = size_bytes + call_bytes > MAX_BATCH_BYTES
-            if calls and (too_many or too_long):
+            pending = self._queue[0]
+            pending_bytes = sum(map(len, pending.payloads))
+            too_many = len(payloads) + len(pending.payloads) > MAX_BATCH_RECORDS
+            too_long = size_bytes + pending_bytes > MAX_BATCH_BYTES
+            if appends and (too_many or too_long):
                 break
             self._queue.popleft()
-            self._queued_records -= len(call.payloads)
-            calls.append(call)
-            payloads.extend(call.payloads)
-            size_bytes += call_bytes
-        if not calls:
+            self._queued_records -= len(pending.payloads)
+            appends.append(pending)
+            payloads.extend(pending.payloads)
+            size_bytes += pending_bytes
+        if not appends:
             return None
-        self._batch = append_batch.AppendBatch(tuple(calls), tuple(payloads))
+        self._batch = append_batch.AppendBatch(tuple(appends), tuple(payloads))
         return self._batch
 
     def _send(self, batch: append_batch.AppendBatch) -> None:
@@ -285,22 +287,24 @@
         self._metrics.observe(
             metrics_module.Latency.LOG_APPEND, elapsed_ms * 1_000, self._stream
         )
-        with self._wake:
+        with self._condition:
             self._next_try_ms = started_ms + self._min_append_interval_ms
             match answer:
                 case result.Ok(first_offset):
-                    self._appended(batch, first_offset)
+                    self._record_success(batch, first_offset)
                 case result.Err(log_port.LogDown(detail)):
-                    self._failed(reasons.RetryReason.LOG_DOWN, detail)
+                    self._record_failure(reasons.RetryReason.LOG_DOWN, detail)
                     self._refuse_unless_sent(batch, detail)
                 case result.Err(log_port.LogAnswerLost(detail)):
                     batch.maybe_appended = True
-                    self._failed(reasons.RetryReason.LOG_ANSWER_LOST, detail)
+                    self._record_failure(
+                        reasons.RetryReason.LOG_ANSWER_LOST, detail
+                    )
 
-    def _appended(
+    def _record_success(
         self, batch: append_batch.AppendBatch, first_offset: int
     ) -> None:
-        self._heard()
+        self._mark_reachable()
         self._metrics.count(
             metrics_module.Counter.LOG_RECORDS,
             self._stream,
@@ -318,7 +322,7 @@
                 self._not_accepted(f"the log did not take it: {detail}")
             )
 
-    def _failed(self, reason: reasons.RetryReason, detail: str) -> None:
+    def _record_failure(self, reason: reasons.RetryReason, detail: str) -> None:
         self._failures += 1
         self._metrics.count(metrics_module.Counter.RETRIES, reason)
         delay_ms = self._retry.delay_ms(self._failures, self._source)
@@ -333,8 +337,8 @@
             failures=self._failures,
             detail=detail,
         )
-        lost = reason is reasons.RetryReason.LOG_ANSWER_LOST
-        if not lost or self._failures >= LOST_ANSWERS_OF_OUTAGE:
+        answer_lost = reason is reasons.RetryReason.LOG_ANSWER_LOST
+        if not answer_lost or self._failures >= LOST_ANSWERS_BEFORE_OUTAGE:
             self._down = True
             self._refuse_queue("the log is down")
 
@@ -344,15 +348,15 @@
             pending.settle(result.Err(self._not_accepted(detail)))
         self._queued_records = 0
 
-    def _ask(self) -> None:
+    def _probe(self) -> None:
         """Finds out by a read, which changes nothing, whether the log is up."""
         answer = self._log.read(self._stream, 0, 1, 0)
-        with self._wake:
+        with self._condition:
             match answer:
                 case result.Err(log_port.LogDown(detail)):
-                    self._failed(reasons.RetryReason.LOG_DOWN, detail)
+                    self._record_failure(reasons.RetryReason.LOG_DOWN, detail)
                 case _:
-                    self._heard()
+                    self._mark_reachable()
 
     def _run(self) -> None:
         while not self._closing:
@@ -363,22 +367,22 @@
                     _events, "append-step-failed", stream=self._stream
                 )
                 delay_ms = self._retry.max_ms
-                self._suspect_sent()
-            with self._wake:
+                self._mark_maybe_appended()
+            with self._condition:
                 self._wait(delay_ms)
 
-    def _suspect_sent(self) -> None:
+    def _mark_maybe_appended(self) -> None:
         """After an unexpected error the batch may be on the stream."""
-        with self._wake:
+        with self._condition:
             if self._batch is not None:
                 self._batch.maybe_appended = True
 
     def _wait(self, delay_ms: int) -> None:
         if delay_ms > 0:
-            self._wake.wait_for(self._interrupted, delay_ms / 1_000)
+            self._condition.wait_for(self._should_wake, delay_ms / 1_000)
         else:
-            self._wake.wait_for(lambda: self._closing or self._has_work())
+            self._condition.wait_for(lambda: self._closing or self._has_work())
 
-    def _interrupted(self) -> bool:
+    def _should_wake(self) -> bool:
         settled = self._batch is not None and self._batch.settled
         return self._closing or settled
--- a/tests/process/test_appender.py
+++ b/tests/process/test_appender.py
@@ -142,8 +142,8 @@
         self.assertEqual(2, len(self.log.payloads("s")))
 
     def test_reading_own_record_back_ends_an_outage(self) -> None:
-        lost = fake_log.AppendFault.LOST_AFTER_EFFECT
-        self.log.faults.extend([lost, lost])
+        answer_lost = fake_log.AppendFault.LOST_AFTER_EFFECT
+        self.log.faults.extend([answer_lost, answer_lost])
         pending = self.submit()
         self.step()
         self.step()
@@ -193,7 +193,7 @@
 
     def test_slow_log_gets_few_large_appends(self) -> None:
         self.log.append_s = 0.02
-        outcomes: list[append_batch.Outcome] = []
+        outcomes: list[append_batch.AppendOutcome] = []
 
         def write() -> None:
             outcomes.append(
@@ -221,8 +221,8 @@
         self.assertEqual(1, len(self.log.payloads("s")))
 
     def test_close_says_unknown_of_what_was_sent(self) -> None:
-        lost = fake_log.AppendFault.LOST_AFTER_EFFECT
-        self.log.faults.extend([lost] * 1_000)
+        answer_lost = fake_log.AppendFault.LOST_AFTER_EFFECT
+        self.log.faults.extend([answer_lost] * 1_000)
         with self.appender:
             pending = self.appender.submit([stream_history.Note(1)])
             self.assertFalse(pending.done.wait(0.05))
--- a/tests/process/test_stream_threads.py
+++ b/tests/process/test_stream_threads.py
@@ -36,7 +36,7 @@
         source = random.Random(SEED)
         faults = source.choices(list(fake_log.AppendFault), k=FAULTS)
         self.log.faults.extend(faults)
-        self.outcomes: dict[int, append_batch.Outcome] = {}
+        self.outcomes: dict[int, append_batch.AppendOutcome] = {}
 
     def test_many_callers_under_random_faults(self) -> None:
         print(f"seed {SEED}")
@@ -95,7 +95,7 @@
                 [stream_history.Note(note)], TIMEOUT_MS
             )
 
-    def check(self, times: int, outcome: append_batch.Outcome) -> None:
+    def check(self, times: int, outcome: append_batch.AppendOutcome) -> None:
         if outcome.is_ok():
             self.assertEqual(1, times)
         elif isinstance(outcome.err(), streams.NotAccepted):
