--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -187,7 +187,7 @@
 
     def observe(self, applied: stream_state.Applied) -> None:
         """Resolves unknown appends by what a follower has read back."""
-        line = applied.seen.get(self._writer)
+        line = applied.last_records.get(self._writer)
         if line is not None:
             self.resolve(line.sequence, line.offset)
 
--- a/src/comfreylatch/_process/catch_up.py
+++ b/src/comfreylatch/_process/catch_up.py
@@ -31,11 +31,11 @@
     entries: tuple[log_port.LogEntry, ...]
     offset: int
     digest: str
-    floor: int = -1
+    min_serving_offset: int = -1
 
 
 @attrs.frozen
-class NoCatchUp:
+class CatchUpUnavailable:
     """No peer can give the state now."""
 
     detail: str
@@ -46,7 +46,7 @@
 
     def fetch(
         self, stream: str, after_offset: int
-    ) -> result.Result[CatchUp, NoCatchUp]:
+    ) -> result.Result[CatchUp, CatchUpUnavailable]:
         """Fetches what follows an offset; may hold nothing new."""
         ...
 
@@ -78,20 +78,22 @@
 
     def fetch(
         self, stream: str, after_offset: int
-    ) -> result.Result[CatchUp, NoCatchUp]:
+    ) -> result.Result[CatchUp, CatchUpUnavailable]:
         """See `CatchUpSource.fetch`."""
         request = ttypes.CatchUpRequest(
             stream=stream, after_offset=after_offset
         )
         views = self._candidates()
-        floor = -1
+        min_serving_offset = -1
         if not self._zone_only:
-            floor = max((view.config_offset for view in views), default=-1)
+            min_serving_offset = max(
+                (view.config_offset for view in views), default=-1
+            )
         for view in views:
             answer = self._peers.catch_up(view.seat, request, self._timeout_ms)
             if answer.is_ok():
-                return result.Ok(from_wire(answer.ok(), floor))
-        return result.Err(NoCatchUp("no peer reached has the state"))
+                return result.Ok(from_wire(answer.ok(), min_serving_offset))
+        return result.Err(CatchUpUnavailable("no peer reached has the state"))
 
     def _candidates(self) -> list[peers_port.PeerView]:
         views = [
@@ -117,14 +119,14 @@
     )
 
 
-def from_wire(reply: ttypes.CatchUpReply, floor: int) -> CatchUp:
+def from_wire(reply: ttypes.CatchUpReply, min_serving_offset: int) -> CatchUp:
     """Reverses `to_wire`."""
     return CatchUp(
         snapshot=reply.snapshot,
         entries=entries_from_wire(reply.entries),
         offset=reply.offset,
         digest=reply.digest,
-        floor=floor,
+        min_serving_offset=min_serving_offset,
     )
 
 
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -24,9 +24,9 @@
 from comfreylatch._version import snapshots
 
 MAX_READ_ENTRIES = 256
-DEFAULT_WAIT_MS = 2_000
-EARLY_ANSWER_PAUSE_MS = 100
-NEVER_MS = 2**53
+DEFAULT_READ_WAIT_MS = 2_000
+EARLY_ANSWER_DELAY_MS = 100
+NEVER_SYNCED_AGE_MS = 2**53
 
 _events = logbook.Logger(__name__)
 
@@ -56,7 +56,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         *,
-        wait_ms: int = DEFAULT_WAIT_MS,
+        wait_ms: int = DEFAULT_READ_WAIT_MS,
         catch_up: catch_up_module.CatchUpSource | None = None,
         after_apply: stream_state.AfterApply | None = None,
         retry: backoff.Backoff | None = None,
@@ -74,7 +74,7 @@
             stream, fold, metrics, after_apply
         )
         self._first_offset = 0
-        self._at_head_ms = -1
+        self._last_synced_ms = -1
         self._ready = False
         self._failures = 0
         self._closing = threading.Event()
@@ -126,11 +126,11 @@
     def age_ms(self) -> int:
         """Time since the state was known to be as new as the log.
 
-        `NEVER_MS` when it never was.
+        `NEVER_SYNCED_AGE_MS` when it never was.
         """
-        if self._at_head_ms < 0:
-            return NEVER_MS
-        return max(0, self._clock.monotonic_ms() - self._at_head_ms)
+        if self._last_synced_ms < 0:
+            return NEVER_SYNCED_AGE_MS
+        return max(0, self._clock.monotonic_ms() - self._last_synced_ms)
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
         """Waits until a record has been folded; False when time is up."""
@@ -151,11 +151,13 @@
 
     def serve_catch_up(
         self, after_offset: int
-    ) -> result.Result[catch_up_module.CatchUp, catch_up_module.NoCatchUp]:
+    ) -> result.Result[
+        catch_up_module.CatchUp, catch_up_module.CatchUpUnavailable
+    ]:
         """What brings a peer forward; Err until this host is ready."""
         if not self._ready:
-            return result.Err(catch_up_module.NoCatchUp("not ready"))
-        return result.Ok(self._state.since(after_offset))
+            return result.Err(catch_up_module.CatchUpUnavailable("not ready"))
+        return result.Ok(self._state.catch_up_from(after_offset))
 
     def step(self) -> int:
         """Makes one read of the log and folds what it gives.
@@ -164,34 +166,40 @@
             Milliseconds to wait before the next step.
         """
         started_ms = self._clock.monotonic_ms()
-        asked = self._state.offset + 1
+        requested_offset = self._state.offset + 1
         # Whether this is the head must be known soon after the start.
         wait_ms = self._wait_ms if self._ready else 0
-        answer = self._log.read(self._stream, asked, MAX_READ_ENTRIES, wait_ms)
+        answer = self._log.read(
+            self._stream, requested_offset, MAX_READ_ENTRIES, wait_ms
+        )
         match answer:
             case result.Ok(batch):
-                return self._take_batch(batch, asked, started_ms, wait_ms)
+                return self._apply_batch(
+                    batch, requested_offset, started_ms, wait_ms
+                )
             case result.Err(log_port.LogExpired(first_offset)):
-                return self._recover(first_offset)
+                return self._recover_expired(first_offset)
             case result.Err(log_port.LogDown(detail)):
-                self._take_from_peer()
-                return self._failed(detail)
+                self._catch_up_from_peer()
+                return self._record_failure(detail)
 
-    def _take_batch(
+    def _apply_batch(
         self,
         batch: log_port.LogBatch,
-        asked: int,
+        requested_offset: int,
         started_ms: int,
         wait_ms: int,
     ) -> int:
-        if not batch.entries and batch.next_offset != asked:
-            return self._failed(
-                f"the log goes on at {batch.next_offset}, not at {asked}"
+        if not batch.entries and batch.next_offset != requested_offset:
+            return self._record_failure(
+                f"the log goes on at {batch.next_offset}, not at {requested_offset}"
             )
         if batch.entries:
             self._state.take(batch.entries, stream_state.EntrySource.LOG)
             if batch.entries[-1].offset > self._state.offset:
-                return self._failed("the log's answer leaves out records")
+                return self._record_failure(
+                    "the log's answer leaves out records"
+                )
         self._failures = 0
         self._first_offset = max(self._first_offset, batch.first_offset)
         if len(batch.entries) == MAX_READ_ENTRIES:
@@ -200,14 +208,14 @@
         # at least nothing newer was on the log.
         held_ms = self._clock.monotonic_ms() - started_ms
         known_ms = 0 if batch.entries else min(held_ms, wait_ms)
-        self._at_head_ms = max(self._at_head_ms, started_ms + known_ms)
+        self._last_synced_ms = max(self._last_synced_ms, started_ms + known_ms)
         self._ready = True
         if batch.entries:
             return 0
         # A log that does not hold empty answers back must not be flooded.
-        return max(0, min(EARLY_ANSWER_PAUSE_MS, wait_ms - held_ms))
+        return max(0, min(EARLY_ANSWER_DELAY_MS, wait_ms - held_ms))
 
-    def _failed(self, detail: str) -> int:
+    def _record_failure(self, detail: str) -> int:
         self._failures += 1
         self._metrics.count(
             metrics_module.Counter.RETRIES, reasons.RetryReason.LOG_DOWN
@@ -222,7 +230,7 @@
             )
         return self._retry.delay_ms(self._failures, self._source)
 
-    def _recover(self, first_offset: int) -> int:
+    def _recover_expired(self, first_offset: int) -> int:
         """Goes on from a snapshot when the next record has expired."""
         loaded = snapshot_stream.load(self._log, self._stream)
         if loaded.is_ok():
@@ -230,15 +238,15 @@
             self._state.restore(loaded.ok(), log_source)
         if self._state.offset + 1 >= first_offset:
             return 0
-        self._take_from_peer()
+        self._catch_up_from_peer()
         if self._state.offset + 1 >= first_offset:
             return 0
-        return self._failed(
+        return self._record_failure(
             f"records before {first_offset} have expired and neither a"
             " snapshot nor a peer has them"
         )
 
-    def _take_from_peer(self) -> None:
+    def _catch_up_from_peer(self) -> None:
         """Catches up from a peer, if one has the state."""
         if self._catch_up is None:
             return
@@ -252,21 +260,21 @@
                 case result.Ok(taken):
                     self._state.restore(taken, source)
                 case result.Err(bad):
-                    self._bad_peer_message("snapshot", bad.detail)
+                    self._report_bad_peer_message("snapshot", bad.detail)
                     return
         if given.entries:
             self._state.take(given.entries, source)
-        self._check(given)
+        self._verify_position(given)
 
-    def _check(self, given: catch_up_module.CatchUp) -> None:
+    def _verify_position(self, given: catch_up_module.CatchUp) -> None:
         """Compares the position with the peer's before serving from it."""
         offset, digest = self._state.position()
         if offset == given.offset and digest != given.digest:
-            self._bad_peer_message("digest", f"at offset {offset}")
-        elif offset >= max(given.offset, given.floor):
+            self._report_bad_peer_message("digest", f"at offset {offset}")
+        elif offset >= max(given.offset, given.min_serving_offset):
             self._ready = True
 
-    def _bad_peer_message(self, what: str, detail: str) -> None:
+    def _report_bad_peer_message(self, what: str, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_PEER_MESSAGES, what)
         logs.error(
             _events,
--- a/src/comfreylatch/_process/record_pusher.py
+++ b/src/comfreylatch/_process/record_pusher.py
@@ -24,6 +24,10 @@
     def observe(self, applied: stream_state.Applied) -> None:
         """Pushes the entries if a record of this host is among them."""
         from_log = applied.source is stream_state.EntrySource.LOG
-        if from_log and applied.entries and self._writer in applied.seen:
+        if (
+            from_log
+            and applied.entries
+            and self._writer in applied.last_records
+        ):
             entries = catch_up.entries_to_wire(applied.entries)
             self._peers.push(applied.stream, tuple(entries))
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -52,7 +52,7 @@
     stream: str
     source: EntrySource
     entries: tuple[log_port.LogEntry, ...]
-    seen: Mapping[str, writers.WriterLine]
+    last_records: Mapping[str, writers.WriterLine]
 
 
 AfterApply = Callable[[Applied], None]
@@ -116,7 +116,7 @@
                 fold=self._fold.snapshot(),
             )
 
-    def since(self, after_offset: int) -> catch_up_module.CatchUp:
+    def catch_up_from(self, after_offset: int) -> catch_up_module.CatchUp:
         """What brings another host from `after_offset` to the offset here."""
         with self._changed:
             entries = tuple(
@@ -140,16 +140,16 @@
             otherwise nothing was done.
         """
         with self._changed:
-            fresh = tuple(
+            new_entries = tuple(
                 entry for entry in entries if entry.offset > self._offset
             )
-            if not self._continues(fresh):
+            if not self._is_contiguous(new_entries):
                 return False
-            seen: dict[str, writers.WriterLine] = {}
-            for entry in fresh:
-                self._apply(entry, seen)
+            last_records: dict[str, writers.WriterLine] = {}
+            for entry in new_entries:
+                self._apply_entry(entry, last_records)
             self._changed.notify_all()
-        self._tell(Applied(self._stream, source, fresh, seen))
+        self._notify(Applied(self._stream, source, new_entries, last_records))
         return True
 
     def restore(
@@ -166,8 +166,8 @@
             self._recent.clear()
             self._recent_bytes = 0
             self._changed.notify_all()
-        seen = {line.writer: line for line in taken.writers}
-        self._tell(Applied(self._stream, source, (), seen))
+        last_records = {line.writer: line for line in taken.writers}
+        self._notify(Applied(self._stream, source, (), last_records))
         return True
 
     def _restore_fold(self, taken: snapshots.StreamSnapshot) -> bool:
@@ -175,51 +175,55 @@
         try:
             self._fold.restore(taken.offset, taken.fold)
         except ValueError as error:
-            self._bad_record(taken.offset, f"snapshot: {error}")
+            self._report_bad_record(taken.offset, f"snapshot: {error}")
             return False
         if self._fold.digest() == taken.digest:
             return True
         self._fold.restore(self._offset, before)
-        self._bad_record(taken.offset, "snapshot: the digest differs")
+        self._report_bad_record(taken.offset, "snapshot: the digest differs")
         return False
 
-    def _continues(self, entries: Sequence[log_port.LogEntry]) -> bool:
+    def _is_contiguous(self, entries: Sequence[log_port.LogEntry]) -> bool:
         start = self._offset + 1
         expected = range(start, start + len(entries))
         offsets = [entry.offset for entry in entries]
         return bool(entries) and offsets == list(expected)
 
-    def _apply(
-        self, entry: log_port.LogEntry, seen: dict[str, writers.WriterLine]
+    def _apply_entry(
+        self,
+        entry: log_port.LogEntry,
+        last_records: dict[str, writers.WriterLine],
     ) -> None:
         match records.decode(entry.payload):
             case result.Ok((envelope, body)):
-                self._apply_record(entry.offset, envelope, body, seen)
+                self._apply_record(entry.offset, envelope, body, last_records)
             case result.Err(bad):
-                self._bad_record(entry.offset, bad.detail)
+                self._report_bad_record(entry.offset, bad.detail)
         self._offset = entry.offset
         self._writers.sweep(entry.offset)
-        self._remember(entry)
+        self._retain(entry)
 
     def _apply_record(
         self,
         offset: int,
         envelope: records.Envelope,
         body: object,
-        seen: dict[str, writers.WriterLine],
+        last_records: dict[str, writers.WriterLine],
     ) -> None:
         writer = envelope.writer
         if not self._writers.take(writer, envelope.sequence, offset):
             return
-        seen[writer] = writers.WriterLine(writer, envelope.sequence, offset)
+        last_records[writer] = writers.WriterLine(
+            writer, envelope.sequence, offset
+        )
         try:
             self._fold.apply(offset, envelope, body)
         except Exception:
             # Every host fails alike on it, and the stream must go on.
             logs.exception(_events, "fold-failed", offset=offset)
-            self._bad_record(offset, f"fold of {envelope.kind} failed")
+            self._report_bad_record(offset, f"fold of {envelope.kind} failed")
 
-    def _remember(self, entry: log_port.LogEntry) -> None:
+    def _retain(self, entry: log_port.LogEntry) -> None:
         self._recent.append(entry)
         self._recent_bytes += len(entry.payload)
         while (
@@ -228,7 +232,7 @@
         ):
             self._recent_bytes -= len(self._recent.popleft().payload)
 
-    def _tell(self, applied: Applied) -> None:
+    def _notify(self, applied: Applied) -> None:
         if self._after_apply is None:
             return
         try:
@@ -236,7 +240,7 @@
         except Exception:
             logs.exception(_events, "after-apply-failed", stream=self._stream)
 
-    def _bad_record(self, offset: int, detail: str) -> None:
+    def _report_bad_record(self, offset: int, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_RECORDS, self._stream)
         logs.error(
             _events,
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -111,7 +111,7 @@
         self.assertEqual([0, 1, 2], self.fold.notes)
 
     def test_age_grows_while_the_log_is_down(self) -> None:
-        self.assertEqual(follower.NEVER_MS, self.follower.age_ms())
+        self.assertEqual(follower.NEVER_SYNCED_AGE_MS, self.follower.age_ms())
         self.follower.step()
         self.log.down = True
         self.clock.advance(180_000)
