--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -147,7 +147,7 @@
             Whether they were new and continued exactly from the own offset;
             otherwise nothing was done.
         """
-        return self._state.take(entries, stream_state.EntrySource.PEER)
+        return self._state.apply(entries, stream_state.EntrySource.PEER)
 
     def serve_catch_up(
         self, after_offset: int
@@ -195,7 +195,7 @@
                 f"the log goes on at {batch.next_offset}, not at {requested_offset}"
             )
         if batch.entries:
-            self._state.take(batch.entries, stream_state.EntrySource.LOG)
+            self._state.apply(batch.entries, stream_state.EntrySource.LOG)
             if batch.entries[-1].offset > self._state.offset:
                 return self._record_failure(
                     "the log's answer leaves out records"
@@ -263,7 +263,7 @@
                     self._report_bad_peer_message("snapshot", bad.detail)
                     return
         if given.entries:
-            self._state.take(given.entries, source)
+            self._state.apply(given.entries, source)
         self._verify_position(given)
 
     def _verify_position(self, given: catch_up_module.CatchUp) -> None:
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -130,7 +130,7 @@
                 encoded, entries, self._offset, self._fold.digest()
             )
 
-    def take(
+    def apply(
         self, entries: Sequence[log_port.LogEntry], source: EntrySource
     ) -> bool:
         """Folds the entries above the offset.
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -224,7 +224,7 @@
 
 def age(age_ms: int) -> str:
     """How old the knowledge of the log is, as a text."""
-    if age_ms >= follower_module.NEVER_MS:
+    if age_ms >= follower_module.NEVER_SYNCED_AGE_MS:
         return "never yet compared with the log"
     return f"as of {age_ms} ms ago"
 
--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -134,7 +134,7 @@
     def take(self, payload: bytes) -> None:
         """Folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
-        taken = self.state.take([entry], stream_state.EntrySource.LOG)
+        taken = self.state.apply([entry], stream_state.EntrySource.LOG)
         assert taken
 
 
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -135,7 +135,7 @@
             log_port.LogEntry(start + index, payload)
             for index, payload in enumerate(self._stream.payloads[start:])
         ]
-        self._state.take(entries, stream_state.EntrySource.LOG)
+        self._state.apply(entries, stream_state.EntrySource.LOG)
         self._read_ms = self._clock.now_ms
 
     def offset(self) -> int:
--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -63,7 +63,7 @@
     def test_without_offset_check_a_violation_is_found(self) -> None:
         """Entries pushed by a peer leave a gap."""
         patch = mock.patch.object(
-            stream_state.StreamState, "_continues", return_value=True
+            stream_state.StreamState, "_is_contiguous", return_value=True
         )
         self._assert_found(patch)
 
