--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -18,7 +18,7 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import snapshot_stream
-from comfreylatch._process import snapshot_turn
+from comfreylatch._process import snapshot_schedule
 from comfreylatch._version import records
 from comfreylatch._version import snapshots
 
@@ -67,7 +67,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         *,
-        rule: snapshot_turn.SnapshotRule | None = None,
+        policy: snapshot_schedule.SnapshotPolicy | None = None,
     ) -> None:
         self._log = log
         self._follower = follower
@@ -76,7 +76,7 @@
         self._seats = seats
         self._metrics = metrics
         self._clock = clock
-        self._rule = rule or snapshot_turn.SnapshotRule()
+        self._policy = policy or snapshot_schedule.SnapshotPolicy()
         self._last = _Published(seen_ms=clock.monotonic_ms())
         self._next_read = 0
         self._due_since_ms = -1
@@ -108,21 +108,21 @@
         if not self._follower.ready or not self._watch():
             return False
         now_ms = self._clock.monotonic_ms()
-        reason = snapshot_turn.due(self._position(now_ms), self._rule)
+        reason = snapshot_schedule.due(self._position(now_ms), self._policy)
         if reason is None:
             self._due_since_ms = -1
             return False
         if self._due_since_ms < 0:
             self._due_since_ms = now_ms
-        wait_ms = snapshot_turn.wait_ms(
-            self._seat, self._seats(), self._last.offset, self._rule.turn_ms
+        wait_ms = snapshot_schedule.wait_ms(
+            self._seat, self._seats(), self._last.offset, self._policy.turn_ms
         )
         if now_ms - self._due_since_ms < wait_ms:
             return False
         return self._publish(reason)
 
-    def _position(self, now_ms: int) -> snapshot_turn.SnapshotPosition:
-        return snapshot_turn.SnapshotPosition(
+    def _position(self, now_ms: int) -> snapshot_schedule.SnapshotPosition:
+        return snapshot_schedule.SnapshotPosition(
             offset=self._follower.offset(),
             first_offset=self._follower.first_offset,
             snapshot_offset=self._last.offset,
@@ -156,7 +156,7 @@
                 )
                 self._due_since_ms = -1
 
-    def _publish(self, reason: snapshot_turn.DueReason) -> bool:
+    def _publish(self, reason: snapshot_schedule.DueReason) -> bool:
         snapshot = self._follower.snapshot()
         chunks = snapshots.split(snapshot)
         payloads: list[bytes] = []
--- a/src/comfreylatch/_process/snapshot_schedule.py
+++ b/src/comfreylatch/_process/snapshot_schedule.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-DEFAULT_EVERY_OFFSETS = 20_000
-DEFAULT_EVERY_MS = 600_000
+DEFAULT_MAX_DISTANCE_OFFSETS = 20_000
+DEFAULT_MAX_AGE_MS = 600_000
 DEFAULT_TURN_MS = 10_000
 
 
@@ -22,7 +22,7 @@
 
 
 @attrs.frozen
-class SnapshotRule:
+class SnapshotPolicy:
     """When snapshots are published.
 
     Attributes:
@@ -32,8 +32,8 @@
         turn_ms: How long each seat in turn is left to publish a due one.
     """
 
-    every_offsets: int = DEFAULT_EVERY_OFFSETS
-    every_ms: int = DEFAULT_EVERY_MS
+    max_distance_offsets: int = DEFAULT_MAX_DISTANCE_OFFSETS
+    max_age_ms: int = DEFAULT_MAX_AGE_MS
     turn_ms: int = DEFAULT_TURN_MS
 
 
@@ -55,26 +55,29 @@
     snapshot_age_ms: int
 
 
-def due(position: SnapshotPosition, rule: SnapshotRule) -> DueReason | None:
+def due(position: SnapshotPosition, policy: SnapshotPolicy) -> DueReason | None:
     """Why a snapshot is due now; None when none is.
 
     A snapshot must lie in the newer half of what the log keeps, however long
     that is, so that a tail to it is there for long.
     """
     if position.offset < 0 or position.snapshot_offset >= position.offset:
-        if position.offset >= 0 and position.snapshot_age_ms >= rule.every_ms:
+        if (
+            position.offset >= 0
+            and position.snapshot_age_ms >= policy.max_age_ms
+        ):
             return DueReason.AGE
         return None
     distance = position.offset - position.snapshot_offset
-    if distance >= rule.every_offsets:
+    if distance >= policy.max_distance_offsets:
         return DueReason.DISTANCE
     if position.first_offset > 0:
         if position.snapshot_offset < 0:
             return DueReason.MISSING
-        middle = (position.first_offset + position.offset) // 2
-        if position.snapshot_offset < middle:
+        midpoint = (position.first_offset + position.offset) // 2
+        if position.snapshot_offset < midpoint:
             return DueReason.EXPIRING
-    if position.snapshot_age_ms >= rule.every_ms:
+    if position.snapshot_age_ms >= policy.max_age_ms:
         return DueReason.AGE
     return None
 
@@ -87,6 +90,8 @@
     Every host gets the same order from the same seats and last snapshot; the
     first place passes on with each snapshot.
     """
-    ordered = sorted({*seats, seat})
-    place = (ordered.index(seat) - snapshot_offset) % len(ordered)
-    return place * turn_ms
+    ordered_seats = sorted({*seats, seat})
+    position = (ordered_seats.index(seat) - snapshot_offset) % len(
+        ordered_seats
+    )
+    return position * turn_ms
--- a/tests/process/test_snapshot_publisher.py
+++ b/tests/process/test_snapshot_publisher.py
@@ -8,14 +8,14 @@
 from comfreylatch._process import metrics
 from comfreylatch._process import snapshot_publisher
 from comfreylatch._process import snapshot_stream
-from comfreylatch._process import snapshot_turn
+from comfreylatch._process import snapshot_schedule
 from comfreylatch._version import records
 from testing import stream_history
 from testing.fakes import clock as fake_clock
 from testing.fakes import log as fake_log
 
-RULE = snapshot_turn.SnapshotRule(
-    every_offsets=10, every_ms=60_000, turn_ms=1_000
+POLICY = snapshot_schedule.SnapshotPolicy(
+    max_distance_offsets=10, max_age_ms=60_000, turn_ms=1_000
 )
 SEATS = ("seat-1", "seat-2", "seat-3")
 
@@ -25,11 +25,11 @@
 
     def due(
         self, offset: int, first: int, snapshot: int, age_ms: int = 0
-    ) -> snapshot_turn.DueReason | None:
-        position = snapshot_turn.SnapshotPosition(
+    ) -> snapshot_schedule.DueReason | None:
+        position = snapshot_schedule.SnapshotPosition(
             offset, first, snapshot, age_ms
         )
-        return snapshot_turn.due(position, RULE)
+        return snapshot_schedule.due(position, POLICY)
 
     def test_nothing_to_publish(self) -> None:
         self.assertIsNone(self.due(-1, 0, -1, 70_000))
@@ -37,20 +37,28 @@
         self.assertIsNone(self.due(9, 0, 3))
 
     def test_distance(self) -> None:
-        self.assertEqual(snapshot_turn.DueReason.DISTANCE, self.due(12, 0, 2))
+        self.assertEqual(
+            snapshot_schedule.DueReason.DISTANCE, self.due(12, 0, 2)
+        )
 
     def test_records_expire(self) -> None:
-        self.assertEqual(snapshot_turn.DueReason.MISSING, self.due(5, 1, -1))
-        self.assertEqual(snapshot_turn.DueReason.EXPIRING, self.due(12, 2, 5))
+        self.assertEqual(
+            snapshot_schedule.DueReason.MISSING, self.due(5, 1, -1)
+        )
+        self.assertEqual(
+            snapshot_schedule.DueReason.EXPIRING, self.due(12, 2, 5)
+        )
         self.assertIsNone(self.due(12, 2, 8))
 
     def test_quiet_stream(self) -> None:
-        self.assertEqual(snapshot_turn.DueReason.AGE, self.due(9, 0, 9, 60_000))
+        self.assertEqual(
+            snapshot_schedule.DueReason.AGE, self.due(9, 0, 9, 60_000)
+        )
 
     def test_seats_take_turns(self) -> None:
         for last in range(3):
             waits = [
-                snapshot_turn.wait_ms(seat, SEATS, last, 1_000)
+                snapshot_schedule.wait_ms(seat, SEATS, last, 1_000)
                 for seat in SEATS
             ]
             self.assertEqual([0, 1_000, 2_000], sorted(waits))
@@ -85,7 +93,7 @@
             lambda: SEATS,
             metrics.Metrics(),
             self.clock,
-            rule=RULE,
+            policy=POLICY,
         )
         return reader, publisher
 
