--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -22,20 +22,20 @@
 from comfreylatch._version import records
 from comfreylatch._version import snapshots
 
-CHECK_MS = 5_000
+CHECK_INTERVAL_MS = 5_000
 
 _events = logbook.Logger(__name__)
 
 
 @attrs.frozen
-class _Published:
+class _PublishedSnapshot:
     """The last whole snapshot seen on the log.
 
-    `at` is where its last chunk lies on the stream of snapshots.
+    `last_chunk_offset` is where its last chunk lies on the stream of snapshots.
     """
 
     offset: int = -1
-    at: int = -1
+    last_chunk_offset: int = -1
     seen_ms: int = 0
 
 
@@ -77,8 +77,8 @@
         self._metrics = metrics
         self._clock = clock
         self._policy = policy or snapshot_schedule.SnapshotPolicy()
-        self._last = _Published(seen_ms=clock.monotonic_ms())
-        self._next_read = 0
+        self._latest = _PublishedSnapshot(seen_ms=clock.monotonic_ms())
+        self._next_read_offset = 0
         self._due_since_ms = -1
         self._sequence = 0
         self._closing = threading.Event()
@@ -105,7 +105,7 @@
         Returns:
             Whether a snapshot was published.
         """
-        if not self._follower.ready or not self._watch():
+        if not self._follower.ready or not self._read_published():
             return False
         now_ms = self._clock.monotonic_ms()
         reason = snapshot_schedule.due(self._position(now_ms), self._policy)
@@ -115,7 +115,7 @@
         if self._due_since_ms < 0:
             self._due_since_ms = now_ms
         wait_ms = snapshot_schedule.wait_ms(
-            self._seat, self._seats(), self._last.offset, self._policy.turn_ms
+            self._seat, self._seats(), self._latest.offset, self._policy.turn_ms
         )
         if now_ms - self._due_since_ms < wait_ms:
             return False
@@ -125,33 +125,35 @@
         return snapshot_schedule.SnapshotPosition(
             offset=self._follower.offset(),
             first_offset=self._follower.first_offset,
-            snapshot_offset=self._last.offset,
-            snapshot_age_ms=now_ms - self._last.seen_ms,
+            snapshot_offset=self._latest.offset,
+            snapshot_age_ms=now_ms - self._latest.seen_ms,
         )
 
-    def _watch(self) -> bool:
+    def _read_published(self) -> bool:
         """Reads what was published since; False while the log is down."""
         stream = self._follower.stream
         while True:
-            answer = snapshot_stream.read(self._log, stream, self._next_read)
+            answer = snapshot_stream.read(
+                self._log, stream, self._next_read_offset
+            )
             if answer.is_err():
                 return False
             batch = answer.ok()
-            if batch.first_offset > self._last.at >= 0:
-                self._last = _Published(seen_ms=self._last.seen_ms)
-            self._note(batch)
-            self._next_read = batch.next_offset
+            if batch.first_offset > self._latest.last_chunk_offset >= 0:
+                self._latest = _PublishedSnapshot(seen_ms=self._latest.seen_ms)
+            self._record_complete(batch)
+            self._next_read_offset = batch.next_offset
             if not batch.entries:
                 return True
 
-    def _note(self, batch: log_port.LogBatch) -> None:
+    def _record_complete(self, batch: log_port.LogBatch) -> None:
         """Notes whole snapshots: those whose last chunk was read."""
         for entry in batch.entries:
-            chunk = snapshot_stream.chunk_of(entry)
+            chunk = snapshot_stream.decode_chunk(entry)
             if chunk is None or chunk.index + 1 < chunk.count:
                 continue
-            if chunk.offset >= self._last.offset:
-                self._last = _Published(
+            if chunk.offset >= self._latest.offset:
+                self._latest = _PublishedSnapshot(
                     chunk.offset, entry.offset, self._clock.monotonic_ms()
                 )
                 self._due_since_ms = -1
@@ -189,7 +191,7 @@
                 return False
 
     def _run(self) -> None:
-        while not self._closing.wait(CHECK_MS / 1_000):
+        while not self._closing.wait(CHECK_INTERVAL_MS / 1_000):
             try:
                 self.step()
             except Exception:
--- a/src/comfreylatch/_process/snapshot_stream.py
+++ b/src/comfreylatch/_process/snapshot_stream.py
@@ -30,8 +30,10 @@
     log: log_port.LogPort, stream: str
 ) -> result.Result[snapshots.StreamSnapshot, NoSnapshot]:
     """Reads the latest whole snapshot that the log still holds."""
-    parts: dict[tuple[int, str], dict[int, snapshots.SnapshotChunk]] = {}
-    whole: tuple[int, str] | None = None
+    chunks_by_key: dict[
+        tuple[int, str], dict[int, snapshots.SnapshotChunk]
+    ] = {}
+    complete_key: tuple[int, str] | None = None
     start = 0
     while True:
         match read(log, stream, start):
@@ -39,20 +41,20 @@
                 pass
             case result.Err(error):
                 return result.Err(NoSnapshot(str(error)))
-        for chunk in chunks_of(batch):
+        for chunk in decode_chunks(batch):
             key = (chunk.offset, chunk.checksum)
-            if whole is not None and key <= whole:
+            if complete_key is not None and key <= complete_key:
                 continue
-            parts.setdefault(key, {})[chunk.index] = chunk
-            if len(parts[key]) == chunk.count:
-                whole = key
-                parts = {key: parts[key]}
+            chunks_by_key.setdefault(key, {})[chunk.index] = chunk
+            if len(chunks_by_key[key]) == chunk.count:
+                complete_key = key
+                chunks_by_key = {key: chunks_by_key[key]}
         if not batch.entries:
             break
         start = batch.next_offset
-    if whole is None:
+    if complete_key is None:
         return result.Err(NoSnapshot("none is whole"))
-    joined = snapshots.join(parts[whole].values())
+    joined = snapshots.join(chunks_by_key[complete_key].values())
     return joined.map_err(lambda bad: NoSnapshot(bad.detail))
 
 
@@ -69,17 +71,17 @@
             return answer
 
 
-def chunks_of(
+def decode_chunks(
     batch: log_port.LogBatch,
 ) -> Iterator[snapshots.SnapshotChunk]:
     """The chunks among the entries read; others are passed over."""
     for entry in batch.entries:
-        chunk = chunk_of(entry)
+        chunk = decode_chunk(entry)
         if chunk is not None:
             yield chunk
 
 
-def chunk_of(entry: log_port.LogEntry) -> snapshots.SnapshotChunk | None:
+def decode_chunk(entry: log_port.LogEntry) -> snapshots.SnapshotChunk | None:
     """The chunk in an entry; None when it holds something else."""
     decoded = records.decode(entry.payload)
     if decoded.is_err():
