--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -12,7 +12,7 @@
 from comfreylatch._version import configuration
 
 # A request forwarded by a killed host may start one longest request later.
-LONGEST_HOLDS_LEFT = 2
+MAX_REMAINING_HOLDS = 2
 
 
 @final
@@ -20,24 +20,24 @@
     """The longest time a slot is held, worked out once for each version."""
 
     def __init__(self, source: configuration_port.ConfigurationSource) -> None:
-        self._note(source.current())
-        source.on_change(self._note)
+        self._update(source.current())
+        source.on_change(self._update)
 
     def ms(self) -> int:
         """The bound under the configuration in force."""
-        return self._longest_ms
+        return self._max_hold_ms
 
-    def _note(self, new: configuration.Configuration) -> None:
-        self._longest_ms = shares.longest_hold_ms(new)
+    def _update(self, new: configuration.Configuration) -> None:
+        self._max_hold_ms = shares.longest_hold_ms(new)
 
 
 def predecessor_hold_ms(
-    longest: MaxSlotHoldTime, ledger: loans.LoanLedger
+    max_hold: MaxSlotHoldTime, ledger: loans.LoanLedger
 ) -> int:
     """How long requests and loans of a killed predecessor may last."""
     loan_ms = ledger.loan_ms()
     margin_ms = loan_ms // slot_book.DRIFT_DIVISOR + 1
-    return loan_ms + margin_ms + LONGEST_HOLDS_LEFT * longest.ms()
+    return loan_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
 
 
 def seat_conflict_wait_ms(timing: settings_module.TimingSettings) -> int:
