--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class _Refused:
+class _Refusal:
     """A ticket that was not appended."""
 
     status: int
@@ -66,7 +66,7 @@
         self._metrics = metrics
         self._clock = clock
         self._seat = seat
-        fold.on_ticket(self._note_folded)
+        fold.on_ticket(self._record_verdict)
 
     def routes(self) -> list[routes.Route]:
         """The routes of tickets and objects."""
@@ -82,7 +82,7 @@
         started_ms = self._clock.monotonic_ms()
         match self._parse(request.body):
             case result.Ok(ticket):
-                reply = self._submit(ticket, self._timeout_ms(request))
+                reply = self._append_ticket(ticket, self._timeout_ms(request))
             case result.Err(reply):
                 pass
         elapsed_ms = self._clock.monotonic_ms() - started_ms
@@ -107,7 +107,7 @@
                 "unknown-ticket",
                 f"ticket {text} is not on the log as far as this host has read"
                 f" it: offset {self._follower.offset()},"
-                f" {ticket_pages.age(self._follower.age_ms())}",
+                f" {ticket_pages.format_age(self._follower.age_ms())}",
             )
         decisions = self._journal.about(reasons.Subject.TICKET, text)
         page = ticket_pages.ticket_page(
@@ -125,7 +125,7 @@
         )
         return http.json_reply(200, page)
 
-    def _note_folded(self, line: verdicts.TicketLine) -> None:
+    def _record_verdict(self, line: verdicts.TicketLine) -> None:
         """Notes since when a verdict holds here; not those read at start."""
         if not self._follower.ready:
             return
@@ -153,7 +153,7 @@
         try:
             value = msgspec.json.decode(body)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
-            self._count(reasons.RefusalReason.BAD_TICKET)
+            self._count_refusal(reasons.RefusalReason.BAD_TICKET)
             return result.Err(
                 http.error_reply(
                     400,
@@ -164,33 +164,35 @@
         checked = tickets.check(value)
         if checked.is_ok():
             return result.Ok(checked.ok())
-        self._count(reasons.RefusalReason.BAD_TICKET)
+        self._count_refusal(reasons.RefusalReason.BAD_TICKET)
         page = ticket_pages.problem_page(checked.err())
         headers = {"X-Reason": str(reasons.RefusalReason.BAD_TICKET)}
         return result.Err(http.json_reply(400, page, headers))
 
-    def _submit(
+    def _append_ticket(
         self, ticket: tickets.Ticket, timeout_ms: int
     ) -> http.HttpReply:
         deadline_ms = self._clock.monotonic_ms() + timeout_ms
-        refused = self._early_refusal()
-        if refused is not None:
-            return self._refuse(ticket, refused)
+        refusal = self._readiness_refusal()
+        if refusal is not None:
+            return self._refuse(ticket, refusal)
         known = self._fold.ticket(ticket.number)
         if known is not None:
             return self._reply(ticket, known)
         line = self._fold.judge(-1, ticket)
-        if not line.accepted and not _needs_newer(line):
+        if not line.accepted and not _names_unread_version(line):
             return self._refuse_stale(ticket, line)
         record = tickets.TicketRecord(tickets.to_json(ticket))
         match self._appender.append([record], timeout_ms):
             case result.Ok(appended):
-                left_ms = deadline_ms - self._clock.monotonic_ms()
-                return self._await(ticket, appended.offset, left_ms)
+                remaining_ms = deadline_ms - self._clock.monotonic_ms()
+                return self._reply_when_folded(
+                    ticket, appended.offset, remaining_ms
+                )
             case result.Err(streams.NotAccepted(detail, retry_after_ms)):
                 return self._refuse(
                     ticket,
-                    _Refused(
+                    _Refusal(
                         503,
                         reasons.RefusalReason.LOG_DOWN,
                         f"not accepted, nothing was written: {detail}",
@@ -198,12 +200,12 @@
                     ),
                 )
             case result.Err(streams.AppendUnknown(detail)):
-                return self._unknown(ticket, detail)
+                return self._reply_unknown(ticket, detail)
 
-    def _early_refusal(self) -> _Refused | None:
+    def _readiness_refusal(self) -> _Refusal | None:
         if self._follower.ready:
             return None
-        return _Refused(
+        return _Refusal(
             503,
             reasons.RefusalReason.NO_CONFIGURATION,
             "not accepted, nothing was written: this host has not read the"
@@ -211,19 +213,21 @@
             NOT_READY_RETRY_MS,
         )
 
-    def _await(
-        self, ticket: tickets.Ticket, offset: int, left_ms: int
+    def _reply_when_folded(
+        self, ticket: tickets.Ticket, offset: int, remaining_ms: int
     ) -> http.HttpReply:
         """Answers once the fold has passed the ticket's record."""
-        if not self._follower.wait_for(offset, max(0, left_ms)):
-            return self._unknown(
+        if not self._follower.wait_for(offset, max(0, remaining_ms)):
+            return self._reply_unknown(
                 ticket,
                 f"the ticket is on the log at offset {offset}, but this host"
                 f" has read only to {self._follower.offset()}",
             )
         line = self._fold.ticket(ticket.number)
         if line is None:
-            return self._unknown(ticket, "the fold has forgotten the ticket")
+            return self._reply_unknown(
+                ticket, "the fold has forgotten the ticket"
+            )
         return self._reply(ticket, line)
 
     def _reply(
@@ -233,7 +237,7 @@
         if line.content_hash != tickets.content_hash(ticket):
             return self._refuse(
                 ticket,
-                _Refused(
+                _Refusal(
                     409,
                     reasons.RefusalReason.TICKET_NUMBER_TAKEN,
                     f"number {ticket.number} belongs to another ticket, by"
@@ -244,46 +248,48 @@
         if line.accepted:
             page = ticket_pages.verdict_page(line, str(line.verdict))
             return http.json_reply(200, page)
-        reason = _reason_of(line)
+        reason = _refusal_reason(line)
         page = ticket_pages.verdict_page(line, str(reason))
-        self._count(reason)
+        self._count_refusal(reason)
         return http.json_reply(409, page, {"X-Reason": str(reason)})
 
     def _refuse_stale(
         self, ticket: tickets.Ticket, line: verdicts.TicketLine
     ) -> http.HttpReply:
         """Refuses before the append what the fold could only refuse."""
-        reason = _reason_of(line)
-        self._count(reason)
+        reason = _refusal_reason(line)
+        self._count_refusal(reason)
         sentence = f"refused before it was appended: {line.detail}"
-        self._note(ticket, reason, sentence, -1)
+        self._record_decision(ticket, reason, sentence, -1)
         page = ticket_pages.verdict_page(line, str(reason))
         return http.json_reply(409, page, {"X-Reason": str(reason)})
 
     def _refuse(
-        self, ticket: tickets.Ticket, refused: _Refused
+        self, ticket: tickets.Ticket, refusal: _Refusal
     ) -> http.HttpReply:
-        self._count(refused.reason)
-        self._note(ticket, refused.reason, refused.detail, -1)
+        self._count_refusal(refusal.reason)
+        self._record_decision(ticket, refusal.reason, refusal.detail, -1)
         return http.error_reply(
-            refused.status,
-            refused.reason,
-            refused.detail,
-            refused.retry_after_ms,
+            refusal.status,
+            refusal.reason,
+            refusal.detail,
+            refusal.retry_after_ms,
         )
 
-    def _unknown(self, ticket: tickets.Ticket, detail: str) -> http.HttpReply:
+    def _reply_unknown(
+        self, ticket: tickets.Ticket, detail: str
+    ) -> http.HttpReply:
         sentence = (
             f"unknown: {detail}; ask for ticket {ticket.number} later, or"
             " submit the same ticket again, which does no harm"
         )
-        self._note(ticket, reasons.Outcome.UNKNOWN, sentence, -1)
+        self._record_decision(ticket, reasons.Outcome.UNKNOWN, sentence, -1)
         return http.error_reply(504, reasons.Outcome.UNKNOWN, sentence)
 
-    def _count(self, reason: reasons.RefusalReason) -> None:
+    def _count_refusal(self, reason: reasons.RefusalReason) -> None:
         self._metrics.count(metrics_module.Counter.REFUSALS, reason)
 
-    def _note(
+    def _record_decision(
         self, ticket: tickets.Ticket, reason: str, sentence: str, offset: int
     ) -> None:
         self._journal.record(
@@ -301,14 +307,14 @@
         return DEFAULT_TIMEOUT_MS
 
 
-def _needs_newer(line: verdicts.TicketLine) -> bool:
+def _names_unread_version(line: verdicts.TicketLine) -> bool:
     """Whether the ticket names a version this host has not read yet."""
     return any(
         conflict.replaces > conflict.current for conflict in line.conflicts
     )
 
 
-def _reason_of(line: verdicts.TicketLine) -> reasons.RefusalReason:
+def _refusal_reason(line: verdicts.TicketLine) -> reasons.RefusalReason:
     if line.verdict is verdicts.Verdict.CONFLICT:
         return reasons.RefusalReason.TICKET_CONFLICT
     return reasons.RefusalReason.BAD_TICKET
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -203,7 +203,7 @@
 
 
 def object_list(
-    held: Mapping[tuple[objects.ObjectKind, str], configuration.Versioned],
+    versions: Mapping[tuple[objects.ObjectKind, str], configuration.Versioned],
     current: configuration.Configuration,
     age_ms: int,
 ) -> ObjectPage:
@@ -217,12 +217,12 @@
             versioned.offset,
             versioned.state,
         )
-        for (kind, name), versioned in sorted(held.items())
+        for (kind, name), versioned in sorted(versions.items())
     )
     return ObjectPage(current.offset, current.digest, age_ms, lines)
 
 
-def age(age_ms: int) -> str:
+def format_age(age_ms: int) -> str:
     """How old the knowledge of the log is, as a text."""
     if age_ms >= follower_module.NEVER_SYNCED_AGE_MS:
         return "never yet compared with the log"
@@ -273,7 +273,7 @@
     diverged = [seat.seat for seat in (*in_force, *not_yet) if seat.diverged]
     if diverged:
         text += f"; its state differs on {', '.join(diverged)}: restart them"
-    return f"{text} ({age(age_ms)})."
+    return f"{text} ({format_age(age_ms)})."
 
 
 def _seat_name(seat: SeatLine) -> str:
