--- a/src/comfreylatch/_process/json_file.py
+++ b/src/comfreylatch/_process/json_file.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class PlacedError:
+class LocatedError:
     """One error of a file.
 
     Attributes:
@@ -40,9 +40,9 @@
     nearest: str = ""
 
     def __str__(self) -> str:
-        place = f"{self.file}:{self.line}:{self.column}"
+        position = f"{self.file}:{self.line}:{self.column}"
         key = f"{self.key}: " if self.key else ""
-        text = f"{place}: {key}expected {self.expected}, found {self.found}"
+        text = f"{position}: {key}expected {self.expected}, found {self.found}"
         if self.nearest:
             text += f"; did you mean {self.nearest!r}?"
         return text
@@ -52,14 +52,14 @@
 class FileErrors:
     """Every error of one file, in the order of the text."""
 
-    errors: tuple[PlacedError, ...]
+    errors: tuple[LocatedError, ...]
 
 
 def read(path: str, checker: Checker) -> result.Result[Any, FileErrors]:
     """Reads a file and returns its decoded value once `checker` is content."""
     match _read_text(path):
         case result.Err(detail):
-            error = PlacedError(path, 0, 0, "", "a readable file", detail)
+            error = LocatedError(path, 0, 0, "", "a readable file", detail)
             return result.Err(FileErrors((error,)))
         case result.Ok(text):
             return decode(text, path, checker)
@@ -81,16 +81,16 @@
 
     try:
         value = jsonc.loads(
-            text, object_pairs_hook=object_of, parse_constant=_no_constant
+            text, object_pairs_hook=object_of, parse_constant=_reject_constant
         )
     except (ValueError, RecursionError):
         return result.Err(_syntax_errors(text, file))
     if _depth(value) > MAX_DEPTH:
-        error = PlacedError(file, 1, 1, "", "fewer levels", "deep nesting")
+        error = LocatedError(file, 1, 1, "", "fewer levels", "deep nesting")
         return result.Err(FileErrors((error,)))
     problems = checker(value)
     if problems or repeated:
-        return result.Err(_place(text, file, problems))
+        return result.Err(_locate_problems(text, file, problems))
     return result.Ok(value)
 
 
@@ -106,7 +106,7 @@
         return result.Err(f"a byte at {error.start} that is not UTF-8")
 
 
-def _no_constant(word: str) -> Any:
+def _reject_constant(word: str) -> Any:
     raise ValueError(f"{word} is not JSON")
 
 
@@ -126,8 +126,8 @@
 def _syntax_errors(text: str, file: str) -> FileErrors:
     from comfreylatch._process import json_positions
 
-    problem = json_positions.Outline(text).syntax_problem()
-    error = PlacedError(
+    problem = json_positions.SyntaxTree(text).syntax_problem()
+    error = LocatedError(
         file=file,
         line=problem.position.line,
         column=problem.position.column,
@@ -138,31 +138,35 @@
     return FileErrors((error,))
 
 
-def _place(text: str, file: str, problems: schema.Problems) -> FileErrors:
+def _locate_problems(
+    text: str, file: str, problems: schema.Problems
+) -> FileErrors:
     from comfreylatch._process import json_positions
 
-    outline = json_positions.Outline(text)
+    syntax_tree = json_positions.SyntaxTree(text)
     errors = []
     for problem in problems:
         is_key = problem.found.startswith(schema.UNKNOWN_KEY)
-        find = outline.key_position if is_key else outline.position
-        place = find(problem.path)
+        find = syntax_tree.key_position if is_key else syntax_tree.position
+        position = find(problem.path)
         errors.append(
-            PlacedError(
+            LocatedError(
                 file=file,
-                line=place.line,
-                column=place.column,
+                line=position.line,
+                column=position.column,
                 key=problem.path,
                 expected=problem.expected,
                 found=problem.found,
                 nearest=problem.nearest,
             )
         )
-    for path, place in outline.duplicate_keys():
+    for path, position in syntax_tree.duplicate_keys():
         expected = "each key once"
         found = "the key a second time"
         errors.append(
-            PlacedError(file, place.line, place.column, path, expected, found)
+            LocatedError(
+                file, position.line, position.column, path, expected, found
+            )
         )
     errors.sort(key=lambda error: (error.line, error.column))
     return FileErrors(tuple(errors))
--- a/src/comfreylatch/_process/json_positions.py
+++ b/src/comfreylatch/_process/json_positions.py
@@ -45,7 +45,7 @@
     value: tree_sitter.Node
 
 
-class Outline:
+class SyntaxTree:
     """The syntax tree of one text."""
 
     def __init__(self, text: str) -> None:
@@ -81,7 +81,7 @@
         value = _first_value(self._tree.root_node)
         rest = path
         while rest and value is not None:
-            step = _step(value, rest)
+            step = _resolve_step(value, rest)
             if step is None:
                 break
             key, value, rest = step
@@ -91,7 +91,7 @@
         """The first error of a text that is not JSON with comments."""
         blanked = self._blank_comments_and_trailing_commas()
         try:
-            json.loads(blanked, parse_constant=_no_constant)
+            json.loads(blanked, parse_constant=_reject_constant)
         except RecursionError:
             return SyntaxProblem(Position(1, 1), "fewer levels", "deep nesting")
         except json.JSONDecodeError as error:
@@ -104,10 +104,10 @@
             )
         except ValueError as error:
             word = str(error)
-            return SyntaxProblem(self._place_of(word), "a JSON value", word)
+            return SyntaxProblem(self._position_of(word), "a JSON value", word)
         return SyntaxProblem(Position(1, 1), "JSON with comments", "other text")
 
-    def _place_of(self, word: str) -> Position:
+    def _position_of(self, word: str) -> Position:
         for row, line in enumerate(self._lines):
             column = line.decode("utf-8", "replace").find(word)
             if column >= 0:
@@ -125,11 +125,13 @@
         found = []
         seen = set()
         for member in _members(node):
-            here = path + member.label if path else member.label.lstrip(".")
+            member_path = (
+                path + member.label if path else member.label.lstrip(".")
+            )
             if member.key is not None and member.label in seen:
-                found.append((here, self._start(member.key)))
+                found.append((member_path, self._start(member.key)))
             seen.add(member.label)
-            found.extend(self._duplicates(member.value, here))
+            found.extend(self._duplicates(member.value, member_path))
         return found
 
     def _blank_comments_and_trailing_commas(self) -> str:
@@ -147,13 +149,13 @@
         return blanked.decode("utf-8", "replace")
 
 
-def _no_constant(word: str) -> Any:
+def _reject_constant(word: str) -> Any:
     raise ValueError(word)
 
 
 def _blank(source: bytearray, node: tree_sitter.Node) -> None:
     text = bytes(source[node.start_byte : node.end_byte]).decode("utf-8")
-    spaces = "".join("\n" if letter == "\n" else " " for letter in text)
+    spaces = "".join("\n" if char == "\n" else " " for char in text)
     # Padding keeps byte offsets of later nodes right.
     padding = len(text.encode("utf-8")) - len(spaces)
     source[node.start_byte : node.end_byte] = (spaces + " " * padding).encode()
@@ -202,15 +204,15 @@
     ]
 
 
-def _step(
+def _resolve_step(
     node: tree_sitter.Node, path: str
 ) -> tuple[tree_sitter.Node | None, tree_sitter.Node, str] | None:
     """The member that a path leads to, and the rest of the path."""
     found = None
-    lead = path if path.startswith("[") else f".{path.removeprefix('.')}"
+    suffix = path if path.startswith("[") else f".{path.removeprefix('.')}"
     for member in _members(node):
-        rest = lead[len(member.label) :]
-        if lead.startswith(member.label) and rest[:1] in ("", ".", "["):
+        rest = suffix[len(member.label) :]
+        if suffix.startswith(member.label) and rest[:1] in ("", ".", "["):
             # A later member of the same name is the one in force.
             found = (member.key, member.value, rest)
     return found
--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -90,8 +90,8 @@
         for key in ("seat", "zone"):
             name = named.get(key)
             if isinstance(name, str) and not name.strip():
-                where = schema.join(path, key)
-                yield schema.Problem(where, "a name", schema.show(name))
+                seat_path = schema.join(path, key)
+                yield schema.Problem(seat_path, "a name", schema.show(name))
 
 
 def _addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
@@ -178,13 +178,17 @@
     used_addresses: set[str] = set()
     for path, peer in _peers(value):
         seat = peer.get("seat")
-        where = f"{path}.seat"
+        seat_path = f"{path}.seat"
         if isinstance(seat, str):
             uses[seat] += 1
             if seat == own:
-                yield schema.Problem(where, "other seats only", f"own {seat!r}")
+                yield schema.Problem(
+                    seat_path, "other seats only", f"own {seat!r}"
+                )
             elif uses[seat] > 1:
-                yield schema.Problem(where, "each seat once", f"{seat!r} again")
+                yield schema.Problem(
+                    seat_path, "each seat once", f"{seat!r} again"
+                )
         peer_address = peer.get("peer_address")
         if isinstance(peer_address, str):
             if peer_address in (value.get("peer_address"), *used_addresses):
--- a/tests/process/test_settings_file.py
+++ b/tests/process/test_settings_file.py
@@ -38,7 +38,7 @@
 class SettingsFileTest(testtools.TestCase):
     """What a file with faults is answered with."""
 
-    def errors_of(self, text: str) -> list[json_file.PlacedError]:
+    def errors_of(self, text: str) -> list[json_file.LocatedError]:
         checked = json_file.decode(text, "s.json", settings_file.check)
         return list(checked.err_value.errors) if checked.is_err() else []
 
