--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -51,20 +51,20 @@
     problems = schema.check(value, settings_module.Settings, "")
     if not isinstance(value, dict):
         return problems
-    wrong = {problem.path for problem in problems}
+    reported = {problem.path for problem in problems}
     for problem in _value_problems(value):
-        if problem.path not in wrong:
+        if problem.path not in reported:
             problems.append(problem)
     return problems
 
 
 def _value_problems(value: dict[str, Any]) -> Iterator[schema.Problem]:
-    yield from _names(value)
-    yield from _addresses(value)
-    yield from _timing(value)
-    yield from _ranges(value)
-    yield from _seats(value)
-    yield from _routing(value)
+    yield from _check_names(value)
+    yield from _check_addresses(value)
+    yield from _check_timing(value)
+    yield from _check_ranges(value)
+    yield from _check_seats(value)
+    yield from _check_routing(value)
 
 
 def _peers(value: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
@@ -79,13 +79,13 @@
     ]
 
 
-def _member(value: dict[str, Any], key: str) -> dict[str, Any]:
+def _object_member(value: dict[str, Any], key: str) -> dict[str, Any]:
     """A member that is an object; an empty one when it is not."""
     member = value.get(key)
     return member if isinstance(member, dict) else {}
 
 
-def _names(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_names(value: dict[str, Any]) -> Iterator[schema.Problem]:
     for path, named in [("", value), *_peers(value)]:
         for key in ("seat", "zone"):
             name = named.get(key)
@@ -94,20 +94,20 @@
                 yield schema.Problem(seat_path, "a name", schema.show(name))
 
 
-def _addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
     texts = [(key, value.get(key)) for key in _OWN_ADDRESSES]
-    platform = _member(value, "platform")
+    platform = _object_member(value, "platform")
     for key in _PLATFORM_ADDRESSES:
         texts.append((f"platform.{key}", platform.get(key)))
     for path, peer in _peers(value):
         texts.append((f"{path}.peer_address", peer.get("peer_address")))
     for path, text in texts:
         if isinstance(text, str):
-            yield from _address(path, text)
-    yield from _repeated_listeners(value)
+            yield from _check_address(path, text)
+    yield from _check_listeners_differ(value)
 
 
-def _address(path: str, text: str) -> Iterator[schema.Problem]:
+def _check_address(path: str, text: str) -> Iterator[schema.Problem]:
     match addresses.parse(text):
         case result.Err(bad):
             expected = "IP:port, such as 10.0.0.5:8080"
@@ -116,7 +116,7 @@
             yield schema.Problem(path, "a port from 1 on", text)
 
 
-def _repeated_listeners(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_listeners_differ(value: dict[str, Any]) -> Iterator[schema.Problem]:
     first_by_text: dict[str, str] = {}
     for name in _OWN_ADDRESSES:
         text = value.get(name)
@@ -128,8 +128,8 @@
         first_by_text.setdefault(text, name)
 
 
-def _timing(value: dict[str, Any]) -> Iterator[schema.Problem]:
-    timing = _member(value, "timing")
+def _check_timing(value: dict[str, Any]) -> Iterator[schema.Problem]:
+    timing = _object_member(value, "timing")
     for field in attrs.fields(settings_module.TimingSettings):
         duration_ms = timing.get(field.name)
         if not _is_int(duration_ms):
@@ -140,7 +140,7 @@
             yield schema.Problem(path, expected, str(duration_ms))
 
 
-def _ranges(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_ranges(value: dict[str, Any]) -> Iterator[schema.Problem]:
     threads = value.get("threads")
     if _is_int(threads) and not MIN_THREADS <= threads <= MAX_THREADS:
         expected = f"{MIN_THREADS} to {MAX_THREADS} threads"
@@ -151,8 +151,8 @@
         yield schema.Problem("log_level", expected, schema.show(level))
 
 
-def _routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
-    routing = _member(value, "routing")
+def _check_routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
+    routing = _object_member(value, "routing")
     policy = routing.get("policy")
     known = [known.value for known in load_balancing.Policy]
     if isinstance(policy, str) and policy not in known:
@@ -172,7 +172,7 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _seats(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_seats(value: dict[str, Any]) -> Iterator[schema.Problem]:
     own = value.get("seat")
     uses: collections.Counter[str] = collections.Counter()
     used_addresses: set[str] = set()
