--- a/src/comfreylatch/_process/json_logs.py
+++ b/src/comfreylatch/_process/json_logs.py
@@ -23,14 +23,14 @@
 from comfreylatch._process import logs
 
 # About a second's worth at the busiest, in 1 MB of memory.
-MOST_LINES = 4_096
+MAX_QUEUED_LINES = 4_096
 # The writer wakes this often; a line may be that late.
 WRITE_INTERVAL_S = 0.1
 # Time that leaving waits for the last lines.
-FLUSH_S = 0.5
+FLUSH_TIMEOUT_S = 0.5
 # Lines of a folded event that are written in a second; the rest are counted.
-FOLD_ABOVE = 20
-FOLDED_EVENTS: Final = frozenset(
+MAX_EVENT_LINES_PER_SECOND = 20
+RATE_LIMITED_EVENTS: Final = frozenset(
     {
         "append-retried",
         "bad-record",
@@ -60,12 +60,14 @@
         self._lock = threading.RLock()
         self._lines: collections.deque[bytes] = collections.deque()
         self._dropped: collections.Counter[str] = collections.Counter()
-        self._folded: collections.Counter[str] = collections.Counter()
-        self._in_second: collections.Counter[str] = collections.Counter()
-        self._second = 0
-        self._ended = threading.Event()
+        self._suppressed: collections.Counter[str] = collections.Counter()
+        self._lines_this_second: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self._current_second = 0
+        self._stopping = threading.Event()
         self._thread = threading.Thread(
-            target=self._write_all, name="log-writer", daemon=True
+            target=self._run, name="log-writer", daemon=True
         )
 
     def __enter__(self) -> Self:
@@ -75,37 +77,37 @@
 
     def __exit__(self, *exception: object) -> None:
         self.pop_application()
-        self._ended.set()
-        self._thread.join(FLUSH_S)
+        self._stopping.set()
+        self._thread.join(FLUSH_TIMEOUT_S)
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Queues a record's line; never waits."""
         message = record.msg
-        if isinstance(message, logs.Line):
+        if isinstance(message, logs.LogEvent):
             name, fields = message.name, message.fields
         else:
             name, fields = "message", {"text": record.message}
-        if self._is_folded(name):
+        if self._is_over_rate(name):
             return
         line = self._encode(record, name, fields)
         with self._lock:
-            if len(self._lines) < MOST_LINES:
+            if len(self._lines) < MAX_QUEUED_LINES:
                 self._lines.append(line)
             else:
                 self._dropped[name] += 1
 
-    def _is_folded(self, name: str) -> bool:
-        if name not in FOLDED_EVENTS:
+    def _is_over_rate(self, name: str) -> bool:
+        if name not in RATE_LIMITED_EVENTS:
             return False
         second = int(time.monotonic())
         with self._lock:
-            if second != self._second:
-                self._second = second
-                self._in_second.clear()
-            self._in_second[name] += 1
-            if self._in_second[name] <= FOLD_ABOVE:
+            if second != self._current_second:
+                self._current_second = second
+                self._lines_this_second.clear()
+            self._lines_this_second[name] += 1
+            if self._lines_this_second[name] <= MAX_EVENT_LINES_PER_SECOND:
                 return False
-            self._folded[name] += 1
+            self._suppressed[name] += 1
             return True
 
     def _encode(
@@ -122,8 +124,8 @@
             line["traceback"] = record.formatted_exception
         return msgspec.json.encode(line, enc_hook=str) + b"\n"
 
-    def _write_all(self) -> None:
-        while not self._ended.wait(WRITE_INTERVAL_S):
+    def _run(self) -> None:
+        while not self._stopping.wait(WRITE_INTERVAL_S):
             self._write_queued()
         self._write_queued()
 
@@ -131,9 +133,9 @@
         with self._lock:
             lines = list(self._lines)
             self._lines.clear()
-            counts = {"dropped": self._dropped, "folded": self._folded}
+            counts = {"dropped": self._dropped, "folded": self._suppressed}
             self._dropped = collections.Counter()
-            self._folded = collections.Counter()
+            self._suppressed = collections.Counter()
         for kind, by_event in counts.items():
             if by_event:
                 summary = {"event": f"lines-{kind}", "by_event": by_event}
@@ -141,13 +143,13 @@
         if not lines:
             return
         try:
-            _write_whole(self._descriptor, b"".join(lines))
+            _write_fully(self._descriptor, b"".join(lines))
         except OSError:
             # Nobody reads the logs any more; there is nowhere to say so.
-            self._ended.set()
+            self._stopping.set()
 
 
-def _write_whole(descriptor: int, content: bytes) -> None:
+def _write_fully(descriptor: int, content: bytes) -> None:
     view = memoryview(content)
     while view:
         view = view[os.write(descriptor, view) :]
--- a/src/comfreylatch/_process/logs.py
+++ b/src/comfreylatch/_process/logs.py
@@ -13,19 +13,19 @@
 import logbook
 from logbook import handlers
 
-MAX_VALUE_LETTERS = 500
+MAX_VALUE_CHARS = 500
 
 _LINE_FORMAT: Final = (
     "{record.time:%Y-%m-%dT%H:%M:%S.%f}Z level={record.level_name} "
     "logger={record.channel} {record.message}"
 )
-_PLAIN_LETTERS: Final = frozenset(
+_UNQUOTED_CHARS: Final = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@[],%"
 )
 
 
 @final
-class _OneLine(handlers.StringFormatter):
+class _SingleLineFormatter(handlers.StringFormatter):
     """Keeps every event on one line, with its traceback if it has one."""
 
     def __call__(
@@ -52,7 +52,7 @@
             stream or sys.stderr,
             level=logbook.lookup_level(level.upper()),
         )
-        self._handler.formatter = _OneLine(_LINE_FORMAT)
+        self._handler.formatter = _SingleLineFormatter(_LINE_FORMAT)
 
     def __enter__(self) -> Self:
         self._handler.push_application()
@@ -65,30 +65,30 @@
 
 def event(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs something that happened, at level info."""
-    logger.info(Line(name, fields))
+    logger.info(LogEvent(name, fields))
 
 
 def debug(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs something only wanted in a close look, at level debug."""
-    logger.debug(Line(name, fields))
+    logger.debug(LogEvent(name, fields))
 
 
 def warning(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs something that an operator should look at."""
-    logger.warning(Line(name, fields))
+    logger.warning(LogEvent(name, fields))
 
 
 def error(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs something that went wrong here."""
-    logger.error(Line(name, fields))
+    logger.error(LogEvent(name, fields))
 
 
 def exception(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
     """Logs the exception being handled, with its traceback."""
-    logger.exception(Line(name, fields))
+    logger.exception(LogEvent(name, fields))
 
 
-class Line:
+class LogEvent:
     """An event and its fields; made to text only where a handler wants it.
 
     Attributes:
@@ -109,8 +109,8 @@
 
 def _quoted(value: Any) -> str:
     text = str(value)
-    if len(text) > MAX_VALUE_LETTERS:
-        text = text[:MAX_VALUE_LETTERS] + "..."
-    if text and _PLAIN_LETTERS.issuperset(text):
+    if len(text) > MAX_VALUE_CHARS:
+        text = text[:MAX_VALUE_CHARS] + "..."
+    if text and _UNQUOTED_CHARS.issuperset(text):
         return text
     return json.dumps(text, ensure_ascii=False)
--- a/tests/process/test_json_logs.py
+++ b/tests/process/test_json_logs.py
@@ -52,7 +52,7 @@
         )
         written = sum(line["event"] == "pace" for line in lines)
         self.assertEqual(200, folded + written)
-        self.assertLessEqual(written, 2 * json_logs.FOLD_ABOVE)
+        self.assertLessEqual(written, 2 * json_logs.MAX_EVENT_LINES_PER_SECOND)
 
     def test_stalled_output_blocks_nothing_and_drops_are_counted(
         self,
@@ -60,9 +60,9 @@
         output = json_logs.JsonLogOutput("info", self.writer)
         with output:
             started_s = time.monotonic()
-            for number in range(3 * json_logs.MOST_LINES):
+            for number in range(3 * json_logs.MAX_QUEUED_LINES):
                 logs.event(_logger, "job-ended", job=str(number), pad="x" * 90)
-                if number == json_logs.MOST_LINES // 2:
+                if number == json_logs.MAX_QUEUED_LINES // 2:
                     # The writer is now stuck in a full pipe.
                     time.sleep(3 * json_logs.WRITE_INTERVAL_S)
             self.assertLess(time.monotonic() - started_s, 5)
@@ -76,7 +76,7 @@
         dropped = [one for one in found if one["event"] == "lines-dropped"]
         written = sum(one["event"] == "job-ended" for one in found)
         counted = sum(one["by_event"]["job-ended"] for one in dropped)
-        self.assertEqual(3 * json_logs.MOST_LINES, written + counted)
+        self.assertEqual(3 * json_logs.MAX_QUEUED_LINES, written + counted)
         self.assertGreater(counted, 0)
 
     def drain(self, found: list[Any]) -> None:
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -33,7 +33,7 @@
 
     def test_long_value_is_cut(self) -> None:
         (line,) = self.lines_of("info", detail="x" * 100_000)
-        self.assertLess(len(line), 2 * logs.MAX_VALUE_LETTERS)
+        self.assertLess(len(line), 2 * logs.MAX_VALUE_CHARS)
 
     def test_traceback_stays_on_the_line_of_its_event(self) -> None:
         stream = io.StringIO()
