--- a/src/comfreylatch/_process/metrics.py
+++ b/src/comfreylatch/_process/metrics.py
@@ -9,8 +9,8 @@
 import attrs
 from hdrh import histogram
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 2
 
 
@@ -105,10 +105,10 @@
         )
         self._histograms: dict[tuple[str, str], histogram.HdrHistogram] = {}
 
-    def count(self, counter: Counter, label: str = "", by: int = 1) -> None:
+    def count(self, counter: Counter, label: str = "", amount: int = 1) -> None:
         """Adds to a counter; `label` is a reason or the name of a thing."""
         with self._lock:
-            self._counters[counter, label] += by
+            self._counters[counter, label] += amount
 
     def value(self, counter: Counter, label: str = "") -> int:
         """Value of a counter so far."""
@@ -119,15 +119,15 @@
         self, latency: Latency, elapsed_us: int, label: str = ""
     ) -> None:
         """Adds one measured time."""
-        bounded_us = min(max(elapsed_us, LOWEST_US), HIGHEST_US)
+        bounded_us = min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
         with self._lock:
-            found = self._histograms.get((latency, label))
-            if found is None:
-                found = histogram.HdrHistogram(
-                    LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
+            recorded = self._histograms.get((latency, label))
+            if recorded is None:
+                recorded = histogram.HdrHistogram(
+                    MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
                 )
-                self._histograms[latency, label] = found
-            found.record_value(bounded_us)
+                self._histograms[latency, label] = recorded
+            recorded.record_value(bounded_us)
 
     def page(self) -> MetricsPage:
         """A consistent copy of everything."""
@@ -137,22 +137,24 @@
                 for (counter, label), value in sorted(self._counters.items())
             )
             latencies = tuple(
-                _latency_line(latency, label, found)
-                for (latency, label), found in sorted(self._histograms.items())
+                _latency_line(latency, label, recorded)
+                for (latency, label), recorded in sorted(
+                    self._histograms.items()
+                )
             )
         return MetricsPage(counters, latencies)
 
 
 def _latency_line(
-    latency: str, label: str, found: histogram.HdrHistogram
+    latency: str, label: str, recorded: histogram.HdrHistogram
 ) -> LatencyLine:
     return LatencyLine(
         latency=latency,
         label=label,
-        count=found.get_total_count(),
-        p50_us=int(found.get_value_at_percentile(50)),
-        p99_us=int(found.get_value_at_percentile(99)),
-        p999_us=int(found.get_value_at_percentile(99.9)),
-        max_us=int(found.get_max_value()),
-        encoded=found.encode().decode("ascii"),
+        count=recorded.get_total_count(),
+        p50_us=int(recorded.get_value_at_percentile(50)),
+        p99_us=int(recorded.get_value_at_percentile(99)),
+        p999_us=int(recorded.get_value_at_percentile(99.9)),
+        max_us=int(recorded.get_max_value()),
+        encoded=recorded.encode().decode("ascii"),
     )
