--- a/src/comfreylatch/_process/append_batch.py
+++ b/src/comfreylatch/_process/append_batch.py
@@ -1,4 +1,4 @@
-"""Records on their way to the log, and what their callers are told."""
+"""Queued and sent appends to the log, with the outcome for each caller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.define(eq=False)
 class PendingAppend:
-    """One caller's records on their way to the log."""
+    """Records of one `append` call that wait for their outcome."""
 
     payloads: tuple[bytes, ...]
     first_sequence: int
@@ -22,7 +22,7 @@
     outcome: AppendOutcome | None = None
 
     def settle(self, outcome: AppendOutcome) -> None:
-        """Sets the outcome, once."""
+        """Sets the outcome; later calls have no effect."""
         if self.outcome is None:
             self.outcome = outcome
             self.done.set()
@@ -30,13 +30,14 @@
 
 @attrs.define(eq=False)
 class AppendBatch:
-    """Records that go into one append, and what is known of it.
+    """Records of several callers that are sent to the log in one append.
 
     Attributes:
-        calls: Whose records they are, in order.
+        appends: The callers' appends, in the order of their records.
         payloads: All records, encoded.
-        maybe_appended: Whether an answer to sending it was ever lost.
-        settled: Whether the callers have been told.
+        maybe_appended: Whether the log may already hold the records, because
+            the answer to an attempt was lost.
+        settled: Whether every caller's outcome is set.
     """
 
     appends: tuple[PendingAppend, ...]
@@ -56,7 +57,7 @@
         return last.first_sequence + len(last.payloads) - 1
 
     def settle_appended(self, first_offset: int) -> None:
-        """Tells the callers that all records are on the stream."""
+        """Settles every append as appended, the first at `first_offset`."""
         offset = first_offset
         for pending in self.appends:
             pending.settle(result.Ok(streams.Appended(offset)))
@@ -64,7 +65,7 @@
         self.settled = True
 
     def settle_refused(self, refusal: streams.AppendRefusal) -> None:
-        """Tells the callers why their records are not, or not known to be."""
+        """Settles every append with the same refusal."""
         for pending in self.appends:
             pending.settle(result.Err(refusal))
         self.settled = True
--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -28,10 +28,11 @@
 MAX_BATCH_BYTES = 512 * 1_024
 MAX_QUEUED_RECORDS = 4_096
 MIN_RETRY_AFTER_MS = 500
-# One batch may find its answer lost by chance; twice in a row is an outage.
+# A single lost answer may be chance; two in a row count as an outage.
 LOST_ANSWERS_BEFORE_OUTAGE = 2
 DEFAULT_MIN_APPEND_INTERVAL_MS = 50
-# Without word from the log for so long, a read goes before the next append.
+# After this time without an answer from the log, a read probes it before the
+# next append is sent.
 PROBE_AFTER_IDLE_MS = 1_000
 
 _events = logbook.Logger(__name__)
@@ -41,14 +42,14 @@
 class StreamAppender:
     """Implements `RecordAppender` with one thread for the stream.
 
-    One append is under way at a time. As long as its outcome is unknown the
-    same payloads are sent again, and nothing else, so that a writer's
-    sequences reach the stream in rising order. While the log is down, new
-    records are refused at once. After a silence a read goes first, so that a
-    cut is found by a call which leaves nothing unknown.
+    At most one append is in flight. While its outcome is unknown, only the
+    same payloads are sent again, so that a writer's sequences reach the
+    stream in ascending order. While the log is down, new records are refused
+    at once. After an idle period a read probes the log first, because a
+    failed read, unlike a failed append, leaves no outcome unknown.
 
-    `min_append_interval_ms` is the least time between two appends: the stream's share of
-    what the log takes.
+    `min_append_interval_ms` is the minimum time between two appends; it
+    limits the stream to its share of the log's append rate.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        """Ends the thread; what was sent without an answer stays unknown."""
+        """Stops the thread; an unanswered append ends as unknown."""
         with self._condition:
             self._closing = True
             self._refuse_queue("this host is stopping")
@@ -116,12 +117,12 @@
 
     @property
     def down(self) -> bool:
-        """Whether the log is known not to take records now."""
+        """Whether the log counts as down, so that new records are refused."""
         return self._down
 
     @property
     def busy(self) -> bool:
-        """Whether records wait for the log or for its answer."""
+        """Whether records are queued or in flight."""
         with self._condition:
             self._drop_settled()
             return self._batch is not None or bool(self._queue)
@@ -131,8 +132,8 @@
     ) -> append_batch.AppendOutcome:
         """See `RecordAppender.append`.
 
-        Records not yet sent when the time is up are taken back, and
-        `NotAccepted` is true of them.
+        Records not yet sent at the timeout are removed from the queue and
+        reported as `NotAccepted`.
         """
         pending = self.submit(bodies)
         if not pending.done.wait(timeout_ms / 1_000):
@@ -141,7 +142,7 @@
         return pending.outcome
 
     def submit(self, bodies: Sequence[Any]) -> append_batch.PendingAppend:
-        """Queues records, or refuses them at once; does not wait."""
+        """Queues records, or refuses them at once, without blocking."""
         with self._condition:
             pending = self._encode(bodies)
             refusal = self._refusal(len(bodies))
@@ -154,14 +155,16 @@
             return pending
 
     def abandon(self, pending: append_batch.PendingAppend) -> None:
-        """Ends the wait for records; those not yet sent are taken back."""
+        """Settles an append at its timeout, and dequeues it if not yet sent."""
         with self._condition:
             if pending.outcome is not None:
                 return
             if pending in self._queue:
                 self._queue.remove(pending)
                 self._queued_records -= len(pending.payloads)
-                refusal = self._not_accepted("the log is slow")
+                refusal = self._not_accepted(
+                    "the log did not take the records in time"
+                )
                 pending.settle(result.Err(refusal))
                 return
             pending.settle(
@@ -169,11 +172,11 @@
             )
 
     def resolve(self, seen_sequence: int, offset: int) -> None:
-        """Tells that a record of this writer was read back from the stream.
+        """Settles the batch in flight if a record of it was read back.
 
         Args:
-            seen_sequence: Its sequence.
-            offset: Its offset, of the first copy on the stream.
+            seen_sequence: Sequence of the record read back.
+            offset: Offset of the first copy of that record.
         """
         with self._condition:
             batch = self._batch
@@ -186,7 +189,7 @@
                 self._condition.notify_all()
 
     def observe(self, applied: stream_state.Applied) -> None:
-        """Resolves unknown appends by what a follower has read back."""
+        """Resolves an unknown append from the entries a follower applied."""
         line = applied.last_records.get(self._writer)
         if line is not None:
             self.resolve(line.sequence, line.offset)
@@ -230,7 +233,7 @@
         if self._down:
             return self._not_accepted("the log is down")
         if self._queued_records + count > MAX_QUEUED_RECORDS:
-            return self._not_accepted("too many records wait for the log")
+            return self._not_accepted("too many records are queued for the log")
         return None
 
     def _not_accepted(self, detail: str) -> streams.NotAccepted:
@@ -242,7 +245,7 @@
         return self._batch is not None or bool(self._queue) or self._down
 
     def _needs_probe(self) -> bool:
-        """Whether the log is to be asked for before anything new is sent."""
+        """Whether a read has to probe the log before the next new batch."""
         idle_ms = self._clock.monotonic_ms() - self._last_contact_ms
         return self._down or (
             bool(self._queue) and idle_ms >= PROBE_AFTER_IDLE_MS
@@ -258,7 +261,7 @@
             self._batch = None
 
     def _start_batch(self) -> append_batch.AppendBatch | None:
-        """Moves calls from the queue into a new batch."""
+        """Moves appends from the queue into a new batch."""
         appends: list[append_batch.PendingAppend] = []
         payloads: list[bytes] = []
         size_bytes = 0
@@ -316,10 +319,12 @@
     def _refuse_unless_sent(
         self, batch: append_batch.AppendBatch, detail: str
     ) -> None:
-        """Refuses a batch of which the log certainly holds nothing."""
+        """Refuses a batch that the log cannot hold."""
         if not batch.maybe_appended and not batch.settled:
             batch.settle_refused(
-                self._not_accepted(f"the log did not take it: {detail}")
+                self._not_accepted(
+                    f"the log did not take the records: {detail}"
+                )
             )
 
     def _record_failure(self, reason: reasons.RetryReason, detail: str) -> None:
@@ -349,7 +354,7 @@
         self._queued_records = 0
 
     def _probe(self) -> None:
-        """Finds out by a read, which changes nothing, whether the log is up."""
+        """Checks by a read, which has no side effect, whether the log is up."""
         answer = self._log.read(self._stream, 0, 1, 0)
         with self._condition:
             match answer:
@@ -372,7 +377,7 @@
                 self._wait(delay_ms)
 
     def _mark_maybe_appended(self) -> None:
-        """After an unexpected error the batch may be on the stream."""
+        """Treats the batch as possibly appended after an unexpected error."""
         with self._condition:
             if self._batch is not None:
                 self._batch.maybe_appended = True
--- a/src/comfreylatch/_process/catch_up.py
+++ b/src/comfreylatch/_process/catch_up.py
@@ -1,4 +1,4 @@
-"""State of a stream taken from, and given to, another entry host."""
+"""Transfer of a stream's state between entry hosts."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @attrs.frozen
 class CatchUp:
-    """What brings a host from one offset of a stream to a later one.
+    """State that advances a host from one offset of a stream to a later one.
 
     Attributes:
         snapshot: An encoded `StreamSnapshot`; empty when entries suffice.
-        entries: What follows the snapshot, or the offset asked for.
-        offset: Where the receiver is after them.
-        digest: Digest of the fold there.
-        floor: Highest offset that any peer is known to have; a host that
-            has no state of its own must not serve below it.
+        entries: Entries after the snapshot, or after the requested offset.
+        offset: Offset of the receiver once it has applied them.
+        digest: Digest of the fold at `offset`.
+        min_serving_offset: Highest offset that any peer is known to have; a
+            host without a state of its own must not serve below it.
     """
 
     snapshot: bytes
@@ -36,31 +36,33 @@
 
 @attrs.frozen
 class CatchUpUnavailable:
-    """No peer can give the state now."""
+    """No peer can send the state now."""
 
     detail: str
 
 
 class CatchUpSource(Protocol):
-    """Where a follower gets records when the log can't give them."""
+    """Alternative source of a follower's records when the log has none."""
 
     def fetch(
         self, stream: str, after_offset: int
     ) -> result.Result[CatchUp, CatchUpUnavailable]:
-        """Fetches what follows an offset; may hold nothing new."""
+        """Fetches the state after an offset; the result may be empty."""
         ...
 
 
 @final
 class PeerCatchUp:
-    """Asks peers, the most advanced first, those of the own zone before others.
+    """Fetches state from the most advanced peer that answers.
+
+    Among peers with equal offsets, those of this host's zone come first.
 
     Args:
         peers: The other entry hosts.
         zone: This host's availability zone.
-        timeout_ms: For one call to a peer.
-        zone_only: Whether only peers of the own zone follow the stream; if
-            not, it is the configuration stream, of which views give offsets.
+        timeout_ms: Timeout of one call to a peer.
+        zone_only: Whether only peers of this zone follow the stream. If not,
+            it is the configuration stream, whose offsets are in the views.
     """
 
     def __init__(
@@ -93,7 +95,7 @@
             answer = self._peers.catch_up(view.seat, request, self._timeout_ms)
             if answer.is_ok():
                 return result.Ok(from_wire(answer.ok(), min_serving_offset))
-        return result.Err(CatchUpUnavailable("no peer reached has the state"))
+        return result.Err(CatchUpUnavailable("no reachable peer has the state"))
 
     def _candidates(self) -> list[peers_port.PeerView]:
         views = [
@@ -108,14 +110,14 @@
         return views
 
 
-def to_wire(given: CatchUp) -> ttypes.CatchUpReply:
-    """The reply of `PeerHandler.catch_up`."""
+def to_wire(catch_up: CatchUp) -> ttypes.CatchUpReply:
+    """Converts a catch-up to the reply of `PeerHandler.catch_up`."""
     return ttypes.CatchUpReply(
-        snapshot_offset=given.offset if given.snapshot else -1,
-        snapshot=given.snapshot,
-        entries=entries_to_wire(given.entries),
-        offset=given.offset,
-        digest=given.digest,
+        snapshot_offset=catch_up.offset if catch_up.snapshot else -1,
+        snapshot=catch_up.snapshot,
+        entries=entries_to_wire(catch_up.entries),
+        offset=catch_up.offset,
+        digest=catch_up.digest,
     )
 
 
@@ -133,7 +135,7 @@
 def entries_to_wire(
     entries: Sequence[log_port.LogEntry],
 ) -> list[ttypes.StreamEntry]:
-    """Entries as `Peers.push` takes them."""
+    """Converts entries to the form that `Peers.push` expects."""
     return [
         ttypes.StreamEntry(offset=entry.offset, payload=entry.payload)
         for entry in entries
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -1,4 +1,4 @@
-"""Follows one stream and folds its records in the order of their offsets."""
+"""Follows one stream and folds its records in offset order."""
 
 from __future__ import annotations
 
@@ -33,19 +33,19 @@
 
 @final
 class StreamFollower:
-    """Reads a stream with one thread; peers may add to it from others.
+    """Reads a stream on one thread; other threads may add peers' entries.
 
     Args:
         log: The platform's log.
         stream: Name of the stream.
-        fold: Takes every record once, in the order of the offsets.
+        fold: Receives every record once, in offset order.
         metrics: Counts malformed records and retries.
-        clock: For ages.
+        clock: Clock for the age of the state.
         wait_ms: How long the log may hold a read that finds nothing new.
-        catch_up: Asked when the log is down or has dropped what is needed.
+        catch_up: Source of records when the log is down or has expired them.
         after_apply: Called after each change of the fold, outside any lock.
-        retry: Waits between reads that failed.
-        source: Randomness of those waits.
+        retry: Backoff between failed reads.
+        source: Randomness of the backoff.
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        """Ends the thread, after the read under way."""
+        """Stops the thread once the read in progress has returned."""
         self._closing.set()
         self._thread.join()
 
@@ -103,16 +103,16 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the state was once as new as the log or a peer had it."""
+        """Whether the state has ever caught up with the log or a peer."""
         return self._ready
 
     @property
     def first_offset(self) -> int:
-        """Lowest offset the log still keeps, as last heard."""
+        """Lowest offset the log still keeps, as of the last read."""
         return self._first_offset
 
     def offset(self) -> int:
-        """Offset of the last record folded, -1 for none; never falls."""
+        """Offset of the last record folded, -1 for none; never decreases."""
         return self._state.offset
 
     def digest(self) -> str:
@@ -120,20 +120,20 @@
         return self._state.digest()
 
     def position(self) -> tuple[int, str]:
-        """Offset and digest that belong together, for heartbeats."""
+        """Offset and digest of one consistent state, for heartbeats."""
         return self._state.position()
 
     def age_ms(self) -> int:
-        """Time since the state was known to be as new as the log.
+        """Time since the state was last known to match the head of the log.
 
-        `NEVER_SYNCED_AGE_MS` when it never was.
+        `NEVER_SYNCED_AGE_MS` if it never was.
         """
         if self._last_synced_ms < 0:
             return NEVER_SYNCED_AGE_MS
         return max(0, self._clock.monotonic_ms() - self._last_synced_ms)
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
-        """Waits until a record has been folded; False when time is up."""
+        """Waits until a record has been folded; False on timeout."""
         return self._state.wait_for(offset, timeout_ms)
 
     def snapshot(self) -> snapshots.StreamSnapshot:
@@ -141,11 +141,11 @@
         return self._state.snapshot()
 
     def apply_from_peer(self, entries: Sequence[log_port.LogEntry]) -> bool:
-        """Takes entries which a peer has read from the log.
+        """Applies entries that a peer has read from the log.
 
         Returns:
-            Whether they were new and continued exactly from the own offset;
-            otherwise nothing was done.
+            Whether there were new entries that continue exactly from this
+            host's offset; otherwise nothing was applied.
         """
         return self._state.apply(entries, stream_state.EntrySource.PEER)
 
@@ -154,20 +154,21 @@
     ) -> result.Result[
         catch_up_module.CatchUp, catch_up_module.CatchUpUnavailable
     ]:
-        """What brings a peer forward; Err until this host is ready."""
+        """State for a peer to catch up with; Err until this host is ready."""
         if not self._ready:
             return result.Err(catch_up_module.CatchUpUnavailable("not ready"))
         return result.Ok(self._state.catch_up_from(after_offset))
 
     def step(self) -> int:
-        """Makes one read of the log and folds what it gives.
+        """Reads the log once and folds the entries read.
 
         Returns:
             Milliseconds to wait before the next step.
         """
         started_ms = self._clock.monotonic_ms()
         requested_offset = self._state.offset + 1
-        # Whether this is the head must be known soon after the start.
+        # Reads don't wait until a host is ready, so that a host whose state is
+        # at the head of the log becomes ready soon after its start.
         wait_ms = self._wait_ms if self._ready else 0
         answer = self._log.read(
             self._stream, requested_offset, MAX_READ_ENTRIES, wait_ms
@@ -192,27 +193,28 @@
     ) -> int:
         if not batch.entries and batch.next_offset != requested_offset:
             return self._record_failure(
-                f"the log goes on at {batch.next_offset}, not at {requested_offset}"
+                f"the log continues at offset {batch.next_offset}, not at"
+                f" {requested_offset}"
             )
         if batch.entries:
             self._state.apply(batch.entries, stream_state.EntrySource.LOG)
             if batch.entries[-1].offset > self._state.offset:
-                return self._record_failure(
-                    "the log's answer leaves out records"
-                )
+                return self._record_failure("the log's answer skips records")
         self._failures = 0
         self._first_offset = max(self._first_offset, batch.first_offset)
         if len(batch.entries) == MAX_READ_ENTRIES:
             return 0
-        # An empty answer was held back for the whole of the wait; until then
-        # at least nothing newer was on the log.
+        # While the log held back an empty answer, it had nothing newer than
+        # this state.
         held_ms = self._clock.monotonic_ms() - started_ms
-        known_ms = 0 if batch.entries else min(held_ms, wait_ms)
-        self._last_synced_ms = max(self._last_synced_ms, started_ms + known_ms)
+        unchanged_ms = 0 if batch.entries else min(held_ms, wait_ms)
+        self._last_synced_ms = max(
+            self._last_synced_ms, started_ms + unchanged_ms
+        )
         self._ready = True
         if batch.entries:
             return 0
-        # A log that does not hold empty answers back must not be flooded.
+        # Limits the rate of reads of a log that doesn't hold empty answers.
         return max(0, min(EARLY_ANSWER_DELAY_MS, wait_ms - held_ms))
 
     def _record_failure(self, detail: str) -> int:
@@ -231,7 +233,7 @@
         return self._retry.delay_ms(self._failures, self._source)
 
     def _recover_expired(self, first_offset: int) -> int:
-        """Goes on from a snapshot when the next record has expired."""
+        """Continues from a snapshot or a peer after records have expired."""
         loaded = snapshot_stream.load(self._log, self._stream)
         if loaded.is_ok():
             log_source = stream_state.EntrySource.LOG
@@ -253,25 +255,25 @@
         fetched = self._catch_up.fetch(self._stream, self._state.offset)
         if fetched.is_err():
             return
-        given = fetched.ok()
+        received = fetched.ok()
         source = stream_state.EntrySource.PEER
-        if given.snapshot:
-            match snapshots.decode(given.snapshot):
-                case result.Ok(taken):
-                    self._state.restore(taken, source)
+        if received.snapshot:
+            match snapshots.decode(received.snapshot):
+                case result.Ok(snapshot):
+                    self._state.restore(snapshot, source)
                 case result.Err(bad):
                     self._report_bad_peer_message("snapshot", bad.detail)
                     return
-        if given.entries:
-            self._state.apply(given.entries, source)
-        self._verify_position(given)
+        if received.entries:
+            self._state.apply(received.entries, source)
+        self._verify_position(received)
 
-    def _verify_position(self, given: catch_up_module.CatchUp) -> None:
-        """Compares the position with the peer's before serving from it."""
+    def _verify_position(self, received: catch_up_module.CatchUp) -> None:
+        """Marks the state ready if it agrees with the peer's position."""
         offset, digest = self._state.position()
-        if offset == given.offset and digest != given.digest:
+        if offset == received.offset and digest != received.digest:
             self._report_bad_peer_message("digest", f"at offset {offset}")
-        elif offset >= max(given.offset, given.min_serving_offset):
+        elif offset >= max(received.offset, received.min_serving_offset):
             self._ready = True
 
     def _report_bad_peer_message(self, what: str, detail: str) -> None:
--- a/src/comfreylatch/_process/record_pusher.py
+++ b/src/comfreylatch/_process/record_pusher.py
@@ -1,4 +1,4 @@
-"""Hands a host's own new records on to its peers."""
+"""Pushes the records a host has written to its peers."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 @final
 class OwnRecordPusher:
-    """For `after_apply`: pushes what this host wrote and read back.
+    """An `after_apply` callback that pushes this host's own records to peers.
 
-    Only the writer pushes, so that a record costs one message a host; a host
-    that missed it reads the log, or catches up from a peer when it can't.
+    Only the writer pushes, so that a record costs one message per host. A
+    host that misses the message reads the log, or catches up from a peer if
+    it can't reach the log.
     """
 
     def __init__(self, peers: peers_port.Peers, writer: str) -> None:
@@ -22,7 +23,7 @@
         self._writer = writer
 
     def observe(self, applied: stream_state.Applied) -> None:
-        """Pushes the entries if a record of this host is among them."""
+        """Pushes entries read from the log if this host wrote one of them."""
         from_log = applied.source is stream_state.EntrySource.LOG
         if (
             from_log
--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -17,8 +17,8 @@
 from comfreylatch._process import follower as follower_module
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process import snapshot_stream
 from comfreylatch._process import snapshot_schedule
+from comfreylatch._process import snapshot_stream
 from comfreylatch._version import records
 from comfreylatch._version import snapshots
 
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -1,4 +1,4 @@
-"""The folded state of one stream: what was applied, and how far it reaches."""
+"""The folded state of one stream, up to its offset."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from comfreylatch._version import snapshots
 from comfreylatch._version import writers
 
-# What is kept to bring a peer forward without a snapshot.
+# Recent entries kept so that a peer can catch up without a snapshot.
 MAX_RECENT_ENTRIES = 512
 MAX_RECENT_BYTES = 256 * 1_024
 
@@ -31,7 +31,7 @@
 
 
 class EntrySource(enum.StrEnum):
-    """Where applied entries came from."""
+    """Where applied entries were read from."""
 
     LOG = "log"
     PEER = "peer"
@@ -39,14 +39,15 @@
 
 @attrs.frozen
 class Applied:
-    """What one step added to the fold.
+    """The result of one change of the fold.
 
     Attributes:
         stream: Name of the stream.
-        source: The log, or a peer.
-        entries: The entries, also malformed and repeated ones, in order.
-        seen: Of each writer among them, or of all writers after a snapshot
-            was restored, the last record folded.
+        source: Where the entries were read from.
+        entries: The entries in order, with malformed and repeated ones; empty
+            after a snapshot was restored.
+        last_records: Last record folded of each writer in `entries`, or of
+            all writers after a snapshot was restored.
     """
 
     stream: str
@@ -60,10 +61,10 @@
 
 @final
 class StreamState:
-    """A fold, the writers it has seen, and its offset. Thread-safe.
+    """A fold with its writer table and its offset. Thread-safe.
 
-    Entries are taken only if they continue exactly from the offset, and
-    snapshots only if they are later, so that the offset never falls.
+    Entries are applied only if they continue exactly from the offset, and
+    snapshots only if they are later, so that the offset never decreases.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
 
     @property
     def offset(self) -> int:
-        """Offset of the last entry applied; -1 for none. Takes no lock."""
+        """Offset of the last entry applied; -1 for none. Doesn't lock."""
         return self._offset
 
     def digest(self) -> str:
@@ -94,12 +95,12 @@
             return self._fold.digest()
 
     def position(self) -> tuple[int, str]:
-        """Offset and digest that belong together."""
+        """Offset and digest of one consistent state."""
         with self._changed:
             return self._offset, self._fold.digest()
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
-        """Waits until an offset is applied; False when the time is up."""
+        """Waits until an offset is applied; False on timeout."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._offset >= offset, timeout_ms / 1_000
@@ -117,7 +118,7 @@
             )
 
     def catch_up_from(self, after_offset: int) -> catch_up_module.CatchUp:
-        """What brings another host from `after_offset` to the offset here."""
+        """State that advances a host from `after_offset` to this offset."""
         with self._changed:
             entries = tuple(
                 entry for entry in self._recent if entry.offset > after_offset
@@ -136,8 +137,8 @@
         """Folds the entries above the offset.
 
         Returns:
-            Whether there were any and they continue exactly from the offset;
-            otherwise nothing was done.
+            Whether there were any that continue exactly from the offset;
+            otherwise nothing was applied.
         """
         with self._changed:
             new_entries = tuple(
@@ -153,34 +154,37 @@
         return True
 
     def restore(
-        self, taken: snapshots.StreamSnapshot, source: EntrySource
+        self, snapshot: snapshots.StreamSnapshot, source: EntrySource
     ) -> bool:
-        """Replaces the state by a later one; False if it isn't sound."""
+        """Replaces the state by a snapshot; False if it is older or invalid."""
         with self._changed:
-            if taken.stream != self._stream or taken.offset <= self._offset:
+            if (
+                snapshot.stream != self._stream
+                or snapshot.offset <= self._offset
+            ):
                 return False
-            if not self._restore_fold(taken):
+            if not self._restore_fold(snapshot):
                 return False
-            self._writers = writers.WriterTable(taken.writers)
-            self._offset = taken.offset
+            self._writers = writers.WriterTable(snapshot.writers)
+            self._offset = snapshot.offset
             self._recent.clear()
             self._recent_bytes = 0
             self._changed.notify_all()
-        last_records = {line.writer: line for line in taken.writers}
+        last_records = {line.writer: line for line in snapshot.writers}
         self._notify(Applied(self._stream, source, (), last_records))
         return True
 
-    def _restore_fold(self, taken: snapshots.StreamSnapshot) -> bool:
+    def _restore_fold(self, snapshot: snapshots.StreamSnapshot) -> bool:
         before = self._fold.snapshot()
         try:
-            self._fold.restore(taken.offset, taken.fold)
+            self._fold.restore(snapshot.offset, snapshot.fold)
         except ValueError as error:
-            self._report_bad_record(taken.offset, f"snapshot: {error}")
+            self._report_bad_record(snapshot.offset, f"snapshot: {error}")
             return False
-        if self._fold.digest() == taken.digest:
+        if self._fold.digest() == snapshot.digest:
             return True
         self._fold.restore(self._offset, before)
-        self._report_bad_record(taken.offset, "snapshot: the digest differs")
+        self._report_bad_record(snapshot.offset, "snapshot: the digest differs")
         return False
 
     def _is_contiguous(self, entries: Sequence[log_port.LogEntry]) -> bool:
@@ -219,7 +223,7 @@
         try:
             self._fold.apply(offset, envelope, body)
         except Exception:
-            # Every host fails alike on it, and the stream must go on.
+            # Every host fails on it in the same way; the stream must continue.
             logs.exception(_events, "fold-failed", offset=offset)
             self._report_bad_record(offset, f"fold of {envelope.kind} failed")
 
--- a/tests/process/test_snapshot_publisher.py
+++ b/tests/process/test_snapshot_publisher.py
@@ -7,8 +7,8 @@
 from comfreylatch._process import follower
 from comfreylatch._process import metrics
 from comfreylatch._process import snapshot_publisher
-from comfreylatch._process import snapshot_stream
 from comfreylatch._process import snapshot_schedule
+from comfreylatch._process import snapshot_stream
 from comfreylatch._version import records
 from testing import stream_history
 from testing.fakes import clock as fake_clock
