--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -29,9 +29,12 @@
 
 @attrs.frozen
 class _PublishedSnapshot:
-    """The last whole snapshot seen on the log.
+    """The latest complete snapshot seen on the log.
 
-    `last_chunk_offset` is where its last chunk lies on the stream of snapshots.
+    Attributes:
+        offset: Offset of the followed stream that it covers; -1 for none.
+        last_chunk_offset: Offset of its last chunk on the snapshot stream.
+        seen_ms: When it was seen first.
     """
 
     offset: int = -1
@@ -41,20 +44,21 @@
 
 @final
 class SnapshotPublisher:
-    """Watches the snapshots of a followed stream and adds to them in turn.
+    """Publishes snapshots of a followed stream when one is due.
 
-    Any host may publish; the turn only spares the log. Two snapshots of one
-    offset are equal, so that a race or a lost answer does no harm.
+    Any host may publish; the order of the seats only saves appends. Two
+    snapshots of one offset are equal, so that duplicates after a race or a
+    lost answer are harmless.
 
     Args:
         log: The platform's log.
-        follower: Follows the stream.
-        writer: Host id, for the records.
+        follower: Follower of the stream.
+        writer: Host id, the writer id of the records.
         seat: Seat of this host.
         seats: Returns the seats that follow the stream.
         metrics: Counts appends.
-        clock: For ages and turns.
-        rule: When snapshots are published.
+        clock: Clock for ages and turns.
+        policy: When snapshots are published.
     """
 
     def __init__(
@@ -100,7 +104,7 @@
         self._thread.join()
 
     def step(self) -> bool:
-        """Looks at what is published; publishes if it is this seat's turn.
+        """Publishes a snapshot if one is due and it is this seat's turn.
 
         Returns:
             Whether a snapshot was published.
@@ -108,16 +112,18 @@
         if not self._follower.ready or not self._read_published():
             return False
         now_ms = self._clock.monotonic_ms()
-        reason = snapshot_schedule.due(self._position(now_ms), self._policy)
+        reason = snapshot_schedule.due_reason(
+            self._position(now_ms), self._policy
+        )
         if reason is None:
             self._due_since_ms = -1
             return False
         if self._due_since_ms < 0:
             self._due_since_ms = now_ms
-        wait_ms = snapshot_schedule.wait_ms(
+        delay_ms = snapshot_schedule.turn_delay_ms(
             self._seat, self._seats(), self._latest.offset, self._policy.turn_ms
         )
-        if now_ms - self._due_since_ms < wait_ms:
+        if now_ms - self._due_since_ms < delay_ms:
             return False
         return self._publish(reason)
 
@@ -130,7 +136,7 @@
         )
 
     def _read_published(self) -> bool:
-        """Reads what was published since; False while the log is down."""
+        """Reads newly published snapshots; False while the log is down."""
         stream = self._follower.stream
         while True:
             answer = snapshot_stream.read(
@@ -147,7 +153,7 @@
                 return True
 
     def _record_complete(self, batch: log_port.LogBatch) -> None:
-        """Notes whole snapshots: those whose last chunk was read."""
+        """Records the latest snapshot whose last chunk is in the batch."""
         for entry in batch.entries:
             chunk = snapshot_stream.decode_chunk(entry)
             if chunk is None or chunk.index + 1 < chunk.count:
--- a/src/comfreylatch/_process/snapshot_schedule.py
+++ b/src/comfreylatch/_process/snapshot_schedule.py
@@ -26,10 +26,12 @@
     """When snapshots are published.
 
     Attributes:
-        every_offsets: Distance from the last snapshot that makes one due.
-        every_ms: Age of the last snapshot that makes one due; keeps a quiet
-            stream's snapshot from expiring.
-        turn_ms: How long each seat in turn is left to publish a due one.
+        max_distance_offsets: Distance from the last snapshot at which the
+            next one is due.
+        max_age_ms: Age of the last snapshot at which the next one is due;
+            keeps the snapshot of an idle stream from expiring.
+        turn_ms: How long one seat has to publish a due snapshot before the
+            next seat may.
     """
 
     max_distance_offsets: int = DEFAULT_MAX_DISTANCE_OFFSETS
@@ -39,14 +41,14 @@
 
 @attrs.frozen
 class SnapshotPosition:
-    """How the last snapshot lies to the stream.
+    """Positions of the stream and of its last snapshot.
 
     Attributes:
         offset: Last offset of the stream folded here; -1 for none.
         first_offset: Lowest offset of the stream the log still keeps.
-        snapshot_offset: Offset of the last whole snapshot the log still
+        snapshot_offset: Offset of the last complete snapshot the log still
             keeps; -1 for none.
-        snapshot_age_ms: Time since it was seen first.
+        snapshot_age_ms: Time since that snapshot was seen first.
     """
 
     offset: int
@@ -55,11 +57,13 @@
     snapshot_age_ms: int
 
 
-def due(position: SnapshotPosition, policy: SnapshotPolicy) -> DueReason | None:
-    """Why a snapshot is due now; None when none is.
+def due_reason(
+    position: SnapshotPosition, policy: SnapshotPolicy
+) -> DueReason | None:
+    """Why a snapshot is due now; None if none is.
 
-    A snapshot must lie in the newer half of what the log keeps, however long
-    that is, so that a tail to it is there for long.
+    The last snapshot has to lie in the newer half of the offsets the log
+    keeps, so that the records after it don't expire soon.
     """
     if position.offset < 0 or position.snapshot_offset >= position.offset:
         if (
@@ -82,16 +86,14 @@
     return None
 
 
-def wait_ms(
+def turn_delay_ms(
     seat: str, seats: Sequence[str], snapshot_offset: int, turn_ms: int
 ) -> int:
-    """How long a seat leaves a due snapshot to the seats before it.
+    """How long a seat waits for the seats before it to publish.
 
-    Every host gets the same order from the same seats and last snapshot; the
-    first place passes on with each snapshot.
+    The order follows from the seats and the offset of the last snapshot, so
+    that every host computes the same one and the first seat varies.
     """
     ordered_seats = sorted({*seats, seat})
-    position = (ordered_seats.index(seat) - snapshot_offset) % len(
-        ordered_seats
-    )
-    return position * turn_ms
+    rank = (ordered_seats.index(seat) - snapshot_offset) % len(ordered_seats)
+    return rank * turn_ms
--- a/src/comfreylatch/_process/snapshot_stream.py
+++ b/src/comfreylatch/_process/snapshot_stream.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class NoSnapshot:
-    """The stream holds no whole snapshot, or can't be read."""
+    """The stream holds no complete snapshot, or can't be read."""
 
     detail: str
 
@@ -29,7 +29,7 @@
 def load(
     log: log_port.LogPort, stream: str
 ) -> result.Result[snapshots.StreamSnapshot, NoSnapshot]:
-    """Reads the latest whole snapshot that the log still holds."""
+    """Loads the latest complete snapshot that the log still holds."""
     chunks_by_key: dict[
         tuple[int, str], dict[int, snapshots.SnapshotChunk]
     ] = {}
@@ -53,7 +53,7 @@
             break
         start = batch.next_offset
     if complete_key is None:
-        return result.Err(NoSnapshot("none is whole"))
+        return result.Err(NoSnapshot("no complete snapshot on the stream"))
     joined = snapshots.join(chunks_by_key[complete_key].values())
     return joined.map_err(lambda bad: NoSnapshot(bad.detail))
 
@@ -61,7 +61,7 @@
 def read(
     log: log_port.LogPort, stream: str, start: int
 ) -> result.Result[log_port.LogBatch, log_port.ReadError]:
-    """Reads snapshots from an offset on, or from the first one kept."""
+    """Reads entries from an offset, or from the first one if it expired."""
     name = name_of(stream)
     answer = log.read(name, start, MAX_READ_ENTRIES, 0)
     match answer:
@@ -74,7 +74,7 @@
 def decode_chunks(
     batch: log_port.LogBatch,
 ) -> Iterator[snapshots.SnapshotChunk]:
-    """The chunks among the entries read; others are passed over."""
+    """Decodes the chunks of a batch and skips other entries."""
     for entry in batch.entries:
         chunk = decode_chunk(entry)
         if chunk is not None:
@@ -82,7 +82,7 @@
 
 
 def decode_chunk(entry: log_port.LogEntry) -> snapshots.SnapshotChunk | None:
-    """The chunk in an entry; None when it holds something else."""
+    """Decodes the chunk in an entry; None if it holds something else."""
     decoded = records.decode(entry.payload)
     if decoded.is_err():
         return None
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -1,4 +1,4 @@
-"""How long a host waits for what other processes may have left behind."""
+"""Waits at start for requests, loans and seats of other processes."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 from comfreylatch._process import slot_book
 from comfreylatch._version import configuration
 
-# A request forwarded by a killed host may start one longest request later.
+# A request forwarded by a killed host may start as late as one maximum hold
+# time after the kill, and then hold its slot for another.
 MAX_REMAINING_HOLDS = 2
 
 
 @final
 class MaxSlotHoldTime:
-    """The longest time a slot is held, worked out once for each version."""
+    """The longest time a slot is held, computed once per configuration."""
 
     def __init__(self, source: configuration_port.ConfigurationSource) -> None:
         self._update(source.current())
         source.on_change(self._update)
 
     def ms(self) -> int:
-        """The bound under the configuration in force."""
+        """The maximum under the current configuration."""
         return self._max_hold_ms
 
     def _update(self, new: configuration.Configuration) -> None:
@@ -34,12 +35,12 @@
 def predecessor_hold_ms(
     max_hold: MaxSlotHoldTime, ledger: loans.LoanLedger
 ) -> int:
-    """How long requests and loans of a killed predecessor may last."""
+    """Longest time that a killed predecessor's requests and loans last."""
     loan_ms = ledger.loan_ms()
     margin_ms = loan_ms // slot_book.DRIFT_DIVISOR + 1
     return loan_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
 
 
 def seat_conflict_wait_ms(timing: settings_module.TimingSettings) -> int:
-    """How long peers need to say that another process has the seat."""
+    """Time within which peers report another process on this seat."""
     return 2 * timing.heartbeat_ms + timing.peer_timeout_ms
--- a/tests/process/test_snapshot_publisher.py
+++ b/tests/process/test_snapshot_publisher.py
@@ -29,7 +29,7 @@
         position = snapshot_schedule.SnapshotPosition(
             offset, first, snapshot, age_ms
         )
-        return snapshot_schedule.due(position, POLICY)
+        return snapshot_schedule.due_reason(position, POLICY)
 
     def test_nothing_to_publish(self) -> None:
         self.assertIsNone(self.due(-1, 0, -1, 70_000))
@@ -58,7 +58,7 @@
     def test_seats_take_turns(self) -> None:
         for last in range(3):
             waits = [
-                snapshot_schedule.wait_ms(seat, SEATS, last, 1_000)
+                snapshot_schedule.turn_delay_ms(seat, SEATS, last, 1_000)
                 for seat in SEATS
             ]
             self.assertEqual([0, 1_000, 2_000], sorted(waits))
