--- a/src/comfreylatch/_process/json_file.py
+++ b/src/comfreylatch/_process/json_file.py
@@ -1,4 +1,4 @@
-"""Reads JSON-with-comments files and places every error in them."""
+"""Reads JSON-with-comments files and reports the position of each error."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from comfreylatch._version import schema
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
-MAX_DEPTH = 64
+MAX_NESTING_DEPTH = 64
 
 Checker = Callable[[Any], schema.Problems]
 
@@ -23,11 +23,11 @@
 
     Attributes:
         file: Name of the file as given.
-        line: From 1; 0 when the file could not be read.
-        column: From 1, in characters; 0 when the file could not be read.
+        line: Line from 1; 0 if the file could not be read.
+        column: Column from 1, in characters; 0 if the file could not be read.
         key: Dotted path of the value; empty for the whole file.
-        expected: What should stand there.
-        found: What stands there.
+        expected: Description of a valid value.
+        found: Description of the value or text found.
         nearest: The known name nearest to an unknown one, or empty.
     """
 
@@ -50,13 +50,13 @@
 
 @attrs.frozen
 class FileErrors:
-    """Every error of one file, in the order of the text."""
+    """All errors of one file, in text order."""
 
     errors: tuple[LocatedError, ...]
 
 
 def read(path: str, checker: Checker) -> result.Result[Any, FileErrors]:
-    """Reads a file and returns its decoded value once `checker` is content."""
+    """Reads a file and returns its value if `checker` finds no problem."""
     match _read_text(path):
         case result.Err(detail):
             error = LocatedError(path, 0, 0, "", "a readable file", detail)
@@ -68,12 +68,12 @@
 def decode(
     text: str, file: str, checker: Checker
 ) -> result.Result[Any, FileErrors]:
-    """Like `read`, of a text; `file` is only named in errors."""
+    """Like `read`, for a text; `file` is the name used in errors."""
     import jsonc
 
     repeated: list[str] = []
 
-    def object_of(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def build_object(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         value = dict(pairs)
         if len(value) != len(pairs):
             repeated.append(file)
@@ -81,11 +81,13 @@
 
     try:
         value = jsonc.loads(
-            text, object_pairs_hook=object_of, parse_constant=_reject_constant
+            text,
+            object_pairs_hook=build_object,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError):
         return result.Err(_syntax_errors(text, file))
-    if _depth(value) > MAX_DEPTH:
+    if _depth(value) > MAX_NESTING_DEPTH:
         error = LocatedError(file, 1, 1, "", "fewer levels", "deep nesting")
         return result.Err(FileErrors((error,)))
     problems = checker(value)
@@ -98,12 +100,12 @@
     try:
         content = pathlib.Path(path).read_bytes()
         if len(content) > MAX_FILE_BYTES:
-            return result.Err(f"more than {MAX_FILE_BYTES} bytes")
+            return result.Err(f"a file of more than {MAX_FILE_BYTES} bytes")
         return result.Ok(content.decode("utf-8-sig"))
     except OSError as error:
         return result.Err(error.strerror or str(error))
     except UnicodeDecodeError as error:
-        return result.Err(f"a byte at {error.start} that is not UTF-8")
+        return result.Err(f"a byte at offset {error.start} that is not UTF-8")
 
 
 def _reject_constant(word: str) -> Any:
@@ -162,7 +164,7 @@
         )
     for path, position in syntax_tree.duplicate_keys():
         expected = "each key once"
-        found = "the key a second time"
+        found = "a repeated key"
         errors.append(
             LocatedError(
                 file, position.line, position.column, path, expected, found
--- a/src/comfreylatch/_process/json_positions.py
+++ b/src/comfreylatch/_process/json_positions.py
@@ -1,6 +1,6 @@
-"""Lines and columns of the parts of a JSON-with-comments text.
+"""Positions of keys and values in a JSON-with-comments text.
 
-Only needed to place an error, so it is imported when there is one.
+Imported only when an error has to be located.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Position:
-    """A place in a text; line and column count from 1, in characters."""
+    """A line and a column in a text, from 1, in characters."""
 
     line: int
     column: int
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class SyntaxProblem:
-    """Where a text stops being JSON with comments, and what was expected."""
+    """Position of a syntax error, with what was expected and found."""
 
     position: Position
     expected: str
@@ -55,28 +55,28 @@
         self._lines = self._source.split(b"\n")
 
     def position(self, path: str) -> Position:
-        """Position of a value, or of the nearest value around it.
+        """Position of a value, or of the innermost existing value around it.
 
         Args:
-            path: As in `changes[0].state.slots`.
+            path: A path such as `changes[0].state.slots`.
         """
         _, value = self._find(path)
         return Position(1, 1) if value is None else self._start(value)
 
     def key_position(self, path: str) -> Position:
-        """Like `position`, but of the key that names the value."""
+        """Like `position`, but for the key of the value."""
         key, _ = self._find(path)
         return self.position(path) if key is None else self._start(key)
 
     def duplicate_keys(self) -> list[tuple[str, Position]]:
-        """Path and place of every key that its object has had before."""
+        """Path and position of every key that repeats one of its object."""
         root = _first_value(self._tree.root_node)
         return [] if root is None else self._duplicates(root, "")
 
     def _find(
         self, path: str
     ) -> tuple[tree_sitter.Node | None, tree_sitter.Node | None]:
-        """The key and the value at a path, as far as the text has them."""
+        """Finds the key and value at a path, as deep as the text has it."""
         key = None
         value = _first_value(self._tree.root_node)
         rest = path
@@ -88,7 +88,7 @@
         return key, value
 
     def syntax_problem(self) -> SyntaxProblem:
-        """The first error of a text that is not JSON with comments."""
+        """Locates the first error of a text that isn't JSON with comments."""
         blanked = self._blank_comments_and_trailing_commas()
         try:
             json.loads(blanked, parse_constant=_reject_constant)
@@ -135,7 +135,7 @@
         return found
 
     def _blank_comments_and_trailing_commas(self) -> str:
-        """The text with the same positions, as strict JSON."""
+        """Converts the text to strict JSON with unchanged positions."""
         blanked = bytearray(self._source)
         comma = None
         for leaf in _leaves(self._tree.root_node):
@@ -156,7 +156,7 @@
 def _blank(source: bytearray, node: tree_sitter.Node) -> None:
     text = bytes(source[node.start_byte : node.end_byte]).decode("utf-8")
     spaces = "".join("\n" if char == "\n" else " " for char in text)
-    # Padding keeps byte offsets of later nodes right.
+    # The padding keeps the byte offsets of later nodes unchanged.
     padding = len(text.encode("utf-8")) - len(spaces)
     source[node.start_byte : node.end_byte] = (spaces + " " * padding).encode()
 
@@ -207,13 +207,13 @@
 def _resolve_step(
     node: tree_sitter.Node, path: str
 ) -> tuple[tree_sitter.Node | None, tree_sitter.Node, str] | None:
-    """The member that a path leads to, and the rest of the path."""
+    """Finds the member at the start of a path, and the rest of the path."""
     found = None
     suffix = path if path.startswith("[") else f".{path.removeprefix('.')}"
     for member in _members(node):
         rest = suffix[len(member.label) :]
         if suffix.startswith(member.label) and rest[:1] in ("", ".", "["):
-            # A later member of the same name is the one in force.
+            # The last member of a name overrides the earlier ones.
             found = (member.key, member.value, rest)
     return found
 
--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -1,4 +1,4 @@
-"""Takes change tickets from operators and tells what became of them."""
+"""HTTP handlers for change tickets and the objects they change."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @attrs.frozen
 class _Refusal:
-    """A ticket that was not appended."""
+    """Why a ticket was not appended."""
 
     status: int
     reason: reasons.RefusalReason
@@ -43,8 +43,8 @@
 class TicketHandler:
     """Handlers of `/tickets` and `/objects` on the operators' address.
 
-    A ticket is answered for only by the fold: the answer is given once the
-    fold of this host has passed the ticket's record.
+    Only the fold decides on a ticket: a submission is answered once this
+    host's fold has applied the ticket's record.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         fold.on_ticket(self._record_verdict)
 
     def routes(self) -> list[routes.Route]:
-        """The routes of tickets and objects."""
+        """Routes of tickets and objects."""
         return [
             routes.Route("POST", "/tickets", self.submit),
             routes.Route("GET", "/tickets", self.list_tickets),
@@ -105,9 +105,9 @@
             return http.error_reply(
                 404,
                 "unknown-ticket",
-                f"ticket {text} is not on the log as far as this host has read"
-                f" it: offset {self._follower.offset()},"
-                f" {ticket_pages.format_age(self._follower.age_ms())}",
+                f"ticket {text} is not on the log up to offset"
+                f" {self._follower.offset()}, which this host has read"
+                f" ({ticket_pages.format_age(self._follower.age_ms())})",
             )
         decisions = self._journal.about(reasons.Subject.TICKET, text)
         page = ticket_pages.ticket_page(
@@ -126,7 +126,7 @@
         return http.json_reply(200, page)
 
     def _record_verdict(self, line: verdicts.TicketLine) -> None:
-        """Notes since when a verdict holds here; not those read at start."""
+        """Records a verdict in the journal, except those replayed at start."""
         if not self._follower.ready:
             return
         what = "came into force" if line.accepted else "was refused"
@@ -208,15 +208,15 @@
         return _Refusal(
             503,
             reasons.RefusalReason.NO_CONFIGURATION,
-            "not accepted, nothing was written: this host has not read the"
-            " configuration stream to its end yet",
+            "not accepted, nothing was written: this host has not yet read the"
+            " configuration stream to its end",
             NOT_READY_RETRY_MS,
         )
 
     def _reply_when_folded(
         self, ticket: tickets.Ticket, offset: int, remaining_ms: int
     ) -> http.HttpReply:
-        """Answers once the fold has passed the ticket's record."""
+        """Answers once the fold has applied the ticket's record."""
         if not self._follower.wait_for(offset, max(0, remaining_ms)):
             return self._reply_unknown(
                 ticket,
@@ -226,14 +226,14 @@
         line = self._fold.ticket(ticket.number)
         if line is None:
             return self._reply_unknown(
-                ticket, "the fold has forgotten the ticket"
+                ticket, "the ticket is no longer in the fold"
             )
         return self._reply(ticket, line)
 
     def _reply(
         self, ticket: tickets.Ticket, line: verdicts.TicketLine
     ) -> http.HttpReply:
-        """The verdict of the ticket that holds the number."""
+        """Answers with the verdict on the ticket that has the number."""
         if line.content_hash != tickets.content_hash(ticket):
             return self._refuse(
                 ticket,
@@ -242,7 +242,7 @@
                     reasons.RefusalReason.TICKET_NUMBER_TAKEN,
                     f"number {ticket.number} belongs to another ticket, by"
                     f" {line.author or 'an unknown author'} at offset"
-                    f" {line.offset}: take a new number",
+                    f" {line.offset}: use a new number",
                 ),
             )
         if line.accepted:
@@ -256,7 +256,7 @@
     def _refuse_stale(
         self, ticket: tickets.Ticket, line: verdicts.TicketLine
     ) -> http.HttpReply:
-        """Refuses before the append what the fold could only refuse."""
+        """Refuses a ticket that the fold would refuse, without an append."""
         reason = _refusal_reason(line)
         self._count_refusal(reason)
         sentence = f"refused before it was appended: {line.detail}"
@@ -281,7 +281,7 @@
     ) -> http.HttpReply:
         sentence = (
             f"unknown: {detail}; ask for ticket {ticket.number} later, or"
-            " submit the same ticket again, which does no harm"
+            " submit the same ticket again, which is safe"
         )
         self._record_decision(ticket, reasons.Outcome.UNKNOWN, sentence, -1)
         return http.error_reply(504, reasons.Outcome.UNKNOWN, sentence)
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -1,4 +1,4 @@
-"""What operators are shown of tickets and objects."""
+"""Response bodies for tickets and objects."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class OwnView:
-    """How far the configuration of this host reaches."""
+    """Position of this host's configuration."""
 
     seat: str
     offset: int
@@ -30,16 +30,16 @@
 
 @attrs.frozen
 class SeatLine:
-    """Whether a ticket has reached one seat.
+    """Whether one seat has applied a ticket.
 
     Attributes:
         seat: Name of the seat.
         applied: Whether the seat has folded the ticket's record.
-        offset: Offset of its configuration, as last heard.
-        digest: Digest of its configuration there.
+        offset: Offset of its configuration, as of the last heartbeat.
+        digest: Digest of its configuration at that offset.
         reachable: Whether the seat answers now.
-        diverged: Whether it has another state at the same offset as this
-            host, which is a fault of one of them.
+        diverged: Whether its state differs from this host's at the same
+            offset, which is a fault of one of them.
     """
 
     seat: str
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class VerdictPage:
-    """Answer to a submitted ticket that was decided on."""
+    """Verdict on a submitted ticket."""
 
     number: int
     verdict: verdicts.Verdict
@@ -64,23 +64,23 @@
 
 @attrs.frozen
 class TicketPage:
-    """One ticket: what was decided, why, and where it is in force.
+    """One ticket, its verdict, and the seats on which it is in force.
 
     Attributes:
         number: Number of the ticket.
         author: Who wrote it.
         reason: Why it was written.
         verdict: Accepted, or why not.
-        detail: The same for a person; empty when accepted.
+        detail: The reason for a refusal in words; empty when accepted.
         offset: Offset of its record.
-        objects: What it touches, as `kind/name`.
-        conflicts: The changes that lost.
-        age_ms: How old this host's knowledge of the log is.
+        objects: Objects that it changes, as `kind/name`.
+        conflicts: Its changes that conflict with accepted ones.
+        age_ms: Time since this host's state matched the head of the log.
         since_wall_ms: When this host folded it, in milliseconds since the
-            epoch; 0 when that was before this host was ready.
+            epoch; 0 if that was before this host was ready.
         in_force: Seats on which it is in force.
         not_yet: Seats that are not known to have folded it.
-        sentence: All of it in words.
+        sentence: A summary for operators.
     """
 
     number: int
@@ -111,7 +111,7 @@
 
 @attrs.frozen
 class ObjectLine:
-    """One object with the version a ticket has to name to replace it."""
+    """One object, with the version that a ticket names to replace it."""
 
     kind: objects.ObjectKind
     name: str
@@ -123,7 +123,7 @@
 
 @attrs.frozen
 class ObjectPage:
-    """All objects and how new the knowledge of them is."""
+    """All objects, with the position and age of the configuration."""
 
     offset: int
     digest: str
@@ -141,13 +141,13 @@
 
 
 def problem_page(problems: Sequence[schema.Problem]) -> ProblemPage:
-    """Every problem, by field and as one text."""
+    """Lists the problems of a malformed ticket, also as one text."""
     detail = "; ".join(map(str, problems))
     return ProblemPage("bad-ticket", detail, tuple(problems))
 
 
 def verdict_page(line: verdicts.TicketLine, reason: str) -> VerdictPage:
-    """The verdict as answered to the submitter, with the reason counted."""
+    """Builds the verdict that the submitter is answered with."""
     return VerdictPage(
         number=line.number,
         verdict=line.verdict,
@@ -161,7 +161,7 @@
 def ticket_list(
     lines: Iterable[verdicts.TicketLine],
 ) -> tuple[TicketSummary, ...]:
-    """Tickets in the order of the log."""
+    """Summarises tickets in log order."""
     return tuple(
         TicketSummary(
             line.number, line.author, line.reason, line.verdict, line.offset
@@ -176,7 +176,7 @@
     views: Iterable[peers_port.PeerView],
     decisions: Iterable[journal_module.Decision],
 ) -> TicketPage:
-    """A ticket with the seats that have folded it and those that have not."""
+    """Describes a ticket and the seats that have or haven't folded it."""
     seats = [
         SeatLine(
             own.seat, own.offset >= line.offset, own.offset, own.digest, True
@@ -207,7 +207,7 @@
     current: configuration.Configuration,
     age_ms: int,
 ) -> ObjectPage:
-    """All objects, those removed not long ago with a null state."""
+    """Lists all objects; recently removed ones have a null state."""
     lines = tuple(
         ObjectLine(
             kind,
@@ -223,9 +223,9 @@
 
 
 def format_age(age_ms: int) -> str:
-    """How old the knowledge of the log is, as a text."""
+    """Describes how long ago this host's state matched the log."""
     if age_ms >= follower_module.NEVER_SYNCED_AGE_MS:
-        return "never yet compared with the log"
+        return "never yet up to date with the log"
     return f"as of {age_ms} ms ago"
 
 
