--- a/src/comfreylatch/_process/__init__.py
+++ b/src/comfreylatch/_process/__init__.py
@@ -1,3 +1,3 @@
-"""State and services that live as long as the process."""
+"""State and services with the lifetime of the process."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_process/journal.py
+++ b/src/comfreylatch/_process/journal.py
@@ -1,4 +1,4 @@
-"""A bounded journal of decisions, from which `explain` answers."""
+"""A bounded journal of decisions, the source of `explain`."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     """One decision of this host.
 
     Attributes:
-        wall_ms: When, in milliseconds since the epoch.
+        wall_ms: Time of the decision, in milliseconds since the epoch.
         host: Host id of the host that decided.
-        subject: What kind of thing it is about.
-        name: Id of that thing.
-        reason: Short stable word for the reason, from `reasons` or a record.
-        sentence: The same for a person, with the figures that decided.
-        offset: Offset of the record that decided; -1 when none did.
+        subject: Kind of the subject.
+        name: Id of the subject.
+        reason: Stable reason code, from `reasons` or a record.
+        sentence: The reason for operators, with the values that led to it.
+        offset: Offset of the record that caused it; -1 for none.
     """
 
     wall_ms: int
@@ -37,7 +37,7 @@
 
 
 class Journal:
-    """Keeps the last decisions, the oldest forgotten first. Thread-safe."""
+    """Keeps the last decisions and evicts the oldest. Thread-safe."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         sentence: str,
         offset: int = -1,
     ) -> None:
-        """Adds a decision made now."""
+        """Adds a decision with the current time."""
         decision = Decision(
             wall_ms=self._clock.wall_ms(),
             host=self._host,
@@ -79,7 +79,7 @@
     def about(
         self, subject: reasons.Subject, name: str
     ) -> tuple[Decision, ...]:
-        """Decisions about one thing, oldest first."""
+        """Decisions about one subject, oldest first."""
         with self._lock:
             return tuple(
                 decision
@@ -89,10 +89,10 @@
 
     @property
     def host(self) -> str:
-        """Host id of the host whose decisions these are."""
+        """Host id of the host that makes the decisions."""
         return self._host
 
     @property
     def forgotten(self) -> int:
-        """How many decisions no longer fit."""
+        """Number of decisions evicted so far."""
         return self._forgotten
--- a/src/comfreylatch/_process/json_logs.py
+++ b/src/comfreylatch/_process/json_logs.py
@@ -1,9 +1,9 @@
-"""Structured logs on standard output that never hold up the program.
+"""Structured JSON logs on standard output that never block the program.
 
-Each event is one line of JSON. Lines go through a bounded queue to one thread
-that writes them; when the queue is full, lines are dropped and counted by
-event, and the counts are logged as soon as there is room. Events that say the
-same thing often are folded: beyond a number in a second they are counted too.
+Each event is one line of JSON. Lines go through a bounded queue to a writer
+thread. When the queue is full, lines are dropped and counted by event, and the
+counts are logged as `lines-dropped` with the next lines. Frequent events are
+rate-limited: lines above the limit are counted by event as `lines-folded`.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 from comfreylatch._process import logs
 
-# About a second's worth at the busiest, in 1 MB of memory.
+# About one second of lines at peak load, in 1 MB of memory.
 MAX_QUEUED_LINES = 4_096
-# The writer wakes this often; a line may be that late.
+# Interval between two writes, and thereby the longest delay of a line.
 WRITE_INTERVAL_S = 0.1
-# Time that leaving waits for the last lines.
+# Longest wait for the last lines to be written on exit.
 FLUSH_TIMEOUT_S = 0.5
-# Lines of a folded event that are written in a second; the rest are counted.
+# Limit for each of `RATE_LIMITED_EVENTS`; lines above it are only counted.
 MAX_EVENT_LINES_PER_SECOND = 20
 RATE_LIMITED_EVENTS: Final = frozenset(
     {
@@ -44,19 +44,19 @@
 
 @final
 class JsonLogOutput(logbook.Handler):
-    """Writes every logger's lines to a file descriptor while it is open.
+    """Writes the lines of every logger to a file descriptor.
 
-    A context manager.
+    Use as a context manager; lines are written while it is entered.
 
     Args:
         level: One of logbook's level names, in lower case.
-        descriptor: Where the lines go; standard output by default.
+        descriptor: File descriptor of the output; standard output by default.
     """
 
     def __init__(self, level: str, descriptor: int = 1) -> None:
         super().__init__(level=logbook.lookup_level(level.upper()))
         self._descriptor = descriptor
-        # A signal's handler may log while its thread is logging.
+        # Reentrant, as a signal handler may log while its thread is logging.
         self._lock = threading.RLock()
         self._lines: collections.deque[bytes] = collections.deque()
         self._dropped: collections.Counter[str] = collections.Counter()
@@ -81,7 +81,7 @@
         self._thread.join(FLUSH_TIMEOUT_S)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Queues a record's line; never waits."""
+        """Queues a record's line without blocking."""
         message = record.msg
         if isinstance(message, logs.LogEvent):
             name, fields = message.name, message.fields
@@ -145,7 +145,7 @@
         try:
             _write_fully(self._descriptor, b"".join(lines))
         except OSError:
-            # Nobody reads the logs any more; there is nowhere to say so.
+            # The reader closed the output, so the failure can't be logged.
             self._stopping.set()
 
 
--- a/src/comfreylatch/_process/logs.py
+++ b/src/comfreylatch/_process/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line an event, `event` and its fields as `key=value`."""
+"""Structured logs: one line per event, with its fields as `key=value`."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @final
 class _SingleLineFormatter(handlers.StringFormatter):
-    """Keeps every event on one line, with its traceback if it has one."""
+    """Formats every event on one line, with its traceback if it has one."""
 
     def __call__(
         self, record: logbook.LogRecord, handler: logbook.Handler
@@ -40,11 +40,13 @@
 
 @final
 class TextLogOutput:
-    """Sends every logger's lines to one stream while it is open.
+    """Writes the lines of every logger to a text stream.
+
+    Use as a context manager; lines are written while it is entered.
 
     Args:
         level: One of logbook's level names, in lower case.
-        stream: Where the lines go; standard error when None.
+        stream: Stream for the lines; standard error if None.
     """
 
     def __init__(self, level: str, stream: TextIO | None = None) -> None:
@@ -64,36 +66,36 @@
 
 
 def event(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something that happened, at level info."""
+    """Logs an event at level info."""
     logger.info(LogEvent(name, fields))
 
 
 def debug(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something only wanted in a close look, at level debug."""
+    """Logs an event at level debug."""
     logger.debug(LogEvent(name, fields))
 
 
 def warning(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something that an operator should look at."""
+    """Logs a condition that an operator should check, at level warning."""
     logger.warning(LogEvent(name, fields))
 
 
 def error(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something that went wrong here."""
+    """Logs a fault of this process, at level error."""
     logger.error(LogEvent(name, fields))
 
 
 def exception(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs the exception being handled, with its traceback."""
+    """Logs the exception being handled with its traceback, at level error."""
     logger.exception(LogEvent(name, fields))
 
 
 class LogEvent:
-    """An event and its fields; made to text only where a handler wants it.
+    """An event with its fields; formatted only if a handler needs the text.
 
     Attributes:
         name: Name of the event.
-        fields: What is told of it.
+        fields: Values of its fields by name.
     """
 
     def __init__(self, name: str, fields: dict[str, Any]) -> None:
--- a/src/comfreylatch/_process/metrics.py
+++ b/src/comfreylatch/_process/metrics.py
@@ -1,4 +1,4 @@
-"""Counters by reason and latency histograms of one process."""
+"""Counters and latency histograms of one process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Counter(enum.StrEnum):
-    """What is counted; most counters are split by a reason."""
+    """Names of counters; most are labelled with a reason."""
 
     REQUESTS = "requests"
     REFUSALS = "refusals"
@@ -44,7 +44,7 @@
 
 
 class Latency(enum.StrEnum):
-    """What is timed, in microseconds."""
+    """Names of latencies, measured in microseconds."""
 
     REQUEST = "request"
     TRY = "try"
@@ -73,8 +73,8 @@
 class LatencyLine:
     """Quantiles of one latency for one label, in microseconds.
 
-    `encoded` is the whole histogram in the HdrHistogram V2 format, so that
-    histograms of several hosts can be merged exactly.
+    `encoded` is the complete histogram in the HdrHistogram V2 format, from
+    which histograms of several hosts can be merged exactly.
     """
 
     latency: str
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class MetricsPage:
-    """All metrics of a process at one moment."""
+    """All metrics of a process at one point in time."""
 
     counters: tuple[CounterLine, ...]
     latencies: tuple[LatencyLine, ...]
@@ -106,19 +106,19 @@
         self._histograms: dict[tuple[str, str], histogram.HdrHistogram] = {}
 
     def count(self, counter: Counter, label: str = "", amount: int = 1) -> None:
-        """Adds to a counter; `label` is a reason or the name of a thing."""
+        """Adds to a counter; `label` is a reason or an object's name."""
         with self._lock:
             self._counters[counter, label] += amount
 
     def value(self, counter: Counter, label: str = "") -> int:
-        """Value of a counter so far."""
+        """Current value of a counter."""
         with self._lock:
             return self._counters[counter, label]
 
     def observe(
         self, latency: Latency, elapsed_us: int, label: str = ""
     ) -> None:
-        """Adds one measured time."""
+        """Adds one measured latency to its histogram."""
         bounded_us = min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
         with self._lock:
             recorded = self._histograms.get((latency, label))
@@ -130,7 +130,7 @@
             recorded.record_value(bounded_us)
 
     def page(self) -> MetricsPage:
-        """A consistent copy of everything."""
+        """A consistent snapshot of all metrics."""
         with self._lock:
             counters = tuple(
                 CounterLine(counter, label, value)
--- a/src/comfreylatch/_process/metrics_text.py
+++ b/src/comfreylatch/_process/metrics_text.py
@@ -1,4 +1,4 @@
-"""A page of metrics as text, one line a metric."""
+"""Text format of a metrics page."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def render(page: metrics_module.MetricsPage) -> str:
-    """A metrics page as text, one line a metric."""
+    """Formats a metrics page as text, one line per metric."""
     lines = []
     for counter in page.counters:
         lines.append(
--- a/src/comfreylatch/_process/reasons.py
+++ b/src/comfreylatch/_process/reasons.py
@@ -1,4 +1,4 @@
-"""Typed reasons for every decision, as counted and as explained."""
+"""Reason codes of decisions, used in metrics, replies and `explain`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a caller's request."""
+    """Outcome of a caller's request."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -14,7 +14,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a request, job or ticket was not taken."""
+    """Why a request, job or ticket was refused."""
 
     BAD_REQUEST = "bad-request"
     BODY_TOO_LONG = "body-too-long"
@@ -46,7 +46,7 @@
 
 
 class RetryReason(enum.StrEnum):
-    """Why a try was followed, or not followed, by another one."""
+    """Why a try was retried, or was not."""
 
     CONNECT_FAILED = "connect-failed"
     CONNECTION_LOST = "connection-lost"
@@ -66,7 +66,7 @@
 
 
 class Subject(enum.StrEnum):
-    """What a decision is about; `explain` takes these words."""
+    """Kind of subject of a decision; the argument of `explain`."""
 
     REQUEST = "request"
     JOB = "job"
--- a/src/comfreylatch/_process/settings.py
+++ b/src/comfreylatch/_process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry host: what its file says and tickets do not."""
+"""Settings of one entry host, as read from its file."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform is reached.
+    """Addresses of the platform's services.
 
     Attributes:
         log_address: `IP:port` of the log service.
@@ -35,14 +35,14 @@
 
 @attrs.frozen
 class TimingSettings:
-    """Intervals and bounds of this process.
+    """Intervals and timeouts of this process.
 
     Attributes:
-        heartbeat_ms: Between two heartbeats to each peer.
-        host_list_ms: Between two fetches of the host list.
-        log_timeout_ms: For one call to the log.
-        peer_timeout_ms: For one call to a peer.
-        connect_timeout_ms: For a connection to an endpoint or worker.
+        heartbeat_ms: Interval between two heartbeats to each peer.
+        host_list_ms: Interval between two fetches of the host list.
+        log_timeout_ms: Timeout of one call to the log.
+        peer_timeout_ms: Timeout of one call to a peer.
+        connect_timeout_ms: Timeout of a connect to an endpoint or worker.
         stop_timeout_ms: How long a stop waits for requests in progress.
     """
 
@@ -60,11 +60,11 @@
 
     Attributes:
         policy: `least-expected`; for comparison `round-robin` or `random`.
-        spill: Whether other zones are used when the own one has no slot.
-        seed: Seed of all random choices; 0 takes a new one at each start.
-        mark_keep_ms: How long it is known that an id of a non-idempotent
-            request was used; the same on every host. A host grants no ids in
-            this time after its start.
+        spill: Whether requests go to other zones if this one has no slot.
+        seed: Seed of all random choices; 0 for a new seed at each start.
+        mark_keep_ms: How long the id of a non-idempotent request is kept as
+            used; the same on every host. A host grants no ids for this time
+            after its start.
     """
 
     policy: str = "least-expected"
@@ -75,17 +75,18 @@
 
 @attrs.frozen
 class Settings:
-    """The whole settings file.
+    """All settings of an entry host.
 
     Attributes:
-        seat: Name of the place this host fills; a replacement takes the same.
-        zone: Availability zone.
+        seat: Name of this host's seat; a replacement host keeps it.
+        zone: Availability zone of the seat.
         caller_address: `IP:port` for callers.
         operator_address: `IP:port` for operators, metrics and health.
         peer_address: `IP:port` for the thrift protocol.
-        platform: The platform's services.
+        platform: Addresses of the platform's services.
         peers: Every other seat of every zone.
-        threads: Threads for callers' connections.
+        timing: Intervals and timeouts.
+        threads: Number of threads for callers' connections.
         log_level: One of logbook's level names, in lower case.
         routing: How requests are routed.
     """
@@ -103,10 +104,10 @@
     routing: RoutingSettings = RoutingSettings()
 
     def all_seats(self) -> tuple[str, ...]:
-        """Names of all seats, the own one included, in order."""
+        """Names of all seats including this host's, sorted."""
         return tuple(sorted([self.seat, *(peer.seat for peer in self.peers)]))
 
     def zone_seats(self) -> tuple[str, ...]:
-        """Names of the seats of the own zone, in order."""
+        """Names of the seats of this host's zone, sorted."""
         others = [peer.seat for peer in self.peers if peer.zone == self.zone]
         return tuple(sorted([self.seat, *others]))
--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -38,7 +38,7 @@
 def load(
     path: str,
 ) -> result.Result[settings_module.Settings, SettingsErrors]:
-    """Loads a file; Err holds every error of it, with line and column."""
+    """Loads a file; Err holds all its errors, with line and column."""
     match json_file.read(path, check):
         case result.Err() as refused:
             return refused
@@ -47,7 +47,7 @@
 
 
 def check(value: Any) -> schema.Problems:
-    """Returns everything wrong with a decoded settings file."""
+    """Returns all problems of a decoded settings file."""
     problems = schema.check(value, settings_module.Settings, "")
     if not isinstance(value, dict):
         return problems
@@ -62,13 +62,13 @@
     yield from _check_names(value)
     yield from _check_addresses(value)
     yield from _check_timing(value)
-    yield from _check_ranges(value)
+    yield from _check_threads_and_log_level(value)
     yield from _check_seats(value)
     yield from _check_routing(value)
 
 
 def _peers(value: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
-    """The peers that are objects, each with its path."""
+    """Lists the peers that are objects, each with its path."""
     listed = value.get("peers")
     if not isinstance(listed, list):
         return []
@@ -80,7 +80,7 @@
 
 
 def _object_member(value: dict[str, Any], key: str) -> dict[str, Any]:
-    """A member that is an object; an empty one when it is not."""
+    """Returns a member that is an object, else an empty object."""
     member = value.get(key)
     return member if isinstance(member, dict) else {}
 
@@ -90,8 +90,8 @@
         for key in ("seat", "zone"):
             name = named.get(key)
             if isinstance(name, str) and not name.strip():
-                seat_path = schema.join(path, key)
-                yield schema.Problem(seat_path, "a name", schema.show(name))
+                name_path = schema.join(path, key)
+                yield schema.Problem(name_path, "a name", schema.show(name))
 
 
 def _check_addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
@@ -113,7 +113,7 @@
             expected = "IP:port, such as 10.0.0.5:8080"
             yield schema.Problem(path, expected, bad.detail)
         case result.Ok(parsed) if parsed.port == 0:
-            yield schema.Problem(path, "a port from 1 on", text)
+            yield schema.Problem(path, "a port of at least 1", text)
 
 
 def _check_listeners_differ(value: dict[str, Any]) -> Iterator[schema.Problem]:
@@ -140,7 +140,9 @@
             yield schema.Problem(path, expected, str(duration_ms))
 
 
-def _check_ranges(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_threads_and_log_level(
+    value: dict[str, Any],
+) -> Iterator[schema.Problem]:
     threads = value.get("threads")
     if _is_int(threads) and not MIN_THREADS <= threads <= MAX_THREADS:
         expected = f"{MIN_THREADS} to {MAX_THREADS} threads"
@@ -183,18 +185,20 @@
             uses[seat] += 1
             if seat == own:
                 yield schema.Problem(
-                    seat_path, "other seats only", f"own {seat!r}"
+                    seat_path,
+                    "a seat other than this host's",
+                    f"own seat {seat!r}",
                 )
             elif uses[seat] > 1:
                 yield schema.Problem(
-                    seat_path, "each seat once", f"{seat!r} again"
+                    seat_path, "each seat once", f"{seat!r} repeated"
                 )
         peer_address = peer.get("peer_address")
         if isinstance(peer_address, str):
             if peer_address in (value.get("peer_address"), *used_addresses):
                 yield schema.Problem(
                     f"{path}.peer_address",
-                    "an address of its own",
-                    f"{peer_address!r} again",
+                    "an address used only once",
+                    f"{peer_address!r} repeated",
                 )
             used_addresses.add(peer_address)
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -35,12 +35,12 @@
 def predecessor_hold_ms(
     max_hold: MaxSlotHoldTime, ledger: loans.LoanLedger
 ) -> int:
-    """Longest time that a killed predecessor's requests and loans last."""
+    """How long requests and loans of a killed predecessor may last."""
     loan_ms = ledger.loan_ms()
     margin_ms = loan_ms // slot_book.DRIFT_DIVISOR + 1
     return loan_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
 
 
 def seat_conflict_wait_ms(timing: settings_module.TimingSettings) -> int:
-    """Time within which peers report another process on this seat."""
+    """How long peers need to report that another process has the seat."""
     return 2 * timing.heartbeat_ms + timing.peer_timeout_ms
