--- a/src/comfreylatch/_process/metrics.py
+++ b/src/comfreylatch/_process/metrics.py
@@ -121,13 +121,13 @@
         """Adds one measured latency to its histogram."""
         bounded_us = min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
         with self._lock:
-            recorded = self._histograms.get((latency, label))
-            if recorded is None:
-                recorded = histogram.HdrHistogram(
+            hist = self._histograms.get((latency, label))
+            if hist is None:
+                hist = histogram.HdrHistogram(
                     MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
                 )
-                self._histograms[latency, label] = recorded
-            recorded.record_value(bounded_us)
+                self._histograms[latency, label] = hist
+            hist.record_value(bounded_us)
 
     def page(self) -> MetricsPage:
         """A consistent snapshot of all metrics."""
@@ -137,24 +137,22 @@
                 for (counter, label), value in sorted(self._counters.items())
             )
             latencies = tuple(
-                _latency_line(latency, label, recorded)
-                for (latency, label), recorded in sorted(
-                    self._histograms.items()
-                )
+                _latency_line(latency, label, hist)
+                for (latency, label), hist in sorted(self._histograms.items())
             )
         return MetricsPage(counters, latencies)
 
 
 def _latency_line(
-    latency: str, label: str, recorded: histogram.HdrHistogram
+    latency: str, label: str, hist: histogram.HdrHistogram
 ) -> LatencyLine:
     return LatencyLine(
         latency=latency,
         label=label,
-        count=recorded.get_total_count(),
-        p50_us=int(recorded.get_value_at_percentile(50)),
-        p99_us=int(recorded.get_value_at_percentile(99)),
-        p999_us=int(recorded.get_value_at_percentile(99.9)),
-        max_us=int(recorded.get_max_value()),
-        encoded=recorded.encode().decode("ascii"),
+        count=hist.get_total_count(),
+        p50_us=int(hist.get_value_at_percentile(50)),
+        p99_us=int(hist.get_value_at_percentile(99)),
+        p999_us=int(hist.get_value_at_percentile(99.9)),
+        max_us=int(hist.get_max_value()),
+        encoded=hist.encode().decode("ascii"),
     )
