--- a/tests/process/test_appender.py
+++ b/tests/process/test_appender.py
@@ -20,9 +20,9 @@
 from testing.fakes import clock as fake_clock
 from testing.fakes import log as fake_log
 
-MINUTES_MS = 300_000
+OUTAGE_MS = 300_000
 TIMEOUT_MS = 5_000
-SHORT_MS = 50
+SHORT_TIMEOUT_MS = 50
 
 
 class StepTest(testtools.TestCase):
@@ -55,10 +55,10 @@
         self.assertEqual(1, self.log.appends["s"])
         self.assertEqual(
             [result.Ok(streams.Appended(offset)) for offset in range(10)],
-            [one.outcome for one in pending],
+            [append.outcome for append in pending],
         )
 
-    def test_appends_keep_their_spacing(self) -> None:
+    def test_appends_keep_the_minimum_interval(self) -> None:
         self.submit()
         self.step()
         self.submit()
@@ -92,7 +92,7 @@
         self.step()
         self.assertEqual(1, len(self.log.payloads("s")))
 
-    def test_unknown_record_is_never_called_not_accepted(self) -> None:
+    def test_unknown_append_is_never_reported_as_not_accepted(self) -> None:
         self.log.faults.append(fake_log.AppendFault.LOST_AFTER_EFFECT)
         pending = self.submit()
         self.step()
@@ -113,7 +113,7 @@
         self.step()
         self.assertEqual(2, len(self.log.payloads("s")))
 
-    def test_record_not_yet_sent_is_taken_back(self) -> None:
+    def test_abandoned_record_not_yet_sent_is_dequeued(self) -> None:
         pending = self.submit()
         self.appender.abandon(pending)
         self.step()
@@ -121,7 +121,7 @@
         self.assertIsInstance(pending.outcome.err(), streams.NotAccepted)
         self.assertEqual([], self.log.payloads("s"))
 
-    def test_idle_appender_finds_a_cut_by_a_read(self) -> None:
+    def test_idle_appender_detects_an_outage_by_a_probe(self) -> None:
         self.log.faults.append(fake_log.AppendFault.LOST_BEFORE_EFFECT)
         self.log.down = True
         pending = self.submit()
@@ -130,7 +130,7 @@
         self.assertIsInstance(pending.outcome.err(), streams.NotAccepted)
         self.assertEqual(1, len(self.log.faults))
 
-    def test_busy_appender_does_not_ask_before_each_append(self) -> None:
+    def test_busy_appender_does_not_probe_before_each_append(self) -> None:
         reads: list[str] = []
         self.submit()
         self.step()
@@ -155,7 +155,7 @@
         self.log.down = True
         self.submit()
         self.step()
-        for _ in range(MINUTES_MS // stream_history.STEP_MS):
+        for _ in range(OUTAGE_MS // stream_history.STEP_MS):
             self.step()
             outcome = self.submit().outcome
             assert outcome is not None
@@ -195,13 +195,13 @@
         self.log.append_s = 0.02
         outcomes: list[append_batch.AppendOutcome] = []
 
-        def write() -> None:
+        def append_notes() -> None:
             outcomes.append(
                 self.appender.append([stream_history.Note(1)], TIMEOUT_MS)
             )
 
         with self.appender:
-            threads = [threading.Thread(target=write) for _ in range(20)]
+            threads = [threading.Thread(target=append_notes) for _ in range(20)]
             for thread in threads:
                 thread.start()
             for thread in threads:
@@ -214,13 +214,15 @@
         self.log.append_s = 0.2
         with self.appender:
             started = time.monotonic()
-            outcome = self.appender.append([stream_history.Note(1)], SHORT_MS)
+            outcome = self.appender.append(
+                [stream_history.Note(1)], SHORT_TIMEOUT_MS
+            )
             elapsed_s = time.monotonic() - started
         self.assertIsInstance(outcome.err(), streams.AppendUnknown)
         self.assertLess(elapsed_s, 0.19)
         self.assertEqual(1, len(self.log.payloads("s")))
 
-    def test_close_says_unknown_of_what_was_sent(self) -> None:
+    def test_close_reports_sent_records_as_unknown(self) -> None:
         answer_lost = fake_log.AppendFault.LOST_AFTER_EFFECT
         self.log.faults.extend([answer_lost] * 1_000)
         with self.appender:
--- a/tests/process/test_stream_threads.py
+++ b/tests/process/test_stream_threads.py
@@ -20,8 +20,8 @@
 
 SEED = 7
 HOSTS = 2
-CALLERS = 4
-NOTES = 25
+CALLERS_PER_HOST = 4
+NOTES_PER_CALLER = 25
 FAULTS = 120
 TIMEOUT_MS = 10_000
 RETRY = backoff.Backoff(base_ms=1, max_ms=5)
@@ -44,9 +44,13 @@
         with contextlib.ExitStack() as running:
             hosts = [self.start(running, fold) for fold in folds]
             callers = [
-                threading.Thread(target=self.write, args=(hosts[host][0], at))
+                threading.Thread(
+                    target=self.append_notes, args=(hosts[host][0], first)
+                )
                 for host in range(HOSTS)
-                for at in range(host * 1_000, host * 1_000 + CALLERS * 100, 100)
+                for first in range(
+                    host * 1_000, host * 1_000 + CALLERS_PER_HOST * 100, 100
+                )
             ]
             for caller in callers:
                 caller.start()
@@ -57,21 +61,23 @@
             for _, reader in hosts:
                 self.assertTrue(reader.wait_for(head, TIMEOUT_MS))
         self.assertEqual(folds[0].notes, folds[1].notes)
-        self.assertEqual(HOSTS * CALLERS * NOTES, len(self.outcomes))
+        self.assertEqual(
+            HOSTS * CALLERS_PER_HOST * NOTES_PER_CALLER, len(self.outcomes)
+        )
         for note, outcome in self.outcomes.items():
-            self.check(folds[0].notes.count(note), outcome)
+            self.check_outcome(folds[0].notes.count(note), outcome)
 
     def start(
         self, running: contextlib.ExitStack, fold: stream_history.NoteFold
     ) -> tuple[appender.StreamAppender, follower.StreamFollower]:
-        counted = metrics.Metrics()
-        machine = clock.SystemClock()
+        counters = metrics.Metrics()
+        system_clock = clock.SystemClock()
         writer = appender.StreamAppender(
             self.log,
             "s",
             f"writer-{id(fold)}",
-            counted,
-            machine,
+            counters,
+            system_clock,
             min_append_interval_ms=0,
             retry=RETRY,
         )
@@ -79,8 +85,8 @@
             self.log,
             "s",
             fold,
-            counted,
-            machine,
+            counters,
+            system_clock,
             wait_ms=20,
             after_apply=writer.observe,
             retry=RETRY,
@@ -89,16 +95,18 @@
         running.enter_context(reader)
         return writer, reader
 
-    def write(self, writer: appender.StreamAppender, first: int) -> None:
-        for note in range(first, first + NOTES):
+    def append_notes(self, writer: appender.StreamAppender, first: int) -> None:
+        for note in range(first, first + NOTES_PER_CALLER):
             self.outcomes[note] = writer.append(
                 [stream_history.Note(note)], TIMEOUT_MS
             )
 
-    def check(self, times: int, outcome: append_batch.AppendOutcome) -> None:
+    def check_outcome(
+        self, copies: int, outcome: append_batch.AppendOutcome
+    ) -> None:
         if outcome.is_ok():
-            self.assertEqual(1, times)
+            self.assertEqual(1, copies)
         elif isinstance(outcome.err(), streams.NotAccepted):
-            self.assertEqual(0, times)
+            self.assertEqual(0, copies)
         else:
-            self.assertLessEqual(times, 1)
+            self.assertLessEqual(copies, 1)
