--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -43,9 +43,11 @@
         self.peers = fake_peers.FakePeers()
         self.applied: list[stream_state.Applied] = []
         self.fold = stream_history.NoteFold()
-        self.follower = self.make(self.fold)
+        self.follower = self.make_follower(self.fold)
 
-    def make(self, fold: stream_history.NoteFold) -> follower.StreamFollower:
+    def make_follower(
+        self, fold: stream_history.NoteFold
+    ) -> follower.StreamFollower:
         return follower.StreamFollower(
             self.log,
             "s",
@@ -60,8 +62,8 @@
     def add_peer(self, notes: int) -> stream_history.NoteFold:
         """A ready peer that has folded this many notes."""
         fold = stream_history.NoteFold()
-        peer = self.make(fold)
-        self.put(notes)
+        peer = self.make_follower(fold)
+        self.append_notes(notes)
         while not peer.ready:
             peer.step()
         self.peers.followers["peer"] = peer
@@ -69,19 +71,19 @@
         self.peers.shown = (view,)
         return fold
 
-    def put(self, notes: int) -> None:
+    def append_notes(self, notes: int) -> None:
         for note in range(notes):
-            self.log.put("s", [payload(note, note + 1)])
+            self.log.append_notes("s", [payload(note, note + 1)])
 
-    def publish(self, taken: snapshots.StreamSnapshot) -> None:
+    def publish(self, snapshot: snapshots.StreamSnapshot) -> None:
         chunks = [
             records.encode("publisher", index + 1, chunk)
-            for index, chunk in enumerate(snapshots.split(taken))
+            for index, chunk in enumerate(snapshots.split(snapshot))
         ]
-        self.log.put(snapshot_stream.name_of("s"), chunks)
+        self.log.append_notes(snapshot_stream.name_of("s"), chunks)
 
-    def test_ready_at_the_head(self) -> None:
-        self.put(follower.MAX_READ_ENTRIES + 1)
+    def test_follower_is_ready_at_the_head(self) -> None:
+        self.append_notes(follower.MAX_READ_ENTRIES + 1)
         self.follower.step()
         self.assertFalse(self.follower.ready)
         self.follower.step()
@@ -89,13 +91,15 @@
         self.assertEqual(follower.MAX_READ_ENTRIES, self.follower.offset())
 
     def test_repeated_record_is_folded_once(self) -> None:
-        self.log.put("s", [payload(1, 1), payload(2, 2), payload(1, 1)])
+        self.log.append_notes(
+            "s", [payload(1, 1), payload(2, 2), payload(1, 1)]
+        )
         self.follower.step()
         self.assertEqual([1, 2], self.fold.notes)
         self.assertEqual(2, self.follower.offset())
 
-    def test_bad_record_is_counted_and_passed_over(self) -> None:
-        self.log.put("s", [b"{", b'{"kind": "none"}', payload(1, 1)])
+    def test_bad_record_is_counted_and_skipped(self) -> None:
+        self.log.append_notes("s", [b"{", b'{"kind": "none"}', payload(1, 1)])
         self.follower.step()
         self.assertEqual([1], self.fold.notes)
         self.assertEqual(
@@ -123,7 +127,7 @@
         peer = self.peers.followers.pop("peer")
         self.peers.shown = ()
         self.publish(peer.snapshot())
-        self.log.put("s", [payload(9, 9)])
+        self.log.append_notes("s", [payload(9, 9)])
         self.log.expire_below("s", 4)
         for _ in range(3):
             self.follower.step()
@@ -131,41 +135,41 @@
         self.assertEqual(peer_fold.notes, self.fold.notes)
         self.assertEqual(peer.position(), self.follower.position())
 
-    def test_snapshot_keeps_repetitions_out(self) -> None:
+    def test_restored_writer_table_rejects_repeated_records(self) -> None:
         self.add_peer(3)
         self.publish(self.peers.followers["peer"].snapshot())
         self.log.expire_below("s", 3)
-        self.log.put("s", [payload(2, 3)])
+        self.log.append_notes("s", [payload(2, 3)])
         for _ in range(3):
             self.follower.step()
         self.assertEqual([0, 1, 2], self.fold.notes)
 
-    def test_damaged_snapshot_is_not_taken(self) -> None:
+    def test_snapshot_with_wrong_digest_is_rejected(self) -> None:
         self.add_peer(3)
-        taken = self.peers.followers.pop("peer").snapshot()
+        snapshot = self.peers.followers.pop("peer").snapshot()
         self.peers.shown = ()
-        self.publish(attrs.evolve(taken, digest="another"))
+        self.publish(attrs.evolve(snapshot, digest="another"))
         self.log.expire_below("s", 3)
         for _ in range(3):
             self.follower.step()
         self.assertEqual(-1, self.follower.offset())
         self.assertFalse(self.follower.ready)
 
-    def test_new_host_takes_state_from_a_peer_when_log_is_down(self) -> None:
+    def test_new_host_catches_up_from_a_peer_when_log_is_down(self) -> None:
         peer_fold = self.add_peer(5)
         self.log.down = True
         self.follower.step()
         self.assertTrue(self.follower.ready)
         self.assertEqual(peer_fold.notes, self.fold.notes)
 
-    def test_new_host_takes_a_snapshot_from_a_far_peer(self) -> None:
+    def test_new_host_far_behind_a_peer_receives_a_snapshot(self) -> None:
         peer_fold = self.add_peer(stream_state.MAX_RECENT_ENTRIES + 5)
         self.log.down = True
         self.follower.step()
         self.assertTrue(self.follower.ready)
         self.assertEqual(peer_fold.notes, self.fold.notes)
 
-    def test_peer_with_another_digest_is_not_served_from(self) -> None:
+    def test_host_with_another_digest_than_its_peer_is_not_ready(self) -> None:
         peer_fold = self.add_peer(5)
         peer_fold.notes[0] = 77
         self.log.down = True
@@ -176,7 +180,7 @@
             self.metrics.value(metrics.Counter.BAD_PEER_MESSAGES, "digest"),
         )
 
-    def test_state_below_a_known_offset_is_not_served_from(self) -> None:
+    def test_host_below_a_known_offset_is_not_ready(self) -> None:
         self.add_peer(5)
         ahead = peers_port.PeerView(
             "silent", ZONE, reachable=True, config_offset=9
@@ -187,37 +191,37 @@
         self.assertEqual(4, self.follower.offset())
         self.assertFalse(self.follower.ready)
 
-    def test_unready_host_gives_no_catch_up(self) -> None:
+    def test_host_that_is_not_ready_serves_no_catch_up(self) -> None:
         self.assertTrue(self.follower.serve_catch_up(-1).is_err())
 
-    def test_older_peer_does_not_take_the_state_back(self) -> None:
+    def test_older_peer_does_not_revert_the_state(self) -> None:
         self.add_peer(2)
-        self.put(3)
+        self.append_notes(3)
         self.follower.step()
         before = self.follower.position()
         self.log.down = True
         self.follower.step()
         self.assertEqual(before, self.follower.position())
 
-    def test_own_record_reaches_a_host_cut_from_the_log(self) -> None:
+    def test_own_record_is_pushed_to_a_host_without_the_log(self) -> None:
         push = record_pusher.OwnRecordPusher(self.peers, "writer")
-        cut_fold = stream_history.NoteFold()
-        self.peers.followers["cut"] = self.make(cut_fold)
-        self.put(2)
+        isolated_fold = stream_history.NoteFold()
+        self.peers.followers["cut"] = self.make_follower(isolated_fold)
+        self.append_notes(2)
         self.follower.step()
         push.observe(self.applied[-1])
-        self.assertEqual([0, 1], cut_fold.notes)
+        self.assertEqual([0, 1], isolated_fold.notes)
 
-    def test_log_that_lost_its_tail_does_not_take_the_state_back(self) -> None:
+    def test_log_that_lost_its_tail_does_not_revert_the_state(self) -> None:
         self.follower.apply_from_peer(entries(0, 1, 2))
-        self.put(1)
+        self.append_notes(1)
         self.follower.step()
         self.assertEqual(2, self.follower.offset())
         self.assertFalse(self.follower.ready)
 
-    def test_thread_follows_until_closed(self) -> None:
-        with self.make(self.fold) as running:
-            self.put(3)
+    def test_thread_follows_until_exit(self) -> None:
+        with self.make_follower(self.fold) as running:
+            self.append_notes(3)
             self.assertTrue(running.wait_for(2, 2_000))
             self.assertFalse(running.wait_for(3, 10))
         self.assertEqual([0, 1, 2], self.fold.notes)
