--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -73,14 +73,14 @@
 
     def append_notes(self, notes: int) -> None:
         for note in range(notes):
-            self.log.append_notes("s", [payload(note, note + 1)])
+            self.log.put("s", [payload(note, note + 1)])
 
     def publish(self, snapshot: snapshots.StreamSnapshot) -> None:
         chunks = [
             records.encode("publisher", index + 1, chunk)
             for index, chunk in enumerate(snapshots.split(snapshot))
         ]
-        self.log.append_notes(snapshot_stream.name_of("s"), chunks)
+        self.log.put(snapshot_stream.name_of("s"), chunks)
 
     def test_follower_is_ready_at_the_head(self) -> None:
         self.append_notes(follower.MAX_READ_ENTRIES + 1)
@@ -91,7 +91,7 @@
         self.assertEqual(follower.MAX_READ_ENTRIES, self.follower.offset())
 
     def test_repeated_record_is_folded_once(self) -> None:
-        self.log.append_notes(
+        self.log.put(
             "s", [payload(1, 1), payload(2, 2), payload(1, 1)]
         )
         self.follower.step()
@@ -99,7 +99,7 @@
         self.assertEqual(2, self.follower.offset())
 
     def test_bad_record_is_counted_and_skipped(self) -> None:
-        self.log.append_notes("s", [b"{", b'{"kind": "none"}', payload(1, 1)])
+        self.log.put("s", [b"{", b'{"kind": "none"}', payload(1, 1)])
         self.follower.step()
         self.assertEqual([1], self.fold.notes)
         self.assertEqual(
@@ -127,7 +127,7 @@
         peer = self.peers.followers.pop("peer")
         self.peers.shown = ()
         self.publish(peer.snapshot())
-        self.log.append_notes("s", [payload(9, 9)])
+        self.log.put("s", [payload(9, 9)])
         self.log.expire_below("s", 4)
         for _ in range(3):
             self.follower.step()
@@ -139,7 +139,7 @@
         self.add_peer(3)
         self.publish(self.peers.followers["peer"].snapshot())
         self.log.expire_below("s", 3)
-        self.log.append_notes("s", [payload(2, 3)])
+        self.log.put("s", [payload(2, 3)])
         for _ in range(3):
             self.follower.step()
         self.assertEqual([0, 1, 2], self.fold.notes)
