--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -91,9 +91,7 @@
         self.assertEqual(follower.MAX_READ_ENTRIES, self.follower.offset())
 
     def test_repeated_record_is_folded_once(self) -> None:
-        self.log.put(
-            "s", [payload(1, 1), payload(2, 2), payload(1, 1)]
-        )
+        self.log.put("s", [payload(1, 1), payload(2, 2), payload(1, 1)])
         self.follower.step()
         self.assertEqual([1, 2], self.fold.notes)
         self.assertEqual(2, self.follower.offset())
--- a/tests/process/test_json_logs.py
+++ b/tests/process/test_json_logs.py
@@ -39,7 +39,7 @@
             ("job-ended", "a", 7), (line["event"], line["job"], line["age_ms"])
         )
 
-    def test_repeats_are_folded_and_counted(self) -> None:
+    def test_lines_above_the_rate_limit_are_counted(self) -> None:
         with json_logs.JsonLogOutput("info", self.writer):
             # All in one second, but where the second changes in between.
             for _ in range(200):
@@ -54,7 +54,7 @@
         self.assertEqual(200, folded + written)
         self.assertLessEqual(written, 2 * json_logs.MAX_EVENT_LINES_PER_SECOND)
 
-    def test_stalled_output_blocks_nothing_and_drops_are_counted(
+    def test_stalled_output_does_not_block_and_drops_are_counted(
         self,
     ) -> None:
         output = json_logs.JsonLogOutput("info", self.writer)
@@ -66,23 +66,27 @@
                     # The writer is now stuck in a full pipe.
                     time.sleep(3 * json_logs.WRITE_INTERVAL_S)
             self.assertLess(time.monotonic() - started_s, 5)
-            found: list[Any] = []
-            reading = threading.Thread(target=self.drain, args=(found,))
+            received: list[Any] = []
+            reading = threading.Thread(
+                target=self.read_until_end, args=(received,)
+            )
             reading.start()
             time.sleep(5 * json_logs.WRITE_INTERVAL_S)
         logs_end = b'{"event":"end"}\n'
         os.write(self.writer, logs_end)
         reading.join(5)
-        dropped = [one for one in found if one["event"] == "lines-dropped"]
-        written = sum(one["event"] == "job-ended" for one in found)
-        counted = sum(one["by_event"]["job-ended"] for one in dropped)
+        dropped = [
+            line for line in received if line["event"] == "lines-dropped"
+        ]
+        written = sum(line["event"] == "job-ended" for line in received)
+        counted = sum(line["by_event"]["job-ended"] for line in dropped)
         self.assertEqual(3 * json_logs.MAX_QUEUED_LINES, written + counted)
         self.assertGreater(counted, 0)
 
-    def drain(self, found: list[Any]) -> None:
+    def read_until_end(self, received: list[Any]) -> None:
         """Reads lines until the last."""
         rest = b""
-        while not found or found[-1]["event"] != "end":
+        while not received or received[-1]["event"] != "end":
             rest += os.read(self.reader, 1 << 16)
-            *whole, rest = rest.split(b"\n")
-            found.extend(json.loads(line) for line in whole)
+            *complete, rest = rest.split(b"\n")
+            received.extend(json.loads(line) for line in complete)
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -20,7 +20,7 @@
             logs.event(logger, "job-placed", **fields)
         return stream.getvalue().splitlines()
 
-    def test_fields_stand_behind_the_event(self) -> None:
+    def test_fields_follow_the_event(self) -> None:
         (line,) = self.lines_of("info", job="j-1", attempt=2)
         self.assertTrue(line.endswith("event=job-placed job=j-1 attempt=2"))
 
@@ -28,10 +28,10 @@
         (line,) = self.lines_of("info", detail='a\n"b" c')
         self.assertIn('detail="a\\n\\"b\\" c"', line)
 
-    def test_lines_below_the_level_are_dropped(self) -> None:
+    def test_events_below_the_level_are_dropped(self) -> None:
         self.assertEqual([], self.lines_of("warning"))
 
-    def test_long_value_is_cut(self) -> None:
+    def test_long_value_is_truncated(self) -> None:
         (line,) = self.lines_of("info", detail="x" * 100_000)
         self.assertLess(len(line), 2 * logs.MAX_VALUE_CHARS)
 
--- a/tests/process/test_reasons_documented.py
+++ b/tests/process/test_reasons_documented.py
@@ -25,20 +25,20 @@
 class ReasonsDocumentedTest(testtools.TestCase):
     """The tables of docs/OPERATORS.md against the enums."""
 
-    def assert_rows(self, title: str, kind: type[enum.StrEnum]) -> None:
+    def assert_rows_match(self, title: str, kind: type[enum.StrEnum]) -> None:
         self.assertEqual(sorted(kind), sorted(_rows_of(title)))
 
     def test_every_refusal_reason_has_one_row(self) -> None:
-        self.assert_rows("Read a refusal", reasons.RefusalReason)
+        self.assert_rows_match("Read a refusal", reasons.RefusalReason)
 
     def test_every_retry_reason_has_one_row(self) -> None:
-        self.assert_rows("Read a retry", reasons.RetryReason)
+        self.assert_rows_match("Read a retry", reasons.RetryReason)
 
-    def test_every_subject_is_shown(self) -> None:
+    def test_every_subject_has_an_explain_command(self) -> None:
         text = PAGE.read_text(encoding="utf-8")
         for subject in reasons.Subject:
             self.assertIn(f"comfreylatch explain {subject} ", text)
 
-    def test_size_of_the_journal_is_told(self) -> None:
+    def test_journal_size_is_documented(self) -> None:
         text = PAGE.read_text(encoding="utf-8")
         self.assertIn(f"keeps its last {journal.MAX_DECISIONS:,}.", text)
--- a/tests/process/test_settings_documented.py
+++ b/tests/process/test_settings_documented.py
@@ -17,13 +17,15 @@
 ROW = re.compile(r"^\| `([a-z_.]+)` \| ([^|]*?) ?\|", re.MULTILINE)
 
 
-def _settings(kind: type, prefix: str = "") -> Iterator[tuple[str, str]]:
+def _documented_settings(
+    kind: type, prefix: str = ""
+) -> Iterator[tuple[str, str]]:
     """Paths and defaults, as the page writes them."""
     hints = typing.get_type_hints(kind)
     for field in attrs.fields(kind):
         path = prefix + field.name
         if attrs.has(hints[field.name]):
-            yield from _settings(hints[field.name], f"{path}.")
+            yield from _documented_settings(hints[field.name], f"{path}.")
         elif field.default is attrs.NOTHING:
             yield path, ""
         elif field.default == ():
@@ -37,4 +39,4 @@
 
     def test_every_setting_has_a_row_with_its_default(self) -> None:
         rows = dict(ROW.findall(PAGE.read_text(encoding="utf-8")))
-        self.assertEqual(dict(_settings(settings.Settings)), rows)
+        self.assertEqual(dict(_documented_settings(settings.Settings)), rows)
--- a/tests/process/test_settings_file.py
+++ b/tests/process/test_settings_file.py
@@ -15,7 +15,7 @@
 from comfreylatch._process import json_file
 from comfreylatch._process import settings_file
 
-RIGHT: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "seat": "bole-1",
     "zone": "bole",
     "caller_address": "127.0.0.1:8001",
@@ -31,8 +31,8 @@
 }
 
 
-def _with(**members: Any) -> str:
-    return json.dumps({**RIGHT, **members}, indent=1)
+def _settings_text(**members: Any) -> str:
+    return json.dumps({**VALID, **members}, indent=1)
 
 
 class SettingsFileTest(testtools.TestCase):
@@ -47,64 +47,72 @@
         self.assertEqual([key], [error.key for error in errors])
         self.assertIn(expected, errors[0].expected)
 
-    def test_right_file_loads_with_defaults(self) -> None:
+    def test_valid_file_loads_with_defaults(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         file = pathlib.Path(folder.name) / "s.json"
-        file.write_text("// host\n" + _with(), encoding="utf-8")
+        file.write_text("// host\n" + _settings_text(), encoding="utf-8")
         settings = settings_file.load(str(file)).ok_value
         self.assertEqual("bole-2", settings.peers[0].seat)
         self.assertEqual(500, settings.timing.heartbeat_ms)
 
     def test_missing_file_is_an_error_not_a_crash(self) -> None:
         loaded = settings_file.load("/nowhere/settings.json")
-        self.assertIn("No such file", loaded.err_value.errors[0].found)
+        self.assertIn("No such file", loaded.err_value.errors[0].received)
 
-    def test_all_errors_come_at_once_in_text_order(self) -> None:
-        text = _with(threads=0, log_level="loud", caller_address="bole:80")
+    def test_all_errors_are_reported_in_text_order(self) -> None:
+        text = _settings_text(
+            threads=0, log_level="loud", caller_address="bole:80"
+        )
         keys = [error.key for error in self.errors_of(text)]
         self.assertEqual(["caller_address", "threads", "log_level"], keys)
 
-    def test_unknown_key_names_the_nearest(self) -> None:
-        (error,) = self.errors_of(_with(thread=4))
+    def test_unknown_key_suggests_the_nearest_key(self) -> None:
+        (error,) = self.errors_of(_settings_text(thread=4))
         self.assertEqual(("thread", "threads"), (error.key, error.nearest))
 
-    def test_error_is_placed_behind_comments(self) -> None:
-        text = _with(threads="9").replace('"threads"', '/* é\n */ "threads"')
+    def test_error_position_accounts_for_comments(self) -> None:
+        text = _settings_text(threads="9").replace(
+            '"threads"', '/* é\n */ "threads"'
+        )
         error = self.errors_of(text)[0]
         line = text.split("\n")[error.line - 1]
         self.assertEqual('"9"', line[error.column - 1 :].rstrip(","))
 
     def test_own_seat_among_peers_is_refused(self) -> None:
-        peers = [{**RIGHT["peers"][0], "seat": "bole-1"}]
-        self.assert_one_error(_with(peers=peers), "peers[0].seat", "other")
+        peers = [{**VALID["peers"][0], "seat": "bole-1"}]
+        self.assert_one_error(
+            _settings_text(peers=peers), "peers[0].seat", "other"
+        )
 
     def test_seat_named_twice_is_refused(self) -> None:
-        first = RIGHT["peers"][0]
+        first = VALID["peers"][0]
         peers = [first, {**first, "peer_address": "127.0.0.1:8014"}]
-        self.assert_one_error(_with(peers=peers), "peers[1].seat", "once")
+        self.assert_one_error(
+            _settings_text(peers=peers), "peers[1].seat", "once"
+        )
 
-    def test_times_are_positive(self) -> None:
-        text = _with(timing={"heartbeat_ms": 0})
+    def test_durations_are_positive(self) -> None:
+        text = _settings_text(timing={"heartbeat_ms": 0})
         self.assert_one_error(text, "timing.heartbeat_ms", "1 to ")
 
     def test_routing_is_checked(self) -> None:
         routing = {"policy": "fastest", "seed": -1, "mark_keep_ms": 0}
-        errors = self.errors_of(_with(routing=routing))
+        errors = self.errors_of(_settings_text(routing=routing))
         keys = [error.key.partition(".")[2] for error in errors]
         self.assertEqual(list(routing), keys)
 
     def test_repeated_key_is_refused(self) -> None:
-        text = _with().replace("{", '{"seat": "x",', 1)
+        text = _settings_text().replace("{", '{"seat": "x",', 1)
         self.assert_one_error(text, "seat", "each key once")
 
-    def test_syntax_error_is_placed(self) -> None:
+    def test_syntax_error_has_a_position(self) -> None:
         error = self.errors_of('{"seat": "a", // one\n  "zone" "b"}')[0]
         self.assertEqual((2, 10), (error.line, error.column))
 
-    def test_word_that_is_no_json_is_refused(self) -> None:
+    def test_constant_outside_json_is_refused(self) -> None:
         error = self.errors_of('{"threads": NaN}')[0]
-        self.assertEqual("NaN", error.found)
+        self.assertEqual("NaN", error.received)
 
     def test_deep_nesting_is_refused(self) -> None:
         error = self.errors_of("[" * 100_000)[0]
@@ -112,13 +120,13 @@
 
     @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
     @given(strategies.text(alphabet='{}[]",:/* \n1ate\\é', max_size=40))
-    def test_any_text_gets_an_answer(self, text: str) -> None:
+    def test_any_text_is_parsed_or_refused(self, text: str) -> None:
         for error in self.errors_of(text):
             self.assertTrue(error.line >= 1 and error.column >= 1)
 
     @hypothesis_settings(max_examples=200, deadline=None, derandomize=True)
     @given(
-        strategies.sampled_from(sorted(RIGHT)),
+        strategies.sampled_from(sorted(VALID)),
         strategies.recursive(
             strategies.none() | strategies.integers() | strategies.text(),
             lambda inner: (
@@ -128,7 +136,7 @@
             max_leaves=5,
         ),
     )
-    def test_any_value_of_a_member_gets_an_answer(
+    def test_any_member_value_is_checked_without_a_crash(
         self, member: str, value: Any
     ) -> None:
-        self.errors_of(_with(**{member: value}))
+        self.errors_of(_settings_text(**{member: value}))
