--- a/tests/process/test_snapshot_publisher.py
+++ b/tests/process/test_snapshot_publisher.py
@@ -31,17 +31,17 @@
         )
         return snapshot_schedule.due_reason(position, POLICY)
 
-    def test_nothing_to_publish(self) -> None:
+    def test_none_due_without_new_records(self) -> None:
         self.assertIsNone(self.due(-1, 0, -1, 70_000))
         self.assertIsNone(self.due(9, 0, 9))
         self.assertIsNone(self.due(9, 0, 3))
 
-    def test_distance(self) -> None:
+    def test_due_at_the_maximum_distance(self) -> None:
         self.assertEqual(
             snapshot_schedule.DueReason.DISTANCE, self.due(12, 0, 2)
         )
 
-    def test_records_expire(self) -> None:
+    def test_due_when_records_expire(self) -> None:
         self.assertEqual(
             snapshot_schedule.DueReason.MISSING, self.due(5, 1, -1)
         )
@@ -50,19 +50,21 @@
         )
         self.assertIsNone(self.due(12, 2, 8))
 
-    def test_quiet_stream(self) -> None:
+    def test_idle_stream_is_due_at_the_maximum_age(self) -> None:
         self.assertEqual(
             snapshot_schedule.DueReason.AGE, self.due(9, 0, 9, 60_000)
         )
 
-    def test_seats_take_turns(self) -> None:
-        for last in range(3):
-            waits = [
-                snapshot_schedule.turn_delay_ms(seat, SEATS, last, 1_000)
+    def test_first_seat_changes_with_each_snapshot(self) -> None:
+        for snapshot_offset in range(3):
+            delays_ms = [
+                snapshot_schedule.turn_delay_ms(
+                    seat, SEATS, snapshot_offset, 1_000
+                )
                 for seat in SEATS
             ]
-            self.assertEqual([0, 1_000, 2_000], sorted(waits))
-            self.assertEqual(0, waits[last])
+            self.assertEqual([0, 1_000, 2_000], sorted(delays_ms))
+            self.assertEqual(0, delays_ms[snapshot_offset])
 
 
 class PublisherTest(testtools.TestCase):
@@ -72,9 +74,9 @@
         super().setUp()
         self.log = fake_log.FakeLog()
         self.clock = fake_clock.FakeClock()
-        self.publishers = [self.make(seat) for seat in SEATS]
+        self.publishers = [self.make_publisher(seat) for seat in SEATS]
 
-    def make(
+    def make_publisher(
         self, seat: str
     ) -> tuple[follower.StreamFollower, snapshot_publisher.SnapshotPublisher]:
         reader = follower.StreamFollower(
@@ -97,13 +99,15 @@
         )
         return reader, publisher
 
-    def put(self, notes: int) -> None:
+    def append_notes(self, notes: int) -> None:
         for _ in range(notes):
             offset = len(self.log.payloads("s"))
             note = stream_history.Note(offset)
-            self.log.put("s", [records.encode("writer", offset + 1, note)])
+            self.log.append_notes(
+                "s", [records.encode("writer", offset + 1, note)]
+            )
 
-    def round(self) -> int:
+    def step_all(self) -> int:
         """One step of every host; how many published."""
         published = 0
         for reader, publisher in self.publishers:
@@ -111,53 +115,53 @@
             published += publisher.step()
         return published
 
-    def test_one_seat_publishes(self) -> None:
-        self.put(12)
-        rounds = []
+    def test_only_one_seat_publishes(self) -> None:
+        self.append_notes(12)
+        published = []
         for _ in range(10):
-            rounds.append(self.round())
+            published.append(self.step_all())
             self.clock.advance(1_000)
-        self.assertEqual(1, sum(rounds))
+        self.assertEqual(1, sum(published))
 
-    def test_dead_seat_is_passed_over(self) -> None:
-        self.put(12)
+    def test_next_seat_publishes_for_a_dead_one(self) -> None:
+        self.append_notes(12)
         del self.publishers[2]
-        rounds = []
+        published = []
         for _ in range(10):
-            rounds.append(self.round())
+            published.append(self.step_all())
             self.clock.advance(1_000)
-        self.assertEqual(1, sum(rounds))
+        self.assertEqual(1, sum(published))
 
     def test_expired_snapshot_is_published_again(self) -> None:
-        self.put(12)
+        self.append_notes(12)
         for _ in range(4):
-            self.round()
+            self.step_all()
             self.clock.advance(1_000)
         name = snapshot_stream.name_of("s")
         self.log.expire_below(name, len(self.log.payloads(name)))
         self.assertTrue(snapshot_stream.load(self.log, "s").is_err())
         for _ in range(4):
-            self.round()
+            self.step_all()
             self.clock.advance(1_000)
         self.assertTrue(snapshot_stream.load(self.log, "s").is_ok())
 
     def test_new_host_starts_from_snapshot_and_tail(self) -> None:
-        self.put(12)
+        self.append_notes(12)
         for _ in range(4):
-            self.round()
+            self.step_all()
             self.clock.advance(1_000)
-        self.put(3)
-        self.round()
-        taken = snapshot_stream.load(self.log, "s").unwrap()
-        self.log.expire_below("s", taken.offset + 1)
-        reader, _ = self.make("seat-4")
+        self.append_notes(3)
+        self.step_all()
+        snapshot = snapshot_stream.load(self.log, "s").unwrap()
+        self.log.expire_below("s", snapshot.offset + 1)
+        reader, _ = self.make_publisher("seat-4")
         reader.step()
         reader.step()
         self.assertTrue(reader.ready)
         self.assertEqual(self.publishers[0][0].position(), reader.position())
 
     def test_log_down_publishes_nothing(self) -> None:
-        self.put(12)
-        self.round()
+        self.append_notes(12)
+        self.step_all()
         self.log.down = True
-        self.assertEqual(0, self.round())
+        self.assertEqual(0, self.step_all())
