--- a/tests/process/test_ticket_handler.py
+++ b/tests/process/test_ticket_handler.py
@@ -24,8 +24,8 @@
 from testing.fakes import peers as fake_peers
 from testing.fakes import tickets as samples
 
-QUICK = backoff.Backoff(base_ms=5, max_ms=20)
-READY_MS = 2_000
+FAST_RETRY = backoff.Backoff(base_ms=5, max_ms=20)
+TIMEOUT_MS = 2_000
 
 
 @attrs.frozen
@@ -41,23 +41,23 @@
     """What one entry host has for tickets."""
 
     def __init__(self, log: fake_log.FakeLog, seat: str) -> None:
-        machine = clock.SystemClock()
+        system_clock = clock.SystemClock()
         self.metrics = metrics.Metrics()
-        self.journal = journal.Journal(seat, machine)
+        self.journal = journal.Journal(seat, system_clock)
         self.peers = fake_peers.FakePeers()
         self.fold = configuration_fold.ConfigurationFold()
         self.appender = appender.StreamAppender(
-            log, "config", seat, self.metrics, machine, retry=QUICK
+            log, "config", seat, self.metrics, system_clock, retry=FAST_RETRY
         )
         self.follower = follower.StreamFollower(
             log,
             "config",
             self.fold,
             self.metrics,
-            machine,
+            system_clock,
             wait_ms=50,
             after_apply=self.appender.observe,
-            retry=QUICK,
+            retry=FAST_RETRY,
         )
         self.handler = ticket_handler.TicketHandler(
             self.appender,
@@ -66,11 +66,11 @@
             self.peers,
             self.journal,
             self.metrics,
-            machine,
+            system_clock,
             seat,
         )
 
-    def submit(self, value: Any, timeout_ms: int = READY_MS) -> Reply:
+    def submit(self, value: Any, timeout_ms: int = TIMEOUT_MS) -> Reply:
         request = http.HttpRequest(
             "POST",
             "/tickets",
@@ -101,9 +101,9 @@
 
     def start(self, seat: str) -> Host:
         host = Host(self.log, seat)
-        for part in (host.appender, host.follower):
-            part.__enter__()
-            self.addCleanup(part.__exit__, None, None, None)
+        for service in (host.appender, host.follower):
+            service.__enter__()
+            self.addCleanup(service.__exit__, None, None, None)
         while not host.follower.ready:
             host.follower.wait_for(0, 5)
         return host
@@ -132,23 +132,23 @@
             value = samples.ticket(number, samples.zone("bole"))
             replies[number] = host.submit(value)
 
-        racers = [
+        submitters = [
             threading.Thread(target=submit, args=(self.host, 1)),
             threading.Thread(target=submit, args=(self.other, 2)),
         ]
-        for racer in racers:
-            racer.start()
-        for racer in racers:
-            racer.join()
+        for submitter in submitters:
+            submitter.start()
+        for submitter in submitters:
+            submitter.join()
         statuses = {number: reply.status for number, reply in replies.items()}
         self.assertEqual([200, 409], sorted(statuses.values()))
         loser = min(statuses, key=lambda number: -statuses[number])
         conflict = replies[loser].body["conflicts"][0]
         self.assertEqual(3 - loser, conflict["winner"])
         self.assertEqual("bole", conflict["name"])
-        self.assertTrue(self.other.follower.wait_for(0, READY_MS))
+        self.assertTrue(self.other.follower.wait_for(0, TIMEOUT_MS))
 
-    def test_lost_answer_is_resolved_by_reading_on(self) -> None:
+    def test_lost_answer_is_resolved_by_reading_the_log(self) -> None:
         lost = fake_log.AppendFault.LOST_AFTER_EFFECT
         self.log.faults.extend([lost] * 20)
         reply = self.host.submit(samples.ticket(1, samples.zone("bole")))
@@ -158,7 +158,7 @@
         value = samples.ticket(1, samples.zone("bole"))
         first = self.host.submit(value)
         self.assertEqual(first, self.host.submit(value))
-        self.other.follower.wait_for(0, READY_MS)
+        self.other.follower.wait_for(0, TIMEOUT_MS)
         self.assertEqual(first, self.other.submit(value))
         self.assertEqual(1, len(self.log.payloads("config")))
 
@@ -168,7 +168,7 @@
         self.assertEqual(409, reply.status)
         self.assertEqual("ticket-number-taken", reply.body["reason"])
 
-    def test_number_taken_while_on_its_way_is_refused(self) -> None:
+    def test_number_taken_during_the_append_is_refused(self) -> None:
         self.host.submit(samples.ticket(1, samples.zone("bole")))
         known = self.host.fold.ticket
         self.host.fold.ticket = lambda number: (
@@ -191,7 +191,7 @@
             ),
         )
 
-    def test_log_down_is_said_at_once_with_a_time(self) -> None:
+    def test_log_down_is_reported_at_once_with_a_retry_time(self) -> None:
         self.log.down = True
         value = samples.ticket(1, samples.zone("bole"))
         reply = self.host.submit(value, timeout_ms=60_000)
@@ -199,23 +199,23 @@
         self.assertIn("nothing was written", reply.body["detail"])
         self.assertGreater(int(reply.headers["X-Retry-After-Ms"]), 0)
 
-    def test_unknown_outcome_is_called_unknown(self) -> None:
+    def test_unknown_outcome_is_reported_as_unknown(self) -> None:
         lost = fake_log.AppendFault.LOST_BEFORE_EFFECT
         self.log.faults.extend([lost] * 10_000)
         value = samples.ticket(1, samples.zone("bole"))
         reply = self.host.submit(value, timeout_ms=50)
         self.assertEqual(504, reply.status)
         self.log.faults.clear()
-        self.assertTrue(self.host.follower.wait_for(0, READY_MS))
+        self.assertTrue(self.host.follower.wait_for(0, TIMEOUT_MS))
         self.assertEqual("accepted", self.host.show(1).body["verdict"])
 
-    def test_host_not_ready_accepts_nothing(self) -> None:
+    def test_host_that_is_not_ready_refuses_tickets(self) -> None:
         unready = Host(self.log, "seat-3")
         reply = unready.submit(samples.ticket(1, samples.zone("bole")))
         self.assertEqual(503, reply.status)
         self.assertEqual("no-configuration", reply.body["reason"])
 
-    def test_ticket_page_tells_where_it_is_in_force(self) -> None:
+    def test_ticket_page_lists_seats_where_it_is_in_force(self) -> None:
         self.host.submit(samples.ticket(1, samples.zone("bole")))
         self.host.peers.shown = (
             peers_port.PeerView(
