--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -31,45 +31,45 @@
     max_size=60,
 )
 # Derandomized: the same histories at each run.
-SETTINGS = hypothesis.settings(
+CHECK_SETTINGS = hypothesis.settings(
     max_examples=300, derandomize=True, deadline=None, database=None
 )
-SEARCH = hypothesis.settings(
-    SETTINGS,
+SEARCH_SETTINGS = hypothesis.settings(
+    CHECK_SETTINGS,
     max_examples=3_000,
     phases=[hypothesis.Phase.generate],
     report_multiple_bugs=False,
 )
 
 
-def run(actions: list[stream_history.Action]) -> None:
-    stream_history.History().run(actions)
+def run_history(actions: list[stream_history.Action]) -> None:
+    stream_history.History().run_history(actions)
 
 
 class StreamHistoryTest(testtools.TestCase):
     """Nothing is lost, doubled or reverted; without a guard it is."""
 
-    def test_random_histories_keep_the_promises(self) -> None:
+    def test_random_histories_keep_the_invariants(self) -> None:
         """Whatever happens, what was answered is what was folded."""
-        SETTINGS(hypothesis.given(HISTORIES)(run))()
+        CHECK_SETTINGS(hypothesis.given(HISTORIES)(run_history))()
 
     def test_without_sequence_check_a_violation_is_found(self) -> None:
         """A repeated append is folded twice."""
         patch = mock.patch.object(
             writers.WriterTable, "take", return_value=True
         )
-        self._assert_found(patch)
+        self._assert_violation_found(patch)
 
     def test_without_offset_check_a_violation_is_found(self) -> None:
         """Entries pushed by a peer leave a gap."""
         patch = mock.patch.object(
             stream_state.StreamState, "_is_contiguous", return_value=True
         )
-        self._assert_found(patch)
+        self._assert_violation_found(patch)
 
-    def _assert_found(self, patch: mock._patch) -> None:
+    def _assert_violation_found(self, patch: mock._patch) -> None:
         with patch:
             self.assertRaises(
                 stream_history.PromiseBrokenError,
-                SEARCH(hypothesis.given(HISTORIES)(run)),
+                SEARCH_SETTINGS(hypothesis.given(HISTORIES)(run_history)),
             )
