--- a/tests/process/test_appender.py
+++ b/tests/process/test_appender.py
@@ -1,4 +1,4 @@
-"""Tests of appending to a stream."""
+"""Tests of `StreamAppender`."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class StepTest(testtools.TestCase):
-    """One step at a time, on a clock that the test moves."""
+    """Tests that run single steps on a fake clock."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -177,7 +177,7 @@
 
 
 class ThreadTest(testtools.TestCase):
-    """With its thread, on the machine's clock."""
+    """Tests with the appender's thread and the system clock."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -1,4 +1,4 @@
-"""Tests of following a stream."""
+"""Tests of `StreamFollower`."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 
 def entries(*notes: int) -> list[log_port.LogEntry]:
-    """Entries at the offsets of the same numbers as the notes."""
+    """Entries whose offsets equal their notes."""
     return [log_port.LogEntry(note, payload(note, note + 1)) for note in notes]
 
 
 class FollowerTest(testtools.TestCase):
-    """A follower driven step by step."""
+    """Tests that run single steps of a follower."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -60,7 +60,7 @@
         )
 
     def add_peer(self, notes: int) -> stream_history.NoteFold:
-        """A ready peer that has folded this many notes."""
+        """Adds a ready peer that has folded this many notes."""
         fold = stream_history.NoteFold()
         peer = self.make_follower(fold)
         self.append_notes(notes)
--- a/tests/process/test_json_logs.py
+++ b/tests/process/test_json_logs.py
@@ -1,4 +1,4 @@
-"""Tests of logs that must not hold up the program."""
+"""Tests of JSON logs that must not block the program."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class JsonLogsTest(testtools.TestCase):
-    """Lines through a pipe."""
+    """Tests that write log lines to a pipe."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -27,7 +27,7 @@
         self.addCleanup(os.close, self.writer)
 
     def lines(self) -> list[Any]:
-        """What has been written."""
+        """Lines written so far."""
         text = os.read(self.reader, 1 << 20).decode()
         return [json.loads(line) for line in text.splitlines()]
 
@@ -41,7 +41,7 @@
 
     def test_lines_above_the_rate_limit_are_counted(self) -> None:
         with json_logs.JsonLogOutput("info", self.writer):
-            # All in one second, but where the second changes in between.
+            # Usually within one second; at most the second changes once.
             for _ in range(200):
                 logs.event(_logger, "pace", task="a")
         lines = self.lines()
@@ -63,7 +63,7 @@
             for number in range(3 * json_logs.MAX_QUEUED_LINES):
                 logs.event(_logger, "job-ended", job=str(number), pad="x" * 90)
                 if number == json_logs.MAX_QUEUED_LINES // 2:
-                    # The writer is now stuck in a full pipe.
+                    # Give the writer time to block on the full pipe.
                     time.sleep(3 * json_logs.WRITE_INTERVAL_S)
             self.assertLess(time.monotonic() - started_s, 5)
             received: list[Any] = []
@@ -84,7 +84,7 @@
         self.assertGreater(counted, 0)
 
     def read_until_end(self, received: list[Any]) -> None:
-        """Reads lines until the last."""
+        """Reads lines up to the end marker."""
         rest = b""
         while not received or received[-1]["event"] != "end":
             rest += os.read(self.reader, 1 << 16)
--- a/tests/process/test_logs.py
+++ b/tests/process/test_logs.py
@@ -1,4 +1,4 @@
-"""Tests of the structured log lines."""
+"""Tests of structured log lines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class LogOutputTest(testtools.TestCase):
-    """One line an event."""
+    """Tests that each event is one line."""
 
     def lines_of(self, level: str, **fields: object) -> list[str]:
         stream = io.StringIO()
--- a/tests/process/test_reasons_documented.py
+++ b/tests/process/test_reasons_documented.py
@@ -1,4 +1,4 @@
-"""Tests that operators find every reason in their page, and no other."""
+"""Tests that the operators' page lists exactly the reasons in the code."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def _rows_of(title: str) -> list[str]:
-    """Words in the first column of the table under a heading."""
+    """First column of the table under a heading."""
     text = PAGE.read_text(encoding="utf-8")
     section = text.partition(f"\n## {title}\n")[2].partition("\n## ")[0]
     return ROW.findall(section)
 
 
 class ReasonsDocumentedTest(testtools.TestCase):
-    """The tables of docs/OPERATORS.md against the enums."""
+    """Compares the tables of docs/OPERATORS.md with the enums."""
 
     def assert_rows_match(self, title: str, kind: type[enum.StrEnum]) -> None:
         self.assertEqual(sorted(kind), sorted(_rows_of(title)))
--- a/tests/process/test_settings_documented.py
+++ b/tests/process/test_settings_documented.py
@@ -1,4 +1,4 @@
-"""Test that the settings page has every setting, with its default."""
+"""Test that the settings page lists every setting with its default."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def _documented_settings(
     kind: type, prefix: str = ""
 ) -> Iterator[tuple[str, str]]:
-    """Paths and defaults, as the page writes them."""
+    """Paths and defaults in the format of the page."""
     hints = typing.get_type_hints(kind)
     for field in attrs.fields(kind):
         path = prefix + field.name
@@ -35,7 +35,7 @@
 
 
 class SettingsDocumentedTest(testtools.TestCase):
-    """docs/operators/settings.md against the classes."""
+    """Compares docs/operators/settings.md with the settings classes."""
 
     def test_every_setting_has_a_row_with_its_default(self) -> None:
         rows = dict(ROW.findall(PAGE.read_text(encoding="utf-8")))
--- a/tests/process/test_settings_file.py
+++ b/tests/process/test_settings_file.py
@@ -1,4 +1,4 @@
-"""Tests of the settings file's check."""
+"""Tests of loading and checking the settings file."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class SettingsFileTest(testtools.TestCase):
-    """What a file with faults is answered with."""
+    """Tests of the errors reported for a settings file."""
 
     def errors_of(self, text: str) -> list[json_file.LocatedError]:
         checked = json_file.decode(text, "s.json", settings_file.check)
--- a/tests/process/test_snapshot_publisher.py
+++ b/tests/process/test_snapshot_publisher.py
@@ -21,7 +21,7 @@
 
 
 class DueTest(testtools.TestCase):
-    """When a snapshot is due."""
+    """Tests of when a snapshot is due."""
 
     def due(
         self, offset: int, first: int, snapshot: int, age_ms: int = 0
@@ -68,7 +68,7 @@
 
 
 class PublisherTest(testtools.TestCase):
-    """Publishers of three seats on one log."""
+    """Tests of the publishers of three seats on one log."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -103,12 +103,10 @@
         for _ in range(notes):
             offset = len(self.log.payloads("s"))
             note = stream_history.Note(offset)
-            self.log.append_notes(
-                "s", [records.encode("writer", offset + 1, note)]
-            )
+            self.log.put("s", [records.encode("writer", offset + 1, note)])
 
     def step_all(self) -> int:
-        """One step of every host; how many published."""
+        """Runs one step of every host; returns how many published."""
         published = 0
         for reader, publisher in self.publishers:
             reader.step()
--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -1,4 +1,4 @@
-"""Random histories of losses, repetitions, restarts and outages."""
+"""Property tests of streams under random faults, restarts and outages."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         strategies.sampled_from(
             [
                 *stream_history.ActionKind,
-                # The path that goes well has to be frequent as well.
+                # Repeated so that histories also make progress.
                 stream_history.ActionKind.SUBMIT,
                 stream_history.ActionKind.APPEND,
                 stream_history.ActionKind.FOLLOW,
@@ -30,7 +30,7 @@
     min_size=10,
     max_size=60,
 )
-# Derandomized: the same histories at each run.
+# Derandomized, so that each run checks the same histories.
 CHECK_SETTINGS = hypothesis.settings(
     max_examples=300, derandomize=True, deadline=None, database=None
 )
@@ -43,25 +43,28 @@
 
 
 def run_history(actions: list[stream_history.Action]) -> None:
-    stream_history.History().run_history(actions)
+    stream_history.History().run(actions)
 
 
 class StreamHistoryTest(testtools.TestCase):
-    """Nothing is lost, doubled or reverted; without a guard it is."""
+    """Tests that records are never lost, folded twice or reverted.
+
+    The same histories find a violation if a check is disabled.
+    """
 
     def test_random_histories_keep_the_invariants(self) -> None:
-        """Whatever happens, what was answered is what was folded."""
+        """Every history folds exactly what callers were told was appended."""
         CHECK_SETTINGS(hypothesis.given(HISTORIES)(run_history))()
 
     def test_without_sequence_check_a_violation_is_found(self) -> None:
-        """A repeated append is folded twice."""
+        """Without the sequence check, a repeated append is folded twice."""
         patch = mock.patch.object(
             writers.WriterTable, "take", return_value=True
         )
         self._assert_violation_found(patch)
 
     def test_without_offset_check_a_violation_is_found(self) -> None:
-        """Entries pushed by a peer leave a gap."""
+        """Without the offset check, entries pushed by a peer leave a gap."""
         patch = mock.patch.object(
             stream_state.StreamState, "_is_contiguous", return_value=True
         )
--- a/tests/process/test_stream_threads.py
+++ b/tests/process/test_stream_threads.py
@@ -1,4 +1,4 @@
-"""Hosts with their threads on a log that fails at random."""
+"""Tests of hosts with their threads on a log that fails at random."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class ThreadsTest(testtools.TestCase):
-    """What callers were told is what every host folds."""
+    """Tests that every host folds what callers were told was appended."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/process/test_ticket_handler.py
+++ b/tests/process/test_ticket_handler.py
@@ -1,4 +1,4 @@
-"""Tests of the handlers for tickets."""
+"""Tests of `TicketHandler`."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Host:
-    """What one entry host has for tickets."""
+    """The components of one entry host that handle tickets."""
 
     def __init__(self, log: fake_log.FakeLog, seat: str) -> None:
         system_clock = clock.SystemClock()
@@ -91,7 +91,7 @@
 
 
 class TicketHandlerTest(testtools.TestCase):
-    """Two hosts on one log, with their threads."""
+    """Tests with two hosts on one log, with their threads."""
 
     def setUp(self) -> None:
         super().setUp()
