--- a/tests/process/test_settings_file.py
+++ b/tests/process/test_settings_file.py
@@ -58,7 +58,7 @@
 
     def test_missing_file_is_an_error_not_a_crash(self) -> None:
         loaded = settings_file.load("/nowhere/settings.json")
-        self.assertIn("No such file", loaded.err_value.errors[0].received)
+        self.assertIn("No such file", loaded.err_value.errors[0].found)
 
     def test_all_errors_are_reported_in_text_order(self) -> None:
         text = _settings_text(
@@ -112,7 +112,7 @@
 
     def test_constant_outside_json_is_refused(self) -> None:
         error = self.errors_of('{"threads": NaN}')[0]
-        self.assertEqual("NaN", error.received)
+        self.assertEqual("NaN", error.found)
 
     def test_deep_nesting_is_refused(self) -> None:
         error = self.errors_of("[" * 100_000)[0]
--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -42,7 +42,7 @@
 )
 
 
-def run_history(actions: list[stream_history.Action]) -> None:
+def run(actions: list[stream_history.Action]) -> None:
     stream_history.History().run(actions)
 
 
@@ -54,7 +54,7 @@
 
     def test_random_histories_keep_the_invariants(self) -> None:
         """Every history folds exactly what callers were told was appended."""
-        CHECK_SETTINGS(hypothesis.given(HISTORIES)(run_history))()
+        CHECK_SETTINGS(hypothesis.given(HISTORIES)(run))()
 
     def test_without_sequence_check_a_violation_is_found(self) -> None:
         """Without the sequence check, a repeated append is folded twice."""
@@ -74,5 +74,5 @@
         with patch:
             self.assertRaises(
                 stream_history.PromiseBrokenError,
-                SEARCH_SETTINGS(hypothesis.given(HISTORIES)(run_history)),
+                SEARCH_SETTINGS(hypothesis.given(HISTORIES)(run)),
             )
