--- a/src/comfreylatch/_process/append_batch.py
+++ b/src/comfreylatch/_process/append_batch.py
@@ -36,7 +36,7 @@
         appends: The callers' appends, in the order of their records.
         payloads: All records, encoded.
         maybe_appended: Whether the log may already hold the records, because
-            the answer to an attempt was lost.
+            an answer was lost or an unexpected error occurred.
         settled: Whether every caller's outcome is set.
     """
 
--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -62,7 +62,7 @@
         *,
         min_append_interval_ms: int = DEFAULT_MIN_APPEND_INTERVAL_MS,
         retry: backoff.Backoff | None = None,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._log = log
         self._stream = stream
@@ -71,7 +71,7 @@
         self._clock = clock
         self._min_append_interval_ms = min_append_interval_ms
         self._retry = retry or backoff.Backoff()
-        self._source = source or random.Random()
+        self._rng = rng or random.Random()
         self._condition = threading.Condition()
         self._queue: collections.deque[append_batch.PendingAppend] = (
             collections.deque()
@@ -319,7 +319,7 @@
     def _refuse_unless_sent(
         self, batch: append_batch.AppendBatch, detail: str
     ) -> None:
-        """Refuses a batch that the log cannot hold."""
+        """Refuses a batch that is certainly not on the stream."""
         if not batch.maybe_appended and not batch.settled:
             batch.settle_refused(
                 self._not_accepted(
@@ -330,7 +330,7 @@
     def _record_failure(self, reason: reasons.RetryReason, detail: str) -> None:
         self._failures += 1
         self._metrics.count(metrics_module.Counter.RETRIES, reason)
-        delay_ms = self._retry.delay_ms(self._failures, self._source)
+        delay_ms = self._retry.delay_ms(self._failures, self._rng)
         self._next_try_ms = max(
             self._next_try_ms, self._clock.monotonic_ms() + delay_ms
         )
--- a/src/comfreylatch/_process/backoff.py
+++ b/src/comfreylatch/_process/backoff.py
@@ -19,8 +19,8 @@
     base_ms: int = 50
     max_ms: int = 2_000
 
-    def delay_ms(self, failures: int, source: random.Random) -> int:
+    def delay_ms(self, failures: int, rng: random.Random) -> int:
         """Random delay after consecutive failures, at least 1 ms."""
         doublings = min(max(failures - 1, 0), 20)
         bound_ms = min(self.max_ms, self.base_ms << doublings)
-        return source.randint(1, max(bound_ms, 1))
+        return rng.randint(1, max(bound_ms, 1))
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -45,7 +45,7 @@
         catch_up: Source of records when the log is down or has expired them.
         after_apply: Called after each change of the fold, outside any lock.
         retry: Backoff between failed reads.
-        source: Randomness of the backoff.
+        rng: Random number generator of the backoff.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         catch_up: catch_up_module.CatchUpSource | None = None,
         after_apply: stream_state.AfterApply | None = None,
         retry: backoff.Backoff | None = None,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._log = log
         self._stream = stream
@@ -69,7 +69,7 @@
         self._wait_ms = wait_ms
         self._catch_up = catch_up
         self._retry = retry or backoff.Backoff()
-        self._source = source or random.Random()
+        self._rng = rng or random.Random()
         self._state = stream_state.StreamState(
             stream, fold, metrics, after_apply
         )
@@ -230,7 +230,7 @@
                 offset=self._state.offset,
                 detail=detail,
             )
-        return self._retry.delay_ms(self._failures, self._source)
+        return self._retry.delay_ms(self._failures, self._rng)
 
     def _recover_expired(self, first_offset: int) -> int:
         """Continues from a snapshot or a peer after records have expired."""
--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -105,8 +105,8 @@
             return http.error_reply(
                 404,
                 "unknown-ticket",
-                f"ticket {text} is not on the log up to offset"
-                f" {self._follower.offset()}, which this host has read"
+                f"ticket {text} is unknown: this host has read the log up to"
+                f" offset {self._follower.offset()}"
                 f" ({ticket_pages.format_age(self._follower.age_ms())})",
             )
         decisions = self._journal.about(reasons.Subject.TICKET, text)
@@ -226,7 +226,7 @@
         line = self._fold.ticket(ticket.number)
         if line is None:
             return self._reply_unknown(
-                ticket, "the ticket is no longer in the fold"
+                ticket, "this host no longer keeps the ticket"
             )
         return self._reply(ticket, line)
 
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -145,7 +145,7 @@
             f"writer-{self._starts}",
             self._metrics,
             self._clock,
-            source=random.Random(self._starts),
+            rng=random.Random(self._starts),
         )
         reader = follower.StreamFollower(
             self.log,
--- a/tests/process/test_appender.py
+++ b/tests/process/test_appender.py
@@ -39,7 +39,7 @@
             "writer",
             self.metrics,
             self.clock,
-            source=random.Random(1),
+            rng=random.Random(1),
         )
 
     def submit(self, note: int = 1) -> append_batch.PendingAppend:
