--- a/src/comfreylatch/_process/settings.py
+++ b/src/comfreylatch/_process/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry host, as read from its file."""
+"""Settings of one entry host, from its file; tickets don't change them."""
 
 from __future__ import annotations
 
--- a/src/comfreylatch/_process/snapshot_schedule.py
+++ b/src/comfreylatch/_process/snapshot_schedule.py
@@ -62,8 +62,9 @@
 ) -> DueReason | None:
     """Why a snapshot is due now; None if none is.
 
-    The last snapshot has to lie in the newer half of the offsets the log
-    keeps, so that the records after it don't expire soon.
+    Whatever the log's retention time is, the last snapshot has to lie in the
+    newer half of the offsets it keeps, so that the records after the snapshot
+    don't expire soon.
     """
     if position.offset < 0 or position.snapshot_offset >= position.offset:
         if (
