--- a/src/comfreylatch/_process/own_state.py
+++ b/src/comfreylatch/_process/own_state.py
@@ -110,7 +110,8 @@
         source: Configuration in force.
         membership: Tells what peers know of the predecessor.
         shares: Opened by the gate.
-        left_over_ms: How long a predecessor's requests and loans may last.
+        predecessor_hold_ms: How long requests and loans of a predecessor may
+            last.
         on_first_start: Called when nothing was in force before this start.
         clock: Monotonic time.
     """
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -29,7 +29,7 @@
 
 STREAM = "history"
 HOSTS = 2
-# Longer than every backoff and spacing.
+# Longer than every backoff and append interval.
 STEP_MS = 3_000
 MAX_HEAL_ROUNDS = 200
 
