--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -129,10 +129,10 @@
         return self._owner
 
     def apply(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
         """Folds records in the order of their offsets."""
-        del is_whole  # Nothing is ever taken back by a whole reading.
+        del is_complete  # Nothing is ever taken back by a whole reading.
         for record in batch:
             try:
                 self._apply_one(record)
--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -123,8 +123,8 @@
     def _step(self) -> bool:
         """One read; returns whether the store answered."""
         asked_ms = self._clock.monotonic_ms()
-        is_whole = self._next_offset < 0
-        if is_whole:
+        is_complete = self._next_offset < 0
+        if is_complete:
             answer = self._store.newest(self._topic, self._partition)
         else:
             answer = self._store.read(
@@ -135,7 +135,7 @@
             )
         match answer:
             case result.Ok(batch):
-                self._take(batch, is_whole, asked_ms)
+                self._take(batch, is_complete, asked_ms)
                 return True
             case result.Err(store_port.RecordsExpired(first_offset)):
                 logs.event(
@@ -153,7 +153,7 @@
                 return False
 
     def _take(
-        self, batch: store_port.StoreBatch, is_whole: bool, asked_ms: int
+        self, batch: store_port.StoreBatch, is_complete: bool, asked_ms: int
     ) -> None:
         if not self._is_reachable:
             now_ms = self._clock.monotonic_ms()
@@ -166,12 +166,12 @@
             )
             self._is_reachable = True
             self._reachable_since_ms = now_ms
-        if not is_whole and batch.end_offset < self._next_offset:
+        if not is_complete and batch.end_offset < self._next_offset:
             # The store has forgotten records that it gave us; start anew.
             self._next_offset = -1
             return
-        if batch.records or is_whole:
-            self._apply(batch.records, is_whole)
+        if batch.records or is_complete:
+            self._apply(batch.records, is_complete)
         with self._moved:
             self._next_offset = batch.next_offset
             self._moved.notify_all()
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -165,10 +165,10 @@
         self._stack.__exit__(exc_type, exc, traceback)
 
     def _apply_operators_records(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        self._configured.apply(batch, is_whole)
-        self._waves.apply(batch, is_whole)
+        self._configured.apply(batch, is_complete)
+        self._waves.apply(batch, is_complete)
 
     def _tail(
         self,
