--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -111,11 +111,11 @@
         self, record: store_port.NewRecord, deadline_ms: int
     ) -> KeepOutcome:
         """Appends a record; waits for what came of it."""
-        waiting = _Waiting(record, deadline_ms)
-        self._queue.put(waiting)
+        count_queued = _Waiting(record, deadline_ms)
+        self._queue.put(count_queued)
         left_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
-        waiting.done.wait(left_ms / 1_000)
-        return waiting.outcome
+        count_queued.done.wait(left_ms / 1_000)
+        return count_queued.outcome
 
     def _run(self) -> None:
         while True:
@@ -330,8 +330,8 @@
             case PerhapsKept(detail):
                 return Undecided(detail)
 
-    def waiting(self, queue: specs.QueueSpec) -> int | StaleView:
+    def count_queued(self, queue: specs.QueueSpec) -> int | StaleView:
         """Accepted jobs of a queue of which nothing has started."""
         if self._tail.age_ms > OLDEST_VIEW_MS:
             return StaleView(self._tail.age_ms)
-        return self._replica.waiting(queue.prefix, queue.host)
+        return self._replica.count_queued(queue.prefix, queue.host)
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -111,7 +111,7 @@
                 if entry.state.is_final and entry.ended_ms < before_ms
             ]
 
-    def waiting(self, queue_prefix: str, queue_host: str) -> int:
+    def count_queued(self, queue_prefix: str, queue_host: str) -> int:
         """Accepted jobs of a queue for which no task has started."""
         with self._lock:
             return sum(
--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -136,7 +136,7 @@
                 return self._stale(age_ms)
 
     def _waiting(self, queue: specs.QueueSpec) -> http.HttpReply:
-        match self._job_api.waiting(queue):
+        match self._job_api.count_queued(queue):
             case int() as count:
                 return http.json_reply(200, {"Waiting": count})
             case job_api_module.StaleView(age_ms):
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -51,7 +51,7 @@
         self.assertEqual(job_api_module.Accepted(), self.submit())
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
         self.assertIs(records.JobState.QUEUED, self.intake.state(ID))
-        self.assertEqual(1, self.intake.waiting(harness.QUEUE))
+        self.assertEqual(1, self.intake.count_queued(harness.QUEUE))
 
     def test_refused_job_is_not_in_the_store(self) -> None:
         self.store.is_down = True
