--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -38,12 +38,12 @@
     def __init__(
         self,
         configured: Configured,
-        intake: job_api_module.JobApi,
+        job_api: job_api_module.JobApi,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self._configured = configured
-        self._job_api = intake
+        self._job_api = job_api
         self._metrics = metrics
         self._clock = clock
 
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -225,7 +225,7 @@
         )
 
     def _make_callers(self) -> http_server.HttpServer:
-        intake = job_api_module.JobApi(
+        job_api = job_api_module.JobApi(
             self._replica,
             self._jobs_reader,
             self._appender,
@@ -234,7 +234,7 @@
         )
         pages = callers.CallerPages(
             lambda: self._configured.current,
-            intake,
+            job_api,
             self._metrics,
             self._clock,
         )
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -39,19 +39,19 @@
         appender = stack.enter_context(
             job_api_module.BatchAppender(self.store, 0, clock)
         )
-        self.intake = job_api_module.JobApi(
+        self.job_api = job_api_module.JobApi(
             self.replica, self.tail, appender, metrics.Metrics(), clock
         )
         self.assertTrue(self.tail.wait_for(-1, WAIT_MS))
 
     def submit(self) -> job_api_module.SubmitOutcome:
-        return self.intake.submit(harness.job(), WAIT_MS)
+        return self.job_api.submit(harness.job(), WAIT_MS)
 
     def test_accepted_job_is_shown_as_queued(self) -> None:
         self.assertEqual(job_api_module.Accepted(), self.submit())
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
-        self.assertIs(records.JobState.QUEUED, self.intake.state(ID))
-        self.assertEqual(1, self.intake.count_queued(harness.QUEUE))
+        self.assertIs(records.JobState.QUEUED, self.job_api.state(ID))
+        self.assertEqual(1, self.job_api.count_queued(harness.QUEUE))
 
     def test_refused_job_is_not_in_the_store(self) -> None:
         self.store.is_down = True
@@ -64,7 +64,7 @@
 
     def test_lost_answer_then_outage_stays_undecided(self) -> None:
         self.store.lose_answers = 10**6
-        outcome = self.intake.submit(harness.job(), 120)
+        outcome = self.job_api.submit(harness.job(), 120)
         self.assertNotIsInstance(outcome, job_api_module.Refused)
 
     def test_repeat_of_a_known_job_writes_nothing(self) -> None:
@@ -78,19 +78,19 @@
         self.submit()
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
         self.assertEqual(
-            job_api_module.Accepted(), self.intake.cancel(ID, WAIT_MS)
+            job_api_module.Accepted(), self.job_api.cancel(ID, WAIT_MS)
         )
         self.assertTrue(self.tail.wait_for(1, WAIT_MS))
-        self.assertIs(records.JobState.CANCELLED, self.intake.state(ID))
+        self.assertIs(records.JobState.CANCELLED, self.job_api.state(ID))
 
     def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
-        self.assertEqual(job_api_module.UnknownJob(), self.intake.state(ID))
+        self.assertEqual(job_api_module.UnknownJob(), self.job_api.state(ID))
         self.store.is_down = True
         old = testtools.matchers.IsInstance(job_api_module.StaleView)
         deadline = clock_port.SystemClock()
         until_ms = deadline.monotonic_ms() + 5_000
         while deadline.monotonic_ms() < until_ms:
-            if old.match(self.intake.state(ID)) is None:
+            if old.match(self.job_api.state(ID)) is None:
                 return
         self.fail("an old view still denied a job")
 
@@ -99,6 +99,6 @@
         self.assertTrue(self.tail.wait_for(0, WAIT_MS))
         self.store.expire(records.JOBS_TOPIC, 0)
         other = harness.job(job_id="1" * 16)
-        self.intake.submit(other, WAIT_MS)
+        self.job_api.submit(other, WAIT_MS)
         self.assertTrue(self.tail.wait_for(1, WAIT_MS))
-        self.assertIs(records.JobState.QUEUED, self.intake.state("1" * 16))
+        self.assertIs(records.JobState.QUEUED, self.job_api.state("1" * 16))
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -126,7 +126,7 @@
             job_api_module.BatchAppender(self.store, 0, clock)
         )
         counted = metrics.Metrics()
-        self.intake = job_api_module.JobApi(
+        self.job_api = job_api_module.JobApi(
             self.replica, self.tail, appender, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
@@ -187,14 +187,14 @@
         return found
 
     def test_work_of_a_dead_owner_goes_on_and_is_not_run_again(self) -> None:
-        self.first.intake.submit(harness.job(harness.step(3)), 2_000)
+        self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         self.first.die()
         self.wait_for(lambda: self.second.tenure.is_owner)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
         completed = records.JobState.COMPLETED
-        self.wait_for(lambda: self.second.intake.state(ID) is completed)
+        self.wait_for(lambda: self.second.job_api.state(ID) is completed)
         starts = [one for w in self.workers.values() for one in w.starts]
         self.assertEqual(3, len(starts))
 
@@ -206,35 +206,35 @@
         self.assertLess(elapsed_ms, claiming.TAKEOVER_MS)
 
     def test_job_goes_to_the_owner_through_any_host(self) -> None:
-        self.second.intake.submit(harness.job(), 2_000)
+        self.second.job_api.submit(harness.job(), 2_000)
         self.wait_for(lambda: len(self.running()) == 1)
         running = records.JobState.RUNNING
-        self.wait_for(lambda: self.second.intake.state(ID) is running)
+        self.wait_for(lambda: self.second.job_api.state(ID) is running)
 
     def test_owner_cut_from_the_store_starts_nothing_new_at_the_end(
         self,
     ) -> None:
         self.first.store.is_cut = True
         self.wait_for(lambda: self.second.tenure.is_owner)
-        self.second.intake.submit(harness.job(harness.step(2)), 2_000)
+        self.second.job_api.submit(harness.job(harness.step(2)), 2_000)
         self.wait_for(lambda: len(self.running()) == 2)
         starts = [one for w in self.workers.values() for one in w.starts]
         self.assertEqual({2}, {one.token for one in starts})
 
     def test_ended_job_is_dropped_from_the_store_after_a_while(self) -> None:
-        self.first.intake.submit(harness.job(), 2_000)
+        self.first.job_api.submit(harness.job(), 2_000)
         self.wait_for(lambda: len(self.running()) == 1)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
         gone = job_api_module.UnknownJob()
-        self.wait_for(lambda: self.second.intake.state(ID) == gone)
+        self.wait_for(lambda: self.second.job_api.state(ID) == gone)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         self.assertEqual(["owner"], [one.key for one in newest.records])
 
     def test_cancelled_job_stops_running(self) -> None:
-        self.first.intake.submit(harness.job(harness.step(2)), 2_000)
+        self.first.job_api.submit(harness.job(harness.step(2)), 2_000)
         self.wait_for(lambda: len(self.running()) == 2)
-        self.second.intake.cancel(ID, 2_000)
+        self.second.job_api.cancel(ID, 2_000)
         self.wait_for(lambda: not self.running())
 
     def test_steps_that_a_policy_is_for_start_with_their_tickets(self) -> None:
@@ -242,7 +242,7 @@
             harness.QUEUE, advice=specs.AdviceSpec(50.0, 5.0, 3_000.0)
         )
         job = attrs.evolve(harness.job(harness.step(3)), queue=queue)
-        self.first.intake.submit(job, 2_000)
+        self.first.job_api.submit(job, 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         starts = [one for w in self.workers.values() for one in w.starts]
         self.assertEqual({ALLOWED}, {one.worker_id for one in starts})
@@ -272,7 +272,7 @@
         # Found by a day: machines down for their maintenance kept the tasks
         # of a new owner waiting for as long as leases may last.
         self.workers["w2"].is_dark = True
-        self.first.intake.submit(harness.job(harness.step(3)), 2_000)
+        self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
         self.wait_for(lambda: self.recorded_workers() == {"w1"})
         self.first.die()
