--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -144,8 +144,8 @@
             adviser=OneAllowed(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
-        self.tenure = ownership_module.Ownership(self.parts, self.identity)
-        stack.callback(self.tenure.stop, 2_000)
+        self.ownership = ownership_module.Ownership(self.parts, self.identity)
+        stack.callback(self.ownership.stop, 2_000)
 
     def die(self) -> None:
         """From now on, nothing of this host reaches anything."""
@@ -168,9 +168,9 @@
         }
         self.first = Host("one", self.store, self.workers, self.stack)
         self.second = Host("two", self.store, self.workers, self.stack)
-        self.first.tenure.start()
-        self.wait_for(lambda: self.first.tenure.is_owner)
-        self.second.tenure.start()
+        self.first.ownership.start()
+        self.wait_for(lambda: self.first.ownership.is_owner)
+        self.second.ownership.start()
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
         """Waits until something holds."""
@@ -190,7 +190,7 @@
         self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         self.first.die()
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
         completed = records.JobState.COMPLETED
@@ -200,8 +200,8 @@
 
     def test_owner_that_stops_hands_over_at_once(self) -> None:
         started_s = time.monotonic()
-        self.first.tenure.stop(2_000)
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.first.ownership.stop(2_000)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         elapsed_ms = (time.monotonic() - started_s) * 1_000
         self.assertLess(elapsed_ms, claiming.TAKEOVER_MS)
 
@@ -215,7 +215,7 @@
         self,
     ) -> None:
         self.first.store.is_cut = True
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         self.second.job_api.submit(harness.job(harness.step(2)), 2_000)
         self.wait_for(lambda: len(self.running()) == 2)
         starts = [one for w in self.workers.values() for one in w.starts]
@@ -276,7 +276,7 @@
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
         self.wait_for(lambda: self.recorded_workers() == {"w1"})
         self.first.die()
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         started_s = time.monotonic()
         self.workers["w1"].end_all(cell_workers.RunEnd.STOPPED)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
