--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -84,7 +84,7 @@
         seat: str,
         host_id: str,
         peers: peers_port.Peers,
-        longest_request_ms: Callable[[], int],
+        max_hold_ms: Callable[[], int],
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         chance: random.Random,
@@ -95,7 +95,7 @@
         self._seat = seat
         self._host_id = host_id
         self._peers = peers
-        self._longest_request_ms = longest_request_ms
+        self._longest_request_ms = max_hold_ms
         self._metrics = metrics
         self._clock = clock
         self._chance = chance
