--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -72,14 +72,14 @@
         self._service_by_endpoint: dict[str, str] = {}
         self._configuration = configuration.Configuration()
         self.leaving = leaving.LeavingEndpoints(clock)
-        self.longest_request_ms = shares.longest_request_ms(self._configuration)
+        self.max_request_ms = shares.max_request_ms(self._configuration)
         slots.on_free(self._on_free)
 
     @property
     def longest_timeout_ms(self) -> int:
         """The longest time a caller may ask for."""
         margin_ms = self._configuration.limits.drift_margin_ms
-        return self.longest_request_ms - margin_ms
+        return self.max_request_ms - margin_ms
 
     @property
     def configured(self) -> bool:
@@ -100,7 +100,7 @@
             if new.offset < self._configuration.offset:
                 return
             self._configuration = new
-            self.longest_request_ms = shares.longest_request_ms(new)
+            self.max_request_ms = shares.max_request_ms(new)
             self.leaving.keep_only(frozenset(new.endpoints))
             total_weight = sum(s.weight for s in new.services.values())
             addresses = self._addresses(new)
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -61,7 +61,7 @@
     return total // count + (1 if turn < total % count else 0)
 
 
-def longest_request_ms(current: configuration.Configuration) -> int:
+def max_request_ms(current: configuration.Configuration) -> int:
     """Bound on how long an endpoint may run a request, from its sending."""
     services = list(current.services.values()) or [objects.Service()]
     longest_ms = max(
@@ -72,7 +72,7 @@
 
 def longest_hold_ms(current: configuration.Configuration) -> int:
     """Bound on how long a slot is held, from its taking."""
-    return SEND_WITHIN_MS + longest_request_ms(current)
+    return SEND_WITHIN_MS + max_request_ms(current)
 
 
 @attrs.define(eq=False)
@@ -267,7 +267,7 @@
             return
         with self._lock:
             self._next_check_ms = now_ms + RECHECK_MS
-            wait_ms = longest_request_ms(self._configuration)
+            wait_ms = max_request_ms(self._configuration)
             for held in self._held.values():
                 gain = held.gain
                 if gain is not None and self._is_due(gain, now_ms, wait_ms):
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -158,7 +158,7 @@
             if state.usable:
                 slots.want(self._parts.rng.choice(state.usable))
             return None
-        hold_ms = shares.SEND_WITHIN_MS + self._parts.table.longest_request_ms
+        hold_ms = shares.SEND_WITHIN_MS + self._parts.table.max_request_ms
         # Read first, so that a pause in between can't make the slot look
         # younger than its ledger counts it.
         now_ms = self._parts.clock.monotonic_ms()
@@ -227,7 +227,7 @@
         limits = exchange.TryLimits(
             deadline_ms=self._call.deadline_ms,
             send_by_ms=send_by_ms,
-            hold_until_ms=send_by_ms + parts.table.longest_request_ms,
+            hold_until_ms=send_by_ms + parts.table.max_request_ms,
             max_connections=parts.slots.share_connections(endpoint),
         )
         begun = parts.client.begin(
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -12,7 +12,7 @@
 from comfreylatch._version import objects
 from tests import fakes
 
-LONGEST_MS = shares.longest_request_ms(configuration.Configuration())
+LONGEST_MS = shares.max_request_ms(configuration.Configuration())
 
 
 def make_shares(
