--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -95,7 +95,7 @@
         self._seat = seat
         self._host_id = host_id
         self._peers = peers
-        self._longest_request_ms = max_hold_ms
+        self._max_hold_ms = max_hold_ms
         self._metrics = metrics
         self._clock = clock
         self._chance = chance
@@ -145,7 +145,7 @@
         """See `SlotLedger.free`."""
         with self._lock:
             return self._book(endpoint).free(
-                self._clock.monotonic_ms(), self._longest_request_ms()
+                self._clock.monotonic_ms(), self._max_hold_ms()
             )
 
     def on_free(self, callback: Callable[[str], None]) -> None:
@@ -189,7 +189,7 @@
 
     def loan_ms(self) -> int:
         """How long a loan lasts under the configuration in force."""
-        longest_ms = self._longest_request_ms()
+        longest_ms = self._max_hold_ms()
         return max(MIN_LOAN_MS, LOAN_IN_LONGEST_REQUESTS * longest_ms)
 
     def status(self) -> tuple[LoanStatus, ...]:
