--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -70,7 +70,7 @@
     return longest_ms + current.limits.drift_margin_ms
 
 
-def longest_hold_ms(current: configuration.Configuration) -> int:
+def max_slot_hold_ms(current: configuration.Configuration) -> int:
     """Bound on how long a slot is held, from its taking."""
     return SEND_WITHIN_MS + max_request_ms(current)
 
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -29,7 +29,7 @@
         return self._max_hold_ms
 
     def _update(self, new: configuration.Configuration) -> None:
-        self._max_hold_ms = shares.longest_hold_ms(new)
+        self._max_hold_ms = shares.max_slot_hold_ms(new)
 
 
 def predecessor_hold_ms(
