--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -23,7 +23,7 @@
 
 RECHECK_MS = 100
 # Time from taking a slot within which its request must be sent.
-SEND_WITHIN_MS = 500
+MAX_SEND_DELAY_MS = 500
 
 
 @attrs.frozen
@@ -72,7 +72,7 @@
 
 def max_slot_hold_ms(current: configuration.Configuration) -> int:
     """Bound on how long a slot is held, from its taking."""
-    return SEND_WITHIN_MS + max_request_ms(current)
+    return MAX_SEND_DELAY_MS + max_request_ms(current)
 
 
 @attrs.define(eq=False)
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -158,7 +158,7 @@
             if state.usable:
                 slots.want(self._parts.rng.choice(state.usable))
             return None
-        hold_ms = shares.SEND_WITHIN_MS + self._parts.table.max_request_ms
+        hold_ms = shares.MAX_SEND_DELAY_MS + self._parts.table.max_request_ms
         # Read first, so that a pause in between can't make the slot look
         # younger than its ledger counts it.
         now_ms = self._parts.clock.monotonic_ms()
@@ -222,7 +222,7 @@
     ) -> result.Result[sent_try.SentTry, exchange.EndpointError]:
         self._tries += 1
         parts = self._parts
-        send_by_ms = self._taken_ms + shares.SEND_WITHIN_MS
+        send_by_ms = self._taken_ms + shares.MAX_SEND_DELAY_MS
         started_s = time.monotonic()
         limits = exchange.TryLimits(
             deadline_ms=self._call.deadline_ms,
