--- a/src/comfreylatch/_process/slot_book.py
+++ b/src/comfreylatch/_process/slot_book.py
@@ -16,7 +16,7 @@
 
 import attrs
 
-DRIFT_DIVISOR = 50
+CLOCK_DRIFT_DIVISOR = 50
 
 
 @attrs.define
@@ -141,7 +141,7 @@
         slots = min(asked, self._own_free() // 2)
         if slots <= 0:
             return 0
-        margin_ms = duration_ms // DRIFT_DIVISOR + 1
+        margin_ms = duration_ms // CLOCK_DRIFT_DIVISOR + 1
         ends_ms = now_ms + duration_ms + margin_ms
         self._lent.append(Lent(loan_id, borrower_host_id, slots, ends_ms))
         return slots
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -37,7 +37,7 @@
 ) -> int:
     """How long requests and loans of a killed predecessor may last."""
     loan_ms = ledger.loan_ms()
-    margin_ms = loan_ms // slot_book.DRIFT_DIVISOR + 1
+    margin_ms = loan_ms // slot_book.CLOCK_DRIFT_DIVISOR + 1
     return loan_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
 
 
--- a/tests/process/test_slot_book.py
+++ b/tests/process/test_slot_book.py
@@ -131,7 +131,7 @@
                 self.orphans.append(until_ms)
         self.running = [r for r in self.running if r[0] != host]
         self.books[host] = self._new_book(own=False)
-        margin_ms = LOAN_MS // slot_book.DRIFT_DIVISOR + 1
+        margin_ms = LOAN_MS // slot_book.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
 
     @stateful.rule(step_ms=strategies.sampled_from([1, 100, 350, 500]))
