--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -101,7 +101,7 @@
         self._chance = chance
         self._timeout_ms = timeout_ms
         self._lock = threading.Lock()
-        self._books: dict[str, slot_book.SlotBook] = {}
+        self._books: dict[str, slot_book.SlotAccount] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._wanted: set[str] = set()
         self._refused_until_ms: collections.Counter[tuple[str, str]] = (
@@ -206,10 +206,10 @@
                 for endpoint, book in sorted(self._books.items())
             )
 
-    def _book(self, endpoint: str) -> slot_book.SlotBook:
+    def _book(self, endpoint: str) -> slot_book.SlotAccount:
         book = self._books.get(endpoint)
         if book is None:
-            book = slot_book.SlotBook(endpoint)
+            book = slot_book.SlotAccount(endpoint)
             self._books[endpoint] = book
         book.set_own(self._shares.free(endpoint))
         return book
--- a/src/comfreylatch/_process/slot_book.py
+++ b/src/comfreylatch/_process/slot_book.py
@@ -59,7 +59,7 @@
 
 
 @final
-class SlotBook:
+class SlotAccount:
     """Slots of one endpoint. Not thread-safe: the owner holds a lock.
 
     A slot is given back without saying which. The book then takes the request
--- a/tests/process/test_slot_book.py
+++ b/tests/process/test_slot_book.py
@@ -24,7 +24,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = slot_book.SlotBook("ex-1")
+        self.book = slot_book.SlotAccount("ex-1")
         self.book.set_own(2)
 
     def test_own_share_bounds_takes(self) -> None:
@@ -71,8 +71,8 @@
         self.running: list[tuple[int, int]] = []
         self.orphans: list[int] = []
 
-    def _new_book(self, own: bool) -> slot_book.SlotBook:
-        book = slot_book.SlotBook("ex-1")
+    def _new_book(self, own: bool) -> slot_book.SlotAccount:
+        book = slot_book.SlotAccount("ex-1")
         book.set_own(SLOTS // HOSTS if own else 0)
         return book
 
@@ -168,7 +168,7 @@
     """Without any one guard the model finds an endpoint over its slots."""
 
     def _assert_found(self, name: str, without: Any) -> None:
-        with mock.patch.object(slot_book.SlotBook, name, without):
+        with mock.patch.object(slot_book.SlotAccount, name, without):
             self.assertRaises(
                 AssertionError,
                 stateful.run_state_machine_as_test,
@@ -186,17 +186,17 @@
     def test_successor_that_does_not_wait(self) -> None:
         new_book = LoanModel._new_book
 
-        def with_share(model: LoanModel, own: bool) -> slot_book.SlotBook:
+        def with_share(model: LoanModel, own: bool) -> slot_book.SlotAccount:
             del own
             return new_book(model, True)
 
         with mock.patch.object(LoanModel, "_new_book", with_share):
-            self._assert_found("own_used", slot_book.SlotBook.own_used)
+            self._assert_found("own_used", slot_book.SlotAccount.own_used)
 
     def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
-        add = slot_book.SlotBook.add_borrowed
+        add = slot_book.SlotAccount.add_borrowed
 
-        def add_for_ever(book: slot_book.SlotBook, loan: Any) -> None:
+        def add_for_ever(book: slot_book.SlotAccount, loan: Any) -> None:
             loan.ends_ms += 10 * LOAN_MS
             add(book, loan)
 
