--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -22,7 +22,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._ports import peers as peers_port
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process import slot_book
+from comfreylatch._process import slot_account
 from comfreylatch._wire.gen.peer import ttypes
 
 ASKED_SLOTS = 2
@@ -101,7 +101,7 @@
         self._chance = chance
         self._timeout_ms = timeout_ms
         self._lock = threading.Lock()
-        self._books: dict[str, slot_book.SlotAccount] = {}
+        self._books: dict[str, slot_account.SlotAccount] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._wanted: set[str] = set()
         self._refused_until_ms: collections.Counter[tuple[str, str]] = (
@@ -206,10 +206,10 @@
                 for endpoint, book in sorted(self._books.items())
             )
 
-    def _book(self, endpoint: str) -> slot_book.SlotAccount:
+    def _book(self, endpoint: str) -> slot_account.SlotAccount:
         book = self._books.get(endpoint)
         if book is None:
-            book = slot_book.SlotAccount(endpoint)
+            book = slot_account.SlotAccount(endpoint)
             self._books[endpoint] = book
         book.set_own(self._shares.free(endpoint))
         return book
@@ -279,7 +279,7 @@
         asked_ms: int,
     ) -> None:
         duration_ms = min(reply.duration_ms, request.duration_ms)
-        loan = slot_book.Borrowed(
+        loan = slot_account.Borrowed(
             lender_seat=seat,
             loan_id=request.loan_id,
             slots=min(reply.slots, request.slots),
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -8,7 +8,7 @@
 from comfreylatch._process import loans
 from comfreylatch._process import settings as settings_module
 from comfreylatch._process import shares
-from comfreylatch._process import slot_book
+from comfreylatch._process import slot_account
 from comfreylatch._version import configuration
 
 # A request forwarded by a killed host may start as late as one maximum hold
@@ -37,7 +37,7 @@
 ) -> int:
     """How long requests and loans of a killed predecessor may last."""
     loan_ms = ledger.loan_ms()
-    margin_ms = loan_ms // slot_book.CLOCK_DRIFT_DIVISOR + 1
+    margin_ms = loan_ms // slot_account.CLOCK_DRIFT_DIVISOR + 1
     return loan_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
 
 
--- a/tests/process/test_slot_book.py
+++ b/tests/process/test_slot_account.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies
 import testtools
 
-from comfreylatch._process import slot_book
+from comfreylatch._process import slot_account
 
 SLOTS = 4
 HOSTS = 2
@@ -24,7 +24,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = slot_book.SlotAccount("ex-1")
+        self.book = slot_account.SlotAccount("ex-1")
         self.book.set_own(2)
 
     def test_own_share_bounds_takes(self) -> None:
@@ -47,7 +47,7 @@
 
     def test_borrowed_slot_takes_only_requests_that_end_in_time(self) -> None:
         self.book.set_own(0)
-        self.book.add_borrowed(slot_book.Borrowed("s", 1, 1, LOAN_MS))
+        self.book.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
         self.assertFalse(self.book.take(late_ms, RUN_MS))
         self.assertTrue(self.book.take(late_ms - 1, RUN_MS))
@@ -71,8 +71,8 @@
         self.running: list[tuple[int, int]] = []
         self.orphans: list[int] = []
 
-    def _new_book(self, own: bool) -> slot_book.SlotAccount:
-        book = slot_book.SlotAccount("ex-1")
+    def _new_book(self, own: bool) -> slot_account.SlotAccount:
+        book = slot_account.SlotAccount("ex-1")
         book.set_own(SLOTS // HOSTS if own else 0)
         return book
 
@@ -112,7 +112,7 @@
         )
         if slots and not lost:
             self.books[borrower].add_borrowed(
-                slot_book.Borrowed(
+                slot_account.Borrowed(
                     str(lender), self.loan_id, slots, asked_ms + LOAN_MS
                 )
             )
@@ -131,7 +131,7 @@
                 self.orphans.append(until_ms)
         self.running = [r for r in self.running if r[0] != host]
         self.books[host] = self._new_book(own=False)
-        margin_ms = LOAN_MS // slot_book.CLOCK_DRIFT_DIVISOR + 1
+        margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
 
     @stateful.rule(step_ms=strategies.sampled_from([1, 100, 350, 500]))
@@ -168,7 +168,7 @@
     """Without any one guard the model finds an endpoint over its slots."""
 
     def _assert_found(self, name: str, without: Any) -> None:
-        with mock.patch.object(slot_book.SlotAccount, name, without):
+        with mock.patch.object(slot_account.SlotAccount, name, without):
             self.assertRaises(
                 AssertionError,
                 stateful.run_state_machine_as_test,
@@ -186,17 +186,17 @@
     def test_successor_that_does_not_wait(self) -> None:
         new_book = LoanModel._new_book
 
-        def with_share(model: LoanModel, own: bool) -> slot_book.SlotAccount:
+        def with_share(model: LoanModel, own: bool) -> slot_account.SlotAccount:
             del own
             return new_book(model, True)
 
         with mock.patch.object(LoanModel, "_new_book", with_share):
-            self._assert_found("own_used", slot_book.SlotAccount.own_used)
+            self._assert_found("own_used", slot_account.SlotAccount.own_used)
 
     def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
-        add = slot_book.SlotAccount.add_borrowed
+        add = slot_account.SlotAccount.add_borrowed
 
-        def add_for_ever(book: slot_book.SlotAccount, loan: Any) -> None:
+        def add_for_ever(book: slot_account.SlotAccount, loan: Any) -> None:
             loan.ends_ms += 10 * LOAN_MS
             add(book, loan)
 
