--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -165,7 +165,7 @@
     def lend(self, request: ttypes.LoanRequest) -> ttypes.LoanReply:
         """Answers another host's request; debited before it is sent."""
         now_ms = self._clock.monotonic_ms()
-        duration_ms = min(request.duration_ms, self.loan_ms())
+        duration_ms = min(request.duration_ms, self.loan_duration_ms())
         with self._lock:
             slots = self._book(request.endpoint).lend(
                 now_ms,
@@ -187,7 +187,7 @@
         self._metrics.count(metrics_module.Counter.LOANS, "returned")
         self._tell(loan.endpoint)
 
-    def loan_ms(self) -> int:
+    def loan_duration_ms(self) -> int:
         """How long a loan lasts under the configuration in force."""
         longest_ms = self._max_hold_ms()
         return max(MIN_LOAN_MS, LOAN_IN_LONGEST_REQUESTS * longest_ms)
@@ -258,7 +258,7 @@
             endpoint=endpoint,
             slots=ASKED_SLOTS,
             loan_id=next(self._loan_ids),
-            duration_ms=self.loan_ms(),
+            duration_ms=self.loan_duration_ms(),
         )
         asked_ms = self._clock.monotonic_ms()
         match self._peers.borrow(seat, request, self._timeout_ms):
