--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -76,7 +76,7 @@
         self._metrics = metrics_module.Metrics()
         self.host_id = f"{settings.seat}-{secrets.token_hex(4)}"
         self._journal = journal_module.Journal(self.host_id, self._clock)
-        self._state = own_state.OwnState(
+        self._state = own_state.LocalState(
             settings.seat, settings.zone, self.host_id, self._clock
         )
         self.superseded = threading.Event()
--- a/src/comfreylatch/_process/host_status.py
+++ b/src/comfreylatch/_process/host_status.py
@@ -32,7 +32,7 @@
 
 def of(
     settings: settings_module.Settings,
-    state: own_state.OwnState,
+    state: own_state.LocalState,
     config: follower_module.StreamFollower,
     gate: own_state.SeatGate,
 ) -> HostStatus:
--- a/src/comfreylatch/_process/own_state.py
+++ b/src/comfreylatch/_process/own_state.py
@@ -28,7 +28,7 @@
 
 
 @final
-class OwnState:
+class LocalState:
     """This host's part of a heartbeat; parts are attached as they are made."""
 
     def __init__(
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -27,7 +27,7 @@
 class StopParts:
     """The parts of a host that take part in its stop."""
 
-    state: own_state.OwnState
+    state: own_state.LocalState
     callers: http_server.HttpServer
     router: router_module.RequestRouter
     batch: batch_service.BatchService
