--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -32,11 +32,11 @@
 from comfreylatch._process import host_status
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import loans
+from comfreylatch._process import local_state
 from comfreylatch._process import logs
 from comfreylatch._process import membership as membership_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import operator_pages
-from comfreylatch._process import own_state
 from comfreylatch._process import pause_watch
 from comfreylatch._process import peer_service
 from comfreylatch._process import reasons
@@ -76,7 +76,7 @@
         self._metrics = metrics_module.Metrics()
         self.host_id = f"{settings.seat}-{secrets.token_hex(4)}"
         self._journal = journal_module.Journal(self.host_id, self._clock)
-        self._state = own_state.LocalState(
+        self._state = local_state.LocalState(
             settings.seat, settings.zone, self.host_id, self._clock
         )
         self.superseded = threading.Event()
@@ -212,8 +212,8 @@
             settings.timing.peer_timeout_ms,
         )
         self._marks = dispatch_marks.DispatchMarks(self.host_id, self._clock)
-        self._gate = own_state.SeatGate(
-            own_state.GateParts(
+        self._gate = local_state.SeatGate(
+            local_state.GateParts(
                 self._config,
                 self._fold,
                 self._membership,
--- a/src/comfreylatch/_process/host_status.py
+++ b/src/comfreylatch/_process/host_status.py
@@ -5,7 +5,7 @@
 import attrs
 
 from comfreylatch._process import follower as follower_module
-from comfreylatch._process import own_state
+from comfreylatch._process import local_state
 from comfreylatch._process import settings as settings_module
 
 
@@ -32,9 +32,9 @@
 
 def of(
     settings: settings_module.Settings,
-    state: own_state.LocalState,
+    state: local_state.LocalState,
     config: follower_module.StreamFollower,
-    gate: own_state.SeatGate,
+    gate: local_state.SeatGate,
 ) -> HostStatus:
     """The status at this moment."""
     offset, digest = config.position()
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -10,9 +10,9 @@
 from comfreylatch._connection import http_server
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import loans
+from comfreylatch._process import local_state
 from comfreylatch._process import logs
 from comfreylatch._process import membership as membership_module
-from comfreylatch._process import own_state
 from comfreylatch._process.batch import service as batch_service
 from comfreylatch._request import router as router_module
 
@@ -27,12 +27,12 @@
 class StopParts:
     """The parts of a host that take part in its stop."""
 
-    state: own_state.LocalState
+    state: local_state.LocalState
     callers: http_server.HttpServer
     router: router_module.RequestRouter
     batch: batch_service.BatchService
     ledger: loans.LoanLedger
-    gate: own_state.SeatGate
+    gate: local_state.SeatGate
     membership: membership_module.Membership
     clock: clock_port.Clock
 
--- a/tests/process/test_own_state.py
+++ b/tests/process/test_local_state.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from comfreylatch._process import own_state
+from comfreylatch._process import local_state
 from comfreylatch._version import configuration
 from comfreylatch._version import objects
 from testing.fakes import clock as fake_clock
@@ -48,7 +48,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.parts = _Parts()
-        self.gate = own_state.SeatGate(self.parts)
+        self.gate = local_state.SeatGate(self.parts)
 
     def test_nothing_opens_before_the_configuration_is_read(self) -> None:
         self.assertEqual("", self.gate.reason_to_open())
@@ -57,7 +57,7 @@
         self.parts.config.ready = True
         self.parts.listener(WITH_ENDPOINT)
         self.assertEqual(
-            own_state.NO_ENDPOINT_BEFORE, self.gate.reason_to_open()
+            local_state.NO_ENDPOINT_BEFORE, self.gate.reason_to_open()
         )
 
     def test_seat_waits_for_what_a_predecessor_left(self) -> None:
