--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -36,9 +36,9 @@
     max_hold: MaxSlotHoldTime, ledger: loans.LoanLedger
 ) -> int:
     """How long requests and loans of a killed predecessor may last."""
-    loan_ms = ledger.loan_ms()
-    margin_ms = loan_ms // slot_account.CLOCK_DRIFT_DIVISOR + 1
-    return loan_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
+    loan_duration_ms = ledger.loan_duration_ms()
+    margin_ms = loan_duration_ms // slot_account.CLOCK_DRIFT_DIVISOR + 1
+    return loan_duration_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
 
 
 def seat_conflict_wait_ms(timing: settings_module.TimingSettings) -> int:
