--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -213,7 +213,7 @@
         )
         self._marks = dispatch_marks.DispatchMarks(self.host_id, self._clock)
         self._gate = local_state.SeatGate(
-            local_state.GateParts(
+            local_state.GateDependencies(
                 self._config,
                 self._fold,
                 self._membership,
--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen
-class GateParts:
+class GateDependencies:
     """What the gate of a seat looks at.
 
     Attributes:
@@ -134,7 +134,7 @@
     the longest time for which its requests and loans can last.
     """
 
-    def __init__(self, parts: GateParts) -> None:
+    def __init__(self, parts: GateDependencies) -> None:
         self._parts = parts
         self._started_ms = parts.clock.monotonic_ms()
         self._had_endpoints = False
