--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -47,7 +47,7 @@
     work = _read_work(parts)
     if work is None:
         return None
-    lease_ms = int(parts.lease_ms / (1 - worker_view.CLOCK_DRIFT))
+    lease_ms = int(parts.lease_ms / (1 - worker_view.MAX_CLOCK_DRIFT))
     release_after_ms = started_ms + lease_ms
     if predecessor is None:
         release_after_ms = started_ms
--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -8,7 +8,7 @@
 from comfreylatch._process.cell import runs as runs_module
 
 # A worker's clock may be this much slow, as the platform says.
-CLOCK_DRIFT = 0.02
+MAX_CLOCK_DRIFT = 0.02
 # Added to the end of a lease for the time that the worker takes to end it.
 LEASE_END_SLACK_MS = 100
 # Share of a lasting task's processors taken as used, where its own usage is
@@ -144,7 +144,7 @@
         if self.clock_read_ms == 0:
             return self.release_after_ms
         left_ms = max(self.deadline_ms - self.clock_ms, 0)
-        over_ms = self.clock_read_ms + int(left_ms / (1 - CLOCK_DRIFT))
+        over_ms = self.clock_read_ms + int(left_ms / (1 - MAX_CLOCK_DRIFT))
         return over_ms + LEASE_END_SLACK_MS
 
 
