--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -33,7 +33,7 @@
 from comfreylatch._version import zone_fold
 
 APPEND_TIMEOUT_MS = 1_500
-STEP_MS = 100
+STEP_INTERVAL_MS = 100
 RENEWALS_PER_CLAIM = 3
 MAX_JITTER_MS = 1_000
 # What a claim without a configured zone uses.
@@ -193,7 +193,7 @@
             self._renew_if_due(claim, now_ms)
         elif self._may_claim(claim, age_ms, now_ms):
             self._claim(0 if claim is None else claim.term)
-        return STEP_MS
+        return STEP_INTERVAL_MS
 
     def release(self) -> None:
         """Gives the claim up; nothing may be sent to workers any more."""
@@ -377,5 +377,5 @@
                 logs.exception(
                     _events, "ownership-step-failed", zone=self._zone
                 )
-                delay_ms = STEP_MS
+                delay_ms = STEP_INTERVAL_MS
             self._stopping.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -37,7 +37,7 @@
 from comfreylatch._version import job_state
 from comfreylatch._version import zone_fold
 
-STEP_MS = 100
+STEP_INTERVAL_MS = 100
 IDLE_STEP_MS = 250
 LEAST_STEP_MS = 20
 CHECK_MS = 250
@@ -174,7 +174,7 @@
         now_ms = self._clock.monotonic_ms()
         permissions = self._ownership.permissions()
         self._scheduling.attempts.drive(permissions.may_start(now_ms), now_ms)
-        return STEP_MS
+        return STEP_INTERVAL_MS
 
     # Inputs.
 
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -217,7 +217,7 @@
         The owner's loop appends twice a step at most, ends and checkpoints
         apart from assignments; each admission is one for itself at worst.
         """
-        steps = MS_PER_S / zone_owner.STEP_MS
+        steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
         return 2 * steps + self.size.zone_starts_per_s + self.renewals_per_s()
 
     def zone_bytes_per_s(self) -> float:
@@ -314,7 +314,7 @@
     def steps(self) -> costs.Cost:
         """The owner's loop when there is nothing to decide."""
         step_us = self.slopes.owner.step_us.at(self.size.zone_workers)
-        steps = MS_PER_S / zone_owner.STEP_MS
+        steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
         return costs.Cost("owner's loop", cpu_us_per_s=steps * step_us)
 
 
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -120,7 +120,7 @@
     owner.step()
 
     def step() -> None:
-        clock.advance(zone_owner.STEP_MS)
+        clock.advance(zone_owner.STEP_INTERVAL_MS)
         owner.step()
 
     # The attempts' starts are asked for once, in the first steps.
