--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -17,7 +17,7 @@
 
 # Bounds how old a view that sees no changes can be: half of the two seconds
 # after which callers must not be answered from it.
-READ_TIMEOUT_MS = 700
+READ_WAIT_MS = 700
 # First and longest pause after a failed read; the store's outages are
 # answered at once, so that an eager reader would use up its call rate.
 RETRY_FIRST_MS = 50
@@ -53,7 +53,7 @@
         partition: int,
         apply: ApplyRecords,
         clock: clock_port.Clock,
-        read_wait_ms: int = READ_TIMEOUT_MS,
+        read_wait_ms: int = READ_WAIT_MS,
         pause_ms: int = 0,
     ) -> None:
         self._store = store
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -174,7 +174,7 @@
         self,
         topic: str,
         apply: partition_reader_module.ApplyRecords,
-        wait_ms: int = partition_reader_module.READ_TIMEOUT_MS,
+        wait_ms: int = partition_reader_module.READ_WAIT_MS,
     ) -> partition_reader_module.PartitionReader:
         return partition_reader_module.PartitionReader(
             self._store, topic, CELL, apply, self._clock, wait_ms
