--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -9,12 +9,12 @@
 
 from comfreylatch._process.cell import candidates as candidates_module
 from comfreylatch._process.cell import clearing
-from comfreylatch._process.cell import copies
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import placement
 from comfreylatch._process.cell import preemption
 from comfreylatch._process.cell import ranking as ranking_module
 from comfreylatch._process.cell import runs as runs_module
+from comfreylatch._process.cell import speculation
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
@@ -103,7 +103,7 @@
             for step in job.all_steps()
             if step.spec.is_speculative and step.unfinished_count
             for task in step.tasks
-            if copies.is_straggling(task, now_ms)
+            if speculation.is_straggling(task, now_ms)
         ]
         if not stragglers:
             return []
