--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -13,7 +13,7 @@
 from comfreylatch._ports import machines as machines_port
 from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
-from comfreylatch._process.cell import wave_work
+from comfreylatch._process.cell import maintenance_progress
 
 # The API may be fifty times slower than usual.
 CALL_TIMEOUT_MS = 2_000
@@ -60,19 +60,19 @@
     ) -> None:
         self._desk.__exit__(exc_type, exc, traceback)
 
-    def submit(self, action: wave_work.Action) -> None:
+    def submit(self, action: maintenance_progress.Action) -> None:
         """Queues a call."""
         self._desk.submit(lambda: self._do(action))
 
-    def _do(self, action: wave_work.Action) -> None:
+    def _do(self, action: maintenance_progress.Action) -> None:
         match action:
-            case wave_work.ListMachines():
+            case maintenance_progress.ListMachines():
                 sent_ms = self._clock.monotonic_ms()
                 listed = self._machines.machines(CALL_TIMEOUT_MS)
                 self._post(events.MachinesListed(sent_ms, listed))
-            case wave_work.Maintain(machine_id, wave):
+            case maintenance_progress.Maintain(machine_id, wave):
                 self._maintain(machine_id, wave)
-            case wave_work.Report(wave, is_completed):
+            case maintenance_progress.Report(wave, is_completed):
                 outcome = self._machines.report(
                     wave, is_completed, CALL_TIMEOUT_MS
                 )
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -17,8 +17,8 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import maintenance_progress
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import wave_work
 from comfreylatch._process.cell import worker_view
 
 LIST_INTERVAL_MS = 700
@@ -54,7 +54,7 @@
         self._recorded = recorded
         self._not_before_ms = not_before_ms
         self._metrics = metrics
-        self._waves: dict[int, wave_work.WaveWork] = {}
+        self._waves: dict[int, maintenance_progress.WaveWork] = {}
         self._machines: dict[str, machines_port.Machine] | None = None
         self._listed_ms = -(10**9)
         self._is_listing = False
@@ -66,9 +66,9 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
-    ) -> list[wave_work.Action]:
+    ) -> list[maintenance_progress.Action]:
         """What has to be done now; marks workers that have to be emptied."""
-        actions: list[wave_work.Action] = []
+        actions: list[maintenance_progress.Action] = []
         for wave in waves:
             if wave.number not in self._waves:
                 self._open(wave, wall_ms)
@@ -79,29 +79,34 @@
             if work.reported is not work.is_completed:
                 work.reported = work.is_completed
                 actions.append(
-                    wave_work.Report(work.wave.number, work.is_completed)
+                    maintenance_progress.Report(
+                        work.wave.number, work.is_completed
+                    )
                 )
         is_due = now_ms - self._listed_ms >= LIST_INTERVAL_MS
         if running and is_due and not self._is_listing:
             self._is_listing = True
             self._listed_ms = now_ms
-            actions.append(wave_work.ListMachines())
+            actions.append(maintenance_progress.ListMachines())
         return actions
 
     def _open(self, wave: machines_port.Wave, wall_ms: int) -> None:
         before = self._recorded.get(wave.number)
         began_wall_ms = wall_ms if before is None else before.began_wall_ms
-        work = wave_work.WaveWork(
+        work = maintenance_progress.WaveWork(
             wave,
             began_wall_ms,
-            {name: wave_work.MachineWork(name) for name in wave.machines},
+            {
+                name: maintenance_progress.MachineWork(name)
+                for name in wave.machines
+            },
         )
         if before is not None:
             work.is_completed = before.is_completed
             for name in work.machines.keys() & set(before.begun):
-                work.machines[name].phase = wave_work.Phase.AWAY
+                work.machines[name].phase = maintenance_progress.Phase.AWAY
             for name in work.machines.keys() & set(before.finished):
-                work.machines[name].phase = wave_work.Phase.FINISHED
+                work.machines[name].phase = maintenance_progress.Phase.FINISHED
         self._waves[wave.number] = work
         self._dirty.add(wave.number)
         logs.event(
@@ -116,34 +121,39 @@
 
     def _advance(
         self,
-        work: wave_work.WaveWork,
+        work: maintenance_progress.WaveWork,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
-        actions: list[wave_work.Action],
+        actions: list[maintenance_progress.Action],
     ) -> None:
         if self._machines is None:
             return
         for one in work.machines.values():
-            if one.phase is wave_work.Phase.EMPTYING and self._is_empty(
-                one, workers, now_ms
+            if (
+                one.phase is maintenance_progress.Phase.EMPTYING
+                and self._is_empty(one, workers, now_ms)
             ):
-                self._enter(one, wave_work.Phase.ORDERED, now_ms)
+                self._enter(one, maintenance_progress.Phase.ORDERED, now_ms)
                 actions.append(
-                    wave_work.Maintain(one.machine_id, work.wave.number)
+                    maintenance_progress.Maintain(
+                        one.machine_id, work.wave.number
+                    )
                 )
             elif (
-                one.phase is wave_work.Phase.ORDERED
+                one.phase is maintenance_progress.Phase.ORDERED
                 and now_ms >= one.not_before_ms > 0
             ):
                 one.not_before_ms = 0
                 actions.append(
-                    wave_work.Maintain(one.machine_id, work.wave.number)
+                    maintenance_progress.Maintain(
+                        one.machine_id, work.wave.number
+                    )
                 )
         if now_ms >= self._not_before_ms:
             self._begin_more(work, workers, now_ms, wall_ms)
         if all(
-            one.phase is wave_work.Phase.FINISHED
+            one.phase is maintenance_progress.Phase.FINISHED
             for one in work.machines.values()
         ):
             work.is_completed = True
@@ -152,7 +162,7 @@
 
     def _begin_more(
         self,
-        work: wave_work.WaveWork,
+        work: maintenance_progress.WaveWork,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
@@ -161,15 +171,15 @@
         waiting = [
             one
             for one in work.machines.values()
-            if one.phase is wave_work.Phase.WAITING
+            if one.phase is maintenance_progress.Phase.WAITING
             and now_ms >= one.not_before_ms
         ]
         busy = sum(
             one.phase
             in (
-                wave_work.Phase.EMPTYING,
-                wave_work.Phase.ORDERED,
-                wave_work.Phase.AWAY,
+                maintenance_progress.Phase.EMPTYING,
+                maintenance_progress.Phase.ORDERED,
+                maintenance_progress.Phase.AWAY,
             )
             for one in work.machines.values()
         )
@@ -189,11 +199,11 @@
             view = workers.get(worker_id)
             if view is not None:
                 view.is_being_emptied = True
-            self._enter(one, wave_work.Phase.EMPTYING, now_ms)
+            self._enter(one, maintenance_progress.Phase.EMPTYING, now_ms)
 
     def _is_empty(
         self,
-        one: wave_work.MachineWork,
+        one: maintenance_progress.MachineWork,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> bool:
@@ -206,7 +216,10 @@
         return not view.runs or now_ms - one.since_ms > MOST_EVACUATION_MS
 
     def _enter(
-        self, one: wave_work.MachineWork, phase: wave_work.Phase, now_ms: int
+        self,
+        one: maintenance_progress.MachineWork,
+        phase: maintenance_progress.Phase,
+        now_ms: int,
     ) -> None:
         one.phase = phase
         one.since_ms = now_ms
@@ -237,34 +250,36 @@
                 if self._is_finished(one, event.sent_ms):
                     self._finish(work, one, workers, now_ms)
 
-    def _is_finished(self, one: wave_work.MachineWork, listed_ms: int) -> bool:
+    def _is_finished(
+        self, one: maintenance_progress.MachineWork, listed_ms: int
+    ) -> bool:
         """Whether a list shows a machine back, or gone."""
         assert self._machines is not None
         machine = self._machines.get(one.machine_id)
         if machine is None:
             # It has left, and needs nothing any more.
-            return one.phase is not wave_work.Phase.FINISHED
+            return one.phase is not maintenance_progress.Phase.FINISHED
         is_up = machine.state is machines_port.MachineState.UP
         return (
-            one.phase is wave_work.Phase.AWAY
+            one.phase is maintenance_progress.Phase.AWAY
             and is_up
             and listed_ms > one.since_ms
         )
 
     def _finish(
         self,
-        work: wave_work.WaveWork,
-        one: wave_work.MachineWork,
+        work: maintenance_progress.WaveWork,
+        one: maintenance_progress.MachineWork,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        self._enter(one, wave_work.Phase.FINISHED, now_ms)
+        self._enter(one, maintenance_progress.Phase.FINISHED, now_ms)
         self._dirty.add(work.wave.number)
         self._reopen(one, workers)
 
     def _reopen(
         self,
-        one: wave_work.MachineWork,
+        one: maintenance_progress.MachineWork,
         workers: dict[str, worker_view.WorkerView],
     ) -> None:
         """Lets a machine's worker take work, if it is still the same one."""
@@ -284,13 +299,13 @@
         if (
             work is None
             or one is None
-            or one.phase is not wave_work.Phase.ORDERED
+            or one.phase is not maintenance_progress.Phase.ORDERED
         ):
             return
         match event.outcome:
             case result.Ok(_):
                 self._metrics.count(metrics_module.Counter.MAINTENANCES)
-                self._enter(one, wave_work.Phase.AWAY, now_ms)
+                self._enter(one, maintenance_progress.Phase.AWAY, now_ms)
                 self._dirty.add(event.wave)
             case result.Err(machines_port.MaintenanceUnanswered(detail)):
                 # The same order again changes nothing if it was carried out.
@@ -306,8 +321,8 @@
 
     def _take_refusal(
         self,
-        work: wave_work.WaveWork,
-        one: wave_work.MachineWork,
+        work: maintenance_progress.WaveWork,
+        one: maintenance_progress.MachineWork,
         reason: machines_port.Refusal,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
@@ -330,7 +345,7 @@
                 self._finish(work, one, workers, now_ms)
             case _:
                 one.not_before_ms = now_ms + RETRY_PAUSE_MS
-                self._enter(one, wave_work.Phase.WAITING, now_ms)
+                self._enter(one, maintenance_progress.Phase.WAITING, now_ms)
                 self._reopen(one, workers)
 
     def drain_writes(self) -> dict[str, bytes]:
@@ -341,8 +356,8 @@
             writes[f"{records.WAVE_PREFIX}{number}"] = records.encode(
                 records.WaveRecord(
                     work.began_wall_ms,
-                    work.in_phase(wave_work.Phase.AWAY),
-                    work.in_phase(wave_work.Phase.FINISHED),
+                    work.in_phase(maintenance_progress.Phase.AWAY),
+                    work.in_phase(maintenance_progress.Phase.FINISHED),
                     work.is_completed,
                 )
             )
