--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -18,7 +18,7 @@
 
 import attrs
 
-from comfreylatch._process.cell import pressures
+from comfreylatch._process.cell import pressure_model
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import serving_load
@@ -86,7 +86,7 @@
     """Learns pressures and plans with them. Not thread-safe."""
 
     def __init__(self) -> None:
-        self.pressures = pressures.Pressures()
+        self.pressures = pressure_model.Pressures()
         self._base_ms: dict[str, float] = {}
         self._loads: dict[
             runs_module.StepInstance, serving_load.ServingLoad
--- a/tests/process/cell/test_pressures.py
+++ b/tests/process/cell/test_pressure_model.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from comfreylatch._process.cell import pressures
+from comfreylatch._process.cell import pressure_model
 from comfreylatch._process.cell import records
 
 HARMFUL = 2.0
@@ -20,7 +20,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.learned = pressures.Pressures()
+        self.learned = pressure_model.Pressures()
         self.random = random.Random(SEED)
 
     def _read(self, seconds: int, images: dict[str, float]) -> None:
@@ -64,7 +64,7 @@
         learned = records.LearnedRecord(
             self.learned.export(), self.learned.export_pairs()
         )
-        successor = pressures.Pressures()
+        successor = pressure_model.Pressures()
         successor.restore(
             records.decode(records.LearnedRecord, records.encode(learned))
         )
@@ -89,7 +89,7 @@
 
     def test_image_of_which_nothing_is_known_has_the_prior(self) -> None:
         self.assertEqual(
-            pressures.UNKNOWN_PRESSURE, self.learned.of("serve", "new")
+            pressure_model.UNKNOWN_PRESSURE, self.learned.of("serve", "new")
         )
 
 
@@ -98,7 +98,9 @@
 
     def test_solution_fulfils_the_equations(self) -> None:
         matrix = [[4.0, 1.0, 0.5], [1.0, 3.0, 0.0], [0.5, 0.0, 2.0]]
-        solution = pressures.solve([row[:] for row in matrix], [1.0, 2.0, 3.0])
+        solution = pressure_model.solve(
+            [row[:] for row in matrix], [1.0, 2.0, 3.0]
+        )
         for row, value in zip(matrix, [1.0, 2.0, 3.0], strict=True):
             total = sum(a * b for a, b in zip(row, solution, strict=True))
             self.assertAlmostEqual(value, total)
