--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -26,20 +26,20 @@
 
 # Workers named in a call at most; the platform takes 100, and objectives
 # allow for one call on 30.
-MOST_NAMED = 30
-LEAST_NAMED = 4
+MAX_WORKERS_PER_CALL = 30
+MIN_WORKERS_PER_CALL = 4
 # Room that is asked for, as a multiple of what the step's tasks need: other
 # steps take some of it before the answer is there.
-ROOM_FACTOR = 2.0
+CAPACITY_FACTOR = 2.0
 # Share of the workers that a policy allows, until answers have shown it.
-UNKNOWN_ALLOWED_SHARE = 0.5
+PRIOR_ALLOWED_SHARE = 0.5
 # Answers that the guess above counts for.
-GUESS_WEIGHT = 4.0
+PRIOR_WEIGHT = 4.0
 # A ticket is not used in its last moments, as a start takes a while.
 TICKET_MARGIN_MS = 250
 RETRY_PAUSE_MS = 200
 # For a service that doesn't say how long its tickets are good.
-USUAL_VALID_MS = 3_000
+DEFAULT_VALIDITY_MS = 3_000
 
 _logger = logbook.Logger(__name__)
 
@@ -68,7 +68,7 @@
     """
 
     allowed: dict[str, bool] = attrs.field(factory=dict)
-    is_asked: bool = False
+    is_call_pending: bool = False
     not_before_ms: int = 0
 
 
@@ -91,18 +91,18 @@
         advised = [step for step in steps if step.job.spec.queue.advice]
         if not advised:
             return []
-        self._forget_ended()
+        self._discard_ended()
         views = {worker.worker_id: worker for worker in workers}
-        taking = [one for one in views.values() if one.accepts_work(now_ms)]
+        available = [one for one in views.values() if one.accepts_work(now_ms)]
         requests = []
         for step in advised:
             _drop_expired(step, views, now_ms)
-            known = self._steps.setdefault(step, _StepAdvice())
-            if known.is_asked or now_ms < known.not_before_ms:
+            state = self._steps.setdefault(step, _StepAdvice())
+            if state.is_call_pending or now_ms < state.not_before_ms:
                 continue
-            chosen = self._choose(step, known, taking)
+            chosen = self._choose(step, state, available)
             if chosen:
-                known.is_asked = True
+                state.is_call_pending = True
                 requests.append(
                     AdviceRequest(
                         step,
@@ -111,7 +111,7 @@
                 )
         return requests
 
-    def _forget_ended(self) -> None:
+    def _discard_ended(self) -> None:
         ended = [
             step
             for step in self._steps
@@ -123,39 +123,39 @@
     def _choose(
         self,
         step: runs_module.StepInstance,
-        known: _StepAdvice,
-        taking: list[worker_view.WorkerView],
+        state: _StepAdvice,
+        available: list[worker_view.WorkerView],
     ) -> list[worker_view.WorkerView]:
         """Workers to be named; none where tickets leave room enough."""
         tickets = step.tickets or {}
         needed = float(len(step.pending_tasks))
         candidates = []
-        for worker in taking:
-            if not placement.suits(worker, step):
+        for worker in available:
+            if not placement.is_eligible(worker, step):
                 continue
-            fitting = _fitting(worker, step)
+            fitting = _count_fitting(worker, step)
             if worker.worker_id in tickets:
                 needed -= fitting
-            elif known.allowed.get(worker.worker_id, True):
+            elif state.allowed.get(worker.worker_id, True):
                 candidates.append((worker, fitting))
         if needed <= 0:
             return []
         candidates.sort(
             key=lambda pair: (
-                not known.allowed.get(pair[0].worker_id, False),
+                not state.allowed.get(pair[0].worker_id, False),
                 -pair[1],
                 pair[0].slowness,
             )
         )
         queue = step.job.spec.queue.name
-        share = self._shares.get(queue, UNKNOWN_ALLOWED_SHARE)
-        wanted = ROOM_FACTOR * needed
+        share = self._shares.get(queue, PRIOR_ALLOWED_SHARE)
+        wanted = CAPACITY_FACTOR * needed
         chosen: list[worker_view.WorkerView] = []
-        for worker, fitting in candidates[:MOST_NAMED]:
-            if wanted <= 0 and len(chosen) >= LEAST_NAMED:
+        for worker, fitting in candidates[:MAX_WORKERS_PER_CALL]:
+            if wanted <= 0 and len(chosen) >= MIN_WORKERS_PER_CALL:
                 break
-            is_sure = known.allowed.get(worker.worker_id, False)
-            wanted -= fitting * (1.0 if is_sure else share)
+            is_known_allowed = state.allowed.get(worker.worker_id, False)
+            wanted -= fitting * (1.0 if is_known_allowed else share)
             chosen.append(worker)
         return chosen
 
@@ -164,18 +164,18 @@
     ) -> None:
         """Takes in what came of a call."""
         step = event.step
-        known = self._steps.get(step)
-        if known is None:
+        state = self._steps.get(step)
+        if state is None:
             return
-        known.is_asked = False
+        state.is_call_pending = False
         match event.outcome:
             case result.Err(advice_port.AdviceUnavailable(detail)):
-                known.not_before_ms = now_ms + RETRY_PAUSE_MS
+                state.not_before_ms = now_ms + RETRY_PAUSE_MS
                 self.report_missing(
                     step, reasons.MissingAdvice.NO_ANSWER, detail
                 )
             case result.Ok(advice):
-                self._take_advice(event, known, advice)
+                self._apply_advice(event, state, advice)
 
     def report_missing(
         self,
@@ -193,25 +193,25 @@
         )
         self._metrics.count(metrics_module.Counter.ADVICE_MISSING, reason)
 
-    def _take_advice(
+    def _apply_advice(
         self,
         event: events.AdviceReturned,
-        known: _StepAdvice,
+        state: _StepAdvice,
         advice: advice_port.Advice,
     ) -> None:
         step = event.step
-        valid_ms = advice.valid_ms or USUAL_VALID_MS
+        valid_ms = advice.valid_ms or DEFAULT_VALIDITY_MS
         until_ms = event.received_ms + valid_ms - TICKET_MARGIN_MS
         tickets = {} if step.tickets is None else step.tickets
         step.tickets = tickets
         queue = step.job.spec.queue.name
-        share = self._shares.get(queue, UNKNOWN_ALLOWED_SHARE)
+        share = self._shares.get(queue, PRIOR_ALLOWED_SHARE)
         for worker_id, born_ms in event.workers.items():
             text = advice.tickets.get(worker_id)
             is_allowed = text is not None
-            if worker_id not in known.allowed:
-                share += (is_allowed - share) / (GUESS_WEIGHT + 1)
-            known.allowed[worker_id] = is_allowed
+            if worker_id not in state.allowed:
+                share += (is_allowed - share) / (PRIOR_WEIGHT + 1)
+            state.allowed[worker_id] = is_allowed
             if text is not None:
                 tickets[worker_id] = runs_module.Ticket(text, born_ms, until_ms)
         self._shares[queue] = share
@@ -229,7 +229,7 @@
         )
 
 
-def _fitting(
+def _count_fitting(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> int:
     """How many tasks of a step would fit on a worker now."""
@@ -256,6 +256,8 @@
         step.tickets = {}
     for worker_id, ticket in list(step.tickets.items()):
         view = views.get(worker_id)
-        is_same_life = view is not None and view.entry.born_ms == ticket.born_ms
-        if now_ms >= ticket.until_ms or not is_same_life:
+        is_same_incarnation = (
+            view is not None and view.entry.born_ms == ticket.born_ms
+        )
+        if now_ms >= ticket.until_ms or not is_same_incarnation:
             del step.tickets[worker_id]
--- a/src/comfreylatch/_process/cell/candidates.py
+++ b/src/comfreylatch/_process/cell/candidates.py
@@ -11,7 +11,7 @@
 from comfreylatch._process.cell import worker_view
 
 # The cost of a worker for a task of the step; None where it can't be had.
-Cost = Callable[[worker_view.WorkerView], float | None]
+CostFunction = Callable[[worker_view.WorkerView], float | None]
 
 
 @final
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, workers: Iterable[worker_view.WorkerView], cost: Cost
+        self, workers: Iterable[worker_view.WorkerView], cost: CostFunction
     ) -> None:
         self._cost = cost
         self._heap: list[tuple[float, int, worker_view.WorkerView]] = []
@@ -36,7 +36,7 @@
         heapq.heapify(self._heap)
 
     def pick(
-        self, unwanted: Collection[str] = (), barred: Collection[str] = ()
+        self, avoided: Collection[str] = (), excluded: Collection[str] = ()
     ) -> worker_view.WorkerView | None:
         """The cheapest worker now; None when there is none.
 
@@ -44,7 +44,7 @@
             unwanted: Workers to be taken only if there are no others.
             barred: Workers not to be taken at all.
         """
-        aside = []
+        set_aside = []
         chosen = None
         while self._heap:
             stored, index, worker = self._heap[0]
@@ -53,13 +53,13 @@
                 heapq.heappop(self._heap)
             elif now > stored:
                 heapq.heapreplace(self._heap, (now, index, worker))
-            elif worker.worker_id in unwanted or worker.worker_id in barred:
-                aside.append(heapq.heappop(self._heap))
+            elif worker.worker_id in avoided or worker.worker_id in excluded:
+                set_aside.append(heapq.heappop(self._heap))
             else:
                 chosen = worker
                 break
-        for entry in aside:
+        for entry in set_aside:
             heapq.heappush(self._heap, entry)
-            if chosen is None and entry[2].worker_id not in barred:
+            if chosen is None and entry[2].worker_id not in excluded:
                 chosen = entry[2]
         return chosen
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -21,15 +21,15 @@
 # there is no other; after six seconds it counts as lost where it has room.
 OVERDUE_MS = 4_500
 # A worker is not cleared again so soon, so that all bear their part.
-REST_MS = 6_000
+CLEARING_INTERVAL_MS = 6_000
 # How long a task waits for a place beside lasting tasks before it counts.
-WAIT_MS = 400
+MIN_WAIT_MS = 400
 # Share of a worker's processors that must be asked for to clear it.
-LEAST_DEMAND_SHARE = 0.4
+MIN_DEMAND_SHARE = 0.4
 # A cleared worker that is used less than this is opened when nothing waits.
-LEAST_USE_SHARE = 0.25
+MIN_USE_SHARE = 0.25
 # Share of all workers that may be cleared at once.
-MOST_CLEARED_SHARE = 0.35
+MAX_CLEARED_SHARE = 0.35
 
 
 def waiting_millicores(
@@ -46,8 +46,9 @@
         len(step.pending_tasks) * step.spec.cpu_millicores
         for step in steps
         if step.spec.fills_idle
-        and now_ms - step.ready_ms >= WAIT_MS
-        and model.harm(step.spec.image) >= placement.HARMLESS
+        and now_ms - step.ready_ms >= MIN_WAIT_MS
+        and model.common_coefficient(step.spec.image)
+        >= placement.MAX_HARMLESS_COEFFICIENT
     )
 
 
@@ -57,13 +58,15 @@
     return now_ms - since_ms > OVERDUE_MS
 
 
-def end_early(workers: Iterable[worker_view.WorkerView], now_ms: int) -> None:
+def reopen_unused(
+    workers: Iterable[worker_view.WorkerView], now_ms: int
+) -> None:
     """Opens cleared workers that are hardly used; for when nothing waits."""
     for worker in workers:
         if now_ms >= worker.cleared_until_ms:
             continue
         used = worker.fill_millicores
-        if used < LEAST_USE_SHARE * worker.entry.capacity.cpu_millicores:
+        if used < MIN_USE_SHARE * worker.entry.capacity.cpu_millicores:
             worker.cleared_until_ms = now_ms
 
 
@@ -72,26 +75,26 @@
 ) -> worker_view.WorkerView | None:
     """The worker to be cleared next; None when there is no cause."""
     cleared = [one for one in workers if now_ms < one.cleared_until_ms]
-    if len(cleared) >= max(MOST_CLEARED_SHARE * len(workers), 1):
+    if len(cleared) >= max(MAX_CLEARED_SHARE * len(workers), 1):
         return None
     demand -= sum(max(one.idle_millicores, 0) for one in cleared)
     candidates = [one for one in workers if _may_clear(one, now_ms)]
     if not candidates:
         return None
-    best = max(candidates, key=_gain)
-    if demand < LEAST_DEMAND_SHARE * best.entry.capacity.cpu_millicores:
+    best = max(candidates, key=_benefit_ratio)
+    if demand < MIN_DEMAND_SHARE * best.entry.capacity.cpu_millicores:
         return None
     return best
 
 
-def _gain(worker: worker_view.WorkerView) -> float:
+def _benefit_ratio(worker: worker_view.WorkerView) -> float:
     """Processors won for each one taken from lasting tasks."""
-    won = worker.free_cpu + worker.lasting_millicores
-    return won / max(worker.lasting_millicores, 1)
+    gained = worker.free_cpu + worker.lasting_millicores
+    return gained / max(worker.lasting_millicores, 1)
 
 
 def _may_clear(worker: worker_view.WorkerView, now_ms: int) -> bool:
-    if now_ms < worker.cleared_until_ms + REST_MS:
+    if now_ms < worker.cleared_until_ms + CLEARING_INTERVAL_MS:
         return False
     lasting = [
         run for run in worker.runs.values() if run.task.step.spec.is_lasting
--- a/src/comfreylatch/_process/cell/duration_model.py
+++ b/src/comfreylatch/_process/cell/duration_model.py
@@ -9,8 +9,8 @@
 # Weight of a new duration in the smoothed ratio: about the last ten count.
 SMOOTHING = 0.1
 # Ratios outside these bounds say more of a fault than of an image.
-LOWEST_RATIO = 0.05
-HIGHEST_RATIO = 20.0
+MIN_RATIO = 0.05
+MAX_RATIO = 20.0
 # For a task without a declared duration.
 DEFAULT_ESTIMATE_MS = 1_000
 
@@ -27,7 +27,7 @@
     ) -> None:
         """Takes in the duration of a task that went undisturbed."""
         declared_ms = spec.estimated_ms or DEFAULT_ESTIMATE_MS
-        ratio = min(max(duration_ms / declared_ms, LOWEST_RATIO), HIGHEST_RATIO)
+        ratio = min(max(duration_ms / declared_ms, MIN_RATIO), MAX_RATIO)
         for key in (queue, f"{queue}/{spec.image}"):
             known = self._ratios.get(key, ratio)
             self._ratios[key] = known + SMOOTHING * (ratio - known)
--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -10,7 +10,7 @@
 
 # A worker that drains goes on for two seconds at least; what is expected to
 # end within this time is left to end there.
-LEFT_TO_END_MS = 1_500
+MAX_REMAINING_MS = 1_500
 
 
 @final
@@ -38,7 +38,7 @@
             if run.phase is runs_module.RunPhase.RUNNING
             and self._must_move(run)
         ]
-        return moving if worker.entry.is_draining else _within_bounds(moving)
+        return moving if worker.entry.is_draining else _limit_per_step(moving)
 
     def _must_move(self, run: runs_module.Run) -> bool:
         spec = run.task.step.spec
@@ -48,20 +48,20 @@
             return False
         queue = run.task.step.job.spec.queue.name
         expected_ms = self._durations.estimate_ms(queue, spec)
-        left_ms = expected_ms * (100 - run.percent) / 100
-        return left_ms > LEFT_TO_END_MS
+        remaining_ms = expected_ms * (100 - run.percent) / 100
+        return remaining_ms > MAX_REMAINING_MS
 
 
-def _within_bounds(moving: list[runs_module.Run]) -> list[runs_module.Run]:
+def _limit_per_step(moving: list[runs_module.Run]) -> list[runs_module.Run]:
     """Those of some runs that may be away now by their steps' bounds."""
     allowed = []
     stopped: dict[runs_module.StepInstance, int] = {}
     for run in moving:
         step = run.task.step
-        most = step.spec.max_unavailable
-        if most:
-            away = step.unavailable_count + stopped.get(step, 0)
-            if away >= most:
+        limit = step.spec.max_unavailable
+        if limit:
+            unavailable = step.unavailable_count + stopped.get(step, 0)
+            if unavailable >= limit:
                 continue
             stopped[step] = stopped.get(step, 0) + 1
         allowed.append(run)
--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -26,43 +26,43 @@
 
 # Error above which a reading is so far off the model's range that it only
 # says that there is too much pressure.
-SATURATED = 0.93
+SATURATION_LOAD = 0.93
 # Scatter of a coefficient beside what was learned of it.
-PRESSURE_SD = 0.15
+COEFFICIENT_SD = 0.15
 ROUNDING_SD_MS = 0.3
 # The trend of a load is followed this far: for paces until readings show what
 # they did, for placing into a task's run.
-PACE_AHEAD_MS = 700
-PLACE_AHEAD_MS = 1_200
+PACE_FORECAST_MS = 700
+PLACEMENT_FORECAST_MS = 1_200
 # A task that fills is placed where it can work at this pace at least.
-LEAST_FIRST_PACE = 70
+MIN_INITIAL_PACE_PERCENT = 70
 # A task that was slowed down wants its pace back: where more are placed, it
 # counts with this pace at least.
-LEAST_COUNTED_PACE = 60
+MIN_COUNTED_PACE_PERCENT = 60
 # Standard deviations of a coefficient that placing adds to it, so that few
 # tasks of an image are tried until it is known.
-PLANNED_SDS = 1.0
+COEFFICIENT_MARGIN_SDS = 1.0
 # Square of the intensity of a task that fills, on average.
-USUAL_WEIGHT = 0.8
+MEAN_SQUARED_INTENSITY = 0.8
 # Readings after a start or a change of pace are averages with what was before.
-READING_MS = 700
-LEAST_INTENSITY = 0.3
+READING_WINDOW_MS = 700
+MIN_INTENSITY = 0.3
 # At this pace or less a reading says little of the intensity.
-LEAST_READ_PACE = 20
+MAX_UNINFORMATIVE_PACE_PERCENT = 20
 # Share of a worker's processors that all tasks together may ask for; demands
 # change within a worker's report.
-CROWDED_SHARE = 1.0
+MAX_REQUESTED_CPU_SHARE = 1.0
 # Part of a tail target that is planned for; the rest is for what the model
 # does not know.
-TARGET_SHARE = 0.78
+PLANNED_TARGET_SHARE = 0.78
 # A task that has just started serves slowly whatever is beside it.
 SETTLING_MS = 1_500
 # Base of an image's tail relative to its target, until lower tails are seen.
-BASE_SHARE = 0.22
-FULL_PACE = 100
-PACE_STEP = 10
+BASE_TAIL_SHARE = 0.22
+FULL_PACE_PERCENT = 100
+PACE_STEP_PERCENT = 10
 # Head room that a pace is raised into, so that it isn't lowered at once.
-RAISE_MARGIN = 0.04
+PACE_RAISE_MARGIN = 0.04
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
     """How far the lasting tasks of an image are from their limit."""
 
     image: str
-    left: float
+    remaining: float
 
 
 @attrs.frozen
@@ -86,7 +86,7 @@
     """Learns pressures and plans with them. Not thread-safe."""
 
     def __init__(self) -> None:
-        self.pressures = pressure_model.Pressures()
+        self.pressures = pressure_model.PressureModel()
         self._base_ms: dict[str, float] = {}
         self._loads: dict[
             runs_module.StepInstance, serving_load.ServingLoad
@@ -108,21 +108,21 @@
             duration_ratios,
         )
 
-    def pressure(self, serving: str, filling: str) -> float:
+    def coefficient(self, serving: str, filling: str) -> float:
         """Coefficient of a filling image on a serving image."""
-        return self.pressures.of(serving, filling)
+        return self.pressures.coefficient(serving, filling)
 
-    def _base(self, run: runs_module.Run) -> float:
+    def _base_tail_ms(self, run: runs_module.Run) -> float:
         spec = run.task.step.spec
-        guess = spec.tail_target_ms * BASE_SHARE
+        guess = spec.tail_target_ms * BASE_TAIL_SHARE
         return min(self._base_ms.get(spec.image, guess), guess)
 
-    def limit(self, run: runs_module.Run) -> float:
+    def load_limit(self, run: runs_module.Run) -> float:
         """Sum of load and pressures at which a task nears its target."""
         target_ms = run.task.step.spec.tail_target_ms
-        return 1 - self._base(run) / (TARGET_SHARE * target_ms)
+        return 1 - self._base_tail_ms(run) / (PLANNED_TARGET_SHARE * target_ms)
 
-    def load(self, run: runs_module.Run) -> serving_load.ServingLoad:
+    def load_estimate(self, run: runs_module.Run) -> serving_load.ServingLoad:
         """What is known of the load of a lasting task's step."""
         return self._loads.setdefault(run.task.step, serving_load.ServingLoad())
 
@@ -135,66 +135,72 @@
         """Takes in a worker's newest readings."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
-        for fill in _fills(worker):
-            _note_intensity(fill, now_ms)
-            image = _image(fill)
-            use = fill.reading * fill.intensity / cpu
+        for filling_run in _filling_runs(worker):
+            _update_intensity(filling_run, now_ms)
+            image = _image(filling_run)
+            use = filling_run.reading * filling_run.intensity / cpu
             uses[image] = uses.get(image, 0.0) + use
-        for run in serving(worker):
+        for run in serving_runs(worker):
             settled = now_ms - run.confirmed_ms > SETTLING_MS
             if run.reading > 0 and run.confirmed_ms and settled:
-                self._learn_one(run, uses, now_ms)
+                self._learn_from_reading(run, uses, now_ms)
 
-    def _learn_one(
+    def _learn_from_reading(
         self, run: runs_module.Run, uses: dict[str, float], now_ms: int
     ) -> None:
         image = run.task.step.spec.image
-        base_ms = min(self._base(run), run.reading)
+        base_ms = min(self._base_tail_ms(run), run.reading)
         self._base_ms[image] = base_ms
-        seen = 1 - base_ms / run.reading
-        state = self.load(run)
-        state.advance(now_ms)
-        pressed = sum(
-            self.pressure(image, filling) * use for filling, use in uses.items()
+        observed_load = 1 - base_ms / run.reading
+        state = self.load_estimate(run)
+        state.predict(now_ms)
+        pressure = sum(
+            self.coefficient(image, filling) * use
+            for filling, use in uses.items()
         )
-        error = seen - state.load - pressed
-        if seen > SATURATED:
+        error = observed_load - state.load - pressure
+        if observed_load > SATURATION_LOAD:
             if error > 0:
                 state.update(error, now_ms)
             return
         self.pressures.observe(
-            run.task.step, image, run.worker_id, seen, uses, now_ms
+            run.task.step, image, run.worker_id, observed_load, uses, now_ms
         )
         variance = serving_load.READING_SD**2
         # Readings are whole milliseconds.
         variance += (ROUNDING_SD_MS * base_ms / run.reading**2) ** 2
-        variance += sum((PRESSURE_SD * use) ** 2 for use in uses.values())
+        variance += sum((COEFFICIENT_SD * use) ** 2 for use in uses.values())
         state.update(error, now_ms, variance)
 
     def slacks(self, worker: worker_view.WorkerView) -> tuple[Slack, ...]:
         """What each lasting step on a worker has left to its limit soon."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
-        wanted: dict[str, float] = {}
-        for fill in _fills(worker):
-            pace = max(fill.pace_percent, LEAST_COUNTED_PACE) / FULL_PACE
-            image = _image(fill)
-            used = fill.task.step.spec.cpu_millicores * pace / cpu
-            used *= (fill.intensity**2 + USUAL_WEIGHT) / 2
-            wanted[image] = wanted.get(image, 0.0) + used
-        steps = {run.task.step: run for run in serving(worker)}
+        uses: dict[str, float] = {}
+        for filling_run in _filling_runs(worker):
+            pace = (
+                max(filling_run.pace_percent, MIN_COUNTED_PACE_PERCENT)
+                / FULL_PACE_PERCENT
+            )
+            image = _image(filling_run)
+            used = filling_run.task.step.spec.cpu_millicores * pace / cpu
+            used *= (filling_run.intensity**2 + MEAN_SQUARED_INTENSITY) / 2
+            uses[image] = uses.get(image, 0.0) + used
+        steps = {run.task.step: run for run in serving_runs(worker)}
         slacks = []
         for run in steps.values():
             image = _image(run)
-            left = self.limit(run) - self.load(run).ahead(PLACE_AHEAD_MS)
-            for filling, use in wanted.items():
-                left -= self._planned(image, filling) * use
-            slacks.append(Slack(image, left))
+            remaining = self.load_limit(run) - self.load_estimate(run).forecast(
+                PLACEMENT_FORECAST_MS
+            )
+            for filling, use in uses.items():
+                remaining -= self._planned_coefficient(image, filling) * use
+            slacks.append(Slack(image, remaining))
         return tuple(slacks)
 
-    def _planned(self, serving_image: str, filling: str) -> float:
+    def _planned_coefficient(self, serving_image: str, filling: str) -> float:
         """Coefficient that placing reckons with: higher while uncertain."""
-        margin = PLANNED_SDS * self.pressures.uncertainty(filling)
-        return self.pressure(serving_image, filling) + margin
+        margin = COEFFICIENT_MARGIN_SDS * self.pressures.uncertainty(filling)
+        return self.coefficient(serving_image, filling) + margin
 
     def summary(self) -> dict[str, float]:
         """Coefficients by filling image, for logs."""
@@ -203,11 +209,11 @@
             for one in self.pressures.export()
         }
 
-    def harm(self, image: str) -> float:
+    def common_coefficient(self, image: str) -> float:
         """Coefficient of a filling image on serving images in general."""
-        return self.pressures.common(image)
+        return self.pressures.common_coefficient(image)
 
-    def head_room(
+    def headroom(
         self, slacks: tuple[Slack, ...], image: str, use: float
     ) -> float:
         """Least slack that a further filling task would leave.
@@ -216,10 +222,15 @@
         it is taken at the least pace that it may begin with. Negative where
         some lasting task would come over its limit.
         """
-        use *= USUAL_WEIGHT * LEAST_FIRST_PACE / FULL_PACE
+        use *= (
+            MEAN_SQUARED_INTENSITY
+            * MIN_INITIAL_PACE_PERCENT
+            / FULL_PACE_PERCENT
+        )
         return min(
             (
-                slack.left - self._planned(slack.image, image) * use
+                slack.remaining
+                - self._planned_coefficient(slack.image, image) * use
                 for slack in slacks
             ),
             default=1.0,
@@ -227,46 +238,49 @@
 
     def pace_changes(self, worker: worker_view.WorkerView) -> list[PaceChange]:
         """Paces that keep a worker's lasting tasks within their targets."""
-        fills = list(_fills(worker))
-        lasting = list(serving(worker))
-        if not fills:
+        filling_runs = list(_filling_runs(worker))
+        lasting = list(serving_runs(worker))
+        if not filling_runs:
             return []
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
-        paces = dict.fromkeys(fills, self._uncrowded_pace(worker))
+        paces = dict.fromkeys(filling_runs, self._cpu_bound_pace(worker))
         for run in lasting:
-            self._fit(run, paces, cpu)
+            self._lower_paces(run, paces, cpu)
         return [
             PaceChange(run, percent)
             for run, percent in paces.items()
             if run.pace_percent != percent
             and (
                 percent < run.pace_percent
-                or percent == FULL_PACE
-                or percent >= run.pace_percent + 2 * PACE_STEP
+                or percent == FULL_PACE_PERCENT
+                or percent >= run.pace_percent + 2 * PACE_STEP_PERCENT
             )
         ]
 
-    def _uncrowded_pace(self, worker: worker_view.WorkerView) -> int:
+    def _cpu_bound_pace(self, worker: worker_view.WorkerView) -> int:
         """Pace at which tasks that fill leave the others their processors."""
         lasting_use = 0.0
-        for run in serving(worker):
-            load = self.load(run).ahead(PACE_AHEAD_MS)
+        for run in serving_runs(worker):
+            load = self.load_estimate(run).forecast(PACE_FORECAST_MS)
             lasting_use += load * run.task.step.spec.cpu_millicores
         if not lasting_use:
-            return FULL_PACE
+            return FULL_PACE_PERCENT
         cpu = worker.entry.capacity.cpu_millicores
-        short = cpu - worker.free_cpu - worker.lasting_millicores
-        left = CROWDED_SHARE * cpu - short - lasting_use
-        asked = sum(
-            fill.task.step.spec.cpu_millicores * fill.intensity
-            for fill in _fills(worker)
+        reserved = cpu - worker.free_cpu - worker.lasting_millicores
+        remaining = MAX_REQUESTED_CPU_SHARE * cpu - reserved - lasting_use
+        requested = sum(
+            filling_run.task.step.spec.cpu_millicores * filling_run.intensity
+            for filling_run in _filling_runs(worker)
+        )
+        if requested <= remaining:
+            return FULL_PACE_PERCENT
+        steps = (
+            int(max(remaining, 0.0) / requested * FULL_PACE_PERCENT)
+            // PACE_STEP_PERCENT
         )
-        if asked <= left:
-            return FULL_PACE
-        steps = int(max(left, 0.0) / asked * FULL_PACE) // PACE_STEP
-        return steps * PACE_STEP
+        return steps * PACE_STEP_PERCENT
 
-    def _fit(
+    def _lower_paces(
         self,
         run: runs_module.Run,
         paces: dict[runs_module.Run, int],
@@ -274,27 +288,43 @@
     ) -> None:
         """Lowers the paces of the most harmful runs until a task is well."""
         image = run.task.step.spec.image
-        allowed = self.limit(run) - self.load(run).ahead(PACE_AHEAD_MS)
-        full = {
-            fill: self.pressure(image, _image(fill))
-            * fill.task.step.spec.cpu_millicores
-            * fill.intensity**2
+        budget = self.load_limit(run) - self.load_estimate(run).forecast(
+            PACE_FORECAST_MS
+        )
+        full_pressures = {
+            filling_run: self.coefficient(image, _image(filling_run))
+            * filling_run.task.step.spec.cpu_millicores
+            * filling_run.intensity**2
             / cpu
-            for fill in paces
+            for filling_run in paces
         }
-        total = sum(full[fill] * paces[fill] / FULL_PACE for fill in paces)
-        for fill in sorted(paces, key=lambda one: -full[one]):
-            margin = RAISE_MARGIN if fill.pace_percent < FULL_PACE else 0.0
-            over = total - allowed + margin
-            if over <= 0 or full[fill] <= 0:
+        total = sum(
+            full_pressures[filling_run] * paces[filling_run] / FULL_PACE_PERCENT
+            for filling_run in paces
+        )
+        for filling_run in sorted(paces, key=lambda one: -full_pressures[one]):
+            margin = (
+                PACE_RAISE_MARGIN
+                if filling_run.pace_percent < FULL_PACE_PERCENT
+                else 0.0
+            )
+            excess = total - budget + margin
+            if excess <= 0 or full_pressures[filling_run] <= 0:
                 return
-            cut = -(-int(over / full[fill] * FULL_PACE) // PACE_STEP)
-            lowered = max(paces[fill] - cut * PACE_STEP, 0)
-            total -= full[fill] * (paces[fill] - lowered) / FULL_PACE
-            paces[fill] = lowered
+            cut = -(
+                -int(excess / full_pressures[filling_run] * FULL_PACE_PERCENT)
+                // PACE_STEP_PERCENT
+            )
+            lowered = max(paces[filling_run] - cut * PACE_STEP_PERCENT, 0)
+            total -= (
+                full_pressures[filling_run]
+                * (paces[filling_run] - lowered)
+                / FULL_PACE_PERCENT
+            )
+            paces[filling_run] = lowered
 
 
-def serving(
+def serving_runs(
     worker: worker_view.WorkerView,
 ) -> Iterable[runs_module.Run]:
     """Runs of lasting tasks with a tail target on a worker."""
@@ -303,18 +333,27 @@
     )
 
 
-def _note_intensity(fill: runs_module.Run, now_ms: int) -> None:
+def _update_intensity(filling_run: runs_module.Run, now_ms: int) -> None:
     """Takes in how much of what it asks for a task that fills uses."""
-    since_ms = max(fill.confirmed_ms, fill.pace_changed_ms)
-    if not fill.confirmed_ms or now_ms - since_ms < READING_MS:
+    since_ms = max(filling_run.confirmed_ms, filling_run.pace_changed_ms)
+    if not filling_run.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
         return
-    if fill.pace_percent <= LEAST_READ_PACE or fill.reading <= 0:
+    if (
+        filling_run.pace_percent <= MAX_UNINFORMATIVE_PACE_PERCENT
+        or filling_run.reading <= 0
+    ):
         return
-    asked = fill.task.step.spec.cpu_millicores * fill.pace_percent / FULL_PACE
-    fill.intensity = min(max(fill.reading / asked, LEAST_INTENSITY), 1.0)
+    requested = (
+        filling_run.task.step.spec.cpu_millicores
+        * filling_run.pace_percent
+        / FULL_PACE_PERCENT
+    )
+    filling_run.intensity = min(
+        max(filling_run.reading / requested, MIN_INTENSITY), 1.0
+    )
 
 
-def _fills(worker: worker_view.WorkerView) -> Iterable[runs_module.Run]:
+def _filling_runs(worker: worker_view.WorkerView) -> Iterable[runs_module.Run]:
     return (
         run for run in worker.runs.values() if run.task.step.spec.fills_idle
     )
--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -70,9 +70,9 @@
                 sent_ms = self._clock.monotonic_ms()
                 listed = self._machines.machines(CALL_TIMEOUT_MS)
                 self._post(events.MachinesListed(sent_ms, listed))
-            case maintenance_progress.Maintain(machine_id, wave):
+            case maintenance_progress.OrderMaintenance(machine_id, wave):
                 self._maintain(machine_id, wave)
-            case maintenance_progress.Report(wave, is_completed):
+            case maintenance_progress.ReportWave(wave, is_completed):
                 outcome = self._machines.report(
                     wave, is_completed, CALL_TIMEOUT_MS
                 )
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -24,9 +24,9 @@
 LIST_INTERVAL_MS = 700
 # Tasks without checkpoints take some seconds; what still runs then stands
 # still, and would hold up the wave.
-MOST_EVACUATION_MS = 9_000
+MAX_EVACUATION_MS = 9_000
 # Emptying a worker, its maintenance of two seconds, and coming back.
-USUAL_ROUND_MS = 7_000
+EXPECTED_ROUND_MS = 7_000
 # Part of a wave's time that is planned for.
 PLANNED_SHARE = 0.75
 RETRY_PAUSE_MS = 500
@@ -54,7 +54,7 @@
         self._recorded = recorded
         self._not_before_ms = not_before_ms
         self._metrics = metrics
-        self._waves: dict[int, maintenance_progress.WaveWork] = {}
+        self._waves: dict[int, maintenance_progress.WaveProgress] = {}
         self._machines: dict[str, machines_port.Machine] | None = None
         self._listed_ms = -(10**9)
         self._is_listing = False
@@ -71,16 +71,20 @@
         actions: list[maintenance_progress.Action] = []
         for wave in waves:
             if wave.number not in self._waves:
-                self._open(wave, wall_ms)
-        running = [one for one in self._waves.values() if not one.is_completed]
-        for work in running:
-            self._advance(work, workers, now_ms, wall_ms, actions)
-        for work in self._waves.values():
-            if work.reported is not work.is_completed:
-                work.reported = work.is_completed
+                self._open_wave(wave, wall_ms)
+        running = [
+            progress
+            for progress in self._waves.values()
+            if not progress.is_completed
+        ]
+        for wave_progress in running:
+            self._advance(wave_progress, workers, now_ms, wall_ms, actions)
+        for wave_progress in self._waves.values():
+            if wave_progress.reported is not wave_progress.is_completed:
+                wave_progress.reported = wave_progress.is_completed
                 actions.append(
-                    maintenance_progress.Report(
-                        work.wave.number, work.is_completed
+                    maintenance_progress.ReportWave(
+                        wave_progress.wave.number, wave_progress.is_completed
                     )
                 )
         is_due = now_ms - self._listed_ms >= LIST_INTERVAL_MS
@@ -90,24 +94,28 @@
             actions.append(maintenance_progress.ListMachines())
         return actions
 
-    def _open(self, wave: machines_port.Wave, wall_ms: int) -> None:
+    def _open_wave(self, wave: machines_port.Wave, wall_ms: int) -> None:
         before = self._recorded.get(wave.number)
         began_wall_ms = wall_ms if before is None else before.began_wall_ms
-        work = maintenance_progress.WaveWork(
+        wave_progress = maintenance_progress.WaveProgress(
             wave,
             began_wall_ms,
             {
-                name: maintenance_progress.MachineWork(name)
+                name: maintenance_progress.MachineProgress(name)
                 for name in wave.machines
             },
         )
         if before is not None:
-            work.is_completed = before.is_completed
-            for name in work.machines.keys() & set(before.begun):
-                work.machines[name].phase = maintenance_progress.Phase.AWAY
-            for name in work.machines.keys() & set(before.finished):
-                work.machines[name].phase = maintenance_progress.Phase.FINISHED
-        self._waves[wave.number] = work
+            wave_progress.is_completed = before.is_completed
+            for name in wave_progress.machines.keys() & set(before.begun):
+                wave_progress.machines[
+                    name
+                ].phase = maintenance_progress.MachinePhase.AWAY
+            for name in wave_progress.machines.keys() & set(before.finished):
+                wave_progress.machines[
+                    name
+                ].phase = maintenance_progress.MachinePhase.FINISHED
+        self._waves[wave.number] = wave_progress
         self._dirty.add(wave.number)
         logs.event(
             _logger,
@@ -121,7 +129,7 @@
 
     def _advance(
         self,
-        work: maintenance_progress.WaveWork,
+        wave_progress: maintenance_progress.WaveProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
@@ -129,105 +137,115 @@
     ) -> None:
         if self._machines is None:
             return
-        for one in work.machines.values():
+        for progress in wave_progress.machines.values():
             if (
-                one.phase is maintenance_progress.Phase.EMPTYING
-                and self._is_empty(one, workers, now_ms)
+                progress.phase is maintenance_progress.MachinePhase.EMPTYING
+                and self._is_evacuated(progress, workers, now_ms)
             ):
-                self._enter(one, maintenance_progress.Phase.ORDERED, now_ms)
+                self._enter_phase(
+                    progress, maintenance_progress.MachinePhase.ORDERED, now_ms
+                )
                 actions.append(
-                    maintenance_progress.Maintain(
-                        one.machine_id, work.wave.number
+                    maintenance_progress.OrderMaintenance(
+                        progress.machine_id, wave_progress.wave.number
                     )
                 )
             elif (
-                one.phase is maintenance_progress.Phase.ORDERED
-                and now_ms >= one.not_before_ms > 0
+                progress.phase is maintenance_progress.MachinePhase.ORDERED
+                and now_ms >= progress.not_before_ms > 0
             ):
-                one.not_before_ms = 0
+                progress.not_before_ms = 0
                 actions.append(
-                    maintenance_progress.Maintain(
-                        one.machine_id, work.wave.number
+                    maintenance_progress.OrderMaintenance(
+                        progress.machine_id, wave_progress.wave.number
                     )
                 )
         if now_ms >= self._not_before_ms:
-            self._begin_more(work, workers, now_ms, wall_ms)
+            self._start_evacuations(wave_progress, workers, now_ms, wall_ms)
         if all(
-            one.phase is maintenance_progress.Phase.FINISHED
-            for one in work.machines.values()
+            progress.phase is maintenance_progress.MachinePhase.FINISHED
+            for progress in wave_progress.machines.values()
         ):
-            work.is_completed = True
-            self._dirty.add(work.wave.number)
-            logs.event(_logger, "wave-completed", wave=work.wave.number)
+            wave_progress.is_completed = True
+            self._dirty.add(wave_progress.wave.number)
+            logs.event(
+                _logger, "wave-completed", wave=wave_progress.wave.number
+            )
 
-    def _begin_more(
+    def _start_evacuations(
         self,
-        work: maintenance_progress.WaveWork,
+        wave_progress: maintenance_progress.WaveProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
     ) -> None:
         """Has the workers of the next machines emptied."""
         waiting = [
-            one
-            for one in work.machines.values()
-            if one.phase is maintenance_progress.Phase.WAITING
-            and now_ms >= one.not_before_ms
+            progress
+            for progress in wave_progress.machines.values()
+            if progress.phase is maintenance_progress.MachinePhase.WAITING
+            and now_ms >= progress.not_before_ms
         ]
         busy = sum(
-            one.phase
+            progress.phase
             in (
-                maintenance_progress.Phase.EMPTYING,
-                maintenance_progress.Phase.ORDERED,
-                maintenance_progress.Phase.AWAY,
+                maintenance_progress.MachinePhase.EMPTYING,
+                maintenance_progress.MachinePhase.ORDERED,
+                maintenance_progress.MachinePhase.AWAY,
             )
-            for one in work.machines.values()
+            for progress in wave_progress.machines.values()
         )
-        room = at_once(
-            work.wave, len(waiting) + busy, wall_ms - work.began_wall_ms
+        room = concurrent_machines(
+            wave_progress.wave,
+            len(waiting) + busy,
+            wall_ms - wave_progress.began_wall_ms,
         )
         assert self._machines is not None
         ready = []
-        for one in waiting:
-            machine = self._machines.get(one.machine_id)
+        for progress in waiting:
+            machine = self._machines.get(progress.machine_id)
             if machine and machine.state is machines_port.MachineState.UP:
                 view = workers.get(machine.worker_id)
                 load = 0 if view is None else len(view.runs)
-                ready.append((load, one.machine_id, one, machine.worker_id))
-        for _, _, one, worker_id in sorted(ready)[: max(room - busy, 0)]:
-            one.worker_id = worker_id
+                ready.append(
+                    (load, progress.machine_id, progress, machine.worker_id)
+                )
+        for _, _, progress, worker_id in sorted(ready)[: max(room - busy, 0)]:
+            progress.worker_id = worker_id
             view = workers.get(worker_id)
             if view is not None:
                 view.is_being_emptied = True
-            self._enter(one, maintenance_progress.Phase.EMPTYING, now_ms)
+            self._enter_phase(
+                progress, maintenance_progress.MachinePhase.EMPTYING, now_ms
+            )
 
-    def _is_empty(
+    def _is_evacuated(
         self,
-        one: maintenance_progress.MachineWork,
+        progress: maintenance_progress.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> bool:
         """Whether a machine's maintenance would end nothing."""
-        view = workers.get(one.worker_id)
+        view = workers.get(progress.worker_id)
         if view is None:
             return True
         # The owner may have been told of the worker anew.
         view.is_being_emptied = True
-        return not view.runs or now_ms - one.since_ms > MOST_EVACUATION_MS
+        return not view.runs or now_ms - progress.since_ms > MAX_EVACUATION_MS
 
-    def _enter(
+    def _enter_phase(
         self,
-        one: maintenance_progress.MachineWork,
-        phase: maintenance_progress.Phase,
+        progress: maintenance_progress.MachineProgress,
+        phase: maintenance_progress.MachinePhase,
         now_ms: int,
     ) -> None:
-        one.phase = phase
-        one.since_ms = now_ms
+        progress.phase = phase
+        progress.since_ms = now_ms
         logs.event(
             _logger,
             "maintenance",
-            machine=one.machine_id,
-            worker=one.worker_id,
+            machine=progress.machine_id,
+            worker=progress.worker_id,
             phase=phase.value,
         )
 
@@ -244,46 +262,52 @@
                 logs.warning(_logger, "machines-missing", detail=detail)
                 return
             case result.Ok(found):
-                self._machines = {one.machine_id: one for one in found}
-        for work in self._waves.values():
-            for one in work.machines.values():
-                if self._is_finished(one, event.sent_ms):
-                    self._finish(work, one, workers, now_ms)
+                self._machines = {
+                    progress.machine_id: progress for progress in found
+                }
+        for wave_progress in self._waves.values():
+            for progress in wave_progress.machines.values():
+                if self._is_finished(progress, event.sent_ms):
+                    self._finish(wave_progress, progress, workers, now_ms)
 
     def _is_finished(
-        self, one: maintenance_progress.MachineWork, listed_ms: int
+        self, progress: maintenance_progress.MachineProgress, listed_ms: int
     ) -> bool:
         """Whether a list shows a machine back, or gone."""
         assert self._machines is not None
-        machine = self._machines.get(one.machine_id)
+        machine = self._machines.get(progress.machine_id)
         if machine is None:
             # It has left, and needs nothing any more.
-            return one.phase is not maintenance_progress.Phase.FINISHED
+            return (
+                progress.phase is not maintenance_progress.MachinePhase.FINISHED
+            )
         is_up = machine.state is machines_port.MachineState.UP
         return (
-            one.phase is maintenance_progress.Phase.AWAY
+            progress.phase is maintenance_progress.MachinePhase.AWAY
             and is_up
-            and listed_ms > one.since_ms
+            and listed_ms > progress.since_ms
         )
 
     def _finish(
         self,
-        work: maintenance_progress.WaveWork,
-        one: maintenance_progress.MachineWork,
+        wave_progress: maintenance_progress.WaveProgress,
+        progress: maintenance_progress.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        self._enter(one, maintenance_progress.Phase.FINISHED, now_ms)
-        self._dirty.add(work.wave.number)
-        self._reopen(one, workers)
+        self._enter_phase(
+            progress, maintenance_progress.MachinePhase.FINISHED, now_ms
+        )
+        self._dirty.add(wave_progress.wave.number)
+        self._readmit_worker(progress, workers)
 
-    def _reopen(
+    def _readmit_worker(
         self,
-        one: maintenance_progress.MachineWork,
+        progress: maintenance_progress.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
     ) -> None:
         """Lets a machine's worker take work, if it is still the same one."""
-        view = workers.get(one.worker_id)
+        view = workers.get(progress.worker_id)
         if view is not None:
             view.is_being_emptied = False
 
@@ -294,35 +318,43 @@
         now_ms: int,
     ) -> None:
         """Takes in what came of an order."""
-        work = self._waves.get(event.wave)
-        one = work.machines.get(event.machine_id) if work else None
+        wave_progress = self._waves.get(event.wave)
+        progress = (
+            wave_progress.machines.get(event.machine_id)
+            if wave_progress
+            else None
+        )
         if (
-            work is None
-            or one is None
-            or one.phase is not maintenance_progress.Phase.ORDERED
+            wave_progress is None
+            or progress is None
+            or progress.phase is not maintenance_progress.MachinePhase.ORDERED
         ):
             return
         match event.outcome:
             case result.Ok(_):
                 self._metrics.count(metrics_module.Counter.MAINTENANCES)
-                self._enter(one, maintenance_progress.Phase.AWAY, now_ms)
+                self._enter_phase(
+                    progress, maintenance_progress.MachinePhase.AWAY, now_ms
+                )
                 self._dirty.add(event.wave)
             case result.Err(machines_port.MaintenanceUnanswered(detail)):
                 # The same order again changes nothing if it was carried out.
-                one.not_before_ms = now_ms + RETRY_PAUSE_MS
+                progress.not_before_ms = now_ms + RETRY_PAUSE_MS
                 logs.event(
                     _logger,
                     "maintenance-unanswered",
-                    machine=one.machine_id,
+                    machine=progress.machine_id,
                     detail=detail,
                 )
             case result.Err(machines_port.MaintenanceRefused(reason)):
-                self._take_refusal(work, one, reason, workers, now_ms)
+                self._handle_refusal(
+                    wave_progress, progress, reason, workers, now_ms
+                )
 
-    def _take_refusal(
+    def _handle_refusal(
         self,
-        work: maintenance_progress.WaveWork,
-        one: maintenance_progress.MachineWork,
+        wave_progress: maintenance_progress.WaveProgress,
+        progress: maintenance_progress.MachineProgress,
         reason: machines_port.Refusal,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
@@ -330,35 +362,41 @@
         logs.event(
             _logger,
             "maintenance-refused",
-            machine=one.machine_id,
+            machine=progress.machine_id,
             reason=reason,
         )
         self._metrics.count(metrics_module.Counter.MAINTENANCE_REFUSALS, reason)
         match reason:
             case machines_port.Refusal.OVERLOADED:
-                one.not_before_ms = now_ms + RETRY_PAUSE_MS
+                progress.not_before_ms = now_ms + RETRY_PAUSE_MS
                 return
             case (
                 machines_port.Refusal.OTHER_WAVE
                 | machines_port.Refusal.NO_SUCH_MACHINE
             ):
-                self._finish(work, one, workers, now_ms)
+                self._finish(wave_progress, progress, workers, now_ms)
             case _:
-                one.not_before_ms = now_ms + RETRY_PAUSE_MS
-                self._enter(one, maintenance_progress.Phase.WAITING, now_ms)
-                self._reopen(one, workers)
+                progress.not_before_ms = now_ms + RETRY_PAUSE_MS
+                self._enter_phase(
+                    progress, maintenance_progress.MachinePhase.WAITING, now_ms
+                )
+                self._readmit_worker(progress, workers)
 
     def drain_writes(self) -> dict[str, bytes]:
         """Records of the waves that have changed, by key."""
         writes = {}
         for number in self._dirty:
-            work = self._waves[number]
+            wave_progress = self._waves[number]
             writes[f"{records.WAVE_PREFIX}{number}"] = records.encode(
                 records.WaveRecord(
-                    work.began_wall_ms,
-                    work.in_phase(maintenance_progress.Phase.AWAY),
-                    work.in_phase(maintenance_progress.Phase.FINISHED),
-                    work.is_completed,
+                    wave_progress.began_wall_ms,
+                    wave_progress.in_phase(
+                        maintenance_progress.MachinePhase.AWAY
+                    ),
+                    wave_progress.in_phase(
+                        maintenance_progress.MachinePhase.FINISHED
+                    ),
+                    wave_progress.is_completed,
                 )
             )
         self._dirty.clear()
@@ -366,12 +404,14 @@
 
     def handle_report_failed(self, wave: int) -> None:
         """A report could not be written; it is made again."""
-        work = self._waves.get(wave)
-        if work is not None:
-            work.reported = None
+        wave_progress = self._waves.get(wave)
+        if wave_progress is not None:
+            wave_progress.reported = None
 
 
-def at_once(wave: machines_port.Wave, left: int, elapsed_ms: int) -> int:
+def concurrent_machines(
+    wave: machines_port.Wave, left: int, elapsed_ms: int
+) -> int:
     """How many machines of a wave should be away at the same time.
 
     As few as end in time, as each takes its room from the tasks; never more
@@ -383,5 +423,5 @@
         elapsed_ms: Time since the wave was seen first.
     """
     time_ms = PLANNED_SHARE * wave.duration_ms - elapsed_ms
-    rounds = max(int(time_ms // USUAL_ROUND_MS), 1)
+    rounds = max(int(time_ms // EXPECTED_ROUND_MS), 1)
     return min(-(-left // rounds), wave.most_at_once)
--- a/src/comfreylatch/_process/cell/maintenance_progress.py
+++ b/src/comfreylatch/_process/cell/maintenance_progress.py
@@ -9,7 +9,7 @@
 from comfreylatch._ports import machines as machines_port
 
 
-class Phase(enum.Enum):
+class MachinePhase(enum.Enum):
     """Where a machine of a wave stands."""
 
     WAITING = "waiting"
@@ -20,7 +20,7 @@
 
 
 @attrs.define(eq=False)
-class MachineWork:
+class MachineProgress:
     """One machine of a wave.
 
     Attributes:
@@ -32,14 +32,14 @@
     """
 
     machine_id: str
-    phase: Phase = Phase.WAITING
+    phase: MachinePhase = MachinePhase.WAITING
     worker_id: str = ""
     since_ms: int = 0
     not_before_ms: int = 0
 
 
 @attrs.define(eq=False)
-class WaveWork:
+class WaveProgress:
     """A wave, as far as the owner has brought it.
 
     Attributes:
@@ -52,11 +52,11 @@
 
     wave: machines_port.Wave
     began_wall_ms: int
-    machines: dict[str, MachineWork]
+    machines: dict[str, MachineProgress]
     is_completed: bool = False
     reported: bool | None = None
 
-    def in_phase(self, phase: Phase) -> tuple[str, ...]:
+    def in_phase(self, phase: MachinePhase) -> tuple[str, ...]:
         """Names of the machines that are in a phase."""
         return tuple(
             name for name, one in self.machines.items() if one.phase is phase
@@ -69,7 +69,7 @@
 
 
 @attrs.frozen
-class Maintain:
+class OrderMaintenance:
     """A machine's maintenance has to be ordered."""
 
     machine_id: str
@@ -77,11 +77,11 @@
 
 
 @attrs.frozen
-class Report:
+class ReportWave:
     """The operators have to be told of a wave."""
 
     wave: int
     is_completed: bool
 
 
-Action = ListMachines | Maintain | Report
+Action = ListMachines | OrderMaintenance | ReportWave
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -21,30 +21,30 @@
 # For each millicore that tasks which fill would lose, or lasting ones lack.
 CROWDING_COST = 2.0
 # Worth of each task of the same step on a worker, for lasting ones.
-TOGETHER_WORTH = 20_000.0
+COLOCATION_BONUS = 20_000.0
 # The same for a task that fills, in room to the targets of lasting tasks.
-FILL_SLOWNESS_COST = 0.5
+FILLING_SLOWNESS_COST = 0.5
 # An image with a higher coefficient counts as harmful: a few of its tasks bring
 # the lasting ones beside them to their targets.
-HARMLESS = 0.5
+MAX_HARMLESS_COEFFICIENT = 0.5
 # A task that fills idle processors is placed only where it would get at least
 # this share of what it asks for.
-FILL_SHARE = 0.7
+MIN_FILLING_CPU_SHARE = 0.7
 
 
 def is_allowed(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
     """Whether a worker may run a task of a step at all, room aside."""
-    if not suits(worker, step):
+    if not is_eligible(worker, step):
         return False
-    most = step.spec.max_per_worker
-    if most and step.runs_per_worker.get(worker.worker_id, 0) >= most:
+    limit = step.spec.max_per_worker
+    if limit and step.runs_per_worker.get(worker.worker_id, 0) >= limit:
         return False
     return step.tickets is None or worker.worker_id in step.tickets
 
 
-def suits(
+def is_eligible(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
     """Whether a worker may run a step's tasks, policy and room aside."""
@@ -54,32 +54,32 @@
     )
 
 
-def room_cost(
-    step: runs_module.StepInstance, wanted_rack: str
-) -> candidates.Cost:
+def reservation_cost(
+    step: runs_module.StepInstance, preferred_rack: str
+) -> candidates.CostFunction:
     """The cost of workers for tasks that reserve what they need."""
     spec = step.spec
     need = spec.need
-    taken = spec.cpu_millicores
+    expected_use = spec.cpu_millicores
     if spec.is_lasting:
-        taken = int(taken * worker_view.LASTING_USE_SHARE)
+        expected_use = int(expected_use * worker_view.ASSUMED_LASTING_USE_SHARE)
 
     def cost(worker: worker_view.WorkerView) -> float | None:
         if not worker.fits(need) or not is_allowed(worker, step):
             return None
         cost = SLOWNESS_COST * max(worker.slowness - 1.0, 0.0)
-        if wanted_rack and worker.rack != wanted_rack:
+        if preferred_rack and worker.rack != preferred_rack:
             cost += OFF_RACK_COST
         cost += worker.free_cpu - spec.cpu_millicores
-        cost += CROWDING_COST * max(taken - worker.idle_millicores, 0)
+        cost += CROWDING_COST * max(expected_use - worker.idle_millicores, 0)
         if spec.is_lasting:
-            cost -= TOGETHER_WORTH * _fitting_together(worker, step)
+            cost -= COLOCATION_BONUS * _count_colocated(worker, step)
         return cost
 
     return cost
 
 
-def _fitting_together(
+def _count_colocated(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> int:
     """How many tasks of a step a worker would have in the end.
@@ -92,13 +92,15 @@
     placed = step.runs_per_worker.get(worker.worker_id, 0)
     room = worker.free_cpu // max(spec.cpu_millicores, 1)
     room = min(room, worker.free_memory // max(spec.memory_mb, 1))
-    together = placed + min(room, len(step.pending_tasks))
+    colocated = placed + min(room, len(step.pending_tasks))
     if spec.max_per_worker:
-        together = min(together, spec.max_per_worker)
-    return together
+        colocated = min(colocated, spec.max_per_worker)
+    return colocated
 
 
-def wanted_rack(step: runs_module.StepInstance, racks: dict[str, str]) -> str:
+def preferred_rack(
+    step: runs_module.StepInstance, racks: dict[str, str]
+) -> str:
     """The rack that a step's tasks are faster on; empty for any.
 
     `racks` gives the rack of each worker.
@@ -132,7 +134,7 @@
 
 
 @attrs.frozen
-class _KnownSlacks:
+class _CachedSlacks:
     """Slacks of a worker as of one of its revisions."""
 
     revision: int
@@ -140,23 +142,23 @@
 
 
 @final
-class FillRooms:
+class FillingCosts:
     """Room to the targets of lasting tasks, kept while nothing changes."""
 
     def __init__(self, model: interference.InterferenceModel) -> None:
         self._model = model
-        self._known: dict[str, _KnownSlacks] = {}
+        self._cached: dict[str, _CachedSlacks] = {}
 
-    def _slacks_of(
+    def _get_slacks(
         self, worker: worker_view.WorkerView
     ) -> tuple[interference.Slack, ...]:
-        known = self._known.get(worker.worker_id)
-        if known is None or known.revision != worker.revision:
-            known = _KnownSlacks(worker.revision, self._model.slacks(worker))
-            self._known[worker.worker_id] = known
-        return known.slacks
+        cached = self._cached.get(worker.worker_id)
+        if cached is None or cached.revision != worker.revision:
+            cached = _CachedSlacks(worker.revision, self._model.slacks(worker))
+            self._cached[worker.worker_id] = cached
+        return cached.slacks
 
-    def cost(self, step: runs_module.StepInstance) -> candidates.Cost:
+    def cost(self, step: runs_module.StepInstance) -> candidates.CostFunction:
         """The cost of workers for tasks that fill idle processors.
 
         Beside lasting tasks it is lower the more room these are left with to
@@ -166,24 +168,26 @@
         """
         spec = step.spec
         need = spec.need
-        least = int(spec.cpu_millicores * FILL_SHARE)
-        alone_cost = HARMLESS - self._model.harm(spec.image)
+        min_millicores = int(spec.cpu_millicores * MIN_FILLING_CPU_SHARE)
+        alone_cost = MAX_HARMLESS_COEFFICIENT - self._model.common_coefficient(
+            spec.image
+        )
 
         def cost(worker: worker_view.WorkerView) -> float | None:
-            if worker.idle_millicores < least or not worker.fits(need):
+            if worker.idle_millicores < min_millicores or not worker.fits(need):
                 return None
             if not is_allowed(worker, step):
                 return None
             slowness = max(worker.slowness - 1.0, 0.0)
-            slacks = self._slacks_of(worker)
+            slacks = self._get_slacks(worker)
             if not slacks:
-                return alone_cost + FILL_SLOWNESS_COST * slowness
+                return alone_cost + FILLING_SLOWNESS_COST * slowness
             cpu = max(worker.entry.capacity.cpu_millicores, 1)
-            room = self._model.head_room(
+            room = self._model.headroom(
                 slacks, spec.image, spec.cpu_millicores / cpu
             )
             if room < 0:
                 return None
-            return FILL_SLOWNESS_COST * slowness - room
+            return FILLING_SLOWNESS_COST * slowness - room
 
         return cost
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -21,9 +21,9 @@
 # How long a short task waits for room before a lasting one makes way.
 PREEMPT_AFTER_MS = 40
 # Tasks of one step for which room is made at once.
-MOST_TASKS_FOR = 8
+MAX_PREEMPTING_TASKS_PER_STEP = 8
 # Share of the lasting runs that may be on their way out.
-MOST_STOPPED_SHARE = 0.08
+MAX_STOPPING_SHARE = 0.08
 
 
 @attrs.frozen
@@ -35,7 +35,7 @@
 
 
 @attrs.define(eq=False)
-class _Pass:
+class _PlacementPass:
     """One pass over the ready steps.
 
     Attributes:
@@ -52,8 +52,10 @@
     cleared: frozenset[str]
     racks: dict[str, str]
     now_ms: int
-    smallest_unfit_cpu: int = 1 << 60
-    smallest_unfit_fill: dict[str, int] = attrs.field(factory=dict)
+    min_unplaceable_millicores: int = 1 << 60
+    min_unplaceable_filling_millicores: dict[str, int] = attrs.field(
+        factory=dict
+    )
     candidates: dict[runs_module.StepInstance, candidates_module.Candidates] = (
         attrs.field(factory=dict)
     )
@@ -72,18 +74,18 @@
         self._workers = workers
         self._ranker = ranker
         self._interference = model
-        self._fill_rooms = placement.FillRooms(model)
+        self._filling_costs = placement.FillingCosts(model)
 
     def place(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[Placement]:
         """Reserves room for as many tasks as fit; returns their runs."""
-        taking = [
+        available = [
             worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        if not taking or not steps:
+        if not available or not steps:
             return []
-        this_pass = self._new_pass(taking, now_ms)
+        this_pass = self._new_pass(available, now_ms)
         ranked = sorted(steps, key=lambda step: self._ranker.rank(step, now_ms))
         placements: list[Placement] = []
         for step in ranked:
@@ -103,14 +105,14 @@
             for step in job.all_steps()
             if step.spec.is_speculative and step.unfinished_count
             for task in step.tasks
-            if speculation.is_straggling(task, now_ms)
+            if speculation.is_straggler(task, now_ms)
         ]
         if not stragglers:
             return []
-        taking = [
+        available = [
             worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        this_pass = self._new_pass(taking, now_ms)
+        this_pass = self._new_pass(available, now_ms)
         placed = (
             self._place_task(task, this_pass, task.last_run + 1)
             for task in stragglers
@@ -119,11 +121,11 @@
 
     def _new_pass(
         self, workers: list[worker_view.WorkerView], now_ms: int
-    ) -> _Pass:
+    ) -> _PlacementPass:
         cleared = frozenset(
             one.worker_id for one in workers if now_ms < one.cleared_until_ms
         )
-        return _Pass(workers, cleared, self._workers.racks(), now_ms)
+        return _PlacementPass(workers, cleared, self._workers.racks(), now_ms)
 
     def clear_worker(
         self, steps: list[runs_module.StepInstance], now_ms: int
@@ -131,12 +133,12 @@
         """Clears a worker where there is cause; returns runs to be stopped."""
         demand = clearing.waiting_millicores(steps, self._interference, now_ms)
         if not demand:
-            clearing.end_early(self._workers, now_ms)
+            clearing.reopen_unused(self._workers, now_ms)
             return []
-        taking = [
+        available = [
             worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        worker = clearing.choose_worker(taking, demand, now_ms)
+        worker = clearing.choose_worker(available, demand, now_ms)
         if worker is None:
             return []
         worker.cleared_until_ms = now_ms + clearing.CLEARED_MS
@@ -156,23 +158,25 @@
         urgent = [step for step in steps if self._may_preempt(step, now_ms)]
         if not urgent:
             return []
-        taking = [
+        available = [
             worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
         lasting = sum(
             run.task.step.spec.is_lasting
-            for worker in taking
+            for worker in available
             for run in worker.runs.values()
         )
-        room = preemption.VirtualRoom(taking)
+        capacity = preemption.ProjectedCapacity(available)
         victims: list[runs_module.Run] = []
         for step in urgent:
-            for task in list(step.pending_tasks.values())[:MOST_TASKS_FOR]:
-                if room.take(task):
+            for task in list(step.pending_tasks.values())[
+                :MAX_PREEMPTING_TASKS_PER_STEP
+            ]:
+                if capacity.reserve(task):
                     continue
-                if room.stopping_count >= lasting * MOST_STOPPED_SHARE:
+                if capacity.stopping_count >= lasting * MAX_STOPPING_SHARE:
                     return victims
-                victim = room.find_victim(task)
+                victim = capacity.find_victim(task)
                 if victim is None:
                     break
                 victims.append(victim)
@@ -185,36 +189,38 @@
         if now_ms - step.ready_ms < PREEMPT_AFTER_MS:
             return False
         rank = self._ranker.rank(step, now_ms)
-        return rank.prospect is ranking_module.Prospect.ON_TIME
+        return rank.timeliness is ranking_module.Timeliness.ON_TIME
 
     def _place_step(
-        self, step: runs_module.StepInstance, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> list[Placement]:
         placements: list[Placement] = []
-        if self._is_known_unfit(step, this_pass):
+        if self._is_known_unplaceable(step, this_pass):
             return placements
         for task in list(step.pending_tasks.values()):
             if task.not_before_ms > this_pass.now_ms:
                 continue
             placed = self._place_task(task, this_pass, task.last_run + 1)
             if placed is None:
-                self._note_unfit(step, this_pass)
+                self._record_unplaceable(step, this_pass)
                 break
             placements.append(placed)
         return placements
 
-    def _is_known_unfit(
-        self, step: runs_module.StepInstance, this_pass: _Pass
+    def _is_known_unplaceable(
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
         """Whether a search must fail, as one for less has failed."""
         spec = step.spec
-        unfit = this_pass.smallest_unfit_cpu
+        unplaceable = this_pass.min_unplaceable_millicores
         if spec.fills_idle:
-            unfit = this_pass.smallest_unfit_fill.get(spec.image, 1 << 60)
-        return spec.cpu_millicores >= unfit
+            unplaceable = this_pass.min_unplaceable_filling_millicores.get(
+                spec.image, 1 << 60
+            )
+        return spec.cpu_millicores >= unplaceable
 
-    def _note_unfit(
-        self, step: runs_module.StepInstance, this_pass: _Pass
+    def _record_unplaceable(
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> None:
         """Spares the rest of the pass a search that must fail, too."""
         spec = step.spec
@@ -227,17 +233,19 @@
         if not is_plain:
             return
         if spec.fills_idle:
-            before = this_pass.smallest_unfit_fill.get(spec.image, 1 << 60)
-            this_pass.smallest_unfit_fill[spec.image] = min(
+            before = this_pass.min_unplaceable_filling_millicores.get(
+                spec.image, 1 << 60
+            )
+            this_pass.min_unplaceable_filling_millicores[spec.image] = min(
                 before, spec.cpu_millicores
             )
-        elif not self._has_memory_bound(step, this_pass):
-            this_pass.smallest_unfit_cpu = min(
-                this_pass.smallest_unfit_cpu, spec.cpu_millicores
+        elif not self._is_memory_bound(step, this_pass):
+            this_pass.min_unplaceable_millicores = min(
+                this_pass.min_unplaceable_millicores, spec.cpu_millicores
             )
 
-    def _has_memory_bound(
-        self, step: runs_module.StepInstance, this_pass: _Pass
+    def _is_memory_bound(
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
         """Whether memory rather than processors kept a step out."""
         return any(
@@ -246,35 +254,35 @@
         )
 
     def _candidates(
-        self, step: runs_module.StepInstance, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> candidates_module.Candidates:
         found = this_pass.candidates.get(step)
         if found is not None:
             return found
         workers = this_pass.workers
         if step.spec.fills_idle:
-            cost = self._fill_rooms.cost(step)
+            cost = self._filling_costs.cost(step)
         else:
-            rack = placement.wanted_rack(step, this_pass.racks)
+            rack = placement.preferred_rack(step, this_pass.racks)
             if step.spec.needs_one_rack and not rack:
                 rack = placement.roomiest_rack(workers, step.spec)
-            cost = placement.room_cost(step, rack)
+            cost = placement.reservation_cost(step, rack)
         found = candidates_module.Candidates(workers, cost)
         this_pass.candidates[step] = found
         return found
 
     def _place_task(
-        self, task: runs_module.Task, this_pass: _Pass, number: int
+        self, task: runs_module.Task, this_pass: _PlacementPass, number: int
     ) -> Placement | None:
         step = task.step
         # A copy is of use only where the first run is not.
-        barred = frozenset(run.worker_id for run in task.runs)
+        excluded = frozenset(run.worker_id for run in task.runs)
         if step.spec.is_lasting and not clearing.is_overdue(
             task, this_pass.now_ms
         ):
-            barred |= this_pass.cleared
+            excluded |= this_pass.cleared
         worker = self._candidates(step, this_pass).pick(
-            task.avoided_workers, barred
+            task.avoided_workers, excluded
         )
         if worker is None:
             return None
@@ -291,7 +299,7 @@
         return Placement(run, worker)
 
     def _place_gang(
-        self, step: runs_module.StepInstance, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> list[Placement]:
         """Places all tasks of a gang at once, or none."""
         if len(step.pending_tasks) < len(step.tasks):
--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -18,33 +18,33 @@
 
 # Coefficient of an image of which nothing is known: between those of
 # harmless images (about 0.1) and of harmful ones (about 2).
-UNKNOWN_PRESSURE = 0.5
+PRIOR_COEFFICIENT = 0.5
 # Scatter of the readings that are compared.
-COMPARED_SD = 0.06
+COMPARISON_SD = 0.06
 # Weight of that guess: scatter of a reading over scatter of coefficients.
-PRIOR_WEIGHT = (COMPARED_SD / 0.5) ** 2
+PRIOR_WEIGHT = (COMPARISON_SD / 0.5) ** 2
 # The same for what a pair of images has over its filling image.
-PAIR_PRIOR_WEIGHT = (COMPARED_SD / 0.3) ** 2
+PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
 # What an owner before has learned counts at most like so much of one's own.
-MOST_INHERITED_WEIGHT = 0.2
-HIGHEST_PRESSURE = 6.0
+MAX_INHERITED_WEIGHT = 0.2
+MAX_COEFFICIENT = 6.0
 # Readings of a step within this time are compared with each other; figures of
 # workers are averages over half a second.
-COMPARED_MS = 500
+COMPARISON_WINDOW_MS = 500
 # Longest wait for readings of a second worker. Those of one worker are then
 # compared among themselves, though its load may have changed meanwhile.
-LONGEST_COMPARED_MS = 1_600
+MAX_COMPARISON_MS = 1_600
 FIT_INTERVAL_MS = 500
 # What was learned counts half after 40 s.
-MEMORY_MS = 60_000
+DECAY_MS = 60_000
 # An image whose sums have faded below this is forgotten.
-LEAST_SUM = 1e-6
+MIN_SQUARES_SUM = 1e-6
 
 
 @attrs.frozen
 class _Reading:
     worker_id: str
-    busy: float
+    load: float
     uses: Mapping[str, float]
 
 
@@ -53,17 +53,19 @@
     """Readings of one step that are compared with each other."""
 
     serving: str
-    began_ms: int
+    started_ms: int
     readings: list[_Reading] = attrs.field(factory=list)
 
     def is_over(self, now_ms: int) -> bool:
         """Whether no more readings should be added."""
-        age_ms = now_ms - self.began_ms
-        if age_ms < COMPARED_MS:
+        age_ms = now_ms - self.started_ms
+        if age_ms < COMPARISON_WINDOW_MS:
             return False
         first = self.readings[0].worker_id
-        is_across = any(one.worker_id != first for one in self.readings)
-        return is_across or age_ms >= LONGEST_COMPARED_MS
+        has_several_workers = any(
+            one.worker_id != first for one in self.readings
+        )
+        return has_several_workers or age_ms >= MAX_COMPARISON_MS
 
 
 @attrs.define(eq=False)
@@ -76,16 +78,16 @@
 class _Prior:
     """What is believed of a coefficient before any reading."""
 
-    coefficient: float = UNKNOWN_PRESSURE
+    coefficient: float = PRIOR_COEFFICIENT
     weight: float = PRIOR_WEIGHT
 
 
 @final
-class Pressures:
+class PressureModel:
     """Coefficients of filling images on serving images. Not thread-safe."""
 
     def __init__(self) -> None:
-        self._open: dict[object, _Comparison] = {}
+        self._open_comparisons: dict[object, _Comparison] = {}
         self._squares: dict[str, dict[str, float]] = {}
         self._products: dict[str, float] = {}
         self._pairs: dict[tuple[str, str], _PairSums] = {}
@@ -97,10 +99,10 @@
     def restore(self, learned: records.LearnedRecord) -> None:
         """Begins with what an owner before has learned."""
         for one in learned.pressures:
-            weight = min(one.weight, MOST_INHERITED_WEIGHT)
+            weight = min(one.weight, MAX_INHERITED_WEIGHT)
             self._priors[one.filling] = _Prior(one.coefficient, weight)
         for pair in learned.pairs:
-            weight = min(pair.weight, MOST_INHERITED_WEIGHT)
+            weight = min(pair.weight, MAX_INHERITED_WEIGHT)
             key = pair.serving, pair.filling
             self._pairs[key] = _PairSums(weight, weight * pair.excess)
             self._by_pair[key] = pair.excess
@@ -109,7 +111,9 @@
         """Coefficients of all images, for the next owner."""
         return tuple(
             records.LearnedPressure(
-                name, round(self.common(name), 3), round(self._weight(name), 4)
+                name,
+                round(self.common_coefficient(name), 3),
+                round(self._coefficient_weight(name), 4),
             )
             for name in sorted(self._priors.keys() | self._by_image.keys())
         )
@@ -130,35 +134,37 @@
     def _prior(self, filling: str) -> _Prior:
         return self._priors.get(filling, _Prior())
 
-    def _weight(self, filling: str) -> float:
+    def _coefficient_weight(self, filling: str) -> float:
         """What a coefficient rests on."""
         own = self._squares.get(filling, {}).get(filling, 0.0)
         return own + self._prior(filling).weight
 
     def uncertainty(self, filling: str) -> float:
         """Standard deviation of an image's coefficient."""
-        return COMPARED_SD / math.sqrt(self._weight(filling))
+        return COMPARISON_SD / math.sqrt(self._coefficient_weight(filling))
 
-    def common(self, filling: str) -> float:
+    def common_coefficient(self, filling: str) -> float:
         """Coefficient of a filling image whatever it presses on."""
         learned = self._by_image.get(filling)
         return self._prior(filling).coefficient if learned is None else learned
 
-    def of(self, serving: str, filling: str) -> float:
+    def coefficient(self, serving: str, filling: str) -> float:
         """Coefficient of a filling image on a serving image."""
         own = self._by_pair.get((serving, filling), 0.0)
-        return min(max(self.common(filling) + own, 0.0), HIGHEST_PRESSURE)
+        return min(
+            max(self.common_coefficient(filling) + own, 0.0), MAX_COEFFICIENT
+        )
 
     def discard_step(self, step: object) -> None:
         """Drops the comparison of a step that has ended."""
-        self._open.pop(step, None)
+        self._open_comparisons.pop(step, None)
 
     def observe(
         self,
         step: object,
         serving: str,
         worker_id: str,
-        busy: float,
+        load: float,
         uses: Mapping[str, float],
         now_ms: int,
     ) -> None:
@@ -172,25 +178,25 @@
             uses: Shares of the worker that filling images use, by image.
             now_ms: Monotonic time of the reading.
         """
-        comparison = self._open.get(step)
+        comparison = self._open_comparisons.get(step)
         if comparison is not None and comparison.is_over(now_ms):
-            self._close(comparison)
+            self._close_comparison(comparison)
             comparison = None
         if comparison is None:
             comparison = _Comparison(serving, now_ms)
-            self._open[step] = comparison
-        comparison.readings.append(_Reading(worker_id, busy, uses))
+            self._open_comparisons[step] = comparison
+        comparison.readings.append(_Reading(worker_id, load, uses))
         if now_ms - self._fitted_ms >= FIT_INTERVAL_MS:
-            self._fit(now_ms)
+            self._fit_coefficients(now_ms)
 
-    def _close(self, comparison: _Comparison) -> None:
+    def _close_comparison(self, comparison: _Comparison) -> None:
         """Adds a comparison's differences to the sums."""
         readings = comparison.readings
         count = len(readings)
         fills = sorted({name for one in readings for name in one.uses})
         if count < 2 or not fills:
             return
-        mean_busy = sum(one.busy for one in readings) / count
+        mean_load = sum(one.load for one in readings) / count
         means = {
             name: sum(one.uses.get(name, 0.0) for one in readings) / count
             for name in fills
@@ -199,30 +205,33 @@
             differences = {
                 name: one.uses.get(name, 0.0) - means[name] for name in fills
             }
-            self._add(comparison.serving, one.busy - mean_busy, differences)
+            self._add_differences(
+                comparison.serving, one.load - mean_load, differences
+            )
 
-    def _add(
-        self, serving: str, busy: float, differences: Mapping[str, float]
+    def _add_differences(
+        self, serving: str, load: float, differences: Mapping[str, float]
     ) -> None:
         """Adds one difference in tails and those in uses that caused it."""
-        left = busy - sum(
-            self.of(serving, name) * use for name, use in differences.items()
+        unexplained = load - sum(
+            self.coefficient(serving, name) * use
+            for name, use in differences.items()
         )
         for name, use in differences.items():
             row = self._squares.setdefault(name, {})
             for other, other_use in differences.items():
                 row[other] = row.get(other, 0.0) + use * other_use
-            self._products[name] = self._products.get(name, 0.0) + use * busy
+            self._products[name] = self._products.get(name, 0.0) + use * load
             own = self._by_pair.get((serving, name), 0.0)
             sums = self._pairs.setdefault((serving, name), _PairSums())
             sums.squares += use * use
-            sums.products += use * (left + own * use)
+            sums.products += use * (unexplained + own * use)
 
-    def _fit(self, now_ms: int) -> None:
+    def _fit_coefficients(self, now_ms: int) -> None:
         """Works out the coefficients from the sums, and lets these fade."""
         elapsed_ms = now_ms - self._fitted_ms if self._fitted_ms else 0
         self._fitted_ms = now_ms
-        self._fade(math.exp(-elapsed_ms / MEMORY_MS))
+        self._decay(math.exp(-elapsed_ms / DECAY_MS))
         names = list(self._squares)
         matrix = [
             [self._squares[name].get(other, 0.0) for other in names]
@@ -237,7 +246,7 @@
             )
         solution = solve(matrix, values)
         self._by_image = {
-            name: min(max(value, 0.0), HIGHEST_PRESSURE)
+            name: min(max(value, 0.0), MAX_COEFFICIENT)
             for name, value in zip(names, solution, strict=True)
         }
         self._by_pair = {
@@ -245,10 +254,10 @@
             for pair, sums in self._pairs.items()
         }
 
-    def _fade(self, factor: float) -> None:
+    def _decay(self, factor: float) -> None:
         for name, row in list(self._squares.items()):
-            if row[name] < LEAST_SUM:
-                self._drop(name)
+            if row[name] < MIN_SQUARES_SUM:
+                self._drop_image(name)
                 continue
             for other in row:
                 row[other] *= factor
@@ -257,7 +266,7 @@
             sums.squares *= factor
             sums.products *= factor
 
-    def _drop(self, name: str) -> None:
+    def _drop_image(self, name: str) -> None:
         del self._squares[name]
         del self._products[name]
         for row in self._squares.values():
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -18,30 +18,30 @@
 LATE_FACTOR = 3.0
 # A job is worth this share of its queue's mean for being done at all, and
 # the rest in proportion to its work.
-FIXED_WORTH_SHARE = 0.3
+FIXED_VALUE_SHARE = 0.3
 
 
-class Prospect(enum.IntEnum):
+class Timeliness(enum.IntEnum):
     """What a job can still earn."""
 
     ON_TIME = 0
     LATE = 1
-    NOTHING = 2
+    WORTHLESS = 2
 
 
 @attrs.frozen(order=True)
 class Rank:
     """Sorts steps; the lowest goes first."""
 
-    prospect: Prospect
+    timeliness: Timeliness
     priority: int
-    negative_density: float
+    negative_value_density: float
     since_ms: int
 
 
 @attrs.frozen
-class _Left:
-    chain_ms: float
+class _RemainingWork:
+    critical_path_ms: float
     core_ms: float
 
 
@@ -69,9 +69,9 @@
         """Takes in a new job's work."""
         queue = job.spec.queue.name
         work = self._queues.setdefault(queue, QueueWork())
-        work.observe(self._whole_core_ms(job))
+        work.observe(self._total_core_ms(job))
 
-    def _whole_core_ms(self, job: runs_module.ActiveJob) -> float:
+    def _total_core_ms(self, job: runs_module.ActiveJob) -> float:
         queue = job.spec.queue.name
         return sum(
             self._durations.estimate_ms(queue, step)
@@ -81,42 +81,54 @@
             for step in job.spec.steps
         )
 
-    def chain_ms(self, job: runs_module.ActiveJob) -> float:
+    def critical_path_ms(self, job: runs_module.ActiveJob) -> float:
         """Expected length of a job's longest chain of steps."""
         queue = job.spec.queue.name
-        ends: list[float] = []
+        end_times_ms: list[float] = []
         for step in job.spec.steps:
-            before = max(
-                (ends[n] for n in step.depends_on if n < len(ends)),
+            start_ms = max(
+                (
+                    end_times_ms[n]
+                    for n in step.depends_on
+                    if n < len(end_times_ms)
+                ),
                 default=0.0,
             )
-            ends.append(before + self._durations.estimate_ms(queue, step))
-        return max(ends, default=0.0)
+            end_times_ms.append(
+                start_ms + self._durations.estimate_ms(queue, step)
+            )
+        return max(end_times_ms, default=0.0)
 
     def objective_ms(self, job: runs_module.ActiveJob) -> float:
         """Time from its acceptance in which a job should end."""
         queue = job.spec.queue
-        return queue.slack_factor * self.chain_ms(job) + queue.target_ms
+        return queue.slack_factor * self.critical_path_ms(job) + queue.target_ms
 
-    def _left(self, job: runs_module.ActiveJob, occurrence: int) -> _Left:
+    def _remaining_work(
+        self, job: runs_module.ActiveJob, occurrence: int
+    ) -> _RemainingWork:
         queue = job.spec.queue.name
-        ends: list[float] = []
+        end_times_ms: list[float] = []
         core_ms = 0.0
         for step in job.steps[occurrence]:
             estimate_ms = self._durations.estimate_ms(queue, step.spec)
-            before = max(
-                (ends[n] for n in step.spec.depends_on if n < len(ends)),
+            start_ms = max(
+                (
+                    end_times_ms[n]
+                    for n in step.spec.depends_on
+                    if n < len(end_times_ms)
+                ),
                 default=0.0,
             )
-            own = estimate_ms if step.unfinished_count else 0.0
-            ends.append(before + own)
+            own_ms = estimate_ms if step.unfinished_count else 0.0
+            end_times_ms.append(start_ms + own_ms)
             core_ms += (
                 step.unfinished_count
                 * estimate_ms
                 * step.spec.cpu_millicores
                 / 1_000
             )
-        return _Left(max(ends, default=0.0), core_ms)
+        return _RemainingWork(max(end_times_ms, default=0.0), core_ms)
 
     def rank(self, step: runs_module.StepInstance, now_ms: int) -> Rank:
         """The rank of a step that is ready."""
@@ -124,18 +136,18 @@
         queue = job.spec.queue
         if step.spec.is_lasting:
             since_ms = step.oldest_pending_ms
-            return Rank(Prospect.ON_TIME, queue.priority, 0, since_ms)
-        left = self._left(job, step.occurrence)
+            return Rank(Timeliness.ON_TIME, queue.priority, 0, since_ms)
+        remaining = self._remaining_work(job, step.occurrence)
         objective_ms = self.objective_ms(job)
-        end_ms = now_ms - job.accepted_ms + left.chain_ms
-        prospect = Prospect.NOTHING
+        end_ms = now_ms - job.accepted_ms + remaining.critical_path_ms
+        timeliness = Timeliness.WORTHLESS
         if end_ms <= objective_ms:
-            prospect = Prospect.ON_TIME
+            timeliness = Timeliness.ON_TIME
         elif end_ms <= LATE_FACTOR * objective_ms:
-            prospect = Prospect.LATE
+            timeliness = Timeliness.LATE
         mean = max(self._queues[queue.name].mean_core_ms, 1.0)
-        worth = FIXED_WORTH_SHARE + (1 - FIXED_WORTH_SHARE) * min(
-            self._whole_core_ms(job) / mean, 4.0
+        value = FIXED_VALUE_SHARE + (1 - FIXED_VALUE_SHARE) * min(
+            self._total_core_ms(job) / mean, 4.0
         )
-        density = worth / max(left.core_ms, 1.0)
-        return Rank(prospect, queue.priority, -density, job.accepted_ms)
+        value_density = value / max(remaining.core_ms, 1.0)
+        return Rank(timeliness, queue.priority, -value_density, job.accepted_ms)
--- a/src/comfreylatch/_process/cell/serving_load.py
+++ b/src/comfreylatch/_process/cell/serving_load.py
@@ -7,17 +7,17 @@
 import attrs
 
 # Until a task has shown its load; the middle of what loads have been seen.
-UNKNOWN_LOAD = 0.45
-UNKNOWN_LOAD_SD = 0.2
-UNKNOWN_SLOPE_SD_PER_S = 0.1
+PRIOR_LOAD = 0.45
+PRIOR_LOAD_SD = 0.2
+PRIOR_SLOPE_SD_PER_S = 0.1
 # Scatter of a reading, as a share of capacity; fitted to a day of readings.
 READING_SD = 0.05
 # How fast the slope of a load wanders, in shares per second and root second:
 # loads swing by a quarter within some five seconds.
-SLOPE_WANDER = 0.1
+SLOPE_NOISE = 0.1
 # A slope is expected to fade within this time, as loads swing back.
-SLOPE_FADE_MS = 3_000
-LEAST_VARIANCE = 1e-5
+SLOPE_DECAY_MS = 3_000
+MIN_LOAD_VARIANCE = 1e-5
 
 
 @attrs.define(eq=False)
@@ -33,12 +33,12 @@
         updated_ms: Monotonic time of the newest reading; 0 before the first.
     """
 
-    load: float = UNKNOWN_LOAD
+    load: float = PRIOR_LOAD
     slope_per_s: float = 0.0
     updated_ms: int = 0
-    _load_variance: float = UNKNOWN_LOAD_SD**2
+    _load_variance: float = PRIOR_LOAD_SD**2
     _covariance: float = 0.0
-    _slope_variance: float = UNKNOWN_SLOPE_SD_PER_S**2
+    _slope_variance: float = PRIOR_SLOPE_SD_PER_S**2
 
     def update(
         self, error: float, now_ms: int, variance: float = READING_SD**2
@@ -46,11 +46,11 @@
         """Moves the estimate towards a reading.
 
         Args:
-            error: What the reading has over the estimate as of `advance`.
+            error: What the reading has over the estimate as of `predict`.
             now_ms: Time of the reading.
             variance: Of the reading, whatever else it depends on included.
         """
-        self.advance(now_ms)
+        self.predict(now_ms)
         total = self._load_variance + variance
         level_gain = self._load_variance / total
         slope_gain = self._covariance / total
@@ -60,10 +60,10 @@
         self._slope_variance -= slope_gain * covariance
         self._covariance -= level_gain * covariance
         self._load_variance = max(
-            (1 - level_gain) * self._load_variance, LEAST_VARIANCE
+            (1 - level_gain) * self._load_variance, MIN_LOAD_VARIANCE
         )
 
-    def advance(self, now_ms: int) -> None:
+    def predict(self, now_ms: int) -> None:
         """Carries the estimate on to a later time."""
         if self.updated_ms == 0:
             self.updated_ms = now_ms
@@ -71,21 +71,21 @@
         if elapsed_s <= 0:
             return
         self.updated_ms = now_ms
-        wander = SLOPE_WANDER**2
+        noise = SLOPE_NOISE**2
         self.load = min(max(self.load + self.slope_per_s * elapsed_s, 0.0), 1.0)
-        self.slope_per_s *= math.exp(-elapsed_s * 1_000 / SLOPE_FADE_MS)
+        self.slope_per_s *= math.exp(-elapsed_s * 1_000 / SLOPE_DECAY_MS)
         self._load_variance += (
             2 * elapsed_s * self._covariance
             + elapsed_s**2 * self._slope_variance
-            + wander * elapsed_s**3 / 3
+            + noise * elapsed_s**3 / 3
         )
         self._covariance += (
-            elapsed_s * self._slope_variance + wander * elapsed_s**2 / 2
+            elapsed_s * self._slope_variance + noise * elapsed_s**2 / 2
         )
-        self._slope_variance += wander * elapsed_s
+        self._slope_variance += noise * elapsed_s
 
-    def ahead(self, ahead_ms: int) -> float:
+    def forecast(self, horizon_ms: int) -> float:
         """The load expected soon; never below what it is now."""
-        fade_s = SLOPE_FADE_MS / 1_000
-        rise = fade_s * (1 - math.exp(-ahead_ms / SLOPE_FADE_MS))
+        decay_s = SLOPE_DECAY_MS / 1_000
+        rise = decay_s * (1 - math.exp(-horizon_ms / SLOPE_DECAY_MS))
         return min(self.load + max(self.slope_per_s * rise, 0.0), 1.0)
--- a/src/comfreylatch/_process/cell/speculation.py
+++ b/src/comfreylatch/_process/cell/speculation.py
@@ -8,23 +8,23 @@
 
 # Tasks of a step vary by a third; at this many times their median one of
 # them is more likely on a bad worker than long by itself.
-SLOW_FACTOR = 2.0
+STRAGGLER_FACTOR = 2.0
 # The median of fewer says little.
-LEAST_DONE = 2
+MIN_DONE_TASKS = 2
 # Shorter delays cost less than a second run.
-LEAST_DELAY_MS = 400
+MIN_DELAY_MS = 400
 
 
-def is_straggling(task: runs_module.Task, now_ms: int) -> bool:
+def is_straggler(task: runs_module.Task, now_ms: int) -> bool:
     """Whether a task's only run takes much longer than the others did."""
     if task.is_done or len(task.runs) != 1:
         return False
     done_ms = task.step.durations_ms
-    if len(done_ms) < LEAST_DONE:
+    if len(done_ms) < MIN_DONE_TASKS:
         return False
     (run,) = task.runs
     if run.phase is runs_module.RunPhase.STOPPING:
         return False
-    usual_ms = statistics.median(done_ms)
-    limit_ms = max(SLOW_FACTOR * usual_ms, usual_ms + LEAST_DELAY_MS)
+    median_ms = statistics.median(done_ms)
+    limit_ms = max(STRAGGLER_FACTOR * median_ms, median_ms + MIN_DELAY_MS)
     return now_ms - run.since_ms > limit_ms
--- a/src/comfreylatch/_process/cell/worker_session.py
+++ b/src/comfreylatch/_process/cell/worker_session.py
@@ -25,11 +25,11 @@
 ORDER_TIMEOUT_MS = 450
 HOLD_TIMEOUT_MS = 700
 # Sendings of a start before the owner is told that it is in doubt.
-START_TRIES = 2
+MAX_START_ATTEMPTS = 2
 FAILED_HOLD_PAUSE_MS = 150
 # How long the hold thread waits for its ends to be recorded before it renews
 # the lease without having them forgotten.
-RECORD_WAIT_MS = 300
+RECORDING_WAIT_MS = 300
 
 Post = Callable[[events.Event], None]
 Connect = Callable[[cell_workers.WorkerEntry], cell_workers.WorkerOrders]
@@ -84,23 +84,23 @@
         self,
         entry: cell_workers.WorkerEntry,
         orders: cell_workers.WorkerOrders,
-        terms: LeaseParameters,
+        lease: LeaseParameters,
         post: Post,
         clock: clock_port.Clock,
     ) -> None:
         self._entry = entry
         self._orders = orders
-        self._terms = terms
+        self._lease = lease
         self._post = post
         self._clock = clock
         self._ended = threading.Event()
-        self._seen = 0
+        self._acknowledged_end = 0
         self._listed_end = 0
         self._clock_ms = 0
         self._clock_read_ms = 0
         self._latest_deadline_ms = 0
         self._is_failing = False
-        self._recorded = threading.Condition()
+        self._acknowledged = threading.Condition()
         self._queue: queue.SimpleQueue[_Start | _Stop | _Pace | None] = (
             queue.SimpleQueue()
         )
@@ -122,8 +122,8 @@
     ) -> None:
         self._ended.set()
         self._queue.put(None)
-        with self._recorded:
-            self._recorded.notify_all()
+        with self._acknowledged:
+            self._acknowledged.notify_all()
         self._orders.close()
 
     @property
@@ -154,21 +154,21 @@
         """Queues a new pace for a run."""
         self._queue.put(_Pace(task, number, percent))
 
-    def acknowledge(self, seen_end: int) -> None:
+    def acknowledge(self, last_end: int) -> None:
         """Lets the worker forget its ends up to a number."""
-        with self._recorded:
-            self._seen = max(self._seen, seen_end)
-            self._recorded.notify_all()
+        with self._acknowledged:
+            self._acknowledged_end = max(self._acknowledged_end, last_end)
+            self._acknowledged.notify_all()
 
     def _deadline_ms(self) -> int:
         """End of a lease renewed now; 0 when none may be given."""
-        if self._clock_read_ms == 0 or not self._terms.may_renew():
+        if self._clock_read_ms == 0 or not self._lease.may_renew():
             return 0
         if self._is_failing:
             # What it runs must be allowed to end, as it can't be known.
             return 0
         elapsed_ms = self._clock.monotonic_ms() - self._clock_read_ms
-        deadline_ms = self._clock_ms + elapsed_ms + self._terms.lease_ms
+        deadline_ms = self._clock_ms + elapsed_ms + self._lease.lease_ms
         self._latest_deadline_ms = max(self._latest_deadline_ms, deadline_ms)
         return deadline_ms
 
@@ -179,7 +179,10 @@
             deadline_ms = self._deadline_ms()
             outcome = self._orders.hold(
                 cell_workers.HoldOrder(
-                    self._terms.token, self._seen, deadline_ms, wait_ms
+                    self._lease.token,
+                    self._acknowledged_end,
+                    deadline_ms,
+                    wait_ms,
                 ),
                 wait_ms + HOLD_TIMEOUT_MS,
             )
@@ -210,21 +213,21 @@
             )
             match outcome:
                 case result.Ok(answer):
-                    if not self._wait_recorded(answer):
+                    if not self._wait_until_recorded(answer):
                         wait_ms = 0
                 case result.Err(_):
                     wait_ms = 0
                     self._ended.wait(FAILED_HOLD_PAUSE_MS / 1_000)
 
-    def _wait_recorded(self, answer: cell_workers.HoldAnswer) -> bool:
+    def _wait_until_recorded(self, answer: cell_workers.HoldAnswer) -> bool:
         """Waits until the ends of an answer are recorded, for a while."""
         if not answer.ended:
             return True
         last = answer.ended[-1].number
-        with self._recorded:
-            return self._recorded.wait_for(
-                lambda: self._seen >= last or self._ended.is_set(),
-                RECORD_WAIT_MS / 1_000,
+        with self._acknowledged:
+            return self._acknowledged.wait_for(
+                lambda: self._acknowledged_end >= last or self._ended.is_set(),
+                RECORDING_WAIT_MS / 1_000,
             )
 
     def _order_loop(self) -> None:
@@ -243,7 +246,7 @@
                             order.task,
                             order.number,
                             order.percent,
-                            self._terms.token,
+                            self._lease.token,
                         ),
                         ORDER_TIMEOUT_MS,
                     )
@@ -254,7 +257,7 @@
         outcome: result.Result[int, cell_workers.OrderError] = result.Err(
             cell_workers.OrderNotSent("given up before it was sent")
         )
-        while tries < START_TRIES:
+        while tries < MAX_START_ATTEMPTS:
             deadline_ms = self._deadline_ms()
             # The run may have been given up while its start was queued.
             if deadline_ms == 0 or not order.run.should_start:
@@ -266,7 +269,7 @@
                     run=order.run.number,
                     payload=order.payload,
                     deadline_ms=deadline_ms,
-                    token=self._terms.token,
+                    token=self._lease.token,
                     checkpoint=order.checkpoint,
                     ticket=order.ticket,
                 ),
@@ -280,7 +283,7 @@
 
     def _send_stop(self, order: _Stop) -> None:
         outcome = self._orders.stop(
-            cell_workers.StopOrder(order.task, order.number, self._terms.token),
+            cell_workers.StopOrder(order.task, order.number, self._lease.token),
             ORDER_TIMEOUT_MS,
         )
         self._post(
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -39,10 +39,10 @@
 
 
 @attrs.define(eq=False)
-class _EndNumbers:
+class _EndCursor:
     """Which ends of a life were taken in, and which are recorded."""
 
-    taken: int = 0
+    last_processed: int = 0
 
 
 @final
@@ -69,7 +69,7 @@
         self._release_after_ms = release_after_ms
         self._views: dict[str, worker_view.WorkerView] = {}
         self._sessions: dict[str, worker_session.WorkerSession] = {}
-        self._ends: dict[str, _EndNumbers] = {}
+        self._end_cursors: dict[str, _EndCursor] = {}
 
     def __enter__(self) -> Self:
         return self
@@ -131,11 +131,11 @@
                 continue
             view.entry = entry
             view.is_listed = True
-            view.unlisted_ms = 0
+            view.unlisted_since_ms = 0
         for view in self._views.values():
             if view.worker_id not in entries and view.is_listed:
                 view.is_listed = False
-                view.unlisted_ms = now_ms
+                view.unlisted_since_ms = now_ms
         return LostRuns(tuple(lost), reasons.LossReason.REBORN)
 
     def handle_hold(self, event: events.HoldReturned) -> bool:
@@ -178,10 +178,12 @@
         self, worker_id: str, answer: cell_workers.HoldAnswer
     ) -> tuple[cell_workers.EndedRun, ...]:
         """Ends of an answer that were not taken in before."""
-        numbers = self._ends[worker_id]
-        new = tuple(end for end in answer.ended if end.number > numbers.taken)
+        cursor = self._end_cursors[worker_id]
+        new = tuple(
+            end for end in answer.ended if end.number > cursor.last_processed
+        )
         if new:
-            numbers.taken = new[-1].number
+            cursor.last_processed = new[-1].number
         return new
 
     def acknowledger(self, worker_id: str) -> Callable[[], None] | None:
@@ -189,7 +191,7 @@
         session = self._sessions.get(worker_id)
         if session is None:
             return None
-        number = self._ends[worker_id].taken
+        number = self._end_cursors[worker_id].last_processed
         return lambda: session.acknowledge(number)
 
     def expire(self) -> list[LostRuns]:
@@ -201,10 +203,10 @@
                 continue
             session = self._sessions[view.worker_id]
             view.deadline_ms = max(view.deadline_ms, session.latest_deadline_ms)
-            if now_ms <= view.lease_over_ms():
+            if now_ms <= view.lease_expiry_ms():
                 continue
-            gone_ms = now_ms - view.unlisted_ms
-            if view.unlisted_ms and gone_ms > UNLISTED_GRACE_MS:
+            missing_ms = now_ms - view.unlisted_since_ms
+            if view.unlisted_since_ms and missing_ms > UNLISTED_GRACE_MS:
                 runs = tuple(self._drop(view, "gone"))
                 lost.append(LostRuns(runs, reasons.LossReason.WORKER_GONE))
             elif view.runs:
@@ -246,7 +248,7 @@
         session = self._open_session(entry)
         self._views[entry.worker_id] = view
         self._sessions[entry.worker_id] = session
-        self._ends[entry.worker_id] = _EndNumbers()
+        self._end_cursors[entry.worker_id] = _EndCursor()
         session.__enter__()
         logs.event(
             _logger,
@@ -264,7 +266,7 @@
         for run in runs:
             view.remove(run)
         del self._views[view.worker_id]
-        del self._ends[view.worker_id]
+        del self._end_cursors[view.worker_id]
         session = self._sessions.pop(view.worker_id)
         session.__exit__(None, None, None)
         logs.event(
--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -10,11 +10,11 @@
 # A worker's clock may be this much slow, as the platform says.
 MAX_CLOCK_DRIFT = 0.02
 # Added to the end of a lease for the time that the worker takes to end it.
-LEASE_END_SLACK_MS = 100
+LEASE_END_MARGIN_MS = 100
 # Share of a lasting task's processors taken as used, where its own usage is
 # not reported; the others may be filled.
-LASTING_USE_SHARE = 0.5
-RACK_LABEL_MARK = "-"
+ASSUMED_LASTING_USE_SHARE = 0.5
+RACK_LABEL_MARKER = "-"
 
 
 @attrs.define(eq=False)
@@ -48,7 +48,7 @@
 
     entry: cell_workers.WorkerEntry
     is_listed: bool = True
-    unlisted_ms: int = 0
+    unlisted_since_ms: int = 0
     free_cpu: int = 0
     free_memory: int = 0
     free_gpus: int = 0
@@ -83,7 +83,7 @@
     def rack(self) -> str:
         """The rack among its labels; empty when there is none."""
         for label in self.entry.labels:
-            if RACK_LABEL_MARK in label:
+            if RACK_LABEL_MARKER in label:
                 return label
         return ""
 
@@ -95,7 +95,7 @@
     @property
     def idle_millicores(self) -> int:
         """Processors that a further filling task could use, by estimate."""
-        lasting_idle = self.lasting_millicores * (1 - LASTING_USE_SHARE)
+        lasting_idle = self.lasting_millicores * (1 - ASSUMED_LASTING_USE_SHARE)
         return int(self.free_cpu + lasting_idle - self.fill_millicores)
 
     def accepts_work(self, now_ms: int) -> bool:
@@ -139,13 +139,13 @@
         elif spec.is_lasting:
             self.lasting_millicores += sign * spec.cpu_millicores
 
-    def lease_over_ms(self) -> int:
+    def lease_expiry_ms(self) -> int:
         """Monotonic time after which nothing of what we sent runs there."""
         if self.clock_read_ms == 0:
             return self.release_after_ms
         left_ms = max(self.deadline_ms - self.clock_ms, 0)
         over_ms = self.clock_read_ms + int(left_ms / (1 - MAX_CLOCK_DRIFT))
-        return over_ms + LEASE_END_SLACK_MS
+        return over_ms + LEASE_END_MARGIN_MS
 
 
 def run_key(task: str, number: int) -> str:
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -80,9 +80,9 @@
         del number
         self.paces.append((task, percent))
 
-    def acknowledge(self, seen_end: int) -> None:
+    def acknowledge(self, last_end: int) -> None:
         """Notes an acknowledgement."""
-        self.acknowledged = seen_end
+        self.acknowledged = last_end
 
 
 class Cell:
--- a/tests/process/cell/test_candidates.py
+++ b/tests/process/cell/test_candidates.py
@@ -29,9 +29,9 @@
         count = self.placed.get(worker.worker_id, 0)
         return None if count >= 2 else float(count)
 
-    def pick(self, found: candidates.Candidates, *unwanted: str) -> str | None:
+    def pick(self, found: candidates.Candidates, *avoided: str) -> str | None:
         """Places one task."""
-        worker = found.pick(unwanted)
+        worker = found.pick(avoided)
         if worker is None:
             return None
         name = worker.worker_id
@@ -52,7 +52,7 @@
 
     def test_barred_worker_is_never_picked(self) -> None:
         found = candidates.Candidates(self.workers[:1], self.cost)
-        self.assertIsNone(found.pick(barred=("w0",)))
+        self.assertIsNone(found.pick(excluded=("w0",)))
         self.assertIsNotNone(found.pick())
 
     def test_looks_do_not_grow_with_tasks_times_workers(self) -> None:
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -56,7 +56,7 @@
     def test_load_is_learned_from_tails(self) -> None:
         beside = Beside(0.3, 0.0)
         beside.settle(10)
-        learned = beside.cell.model.load(beside.serving).load
+        learned = beside.cell.model.load_estimate(beside.serving).load
         self.assertAlmostEqual(0.3, learned, delta=0.06)
 
     def test_harmful_task_is_slowed_until_the_target_is_kept(self) -> None:
@@ -78,7 +78,7 @@
         state = serving_load.ServingLoad()
         for index in range(20):
             now_ms = 1_000 + 100 * index
-            state.advance(now_ms)
+            state.predict(now_ms)
             state.update(0.3 + 0.01 * index - state.load, now_ms)
         self.assertAlmostEqual(0.49, state.load, delta=0.03)
-        self.assertGreater(state.ahead(700), state.load + 0.03)
+        self.assertGreater(state.forecast(700), state.load + 0.03)
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -27,11 +27,11 @@
     """How many machines are away at the same time."""
 
     def test_one_at_a_time_while_there_is_time(self) -> None:
-        self.assertEqual(1, maintenance.at_once(WAVE, 3, 0))
+        self.assertEqual(1, maintenance.concurrent_machines(WAVE, 3, 0))
 
     def test_bound_of_the_wave_is_kept_when_time_is_short(self) -> None:
-        self.assertEqual(2, maintenance.at_once(TIGHT, 3, 0))
-        self.assertEqual(2, maintenance.at_once(WAVE, 3, 90_000))
+        self.assertEqual(2, maintenance.concurrent_machines(TIGHT, 3, 0))
+        self.assertEqual(2, maintenance.concurrent_machines(WAVE, 3, 90_000))
 
 
 class WaveTest(testtools.TestCase):
@@ -41,7 +41,7 @@
         super().setUp()
         self.cell = harness.Cell(workers=3)
         self.plan = self.new_plan()
-        self.reports: list[maintenance_progress.Report] = []
+        self.reports: list[maintenance_progress.ReportWave] = []
         self.states = dict.fromkeys(WAVE.machines, UP)
 
     def new_plan(
@@ -63,7 +63,7 @@
         self.reports += [
             one
             for one in actions
-            if isinstance(one, maintenance_progress.Report)
+            if isinstance(one, maintenance_progress.ReportWave)
         ]
         if maintenance_progress.ListMachines() not in actions:
             return actions
@@ -98,7 +98,7 @@
             found += [
                 one.machine_id
                 for one in self.step(wave)
-                if isinstance(one, maintenance_progress.Maintain)
+                if isinstance(one, maintenance_progress.OrderMaintenance)
             ]
         return found
 
@@ -146,7 +146,7 @@
         self.cell.submit(harness.job(harness.step(3, cpu_millicores=5_000)))
         self.cell.place()
         self.orders()
-        self.cell.clock.advance(maintenance.MOST_EVACUATION_MS)
+        self.cell.clock.advance(maintenance.MAX_EVACUATION_MS)
         self.assertEqual(1, len(self.orders()))
 
     def test_order_without_an_answer_is_repeated_for_the_machine(self) -> None:
@@ -167,7 +167,7 @@
         for _ in range(6):
             for machine_id in self.orders():
                 self.answer(machine_id, result.Ok(None))
-        self.assertIn(maintenance_progress.Report(1, True), self.reports)
+        self.assertIn(maintenance_progress.ReportWave(1, True), self.reports)
         record = self.plan.drain_writes()[records.WAVE_PREFIX + "1"]
         self.assertTrue(records.decode(records.WaveRecord, record).is_completed)
 
@@ -175,7 +175,7 @@
         for machine_id in self.orders():
             self.answer(machine_id, result.Ok(None))
         self.orders()
-        self.assertNotIn(maintenance_progress.Report(1, True), self.reports)
+        self.assertNotIn(maintenance_progress.ReportWave(1, True), self.reports)
 
     def test_next_owner_does_not_begin_anew(self) -> None:
         self.plan = self.new_plan(
@@ -213,7 +213,9 @@
 
     def test_report_that_failed_is_made_again(self) -> None:
         first = self.ask(WAVE)
-        self.assertIn(maintenance_progress.Report(1, False), first)
-        self.assertNotIn(maintenance_progress.Report(1, False), self.ask(WAVE))
+        self.assertIn(maintenance_progress.ReportWave(1, False), first)
+        self.assertNotIn(
+            maintenance_progress.ReportWave(1, False), self.ask(WAVE)
+        )
         self.plan.handle_report_failed(1)
-        self.assertIn(maintenance_progress.Report(1, False), self.ask(WAVE))
+        self.assertIn(maintenance_progress.ReportWave(1, False), self.ask(WAVE))
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -126,7 +126,7 @@
     def test_a_worker_is_cleared_for_them(self) -> None:
         cell = self.cell_with_lasting()
         cell.place()
-        cell.clock.advance(clearing.WAIT_MS)
+        cell.clock.advance(clearing.MIN_WAIT_MS)
         steps = cell.jobs.ready_steps()
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(steps, now_ms)
@@ -140,7 +140,7 @@
 
     def test_lasting_task_returns_before_it_counts_as_lost(self) -> None:
         cell = self.cell_with_lasting()
-        cell.clock.advance(clearing.WAIT_MS)
+        cell.clock.advance(clearing.MIN_WAIT_MS)
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(cell.jobs.ready_steps(), now_ms)
         stopped = cell_workers.RunEnd.STOPPED
@@ -150,7 +150,7 @@
 
     def test_cleared_worker_that_nobody_uses_is_opened_early(self) -> None:
         cell = self.cell_with_lasting()
-        cell.clock.advance(clearing.WAIT_MS)
+        cell.clock.advance(clearing.MIN_WAIT_MS)
         steps = cell.jobs.ready_steps()
         (run,) = cell.planner.clear_worker(steps, cell.clock.now_ms)
         stopped = cell_workers.RunEnd.STOPPED
--- a/tests/process/cell/test_pressure_model.py
+++ b/tests/process/cell/test_pressure_model.py
@@ -20,7 +20,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.learned = pressure_model.Pressures()
+        self.learned = pressure_model.PressureModel()
         self.random = random.Random(SEED)
 
     def _read(self, seconds: int, images: dict[str, float]) -> None:
@@ -47,15 +47,15 @@
         images = {"press": HARMFUL, "idle": HARMLESS}
         self._read(8, images)
         self.assertAlmostEqual(
-            HARMFUL, self.learned.of("serve", "press"), delta=0.3
+            HARMFUL, self.learned.coefficient("serve", "press"), delta=0.3
         )
         self.assertAlmostEqual(
-            HARMLESS, self.learned.of("serve", "idle"), delta=0.3
+            HARMLESS, self.learned.coefficient("serve", "idle"), delta=0.3
         )
 
     def test_swing_of_the_load_is_not_taken_for_pressure(self) -> None:
         self._read(20, {"idle": 0.0})
-        self.assertLess(self.learned.of("serve", "idle"), 0.15)
+        self.assertLess(self.learned.coefficient("serve", "idle"), 0.15)
 
     def test_next_owner_begins_with_what_was_learned(self) -> None:
         # Found by a day: after all hosts had lost power, lasting tasks were
@@ -64,14 +64,14 @@
         learned = records.LearnedRecord(
             self.learned.export(), self.learned.export_pairs()
         )
-        successor = pressure_model.Pressures()
+        successor = pressure_model.PressureModel()
         successor.restore(
             records.decode(records.LearnedRecord, records.encode(learned))
         )
         for image in ("press", "idle"):
             self.assertAlmostEqual(
-                self.learned.of("serve", image),
-                successor.of("serve", image),
+                self.learned.coefficient("serve", image),
+                successor.coefficient("serve", image),
                 delta=0.02,
             )
         self.assertLess(
@@ -85,11 +85,12 @@
             )
         )
         self._read(40, {"press": HARMFUL})
-        self.assertGreater(self.learned.of("serve", "press"), 1.5)
+        self.assertGreater(self.learned.coefficient("serve", "press"), 1.5)
 
     def test_image_of_which_nothing_is_known_has_the_prior(self) -> None:
         self.assertEqual(
-            pressure_model.UNKNOWN_PRESSURE, self.learned.of("serve", "new")
+            pressure_model.PRIOR_COEFFICIENT,
+            self.learned.coefficient("serve", "new"),
         )
 
 
