--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -1,14 +1,14 @@
-"""How much tasks that fill idle processors disturb lasting tasks beside them.
+"""Interference of filling tasks with lasting tasks on the same worker.
 
 A lasting task's tail latency is modelled as that of a queue: `base / (1 - x)`
-where `x` is the sum of the task's own load and of the pressure of each task
-that fills beside it. A filling task's pressure is its use of the worker's
+where `x` is the sum of the task's own load and of the pressure of each filling
+task on its worker. A filling task's pressure is its use of the worker's
 processors times a coefficient, which depends on both images and is learned
 from the tails and uses that workers report. Its use is weighted by its
 intensity: in a light phase it uses less, and each share of it presses less.
 
 Where all demands together exceed a worker's processors, tails grow without
-bound, so that tasks that fill are slowed there, however harmless they are.
+bound, so filling tasks are slowed there, however harmless they are.
 """
 
 from __future__ import annotations
@@ -24,50 +24,52 @@
 from comfreylatch._process.cell import serving_load
 from comfreylatch._process.cell import worker_view
 
-# Error above which a reading is so far off the model's range that it only
-# says that there is too much pressure.
+# A reading above this load is outside the model's range: it shows only that
+# there is too much pressure.
 SATURATION_LOAD = 0.93
-# Scatter of a coefficient beside what was learned of it.
+# Deviation of a coefficient from its learned value.
 COEFFICIENT_SD = 0.15
+# Readings are whole milliseconds.
 ROUNDING_SD_MS = 0.3
-# The trend of a load is followed this far: for paces until readings show what
-# they did, for placing into a task's run.
+# How far loads are extrapolated: for paces until readings show their effect,
+# for placements into a task's run.
 PACE_FORECAST_MS = 700
 PLACEMENT_FORECAST_MS = 1_200
-# A task that fills is placed where it can work at this pace at least.
+# A filling task is placed only where it can run at this pace at least.
 MIN_INITIAL_PACE_PERCENT = 70
-# A task that was slowed down wants its pace back: where more are placed, it
-# counts with this pace at least.
+# A slowed task will get its pace back, so placement counts it with this pace
+# at least.
 MIN_COUNTED_PACE_PERCENT = 60
-# Standard deviations of a coefficient that placing adds to it, so that few
-# tasks of an image are tried until it is known.
+# Standard deviations that placement adds to a coefficient, so that few tasks
+# of an image are tried until its coefficient is known.
 COEFFICIENT_MARGIN_SDS = 1.0
-# Square of the intensity of a task that fills, on average.
+# Mean square of the intensity of filling tasks.
 MEAN_SQUARED_INTENSITY = 0.8
-# Readings after a start or a change of pace are averages with what was before.
+# Averaging window of a reading: for this long after a start or a change of
+# pace it includes the time before.
 READING_WINDOW_MS = 700
 MIN_INTENSITY = 0.3
-# At this pace or less a reading says little of the intensity.
+# At this pace or less a reading says little about the intensity.
 MAX_UNINFORMATIVE_PACE_PERCENT = 20
-# Share of a worker's processors that all tasks together may ask for; demands
-# change within a worker's report.
+# Share of a worker's processors that all tasks together may request; demands
+# change between a worker's reports.
 MAX_REQUESTED_CPU_SHARE = 1.0
-# Part of a tail target that is planned for; the rest is for what the model
-# does not know.
+# Share of a tail target that plans may use; the rest covers model errors.
 PLANNED_TARGET_SHARE = 0.78
-# A task that has just started serves slowly whatever is beside it.
+# A task that has just started is slow whatever else its worker runs.
 SETTLING_MS = 1_500
-# Base of an image's tail relative to its target, until lower tails are seen.
+# Base tail of an image relative to its target, until lower tails are seen.
 BASE_TAIL_SHARE = 0.22
 FULL_PACE_PERCENT = 100
 PACE_STEP_PERCENT = 10
-# Head room that a pace is raised into, so that it isn't lowered at once.
+# Headroom that stays free when a pace is raised, so that it isn't lowered
+# again at once.
 PACE_RAISE_MARGIN = 0.04
 
 
 @attrs.frozen
 class Slack:
-    """How far the lasting tasks of an image are from their limit."""
+    """Headroom of the lasting tasks of an image below their load limit."""
 
     image: str
     remaining: float
@@ -75,7 +77,7 @@
 
 @attrs.frozen
 class PaceChange:
-    """A run that should work at another pace."""
+    """A new pace for a run."""
 
     run: runs_module.Run
     percent: int
@@ -83,7 +85,11 @@
 
 @final
 class InterferenceModel:
-    """Learns pressures and plans with them. Not thread-safe."""
+    """Learns interference and plans placements and paces. Not thread-safe.
+
+    Attributes:
+        pressures: Learned coefficients of filling images.
+    """
 
     def __init__(self) -> None:
         self.pressures = pressure_model.PressureModel()
@@ -93,14 +99,14 @@
         ] = {}
 
     def restore(self, learned: records.LearnedRecord) -> None:
-        """Begins with what an owner before has learned."""
+        """Restores what a previous owner learned."""
         self.pressures.restore(learned)
         self._base_ms.update(learned.base_ms)
 
     def export(
         self, duration_ratios: dict[str, float]
     ) -> records.LearnedRecord:
-        """What the next owner need not learn again."""
+        """Returns what was learned, for the next owner."""
         return records.LearnedRecord(
             self.pressures.export(),
             self.pressures.export_pairs(),
@@ -109,30 +115,30 @@
         )
 
     def coefficient(self, serving: str, filling: str) -> float:
-        """Coefficient of a filling image on a serving image."""
+        """Returns the coefficient of a filling image on a serving image."""
         return self.pressures.coefficient(serving, filling)
 
     def _base_tail_ms(self, run: runs_module.Run) -> float:
         spec = run.task.step.spec
-        guess = spec.tail_target_ms * BASE_TAIL_SHARE
-        return min(self._base_ms.get(spec.image, guess), guess)
+        default_ms = spec.tail_target_ms * BASE_TAIL_SHARE
+        return min(self._base_ms.get(spec.image, default_ms), default_ms)
 
     def load_limit(self, run: runs_module.Run) -> float:
-        """Sum of load and pressures at which a task nears its target."""
+        """Returns the sum of load and pressures at the planned target."""
         target_ms = run.task.step.spec.tail_target_ms
         return 1 - self._base_tail_ms(run) / (PLANNED_TARGET_SHARE * target_ms)
 
     def load_estimate(self, run: runs_module.Run) -> serving_load.ServingLoad:
-        """What is known of the load of a lasting task's step."""
+        """Returns the load estimate of a lasting task's step."""
         return self._loads.setdefault(run.task.step, serving_load.ServingLoad())
 
     def discard_step(self, step: runs_module.StepInstance) -> None:
-        """Drops what is known of a step that has ended."""
+        """Discards the state of a step that has ended."""
         self._loads.pop(step, None)
         self.pressures.discard_step(step)
 
     def learn(self, worker: worker_view.WorkerView, now_ms: int) -> None:
-        """Takes in a worker's newest readings."""
+        """Learns from a worker's newest readings."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
         for filling_run in _filling_runs(worker):
@@ -167,13 +173,13 @@
             run.task.step, image, run.worker_id, observed_load, uses, now_ms
         )
         variance = serving_load.READING_SD**2
-        # Readings are whole milliseconds.
+        # Readings are rounded, and coefficients are uncertain.
         variance += (ROUNDING_SD_MS * base_ms / run.reading**2) ** 2
         variance += sum((COEFFICIENT_SD * use) ** 2 for use in uses.values())
         state.update(error, now_ms, variance)
 
     def slacks(self, worker: worker_view.WorkerView) -> tuple[Slack, ...]:
-        """What each lasting step on a worker has left to its limit soon."""
+        """Forecasts the slack of each lasting step on a worker."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
         for filling_run in _filling_runs(worker):
@@ -198,29 +204,35 @@
         return tuple(slacks)
 
     def _planned_coefficient(self, serving_image: str, filling: str) -> float:
-        """Coefficient that placing reckons with: higher while uncertain."""
+        """Coefficient used by placement: higher while it is uncertain."""
         margin = COEFFICIENT_MARGIN_SDS * self.pressures.uncertainty(filling)
         return self.coefficient(serving_image, filling) + margin
 
     def summary(self) -> dict[str, float]:
-        """Coefficients by filling image, for logs."""
+        """Returns the coefficients by filling image, for logs."""
         return {
-            one.filling: round(one.coefficient, 2)
-            for one in self.pressures.export()
+            learned.filling: round(learned.coefficient, 2)
+            for learned in self.pressures.export()
         }
 
     def common_coefficient(self, image: str) -> float:
-        """Coefficient of a filling image on serving images in general."""
+        """Returns the coefficient of a filling image on any serving image."""
         return self.pressures.common_coefficient(image)
 
     def headroom(
         self, slacks: tuple[Slack, ...], image: str, use: float
     ) -> float:
-        """Least slack that a further filling task would leave.
+        """Returns the least slack after placing one more filling task.
+
+        The task counts with the lowest pace that it may start with.
+
+        Args:
+            slacks: Slacks of the worker's lasting steps.
+            image: Image of the filling task.
+            use: Share of the worker's processors that the task requests.
 
-        `use` is the share of the worker's processors that the task asks for;
-        it is taken at the least pace that it may begin with. Negative where
-        some lasting task would come over its limit.
+        Returns:
+            The least slack; negative if a lasting task would exceed its limit.
         """
         use *= (
             MEAN_SQUARED_INTENSITY
@@ -237,7 +249,7 @@
         )
 
     def pace_changes(self, worker: worker_view.WorkerView) -> list[PaceChange]:
-        """Paces that keep a worker's lasting tasks within their targets."""
+        """Returns pace changes that keep lasting tasks within their targets."""
         filling_runs = list(_filling_runs(worker))
         lasting = list(serving_runs(worker))
         if not filling_runs:
@@ -258,7 +270,7 @@
         ]
 
     def _cpu_bound_pace(self, worker: worker_view.WorkerView) -> int:
-        """Pace at which tasks that fill leave the others their processors."""
+        """Pace at which filling tasks leave other tasks their processors."""
         lasting_use = 0.0
         for run in serving_runs(worker):
             load = self.load_estimate(run).forecast(PACE_FORECAST_MS)
@@ -286,7 +298,7 @@
         paces: dict[runs_module.Run, int],
         cpu: int,
     ) -> None:
-        """Lowers the paces of the most harmful runs until a task is well."""
+        """Lowers paces, most harmful runs first, to meet a task's target."""
         image = run.task.step.spec.image
         budget = self.load_limit(run) - self.load_estimate(run).forecast(
             PACE_FORECAST_MS
@@ -302,7 +314,7 @@
             full_pressures[filling_run] * paces[filling_run] / FULL_PACE_PERCENT
             for filling_run in paces
         )
-        for filling_run in sorted(paces, key=lambda one: -full_pressures[one]):
+        for filling_run in sorted(paces, key=lambda run: -full_pressures[run]):
             margin = (
                 PACE_RAISE_MARGIN
                 if filling_run.pace_percent < FULL_PACE_PERCENT
@@ -327,14 +339,14 @@
 def serving_runs(
     worker: worker_view.WorkerView,
 ) -> Iterable[runs_module.Run]:
-    """Runs of lasting tasks with a tail target on a worker."""
+    """Returns a worker's runs of lasting tasks with a tail target."""
     return (
         run for run in worker.runs.values() if run.task.step.spec.tail_target_ms
     )
 
 
 def _update_intensity(filling_run: runs_module.Run, now_ms: int) -> None:
-    """Takes in how much of what it asks for a task that fills uses."""
+    """Updates a filling run's ratio of used to requested processors."""
     since_ms = max(filling_run.confirmed_ms, filling_run.pace_changed_ms)
     if not filling_run.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
         return
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -1,4 +1,4 @@
-"""Which worker a task goes to. Pure decisions on plain data."""
+"""Eligibility and cost of workers for tasks, without side effects."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_view
 
-# Weights of a worker's drawbacks, in millicores of leftover capacity that
-# they are worth: another rack multiplies a task's duration, a slow worker
-# does so by its slowness.
+# Penalties of a worker, in millicores of leftover capacity that they are worth.
+# Another rack multiplies a task's duration, a slow worker does so by its
+# slowness.
 OFF_RACK_COST = 60_000.0
 SLOWNESS_COST = 40_000.0
-# For each millicore that tasks which fill would lose, or lasting ones lack.
+# Penalty for each millicore that filling tasks would lose or lasting ones lack.
 CROWDING_COST = 2.0
-# Worth of each task of the same step on a worker, for lasting ones.
+# Bonus for each task of the same step on a worker, for lasting tasks.
 COLOCATION_BONUS = 20_000.0
-# The same for a task that fills, in room to the targets of lasting tasks.
+# Slowness penalty for a filling task, in headroom of the lasting tasks.
 FILLING_SLOWNESS_COST = 0.5
 # An image with a higher coefficient counts as harmful: a few of its tasks bring
-# the lasting ones beside them to their targets.
+# the lasting ones on their worker to their targets.
 MAX_HARMLESS_COEFFICIENT = 0.5
-# A task that fills idle processors is placed only where it would get at least
-# this share of what it asks for.
+# A filling task is placed only where it would get at least this share of the
+# processors it requests.
 MIN_FILLING_CPU_SHARE = 0.7
 
 
 def is_allowed(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
-    """Whether a worker may run a task of a step at all, room aside."""
+    """Whether a worker may run a step's tasks, regardless of capacity."""
     if not is_eligible(worker, step):
         return False
     limit = step.spec.max_per_worker
@@ -47,7 +47,7 @@
 def is_eligible(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
-    """Whether a worker may run a step's tasks, policy and room aside."""
+    """Whether service and label match, regardless of policy and capacity."""
     label = step.spec.required_label
     return worker.entry.service == step.job.spec.queue.service and (
         not label or label in worker.entry.labels
@@ -57,7 +57,7 @@
 def reservation_cost(
     step: runs_module.StepInstance, preferred_rack: str
 ) -> candidates.CostFunction:
-    """The cost of workers for tasks that reserve what they need."""
+    """Returns the cost function for tasks that reserve what they need."""
     spec = step.spec
     need = spec.need
     expected_use = spec.cpu_millicores
@@ -82,17 +82,17 @@
 def _count_colocated(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> int:
-    """How many tasks of a step a worker would have in the end.
+    """Counts the tasks of a step that a worker has and could still take.
 
-    Lasting tasks of a step have their load at the same times. Beside them
-    alone, others can fill the idle times; beside tasks whose loads take
-    turns, somebody is always busy.
+    Lasting tasks of one step peak at the same times, so that filling tasks
+    can use the idle times of a worker that has only these. Where tasks of
+    several steps peak in turn, the worker is never idle.
     """
     spec = step.spec
     placed = step.runs_per_worker.get(worker.worker_id, 0)
-    room = worker.free_cpu // max(spec.cpu_millicores, 1)
-    room = min(room, worker.free_memory // max(spec.memory_mb, 1))
-    colocated = placed + min(room, len(step.pending_tasks))
+    fitting = worker.free_cpu // max(spec.cpu_millicores, 1)
+    fitting = min(fitting, worker.free_memory // max(spec.memory_mb, 1))
+    colocated = placed + min(fitting, len(step.pending_tasks))
     if spec.max_per_worker:
         colocated = min(colocated, spec.max_per_worker)
     return colocated
@@ -101,9 +101,11 @@
 def preferred_rack(
     step: runs_module.StepInstance, racks: dict[str, str]
 ) -> str:
-    """The rack that a step's tasks are faster on; empty for any.
+    """Returns the rack on which a step's tasks run faster; empty for any.
 
-    `racks` gives the rack of each worker.
+    Args:
+        step: The step to place.
+        racks: The rack of each worker, by worker id.
     """
     if step.spec.data_rack:
         return step.spec.data_rack
@@ -119,7 +121,7 @@
 def roomiest_rack(
     workers: Iterable[worker_view.WorkerView], spec: specs.StepSpec
 ) -> str:
-    """The rack on which most tasks of a step would fit now."""
+    """Returns the rack on which most tasks of a step fit now."""
     fitting: dict[str, int] = {}
     for worker in workers:
         if not worker.fits(spec.need):
@@ -135,7 +137,7 @@
 
 @attrs.frozen
 class _CachedSlacks:
-    """Slacks of a worker as of one of its revisions."""
+    """Slacks of a worker, valid for one of its revisions."""
 
     revision: int
     slacks: tuple[interference.Slack, ...]
@@ -143,7 +145,7 @@
 
 @final
 class FillingCosts:
-    """Room to the targets of lasting tasks, kept while nothing changes."""
+    """Costs of workers for filling tasks; caches slacks by worker revision."""
 
     def __init__(self, model: interference.InterferenceModel) -> None:
         self._model = model
@@ -159,12 +161,11 @@
         return cached.slacks
 
     def cost(self, step: runs_module.StepInstance) -> candidates.CostFunction:
-        """The cost of workers for tasks that fill idle processors.
+        """Returns the cost function for tasks that fill idle processors.
 
-        Beside lasting tasks it is lower the more room these are left with to
-        their targets; a worker where one would come over its target can't be
-        had. A worker without lasting tasks is left to the images that can
-        work nowhere else.
+        The more headroom a worker's lasting tasks keep, the lower its cost. A
+        worker where one of them would exceed its target is excluded. A worker
+        without lasting tasks is left to images that fit nowhere else.
         """
         spec = step.spec
         need = spec.need
@@ -183,11 +184,11 @@
             if not slacks:
                 return alone_cost + FILLING_SLOWNESS_COST * slowness
             cpu = max(worker.entry.capacity.cpu_millicores, 1)
-            room = self._model.headroom(
+            headroom = self._model.headroom(
                 slacks, spec.image, spec.cpu_millicores / cpu
             )
-            if room < 0:
+            if headroom < 0:
                 return None
-            return FILLING_SLOWNESS_COST * slowness - room
+            return FILLING_SLOWNESS_COST * slowness - headroom
 
         return cost
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -1,4 +1,4 @@
-"""Gives ready tasks to workers with room, in the order of their rank."""
+"""Assigns ready tasks to workers with free capacity, in rank order."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# How long a short task waits for room before a lasting one makes way.
+# How long a short task waits for capacity before it preempts a lasting one.
 PREEMPT_AFTER_MS = 40
-# Tasks of one step for which room is made at once.
+# Tasks of one step that one pass preempts lasting runs for.
 MAX_PREEMPTING_TASKS_PER_STEP = 8
-# Share of the lasting runs that may be on their way out.
+# Share of the lasting runs that may be stopping at the same time.
 MAX_STOPPING_SHARE = 0.08
 
 
 @attrs.frozen
 class Placement:
-    """A run that has been given a worker; its start is to be sent."""
+    """A run with an assigned worker; its start order is not sent yet."""
 
     run: runs_module.Run
     worker: worker_view.WorkerView
@@ -36,16 +36,18 @@
 
 @attrs.define(eq=False)
 class _PlacementPass:
-    """One pass over the ready steps.
+    """State of one pass over the ready steps.
 
     Attributes:
-        workers: Those that take work.
-        cleared: Names of those that no lasting tasks should go on.
-        racks: The rack of each worker.
-        now_ms: Monotonic time.
-        smallest_unfit_cpu: Plain tasks of this size found no room.
-        smallest_unfit_fill: The same for tasks that fill, by image.
-        candidates: Of each step that was looked at.
+        workers: Workers that accept work.
+        cleared: Ids of workers that lasting tasks are kept off.
+        racks: The rack of each worker, by worker id.
+        now_ms: Monotonic time of the pass.
+        min_unplaceable_millicores: Smallest size of an unconstrained task
+            that fit on no worker.
+        min_unplaceable_filling_millicores: The same for filling tasks, by
+            image.
+        candidates: Candidate workers of each step tried so far.
     """
 
     workers: list[worker_view.WorkerView]
@@ -63,7 +65,7 @@
 
 @final
 class Planner:
-    """Places tasks. Only the owner's thread uses it."""
+    """Places tasks on workers. Used by the owner's thread only."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
     def place(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[Placement]:
-        """Reserves room for as many tasks as fit; returns their runs."""
+        """Reserves capacity for as many tasks as fit; returns their runs."""
         available = [
             worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
@@ -98,7 +100,7 @@
     def place_speculative_runs(
         self, jobs: Iterable[runs_module.ActiveJob], now_ms: int
     ) -> list[Placement]:
-        """Places second runs of tasks that take much longer than the rest."""
+        """Places second runs of tasks that are much slower than their peers."""
         stragglers = [
             task
             for job in jobs
@@ -117,20 +119,22 @@
             self._place_task(task, this_pass, task.last_run + 1)
             for task in stragglers
         )
-        return [one for one in placed if one is not None]
+        return [started for started in placed if started is not None]
 
     def _new_pass(
         self, workers: list[worker_view.WorkerView], now_ms: int
     ) -> _PlacementPass:
         cleared = frozenset(
-            one.worker_id for one in workers if now_ms < one.cleared_until_ms
+            worker.worker_id
+            for worker in workers
+            if now_ms < worker.cleared_until_ms
         )
         return _PlacementPass(workers, cleared, self._workers.racks(), now_ms)
 
     def clear_worker(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
-        """Clears a worker where there is cause; returns runs to be stopped."""
+        """Clears a worker if waiting tasks justify it; returns runs to stop."""
         demand = clearing.waiting_millicores(steps, self._interference, now_ms)
         if not demand:
             clearing.reopen_unused(self._workers, now_ms)
@@ -149,10 +153,10 @@
     def choose_victims(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
-        """Lasting runs to be stopped for short tasks that find no room.
+        """Chooses lasting runs to stop for short tasks that fit nowhere.
 
-        A short job earns as much as a lasting one does in two seconds, for a
-        fraction of the processors; the lasting task starts again once the
+        A short job is worth as much as a lasting one is in two seconds, and
+        takes a fraction of the processors. The lasting task restarts once the
         short ones are done.
         """
         urgent = [step for step in steps if self._may_preempt(step, now_ms)]
@@ -210,7 +214,7 @@
     def _is_known_unplaceable(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether a search must fail, as one for less has failed."""
+        """Whether placement would fail, as it did for a smaller task."""
         spec = step.spec
         unplaceable = this_pass.min_unplaceable_millicores
         if spec.fills_idle:
@@ -222,7 +226,7 @@
     def _record_unplaceable(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> None:
-        """Spares the rest of the pass a search that must fail, too."""
+        """Records a failed size, so that the pass skips tasks as large."""
         spec = step.spec
         is_plain = not (
             spec.required_label
@@ -247,7 +251,7 @@
     def _is_memory_bound(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether memory rather than processors kept a step out."""
+        """Whether a step lacked memory rather than processors."""
         return any(
             worker.free_cpu >= step.spec.cpu_millicores
             for worker in this_pass.workers
@@ -275,7 +279,7 @@
         self, task: runs_module.Task, this_pass: _PlacementPass, number: int
     ) -> Placement | None:
         step = task.step
-        # A copy is of use only where the first run is not.
+        # A speculative run has to be on another worker than the first run.
         excluded = frozenset(run.worker_id for run in task.runs)
         if step.spec.is_lasting and not clearing.is_overdue(
             task, this_pass.now_ms
@@ -301,7 +305,7 @@
     def _place_gang(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> list[Placement]:
-        """Places all tasks of a gang at once, or none."""
+        """Places all tasks of a gang together, or none."""
         if len(step.pending_tasks) < len(step.tasks):
             return []
         if any(task.not_before_ms > this_pass.now_ms for task in step.tasks):
--- a/src/comfreylatch/_process/cell/preemption.py
+++ b/src/comfreylatch/_process/cell/preemption.py
@@ -1,4 +1,4 @@
-"""Which lasting runs make way for short tasks that find no room."""
+"""Selection of lasting runs to preempt for short tasks that fit nowhere."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.define(eq=False)
 class _ProjectedWorker:
-    """What is free on a worker once its stopping runs have ended."""
+    """Free capacity of a worker once its stopping runs have ended."""
 
     worker: worker_view.WorkerView
     free_cpu: int
@@ -22,7 +22,11 @@
 
 @final
 class ProjectedCapacity:
-    """Free room of all workers, with that of runs that are being stopped."""
+    """Free capacity of all workers, counting stopping runs as ended.
+
+    Attributes:
+        stopping_count: Lasting runs that are stopping or chosen as victims.
+    """
 
     def __init__(self, workers: list[worker_view.WorkerView]) -> None:
         self._workers = [_project(worker) for worker in workers]
@@ -35,7 +39,7 @@
         )
 
     def reserve(self, task: runs_module.Task) -> bool:
-        """Reserves room for a task; whether there was some."""
+        """Reserves capacity for a task; returns whether it fit."""
         need = task.step.spec.need
         for projected in self._workers:
             fits = (
@@ -49,9 +53,9 @@
         return False
 
     def find_victim(self, task: runs_module.Task) -> runs_module.Run | None:
-        """The smallest lasting run whose end makes room for a task.
+        """Finds the smallest lasting run whose end lets a task fit.
 
-        Its room is then counted as taken by the task.
+        Reserves the task's capacity on that worker.
         """
         need = task.step.spec.need
         best: runs_module.Run | None = None
--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -1,9 +1,9 @@
-"""Learns how hard each image of filling tasks presses on lasting ones.
+"""Learns the pressure of each filling image on lasting tasks.
 
-Tasks of a lasting step have the same load at the same time, so that the
-differences between their tails on different workers are due to what fills
-beside them. The coefficients are fitted to these differences, by least
-squares with a prior, which leaves the load itself out.
+Tasks of a lasting step have the same load at the same time, so differences
+between their tails on different workers are due to the filling tasks there.
+The coefficients are fitted to these differences by least squares with a
+prior; the load itself cancels out.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 from comfreylatch._process.cell import records
 
-# Coefficient of an image of which nothing is known: between those of
-# harmless images (about 0.1) and of harmful ones (about 2).
+# Coefficient of an unknown image: between those of harmless images (about 0.1)
+# and of harmful ones (about 2).
 PRIOR_COEFFICIENT = 0.5
-# Scatter of the readings that are compared.
+# Standard deviation of the readings that are compared.
 COMPARISON_SD = 0.06
-# Weight of that guess: scatter of a reading over scatter of coefficients.
+# Weight of the prior: variance of a reading over variance of coefficients.
 PRIOR_WEIGHT = (COMPARISON_SD / 0.5) ** 2
-# The same for what a pair of images has over its filling image.
+# The same for the excess of a pair of images over its filling image.
 PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
-# What an owner before has learned counts at most like so much of one's own.
+# Maximum weight of a coefficient that was learned by a previous owner.
 MAX_INHERITED_WEIGHT = 0.2
 MAX_COEFFICIENT = 6.0
-# Readings of a step within this time are compared with each other; figures of
-# workers are averages over half a second.
+# Readings of a step within this time are compared with each other; workers
+# report averages over half a second.
 COMPARISON_WINDOW_MS = 500
-# Longest wait for readings of a second worker. Those of one worker are then
-# compared among themselves, though its load may have changed meanwhile.
+# Longest wait for readings of a second worker. After it, readings of a single
+# worker are compared, although its load may have changed between them.
 MAX_COMPARISON_MS = 1_600
 FIT_INTERVAL_MS = 500
-# What was learned counts half after 40 s.
-DECAY_MS = 60_000
-# An image whose sums have faded below this is forgotten.
+# Time constant of the decay of the sums; their half-life is about 40 s.
+DECAY_TIME_CONSTANT_MS = 60_000
+# An image is dropped when its sum of squares has decayed below this.
 MIN_SQUARES_SUM = 1e-6
 
 
@@ -63,7 +63,7 @@
             return False
         first = self.readings[0].worker_id
         has_several_workers = any(
-            one.worker_id != first for one in self.readings
+            reading.worker_id != first for reading in self.readings
         )
         return has_several_workers or age_ms >= MAX_COMPARISON_MS
 
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class _Prior:
-    """What is believed of a coefficient before any reading."""
+    """Value and weight of a coefficient before any reading."""
 
     coefficient: float = PRIOR_COEFFICIENT
     weight: float = PRIOR_WEIGHT
@@ -97,10 +97,12 @@
         self._fitted_ms = 0
 
     def restore(self, learned: records.LearnedRecord) -> None:
-        """Begins with what an owner before has learned."""
-        for one in learned.pressures:
-            weight = min(one.weight, MAX_INHERITED_WEIGHT)
-            self._priors[one.filling] = _Prior(one.coefficient, weight)
+        """Uses what a previous owner learned as priors."""
+        for pressure in learned.pressures:
+            weight = min(pressure.weight, MAX_INHERITED_WEIGHT)
+            self._priors[pressure.filling] = _Prior(
+                pressure.coefficient, weight
+            )
         for pair in learned.pairs:
             weight = min(pair.weight, MAX_INHERITED_WEIGHT)
             key = pair.serving, pair.filling
@@ -108,7 +110,7 @@
             self._by_pair[key] = pair.excess
 
     def export(self) -> tuple[records.LearnedPressure, ...]:
-        """Coefficients of all images, for the next owner."""
+        """Returns the coefficients of all images, for the next owner."""
         return tuple(
             records.LearnedPressure(
                 name,
@@ -119,7 +121,7 @@
         )
 
     def export_pairs(self) -> tuple[records.LearnedPair, ...]:
-        """Excesses of the pairs of which enough is known."""
+        """Returns the excesses of pairs that were observed often enough."""
         return tuple(
             records.LearnedPair(
                 serving,
@@ -135,28 +137,28 @@
         return self._priors.get(filling, _Prior())
 
     def _coefficient_weight(self, filling: str) -> float:
-        """What a coefficient rests on."""
+        """Weight of an image's readings and prior."""
         own = self._squares.get(filling, {}).get(filling, 0.0)
         return own + self._prior(filling).weight
 
     def uncertainty(self, filling: str) -> float:
-        """Standard deviation of an image's coefficient."""
+        """Returns the standard deviation of an image's coefficient."""
         return COMPARISON_SD / math.sqrt(self._coefficient_weight(filling))
 
     def common_coefficient(self, filling: str) -> float:
-        """Coefficient of a filling image whatever it presses on."""
+        """Returns the coefficient of a filling image on any serving image."""
         learned = self._by_image.get(filling)
         return self._prior(filling).coefficient if learned is None else learned
 
     def coefficient(self, serving: str, filling: str) -> float:
-        """Coefficient of a filling image on a serving image."""
+        """Returns the coefficient of a filling image on a serving image."""
         own = self._by_pair.get((serving, filling), 0.0)
         return min(
             max(self.common_coefficient(filling) + own, 0.0), MAX_COEFFICIENT
         )
 
     def discard_step(self, step: object) -> None:
-        """Drops the comparison of a step that has ended."""
+        """Discards the open comparison of a step that has ended."""
         self._open_comparisons.pop(step, None)
 
     def observe(
@@ -168,13 +170,13 @@
         uses: Mapping[str, float],
         now_ms: int,
     ) -> None:
-        """Takes in one reading of a lasting task.
+        """Adds one reading of a lasting task.
 
         Args:
-            step: Its step.
-            serving: Its image.
-            worker_id: Where it runs.
-            busy: Load and pressures together, as its tail shows them.
+            step: The task's step.
+            serving: The task's image.
+            worker_id: The worker it runs on.
+            load: Sum of load and pressures that the tail implies.
             uses: Shares of the worker that filling images use, by image.
             now_ms: Monotonic time of the reading.
         """
@@ -190,29 +192,31 @@
             self._fit_coefficients(now_ms)
 
     def _close_comparison(self, comparison: _Comparison) -> None:
-        """Adds a comparison's differences to the sums."""
+        """Adds the differences between a comparison's readings to the sums."""
         readings = comparison.readings
         count = len(readings)
-        fills = sorted({name for one in readings for name in one.uses})
-        if count < 2 or not fills:
+        images = sorted({name for reading in readings for name in reading.uses})
+        if count < 2 or not images:
             return
-        mean_load = sum(one.load for one in readings) / count
+        mean_load = sum(reading.load for reading in readings) / count
         means = {
-            name: sum(one.uses.get(name, 0.0) for one in readings) / count
-            for name in fills
+            name: sum(reading.uses.get(name, 0.0) for reading in readings)
+            / count
+            for name in images
         }
-        for one in readings:
+        for reading in readings:
             differences = {
-                name: one.uses.get(name, 0.0) - means[name] for name in fills
+                name: reading.uses.get(name, 0.0) - means[name]
+                for name in images
             }
             self._add_differences(
-                comparison.serving, one.load - mean_load, differences
+                comparison.serving, reading.load - mean_load, differences
             )
 
     def _add_differences(
         self, serving: str, load: float, differences: Mapping[str, float]
     ) -> None:
-        """Adds one difference in tails and those in uses that caused it."""
+        """Adds a load difference and the use differences that explain it."""
         unexplained = load - sum(
             self.coefficient(serving, name) * use
             for name, use in differences.items()
@@ -228,10 +232,10 @@
             sums.products += use * (unexplained + own * use)
 
     def _fit_coefficients(self, now_ms: int) -> None:
-        """Works out the coefficients from the sums, and lets these fade."""
+        """Decays the sums and solves them for the coefficients."""
         elapsed_ms = now_ms - self._fitted_ms if self._fitted_ms else 0
         self._fitted_ms = now_ms
-        self._decay(math.exp(-elapsed_ms / DECAY_MS))
+        self._decay(math.exp(-elapsed_ms / DECAY_TIME_CONSTANT_MS))
         names = list(self._squares)
         matrix = [
             [self._squares[name].get(other, 0.0) for other in names]
@@ -271,15 +275,15 @@
         del self._products[name]
         for row in self._squares.values():
             row.pop(name, None)
-        for pair in [one for one in self._pairs if one[1] == name]:
+        for pair in [pair for pair in self._pairs if pair[1] == name]:
             del self._pairs[pair]
 
 
 def solve(matrix: list[list[float]], values: list[float]) -> list[float]:
     """Solves linear equations with a positive definite matrix.
 
-    By elimination without pivots, which such a matrix does not need; the
-    arguments are used up.
+    Uses Gaussian elimination; a positive definite matrix needs no pivoting.
+    Overwrites its arguments.
     """
     size = len(values)
     for index in range(size):
