--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -26,7 +26,7 @@
 
 # A reading above this load is outside the model's range: it shows only that
 # there is too much pressure.
-SATURATION_LOAD = 0.93
+SATURATED_LOAD = 0.93
 # Deviation of a coefficient from its learned value.
 COEFFICIENT_SD = 0.15
 # Readings are whole milliseconds.
@@ -60,8 +60,8 @@
 SETTLING_MS = 1_500
 # Base tail of an image relative to its target, until lower tails are seen.
 BASE_TAIL_SHARE = 0.22
-FULL_PACE_PERCENT = 100
-PACE_STEP_PERCENT = 10
+FULL_PACE = 100
+PACE_STEP = 10
 # Headroom that stays free when a pace is raised, so that it isn't lowered
 # again at once.
 PACE_RAISE_MARGIN = 0.04
@@ -72,12 +72,12 @@
     """Headroom of the lasting tasks of an image below their load limit."""
 
     image: str
-    remaining: float
+    left: float
 
 
 @attrs.frozen
 class PaceChange:
-    """A new pace for a run."""
+    """A run and its new pace."""
 
     run: runs_module.Run
     percent: int
@@ -115,16 +115,16 @@
         )
 
     def coefficient(self, serving: str, filling: str) -> float:
-        """Returns the coefficient of a filling image on a serving image."""
+        """Coefficient of a filling image on a serving image."""
         return self.pressures.coefficient(serving, filling)
 
     def _base_tail_ms(self, run: runs_module.Run) -> float:
         spec = run.task.step.spec
-        default_ms = spec.tail_target_ms * BASE_TAIL_SHARE
-        return min(self._base_ms.get(spec.image, default_ms), default_ms)
+        guess = spec.tail_target_ms * BASE_TAIL_SHARE
+        return min(self._base_ms.get(spec.image, guess), guess)
 
     def load_limit(self, run: runs_module.Run) -> float:
-        """Returns the sum of load and pressures at the planned target."""
+        """Sum of load and pressures at which a task nears its target."""
         target_ms = run.task.step.spec.tail_target_ms
         return 1 - self._base_tail_ms(run) / (PLANNED_TARGET_SHARE * target_ms)
 
@@ -141,10 +141,10 @@
         """Learns from a worker's newest readings."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
-        for filling_run in _filling_runs(worker):
-            _update_intensity(filling_run, now_ms)
-            image = _image(filling_run)
-            use = filling_run.reading * filling_run.intensity / cpu
+        for fill in _filling_runs(worker):
+            _update_intensity(fill, now_ms)
+            image = _image(fill)
+            use = fill.reading * fill.intensity / cpu
             uses[image] = uses.get(image, 0.0) + use
         for run in serving_runs(worker):
             settled = now_ms - run.confirmed_ms > SETTLING_MS
@@ -165,7 +165,7 @@
             for filling, use in uses.items()
         )
         error = observed_load - state.load - pressure
-        if observed_load > SATURATION_LOAD:
+        if observed_load > SATURATED_LOAD:
             if error > 0:
                 state.update(error, now_ms)
             return
@@ -182,25 +182,22 @@
         """Forecasts the slack of each lasting step on a worker."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
-        for filling_run in _filling_runs(worker):
-            pace = (
-                max(filling_run.pace_percent, MIN_COUNTED_PACE_PERCENT)
-                / FULL_PACE_PERCENT
-            )
-            image = _image(filling_run)
-            used = filling_run.task.step.spec.cpu_millicores * pace / cpu
-            used *= (filling_run.intensity**2 + MEAN_SQUARED_INTENSITY) / 2
+        for fill in _filling_runs(worker):
+            pace = max(fill.pace_percent, MIN_COUNTED_PACE_PERCENT) / FULL_PACE
+            image = _image(fill)
+            used = fill.task.step.spec.cpu_millicores * pace / cpu
+            used *= (fill.intensity**2 + MEAN_SQUARED_INTENSITY) / 2
             uses[image] = uses.get(image, 0.0) + used
         steps = {run.task.step: run for run in serving_runs(worker)}
         slacks = []
         for run in steps.values():
             image = _image(run)
-            remaining = self.load_limit(run) - self.load_estimate(run).forecast(
+            left = self.load_limit(run) - self.load_estimate(run).forecast(
                 PLACEMENT_FORECAST_MS
             )
             for filling, use in uses.items():
-                remaining -= self._planned_coefficient(image, filling) * use
-            slacks.append(Slack(image, remaining))
+                left -= self._planned_coefficient(image, filling) * use
+            slacks.append(Slack(image, left))
         return tuple(slacks)
 
     def _planned_coefficient(self, serving_image: str, filling: str) -> float:
@@ -209,14 +206,14 @@
         return self.coefficient(serving_image, filling) + margin
 
     def summary(self) -> dict[str, float]:
-        """Returns the coefficients by filling image, for logs."""
+        """Coefficients by filling image, for logs."""
         return {
             learned.filling: round(learned.coefficient, 2)
             for learned in self.pressures.export()
         }
 
     def common_coefficient(self, image: str) -> float:
-        """Returns the coefficient of a filling image on any serving image."""
+        """Coefficient of a filling image on serving images in general."""
         return self.pressures.common_coefficient(image)
 
     def headroom(
@@ -234,22 +231,17 @@
         Returns:
             The least slack; negative if a lasting task would exceed its limit.
         """
-        use *= (
-            MEAN_SQUARED_INTENSITY
-            * MIN_INITIAL_PACE_PERCENT
-            / FULL_PACE_PERCENT
-        )
+        use *= MEAN_SQUARED_INTENSITY * MIN_INITIAL_PACE_PERCENT / FULL_PACE
         return min(
             (
-                slack.remaining
-                - self._planned_coefficient(slack.image, image) * use
+                slack.left - self._planned_coefficient(slack.image, image) * use
                 for slack in slacks
             ),
             default=1.0,
         )
 
     def pace_changes(self, worker: worker_view.WorkerView) -> list[PaceChange]:
-        """Returns pace changes that keep lasting tasks within their targets."""
+        """Paces that keep a worker's lasting tasks within their targets."""
         filling_runs = list(_filling_runs(worker))
         lasting = list(serving_runs(worker))
         if not filling_runs:
@@ -264,8 +256,8 @@
             if run.pace_percent != percent
             and (
                 percent < run.pace_percent
-                or percent == FULL_PACE_PERCENT
-                or percent >= run.pace_percent + 2 * PACE_STEP_PERCENT
+                or percent == FULL_PACE
+                or percent >= run.pace_percent + 2 * PACE_STEP
             )
         ]
 
@@ -276,21 +268,18 @@
             load = self.load_estimate(run).forecast(PACE_FORECAST_MS)
             lasting_use += load * run.task.step.spec.cpu_millicores
         if not lasting_use:
-            return FULL_PACE_PERCENT
+            return FULL_PACE
         cpu = worker.entry.capacity.cpu_millicores
         reserved = cpu - worker.free_cpu - worker.lasting_millicores
-        remaining = MAX_REQUESTED_CPU_SHARE * cpu - reserved - lasting_use
-        requested = sum(
-            filling_run.task.step.spec.cpu_millicores * filling_run.intensity
-            for filling_run in _filling_runs(worker)
-        )
-        if requested <= remaining:
-            return FULL_PACE_PERCENT
-        steps = (
-            int(max(remaining, 0.0) / requested * FULL_PACE_PERCENT)
-            // PACE_STEP_PERCENT
+        left = MAX_REQUESTED_CPU_SHARE * cpu - reserved - lasting_use
+        asked = sum(
+            fill.task.step.spec.cpu_millicores * fill.intensity
+            for fill in _filling_runs(worker)
         )
-        return steps * PACE_STEP_PERCENT
+        if asked <= left:
+            return FULL_PACE
+        steps = int(max(left, 0.0) / asked * FULL_PACE) // PACE_STEP
+        return steps * PACE_STEP
 
     def _lower_paces(
         self,
@@ -303,66 +292,43 @@
         budget = self.load_limit(run) - self.load_estimate(run).forecast(
             PACE_FORECAST_MS
         )
-        full_pressures = {
-            filling_run: self.coefficient(image, _image(filling_run))
-            * filling_run.task.step.spec.cpu_millicores
-            * filling_run.intensity**2
+        full = {
+            fill: self.coefficient(image, _image(fill))
+            * fill.task.step.spec.cpu_millicores
+            * fill.intensity**2
             / cpu
-            for filling_run in paces
+            for fill in paces
         }
-        total = sum(
-            full_pressures[filling_run] * paces[filling_run] / FULL_PACE_PERCENT
-            for filling_run in paces
-        )
-        for filling_run in sorted(paces, key=lambda run: -full_pressures[run]):
-            margin = (
-                PACE_RAISE_MARGIN
-                if filling_run.pace_percent < FULL_PACE_PERCENT
-                else 0.0
-            )
+        total = sum(full[fill] * paces[fill] / FULL_PACE for fill in paces)
+        for fill in sorted(paces, key=lambda run: -full[run]):
+            margin = PACE_RAISE_MARGIN if fill.pace_percent < FULL_PACE else 0.0
             excess = total - budget + margin
-            if excess <= 0 or full_pressures[filling_run] <= 0:
+            if excess <= 0 or full[fill] <= 0:
                 return
-            cut = -(
-                -int(excess / full_pressures[filling_run] * FULL_PACE_PERCENT)
-                // PACE_STEP_PERCENT
-            )
-            lowered = max(paces[filling_run] - cut * PACE_STEP_PERCENT, 0)
-            total -= (
-                full_pressures[filling_run]
-                * (paces[filling_run] - lowered)
-                / FULL_PACE_PERCENT
-            )
-            paces[filling_run] = lowered
+            cut = -(-int(excess / full[fill] * FULL_PACE) // PACE_STEP)
+            lowered = max(paces[fill] - cut * PACE_STEP, 0)
+            total -= full[fill] * (paces[fill] - lowered) / FULL_PACE
+            paces[fill] = lowered
 
 
 def serving_runs(
     worker: worker_view.WorkerView,
 ) -> Iterable[runs_module.Run]:
-    """Returns a worker's runs of lasting tasks with a tail target."""
+    """Runs of lasting tasks with a tail target on a worker."""
     return (
         run for run in worker.runs.values() if run.task.step.spec.tail_target_ms
     )
 
 
-def _update_intensity(filling_run: runs_module.Run, now_ms: int) -> None:
+def _update_intensity(fill: runs_module.Run, now_ms: int) -> None:
     """Updates a filling run's ratio of used to requested processors."""
-    since_ms = max(filling_run.confirmed_ms, filling_run.pace_changed_ms)
-    if not filling_run.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
+    since_ms = max(fill.confirmed_ms, fill.pace_changed_ms)
+    if not fill.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
         return
-    if (
-        filling_run.pace_percent <= MAX_UNINFORMATIVE_PACE_PERCENT
-        or filling_run.reading <= 0
-    ):
+    if fill.pace_percent <= MAX_UNINFORMATIVE_PACE_PERCENT or fill.reading <= 0:
         return
-    requested = (
-        filling_run.task.step.spec.cpu_millicores
-        * filling_run.pace_percent
-        / FULL_PACE_PERCENT
-    )
-    filling_run.intensity = min(
-        max(filling_run.reading / requested, MIN_INTENSITY), 1.0
-    )
+    asked = fill.task.step.spec.cpu_millicores * fill.pace_percent / FULL_PACE
+    fill.intensity = min(max(fill.reading / asked, MIN_INTENSITY), 1.0)
 
 
 def _filling_runs(worker: worker_view.WorkerView) -> Iterable[runs_module.Run]:
