--- a/src/comfreylatch/_process/cell/candidates.py
+++ b/src/comfreylatch/_process/cell/candidates.py
@@ -1,4 +1,4 @@
-"""Workers in the order in which a step's tasks should get them."""
+"""Candidate workers of a step's tasks, ordered by cost."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from comfreylatch._process.cell import worker_view
 
-# The cost of a worker for a task of the step; None where it can't be had.
+# The cost of a worker for a task of the step; None if it can't take the task.
 CostFunction = Callable[[worker_view.WorkerView], float | None]
 
 
 @final
 class Candidates:
-    """Picks the cheapest worker for each of many tasks that are alike.
+    """Picks the cheapest worker for each of many similar tasks.
 
-    Placing a task changes the cost of one worker only, so that costs are
-    looked at again just for the worker that seems cheapest. A cost that falls
-    in between is found late, which matters little: it falls where a task of
-    the step was placed, and that worker was the cheapest before.
+    Placing a task changes the cost of one worker only, so only the worker on
+    top of the heap is recomputed. A cost that falls in between is noticed
+    late, which matters little: costs fall only where a task of the step was
+    placed, and that worker was the cheapest before.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
     def pick(
         self, avoided: Collection[str] = (), excluded: Collection[str] = ()
     ) -> worker_view.WorkerView | None:
-        """The cheapest worker now; None when there is none.
+        """Returns the cheapest worker now; None if no worker qualifies.
 
         Args:
-            unwanted: Workers to be taken only if there are no others.
-            barred: Workers not to be taken at all.
+            avoided: Ids of workers to pick only if there are no others.
+            excluded: Ids of workers never to pick.
         """
         set_aside = []
         chosen = None
