--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -13,7 +13,7 @@
 from comfreylatch._ports import machines as machines_port
 from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
-from comfreylatch._process.cell import maintenance_progress
+from comfreylatch._process.cell import wave_state
 
 # The API may be fifty times slower than usual.
 CALL_TIMEOUT_MS = 2_000
@@ -60,19 +60,19 @@
     ) -> None:
         self._desk.__exit__(exc_type, exc, traceback)
 
-    def submit(self, action: maintenance_progress.Action) -> None:
+    def submit(self, action: wave_state.Action) -> None:
         """Queues a call."""
         self._desk.submit(lambda: self._do(action))
 
-    def _do(self, action: maintenance_progress.Action) -> None:
+    def _do(self, action: wave_state.Action) -> None:
         match action:
-            case maintenance_progress.ListMachines():
+            case wave_state.ListMachines():
                 sent_ms = self._clock.monotonic_ms()
                 listed = self._machines.machines(CALL_TIMEOUT_MS)
                 self._post(events.MachinesListed(sent_ms, listed))
-            case maintenance_progress.OrderMaintenance(machine_id, wave):
+            case wave_state.OrderMaintenance(machine_id, wave):
                 self._maintain(machine_id, wave)
-            case maintenance_progress.ReportWave(wave, is_completed):
+            case wave_state.ReportWave(wave, is_completed):
                 outcome = self._machines.report(
                     wave, is_completed, CALL_TIMEOUT_MS
                 )
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -17,8 +17,8 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import events
-from comfreylatch._process.cell import maintenance_progress
 from comfreylatch._process.cell import records
+from comfreylatch._process.cell import wave_state
 from comfreylatch._process.cell import worker_view
 
 LIST_INTERVAL_MS = 700
@@ -54,7 +54,7 @@
         self._recorded = recorded
         self._not_before_ms = not_before_ms
         self._metrics = metrics
-        self._waves: dict[int, maintenance_progress.WaveProgress] = {}
+        self._waves: dict[int, wave_state.WaveProgress] = {}
         self._machines: dict[str, machines_port.Machine] | None = None
         self._listed_ms = -(10**9)
         self._is_listing = False
@@ -66,9 +66,9 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
-    ) -> list[maintenance_progress.Action]:
+    ) -> list[wave_state.Action]:
         """What has to be done now; marks workers that have to be emptied."""
-        actions: list[maintenance_progress.Action] = []
+        actions: list[wave_state.Action] = []
         for wave in waves:
             if wave.number not in self._waves:
                 self._open_wave(wave, wall_ms)
@@ -83,7 +83,7 @@
             if wave_progress.reported is not wave_progress.is_completed:
                 wave_progress.reported = wave_progress.is_completed
                 actions.append(
-                    maintenance_progress.ReportWave(
+                    wave_state.ReportWave(
                         wave_progress.wave.number, wave_progress.is_completed
                     )
                 )
@@ -91,30 +91,27 @@
         if running and is_due and not self._is_listing:
             self._is_listing = True
             self._listed_ms = now_ms
-            actions.append(maintenance_progress.ListMachines())
+            actions.append(wave_state.ListMachines())
         return actions
 
     def _open_wave(self, wave: machines_port.Wave, wall_ms: int) -> None:
         before = self._recorded.get(wave.number)
         began_wall_ms = wall_ms if before is None else before.began_wall_ms
-        wave_progress = maintenance_progress.WaveProgress(
+        wave_progress = wave_state.WaveProgress(
             wave,
             began_wall_ms,
-            {
-                name: maintenance_progress.MachineProgress(name)
-                for name in wave.machines
-            },
+            {name: wave_state.MachineProgress(name) for name in wave.machines},
         )
         if before is not None:
             wave_progress.is_completed = before.is_completed
             for name in wave_progress.machines.keys() & set(before.begun):
                 wave_progress.machines[
                     name
-                ].phase = maintenance_progress.MachinePhase.AWAY
+                ].phase = wave_state.MachinePhase.AWAY
             for name in wave_progress.machines.keys() & set(before.finished):
                 wave_progress.machines[
                     name
-                ].phase = maintenance_progress.MachinePhase.FINISHED
+                ].phase = wave_state.MachinePhase.FINISHED
         self._waves[wave.number] = wave_progress
         self._dirty.add(wave.number)
         logs.event(
@@ -129,41 +126,41 @@
 
     def _advance(
         self,
-        wave_progress: maintenance_progress.WaveProgress,
+        wave_progress: wave_state.WaveProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
-        actions: list[maintenance_progress.Action],
+        actions: list[wave_state.Action],
     ) -> None:
         if self._machines is None:
             return
         for progress in wave_progress.machines.values():
             if (
-                progress.phase is maintenance_progress.MachinePhase.EMPTYING
+                progress.phase is wave_state.MachinePhase.EMPTYING
                 and self._is_evacuated(progress, workers, now_ms)
             ):
                 self._enter_phase(
-                    progress, maintenance_progress.MachinePhase.ORDERED, now_ms
+                    progress, wave_state.MachinePhase.ORDERED, now_ms
                 )
                 actions.append(
-                    maintenance_progress.OrderMaintenance(
+                    wave_state.OrderMaintenance(
                         progress.machine_id, wave_progress.wave.number
                     )
                 )
             elif (
-                progress.phase is maintenance_progress.MachinePhase.ORDERED
+                progress.phase is wave_state.MachinePhase.ORDERED
                 and now_ms >= progress.not_before_ms > 0
             ):
                 progress.not_before_ms = 0
                 actions.append(
-                    maintenance_progress.OrderMaintenance(
+                    wave_state.OrderMaintenance(
                         progress.machine_id, wave_progress.wave.number
                     )
                 )
         if now_ms >= self._not_before_ms:
             self._start_evacuations(wave_progress, workers, now_ms, wall_ms)
         if all(
-            progress.phase is maintenance_progress.MachinePhase.FINISHED
+            progress.phase is wave_state.MachinePhase.FINISHED
             for progress in wave_progress.machines.values()
         ):
             wave_progress.is_completed = True
@@ -174,7 +171,7 @@
 
     def _start_evacuations(
         self,
-        wave_progress: maintenance_progress.WaveProgress,
+        wave_progress: wave_state.WaveProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
@@ -183,15 +180,15 @@
         waiting = [
             progress
             for progress in wave_progress.machines.values()
-            if progress.phase is maintenance_progress.MachinePhase.WAITING
+            if progress.phase is wave_state.MachinePhase.WAITING
             and now_ms >= progress.not_before_ms
         ]
         busy = sum(
             progress.phase
             in (
-                maintenance_progress.MachinePhase.EMPTYING,
-                maintenance_progress.MachinePhase.ORDERED,
-                maintenance_progress.MachinePhase.AWAY,
+                wave_state.MachinePhase.EMPTYING,
+                wave_state.MachinePhase.ORDERED,
+                wave_state.MachinePhase.AWAY,
             )
             for progress in wave_progress.machines.values()
         )
@@ -216,12 +213,12 @@
             if view is not None:
                 view.is_being_emptied = True
             self._enter_phase(
-                progress, maintenance_progress.MachinePhase.EMPTYING, now_ms
+                progress, wave_state.MachinePhase.EMPTYING, now_ms
             )
 
     def _is_evacuated(
         self,
-        progress: maintenance_progress.MachineProgress,
+        progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> bool:
@@ -235,8 +232,8 @@
 
     def _enter_phase(
         self,
-        progress: maintenance_progress.MachineProgress,
-        phase: maintenance_progress.MachinePhase,
+        progress: wave_state.MachineProgress,
+        phase: wave_state.MachinePhase,
         now_ms: int,
     ) -> None:
         progress.phase = phase
@@ -271,39 +268,35 @@
                     self._finish(wave_progress, progress, workers, now_ms)
 
     def _is_finished(
-        self, progress: maintenance_progress.MachineProgress, listed_ms: int
+        self, progress: wave_state.MachineProgress, listed_ms: int
     ) -> bool:
         """Whether a list shows a machine back, or gone."""
         assert self._machines is not None
         machine = self._machines.get(progress.machine_id)
         if machine is None:
             # It has left, and needs nothing any more.
-            return (
-                progress.phase is not maintenance_progress.MachinePhase.FINISHED
-            )
+            return progress.phase is not wave_state.MachinePhase.FINISHED
         is_up = machine.state is machines_port.MachineState.UP
         return (
-            progress.phase is maintenance_progress.MachinePhase.AWAY
+            progress.phase is wave_state.MachinePhase.AWAY
             and is_up
             and listed_ms > progress.since_ms
         )
 
     def _finish(
         self,
-        wave_progress: maintenance_progress.WaveProgress,
-        progress: maintenance_progress.MachineProgress,
+        wave_progress: wave_state.WaveProgress,
+        progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        self._enter_phase(
-            progress, maintenance_progress.MachinePhase.FINISHED, now_ms
-        )
+        self._enter_phase(progress, wave_state.MachinePhase.FINISHED, now_ms)
         self._dirty.add(wave_progress.wave.number)
         self._readmit_worker(progress, workers)
 
     def _readmit_worker(
         self,
-        progress: maintenance_progress.MachineProgress,
+        progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
     ) -> None:
         """Lets a machine's worker take work, if it is still the same one."""
@@ -327,14 +320,14 @@
         if (
             wave_progress is None
             or progress is None
-            or progress.phase is not maintenance_progress.MachinePhase.ORDERED
+            or progress.phase is not wave_state.MachinePhase.ORDERED
         ):
             return
         match event.outcome:
             case result.Ok(_):
                 self._metrics.count(metrics_module.Counter.MAINTENANCES)
                 self._enter_phase(
-                    progress, maintenance_progress.MachinePhase.AWAY, now_ms
+                    progress, wave_state.MachinePhase.AWAY, now_ms
                 )
                 self._dirty.add(event.wave)
             case result.Err(machines_port.MaintenanceUnanswered(detail)):
@@ -353,8 +346,8 @@
 
     def _handle_refusal(
         self,
-        wave_progress: maintenance_progress.WaveProgress,
-        progress: maintenance_progress.MachineProgress,
+        wave_progress: wave_state.WaveProgress,
+        progress: wave_state.MachineProgress,
         reason: machines_port.Refusal,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
@@ -378,7 +371,7 @@
             case _:
                 progress.not_before_ms = now_ms + RETRY_PAUSE_MS
                 self._enter_phase(
-                    progress, maintenance_progress.MachinePhase.WAITING, now_ms
+                    progress, wave_state.MachinePhase.WAITING, now_ms
                 )
                 self._readmit_worker(progress, workers)
 
@@ -390,12 +383,8 @@
             writes[f"{records.WAVE_PREFIX}{number}"] = records.encode(
                 records.WaveRecord(
                     wave_progress.began_wall_ms,
-                    wave_progress.in_phase(
-                        maintenance_progress.MachinePhase.AWAY
-                    ),
-                    wave_progress.in_phase(
-                        maintenance_progress.MachinePhase.FINISHED
-                    ),
+                    wave_progress.in_phase(wave_state.MachinePhase.AWAY),
+                    wave_progress.in_phase(wave_state.MachinePhase.FINISHED),
                     wave_progress.is_completed,
                 )
             )
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -12,8 +12,8 @@
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import maintenance
-from comfreylatch._process.cell import maintenance_progress
 from comfreylatch._process.cell import records
+from comfreylatch._process.cell import wave_state
 from tests.process.cell import harness
 
 DONE = cell_workers.RunEnd.DONE
@@ -41,7 +41,7 @@
         super().setUp()
         self.cell = harness.Cell(workers=3)
         self.plan = self.new_plan()
-        self.reports: list[maintenance_progress.ReportWave] = []
+        self.reports: list[wave_state.ReportWave] = []
         self.states = dict.fromkeys(WAVE.machines, UP)
 
     def new_plan(
@@ -61,11 +61,9 @@
         now_ms = self.cell.clock.monotonic_ms()
         actions = self.ask(wave)
         self.reports += [
-            one
-            for one in actions
-            if isinstance(one, maintenance_progress.ReportWave)
+            one for one in actions if isinstance(one, wave_state.ReportWave)
         ]
-        if maintenance_progress.ListMachines() not in actions:
+        if wave_state.ListMachines() not in actions:
             return actions
         found = tuple(
             machines_port.Machine(name, state, name.replace("m", "w"))
@@ -76,9 +74,7 @@
             self.cell.workers.by_id(),
             now_ms,
         )
-        return [
-            one for one in actions if one != maintenance_progress.ListMachines()
-        ]
+        return [one for one in actions if one != wave_state.ListMachines()]
 
     def ask(self, wave: machines_port.Wave) -> list[Any]:
         """What has to be done now."""
@@ -98,7 +94,7 @@
             found += [
                 one.machine_id
                 for one in self.step(wave)
-                if isinstance(one, maintenance_progress.OrderMaintenance)
+                if isinstance(one, wave_state.OrderMaintenance)
             ]
         return found
 
@@ -167,7 +163,7 @@
         for _ in range(6):
             for machine_id in self.orders():
                 self.answer(machine_id, result.Ok(None))
-        self.assertIn(maintenance_progress.ReportWave(1, True), self.reports)
+        self.assertIn(wave_state.ReportWave(1, True), self.reports)
         record = self.plan.drain_writes()[records.WAVE_PREFIX + "1"]
         self.assertTrue(records.decode(records.WaveRecord, record).is_completed)
 
@@ -175,7 +171,7 @@
         for machine_id in self.orders():
             self.answer(machine_id, result.Ok(None))
         self.orders()
-        self.assertNotIn(maintenance_progress.ReportWave(1, True), self.reports)
+        self.assertNotIn(wave_state.ReportWave(1, True), self.reports)
 
     def test_next_owner_does_not_begin_anew(self) -> None:
         self.plan = self.new_plan(
@@ -213,9 +209,7 @@
 
     def test_report_that_failed_is_made_again(self) -> None:
         first = self.ask(WAVE)
-        self.assertIn(maintenance_progress.ReportWave(1, False), first)
-        self.assertNotIn(
-            maintenance_progress.ReportWave(1, False), self.ask(WAVE)
-        )
+        self.assertIn(wave_state.ReportWave(1, False), first)
+        self.assertNotIn(wave_state.ReportWave(1, False), self.ask(WAVE))
         self.plan.handle_report_failed(1)
-        self.assertIn(maintenance_progress.ReportWave(1, False), self.ask(WAVE))
+        self.assertIn(wave_state.ReportWave(1, False), self.ask(WAVE))
