--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -1,9 +1,9 @@
-"""Which workers to ask advice about for a step, and what came of it.
+"""Plans the calls to the advice service and applies its answers.
 
-A step of a queue with a policy may start only where a ticket allows it. What
-the policy says of a worker and a step does not change, while a ticket expires;
-so workers that were refused are not named again, and allowed ones are named
-alone when their tickets have to be renewed.
+A step of a queue with a policy may start only where a ticket allows it. The
+policy's decision on a worker and a step does not change, but tickets expire.
+So refused workers are not named again, and renewals name only the workers that
+were allowed.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_view
 
-# Workers named in a call at most; the platform takes 100, and objectives
-# allow for one call on 30.
+# Workers named in one call. The platform accepts 100; objectives allow for one
+# call on 30.
 MAX_WORKERS_PER_CALL = 30
 MIN_WORKERS_PER_CALL = 4
-# Room that is asked for, as a multiple of what the step's tasks need: other
-# steps take some of it before the answer is there.
+# Capacity of the workers named, as a multiple of what the step's tasks need:
+# other steps use some of it before the answer arrives.
 CAPACITY_FACTOR = 2.0
-# Share of the workers that a policy allows, until answers have shown it.
+# Assumed share of workers that a policy allows, until answers show it.
 PRIOR_ALLOWED_SHARE = 0.5
-# Answers that the guess above counts for.
+# Number of answers that the prior share counts for.
 PRIOR_WEIGHT = 4.0
-# A ticket is not used in its last moments, as a start takes a while.
+# A ticket is not used this close to its expiry, as a start takes a while.
 TICKET_MARGIN_MS = 250
 RETRY_PAUSE_MS = 200
-# For a service that doesn't say how long its tickets are good.
+# Validity of tickets of a service that does not state it.
 DEFAULT_VALIDITY_MS = 3_000
 
 _logger = logbook.Logger(__name__)
@@ -46,11 +46,12 @@
 
 @attrs.frozen
 class AdviceRequest:
-    """A call to be made.
+    """A call to the advice service.
 
     Attributes:
-        step: The step that it is about.
-        workers: Birth times of the workers named, by id.
+        step: The step to start.
+        workers: Start times of the workers named, by id; they identify the
+            incarnations.
     """
 
     step: runs_module.StepInstance
@@ -59,12 +60,12 @@
 
 @attrs.define(eq=False)
 class _StepAdvice:
-    """What is known of the policy for a step.
+    """Advice received for a step, and the state of its calls.
 
     Attributes:
         allowed: Whether a worker is allowed, by id.
-        is_asked: A call is on its way.
-        not_before_ms: Monotonic time of the next call at the earliest.
+        is_call_pending: A call is in progress.
+        not_before_ms: Earliest monotonic time of the next call.
     """
 
     allowed: dict[str, bool] = attrs.field(factory=dict)
@@ -74,7 +75,7 @@
 
 @final
 class AdvicePlanner:
-    """Decides what to ask. Only the owner's thread uses it."""
+    """Decides which calls to make. Used by the owner's thread only."""
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
@@ -87,13 +88,15 @@
         workers: Iterable[worker_view.WorkerView],
         now_ms: int,
     ) -> list[AdviceRequest]:
-        """Drops tickets that are over; returns the calls that are needed."""
+        """Drops expired tickets and returns the calls that are needed."""
         advised = [step for step in steps if step.job.spec.queue.advice]
         if not advised:
             return []
         self._discard_ended()
         views = {worker.worker_id: worker for worker in workers}
-        available = [one for one in views.values() if one.accepts_work(now_ms)]
+        available = [
+            view for view in views.values() if view.accepts_work(now_ms)
+        ]
         requests = []
         for step in advised:
             _drop_expired(step, views, now_ms)
@@ -106,7 +109,7 @@
                 requests.append(
                     AdviceRequest(
                         step,
-                        {one.worker_id: one.entry.born_ms for one in chosen},
+                        {view.worker_id: view.entry.born_ms for view in chosen},
                     )
                 )
         return requests
@@ -126,7 +129,7 @@
         state: _StepAdvice,
         available: list[worker_view.WorkerView],
     ) -> list[worker_view.WorkerView]:
-        """Workers to be named; none where tickets leave room enough."""
+        """Chooses workers to name; none if workers with tickets suffice."""
         tickets = step.tickets or {}
         needed = float(len(step.pending_tasks))
         candidates = []
@@ -162,7 +165,7 @@
     def handle_advice_returned(
         self, event: events.AdviceReturned, now_ms: int
     ) -> None:
-        """Takes in what came of a call."""
+        """Applies the outcome of a call."""
         step = event.step
         state = self._steps.get(step)
         if state is None:
@@ -183,7 +186,7 @@
         reason: reasons.MissingAdvice,
         detail: str,
     ) -> None:
-        """Logs and counts that a step has to wait for advice."""
+        """Logs and counts that a step waits for lack of advice."""
         logs.warning(
             _logger,
             "advice-missing",
@@ -232,7 +235,7 @@
 def _count_fitting(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> int:
-    """How many tasks of a step would fit on a worker now."""
+    """Counts the tasks of a step that fit on a worker now."""
     need = step.spec.need
     count = len(step.pending_tasks)
     if need.cpu_millicores:
@@ -251,7 +254,7 @@
     views: dict[str, worker_view.WorkerView],
     now_ms: int,
 ) -> None:
-    """Drops tickets whose time or whose worker's life is over."""
+    """Drops tickets that expired or belong to a former incarnation."""
     if step.tickets is None:
         step.tickets = {}
     for worker_id, ticket in list(step.tickets.items()):
--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -1,4 +1,4 @@
-"""Asks for advice beside the owner's thread."""
+"""Calls the advice service on a thread of its own."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
 
-# The service takes its time for each worker named, and calls of a host take
-# turns; thirty workers are decided on in well under a second.
+# The service's response time grows with the workers named, and it serves a
+# host's calls one at a time; thirty workers take well under a second.
 CALL_TIMEOUT_MS = 2_500
 
 
 @final
 class AdviceFetcher:
-    """Asks, one call at a time. A context manager.
+    """Makes one call at a time. A context manager.
 
     Args:
-        adviser: The service.
-        post: Told what came of each call.
-        clock: For the times of calls.
+        adviser: The advice service.
+        post: Receives the outcome of each call as an event.
+        clock: Measures the times of calls.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._adviser = adviser
         self._post = post
         self._clock = clock
-        self._desk = call_executor.CallExecutor("advice")
+        self._executor = call_executor.CallExecutor("advice")
 
     def __enter__(self) -> Self:
         return self
@@ -48,13 +48,13 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        self._desk.__exit__(exc_type, exc, traceback)
+        self._executor.__exit__(exc_type, exc, traceback)
 
     def fetch(self, request: advice.AdviceRequest) -> None:
-        """Queues a call."""
-        self._desk.submit(lambda: self._ask(request))
+        """Queues a call; its outcome is posted as an event."""
+        self._executor.submit(lambda: self._fetch(request))
 
-    def _ask(self, request: advice.AdviceRequest) -> None:
+    def _fetch(self, request: advice.AdviceRequest) -> None:
         sent_ms = self._clock.monotonic_ms()
         outcome = self._adviser.advise(
             request.step.name, tuple(request.workers), CALL_TIMEOUT_MS
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -1,9 +1,9 @@
-"""When a worker is cleared of lasting tasks for tasks that disturb too much.
+"""Clearing of a worker's lasting tasks for filling tasks that interfere.
 
-Some images press so hard on lasting tasks that they find no place beside
-any, while nearly every worker has some. Clearing one worker for a few seconds
-costs the lasting tasks there a small share of their time; in it, the worker
-does a whole worker's share of jobs that would wait without end.
+Some images interfere so much that they can share a worker with no lasting
+task, while nearly every worker runs some. Clearing one worker for a few
+seconds costs its lasting tasks a small share of their time; meanwhile all of
+its processors are free for jobs that would otherwise wait forever.
 """
 
 from __future__ import annotations
@@ -17,16 +17,17 @@
 
 # How long a worker stays cleared.
 CLEARED_MS = 4_000
-# A lasting task that has been away for this long goes on a cleared worker if
-# there is no other; after six seconds it counts as lost where it has room.
+# A lasting task without a run for this long may use a cleared worker if there
+# is no other; after six seconds it counts as lost if a worker has capacity.
 OVERDUE_MS = 4_500
-# A worker is not cleared again so soon, so that all bear their part.
+# Time from the end of a worker's clearing until it may be cleared again, so
+# that the load is spread over all workers.
 CLEARING_INTERVAL_MS = 6_000
-# How long a task waits for a place beside lasting tasks before it counts.
+# How long a task has to wait for a worker before it counts as demand.
 MIN_WAIT_MS = 400
-# Share of a worker's processors that must be asked for to clear it.
+# Share of a worker's processors that must be in demand to clear it.
 MIN_DEMAND_SHARE = 0.4
-# A cleared worker that is used less than this is opened when nothing waits.
+# A cleared worker used less than this is reopened when no task waits.
 MIN_USE_SHARE = 0.25
 # Share of all workers that may be cleared at once.
 MAX_CLEARED_SHARE = 0.35
@@ -37,10 +38,10 @@
     model: interference.InterferenceModel,
     now_ms: int,
 ) -> int:
-    """Processors asked for by harmful tasks that have waited in vain.
+    """Sums the processors that waiting tasks of harmful images request.
 
-    Harmless ones wait for idle processors, of which a lasting task that is
-    away leaves hardly more than it takes in worth.
+    Harmless ones wait for idle processors; stopping a lasting task for them
+    frees hardly more value than it costs.
     """
     return sum(
         len(step.pending_tasks) * step.spec.cpu_millicores
@@ -53,7 +54,7 @@
 
 
 def is_overdue(task: runs_module.Task, now_ms: int) -> bool:
-    """Whether a lasting task may go on a cleared worker, too."""
+    """Whether a lasting task may also use a cleared worker."""
     since_ms = max(task.pending_since_ms, task.step.ready_ms)
     return now_ms - since_ms > OVERDUE_MS
 
@@ -61,7 +62,7 @@
 def reopen_unused(
     workers: Iterable[worker_view.WorkerView], now_ms: int
 ) -> None:
-    """Opens cleared workers that are hardly used; for when nothing waits."""
+    """Reopens little-used cleared workers; called when no task waits."""
     for worker in workers:
         if now_ms >= worker.cleared_until_ms:
             continue
@@ -73,12 +74,12 @@
 def choose_worker(
     workers: list[worker_view.WorkerView], demand: int, now_ms: int
 ) -> worker_view.WorkerView | None:
-    """The worker to be cleared next; None when there is no cause."""
-    cleared = [one for one in workers if now_ms < one.cleared_until_ms]
+    """Returns the worker to clear next; None if clearing isn't justified."""
+    cleared = [worker for worker in workers if now_ms < worker.cleared_until_ms]
     if len(cleared) >= max(MAX_CLEARED_SHARE * len(workers), 1):
         return None
-    demand -= sum(max(one.idle_millicores, 0) for one in cleared)
-    candidates = [one for one in workers if _may_clear(one, now_ms)]
+    demand -= sum(max(worker.idle_millicores, 0) for worker in cleared)
+    candidates = [worker for worker in workers if _may_clear(worker, now_ms)]
     if not candidates:
         return None
     best = max(candidates, key=_benefit_ratio)
@@ -88,7 +89,7 @@
 
 
 def _benefit_ratio(worker: worker_view.WorkerView) -> float:
-    """Processors won for each one taken from lasting tasks."""
+    """Processors gained for each one taken from lasting tasks."""
     gained = worker.free_cpu + worker.lasting_millicores
     return gained / max(worker.lasting_millicores, 1)
 
--- a/src/comfreylatch/_process/cell/duration_model.py
+++ b/src/comfreylatch/_process/cell/duration_model.py
@@ -1,4 +1,4 @@
-"""How long tasks take, learned against what their jobs declare."""
+"""Learns how task durations relate to the durations that jobs declare."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 # Weight of a new duration in the smoothed ratio: about the last ten count.
 SMOOTHING = 0.1
-# Ratios outside these bounds say more of a fault than of an image.
+# Ratios outside these bounds indicate a fault rather than a property of the
+# image.
 MIN_RATIO = 0.05
 MAX_RATIO = 20.0
-# For a task without a declared duration.
+# Estimate for a task without a declared duration.
 DEFAULT_ESTIMATE_MS = 1_000
 
 
 @final
 class DurationModel:
-    """Smoothed ratio of real to declared duration by queue and image."""
+    """Smoothed ratio of actual to declared duration by queue and image."""
 
     def __init__(self) -> None:
         self._ratios: dict[str, float] = {}
@@ -25,23 +26,23 @@
     def observe(
         self, queue: str, spec: specs.StepSpec, duration_ms: int
     ) -> None:
-        """Takes in the duration of a task that went undisturbed."""
+        """Adds the duration of a run that was not slowed or interrupted."""
         declared_ms = spec.estimated_ms or DEFAULT_ESTIMATE_MS
         ratio = min(max(duration_ms / declared_ms, MIN_RATIO), MAX_RATIO)
         for key in (queue, f"{queue}/{spec.image}"):
-            known = self._ratios.get(key, ratio)
-            self._ratios[key] = known + SMOOTHING * (ratio - known)
+            mean = self._ratios.get(key, ratio)
+            self._ratios[key] = mean + SMOOTHING * (ratio - mean)
 
     def export(self) -> dict[str, float]:
-        """The ratios, for the next owner."""
+        """Returns the ratios, for the next owner."""
         return dict(self._ratios)
 
     def restore(self, ratios: dict[str, float]) -> None:
-        """Begins with the ratios of an owner before."""
+        """Restores the ratios that a previous owner learned."""
         self._ratios.update(ratios)
 
     def estimate_ms(self, queue: str, spec: specs.StepSpec) -> float:
-        """Expected duration of one task."""
+        """Returns the expected duration of one task."""
         declared_ms = spec.estimated_ms or DEFAULT_ESTIMATE_MS
         ratio = self._ratios.get(f"{queue}/{spec.image}")
         if ratio is None:
--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -1,4 +1,4 @@
-"""Which runs are moved off a worker that leaves, and when."""
+"""Selection of runs to move off workers that drain or are being emptied."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_view
 
-# A worker that drains goes on for two seconds at least; what is expected to
-# end within this time is left to end there.
+# A run expected to end within this time is not moved: a draining worker keeps
+# running for at least two seconds.
 MAX_REMAINING_MS = 1_500
 
 
 @final
 class EvacuationPolicy:
-    """Chooses runs to be stopped on leaving workers."""
+    """Chooses the runs to stop on workers that drain or are being emptied."""
 
     def __init__(self, durations: duration_model_module.DurationModel) -> None:
         self._durations = durations
@@ -23,12 +23,12 @@
     def runs_to_move(
         self, worker: worker_view.WorkerView
     ) -> list[runs_module.Run]:
-        """Runs that have to go on elsewhere.
+        """Returns the runs that have to continue on other workers.
 
-        Lasting tasks go at once off a worker that drains, any number of them;
-        off one that is emptied, as many as their step's bound allows. Others
-        go if they have checkpoints and would not end in time; without
-        checkpoints they may as well run on.
+        Lasting tasks leave a draining worker all at once, and a worker that is
+        being emptied as far as the `max_unavailable` of their step allows.
+        Other tasks move if they have checkpoints and would not end in time;
+        without checkpoints moving them gains nothing.
         """
         if not (worker.entry.is_draining or worker.is_being_emptied):
             return []
@@ -53,7 +53,7 @@
 
 
 def _limit_per_step(moving: list[runs_module.Run]) -> list[runs_module.Run]:
-    """Those of some runs that may be away now by their steps' bounds."""
+    """Returns the runs that may stop now under their steps' limits."""
     allowed = []
     stopped: dict[runs_module.StepInstance, int] = {}
     for run in moving:
--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -1,4 +1,4 @@
-"""Calls the machines' API beside the owner's thread, one call at a time."""
+"""Calls the machine API on a thread of its own, one call at a time."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 @final
 class MachineCaller:
-    """Lists and orders, one call at a time. A context manager.
+    """Executes maintenance actions one at a time. A context manager.
 
     Args:
-        machines: The API.
+        machines: The machine API.
         holder: Name of this host.
-        token: Its fencing token.
-        may_act: Whether the owner may still act as such.
-        post: Told what came of each call.
-        clock: For the times of calls.
+        token: The owner's fencing token.
+        may_act: Whether this host is still the owner.
+        post: Receives the outcome of each call as an event.
+        clock: Measures the times of calls.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._may_act = may_act
         self._post = post
         self._clock = clock
-        self._desk = call_executor.CallExecutor("machines")
+        self._executor = call_executor.CallExecutor("machines")
 
     def __enter__(self) -> Self:
         return self
@@ -58,20 +58,20 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        self._desk.__exit__(exc_type, exc, traceback)
+        self._executor.__exit__(exc_type, exc, traceback)
 
     def submit(self, action: wave_state.Action) -> None:
-        """Queues a call."""
-        self._desk.submit(lambda: self._do(action))
+        """Queues an action; its outcome is posted as an event."""
+        self._executor.submit(lambda: self._execute(action))
 
-    def _do(self, action: wave_state.Action) -> None:
+    def _execute(self, action: wave_state.Action) -> None:
         match action:
             case wave_state.ListMachines():
                 sent_ms = self._clock.monotonic_ms()
                 listed = self._machines.machines(CALL_TIMEOUT_MS)
                 self._post(events.MachinesListed(sent_ms, listed))
             case wave_state.OrderMaintenance(machine_id, wave):
-                self._maintain(machine_id, wave)
+                self._order_maintenance(machine_id, wave)
             case wave_state.ReportWave(wave, is_completed):
                 outcome = self._machines.report(
                     wave, is_completed, CALL_TIMEOUT_MS
@@ -79,7 +79,7 @@
                 if outcome.is_err():
                     self._post(events.ReportFailed(wave))
 
-    def _maintain(self, machine_id: str, wave: int) -> None:
+    def _order_maintenance(self, machine_id: str, wave: int) -> None:
         outcome: result.Result[None, machines_port.MaintenanceError]
         outcome = result.Err(
             machines_port.MaintenanceRefused(machines_port.Refusal.FENCED)
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -1,8 +1,9 @@
-"""Takes machines through their maintenance, a few at a time.
+"""Plans the maintenance of machines in waves, a few machines at a time.
 
-A machine's worker gets no new work, what it runs ends or is moved, and only
-then is its maintenance ordered, which would end everything. How many machines
-are away at once follows from the time that is left, within the wave's bound.
+Maintenance ends everything on a machine. So its worker first gets no new work
+and its runs end or move, and only then is the maintenance ordered. How many
+machines are away at once follows from the remaining time, within the wave's
+limit.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 from comfreylatch._process.cell import worker_view
 
 LIST_INTERVAL_MS = 700
-# Tasks without checkpoints take some seconds; what still runs then stands
-# still, and would hold up the wave.
+# Tasks without checkpoints take some seconds; a run that lasts longer is stuck
+# and would block the wave.
 MAX_EVACUATION_MS = 9_000
-# Emptying a worker, its maintenance of two seconds, and coming back.
+# Time to empty a worker, maintain its machine (two seconds) and bring it back.
 EXPECTED_ROUND_MS = 7_000
-# Part of a wave's time that is planned for.
+# Share of a wave's duration that the plan uses.
 PLANNED_SHARE = 0.75
 RETRY_PAUSE_MS = 500
 
@@ -36,12 +37,13 @@
 
 @final
 class MaintenancePlanner:
-    """Decides what to do about waves. Only the owner's thread uses it.
+    """Decides on the actions for waves. Used by the owner's thread only.
 
     Args:
-        recorded: Waves as an owner before recorded them, by number.
-        not_before_ms: Monotonic time of the first order; hosts must not take
-            turns at a machine within the platform's lease.
+        recorded: Waves as a previous owner recorded them, by number.
+        not_before_ms: Earliest monotonic time of the first order; within the
+            platform's lease, a second host must not order maintenance of the
+            same machine.
         metrics: Counts maintenances and refusals.
     """
 
@@ -67,7 +69,7 @@
         now_ms: int,
         wall_ms: int,
     ) -> list[wave_state.Action]:
-        """What has to be done now; marks workers that have to be emptied."""
+        """Returns the actions due now, and marks workers to be emptied."""
         actions: list[wave_state.Action] = []
         for wave in waves:
             if wave.number not in self._waves:
@@ -95,20 +97,20 @@
         return actions
 
     def _open_wave(self, wave: machines_port.Wave, wall_ms: int) -> None:
-        before = self._recorded.get(wave.number)
-        began_wall_ms = wall_ms if before is None else before.began_wall_ms
+        recorded = self._recorded.get(wave.number)
+        began_wall_ms = wall_ms if recorded is None else recorded.began_wall_ms
         wave_progress = wave_state.WaveProgress(
             wave,
             began_wall_ms,
             {name: wave_state.MachineProgress(name) for name in wave.machines},
         )
-        if before is not None:
-            wave_progress.is_completed = before.is_completed
-            for name in wave_progress.machines.keys() & set(before.begun):
+        if recorded is not None:
+            wave_progress.is_completed = recorded.is_completed
+            for name in wave_progress.machines.keys() & set(recorded.begun):
                 wave_progress.machines[
                     name
                 ].phase = wave_state.MachinePhase.AWAY
-            for name in wave_progress.machines.keys() & set(before.finished):
+            for name in wave_progress.machines.keys() & set(recorded.finished):
                 wave_progress.machines[
                     name
                 ].phase = wave_state.MachinePhase.FINISHED
@@ -119,7 +121,7 @@
             "wave-opened",
             wave=wave.number,
             machines=len(wave.machines),
-            finished=0 if before is None else len(before.finished),
+            finished=0 if recorded is None else len(recorded.finished),
             most_at_once=wave.most_at_once,
             duration_ms=wave.duration_ms,
         )
@@ -176,7 +178,7 @@
         now_ms: int,
         wall_ms: int,
     ) -> None:
-        """Has the workers of the next machines emptied."""
+        """Starts to empty the workers of the next machines."""
         waiting = [
             progress
             for progress in wave_progress.machines.values()
@@ -192,7 +194,7 @@
             )
             for progress in wave_progress.machines.values()
         )
-        room = concurrent_machines(
+        limit = concurrent_machines(
             wave_progress.wave,
             len(waiting) + busy,
             wall_ms - wave_progress.began_wall_ms,
@@ -207,7 +209,7 @@
                 ready.append(
                     (load, progress.machine_id, progress, machine.worker_id)
                 )
-        for _, _, progress, worker_id in sorted(ready)[: max(room - busy, 0)]:
+        for _, _, progress, worker_id in sorted(ready)[: max(limit - busy, 0)]:
             progress.worker_id = worker_id
             view = workers.get(worker_id)
             if view is not None:
@@ -222,11 +224,11 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> bool:
-        """Whether a machine's maintenance would end nothing."""
+        """Whether maintenance may start: nothing runs, or time is up."""
         view = workers.get(progress.worker_id)
         if view is None:
             return True
-        # The owner may have been told of the worker anew.
+        # The view may be a new one, of a worker that was listed again.
         view.is_being_emptied = True
         return not view.runs or now_ms - progress.since_ms > MAX_EVACUATION_MS
 
@@ -252,7 +254,7 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        """Takes in a list of machines, or that there was none."""
+        """Applies a list of machines, or logs that the call failed."""
         self._is_listing = False
         match event.outcome:
             case result.Err(machines_port.MachinesUnavailable(detail)):
@@ -260,7 +262,7 @@
                 return
             case result.Ok(found):
                 self._machines = {
-                    progress.machine_id: progress for progress in found
+                    machine.machine_id: machine for machine in found
                 }
         for wave_progress in self._waves.values():
             for progress in wave_progress.machines.values():
@@ -270,11 +272,11 @@
     def _is_finished(
         self, progress: wave_state.MachineProgress, listed_ms: int
     ) -> bool:
-        """Whether a list shows a machine back, or gone."""
+        """Whether the list shows that a machine is back or no longer exists."""
         assert self._machines is not None
         machine = self._machines.get(progress.machine_id)
         if machine is None:
-            # It has left, and needs nothing any more.
+            # The machine was removed and needs no maintenance.
             return progress.phase is not wave_state.MachinePhase.FINISHED
         is_up = machine.state is machines_port.MachineState.UP
         return (
@@ -299,7 +301,7 @@
         progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
     ) -> None:
-        """Lets a machine's worker take work, if it is still the same one."""
+        """Lets a machine's worker accept work again, if it is still listed."""
         view = workers.get(progress.worker_id)
         if view is not None:
             view.is_being_emptied = False
@@ -310,7 +312,7 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        """Takes in what came of an order."""
+        """Applies the outcome of a maintenance order."""
         wave_progress = self._waves.get(event.wave)
         progress = (
             wave_progress.machines.get(event.machine_id)
@@ -331,7 +333,7 @@
                 )
                 self._dirty.add(event.wave)
             case result.Err(machines_port.MaintenanceUnanswered(detail)):
-                # The same order again changes nothing if it was carried out.
+                # Orders are idempotent, so the same one is sent again.
                 progress.not_before_ms = now_ms + RETRY_PAUSE_MS
                 logs.event(
                     _logger,
@@ -376,7 +378,7 @@
                 self._readmit_worker(progress, workers)
 
     def drain_writes(self) -> dict[str, bytes]:
-        """Records of the waves that have changed, by key."""
+        """Returns the records of the waves that have changed, by key."""
         writes = {}
         for number in self._dirty:
             wave_progress = self._waves[number]
@@ -392,25 +394,25 @@
         return writes
 
     def handle_report_failed(self, wave: int) -> None:
-        """A report could not be written; it is made again."""
+        """Schedules a failed report again."""
         wave_progress = self._waves.get(wave)
         if wave_progress is not None:
             wave_progress.reported = None
 
 
 def concurrent_machines(
-    wave: machines_port.Wave, left: int, elapsed_ms: int
+    wave: machines_port.Wave, unfinished: int, elapsed_ms: int
 ) -> int:
-    """How many machines of a wave should be away at the same time.
+    """Returns how many machines of a wave should be away at the same time.
 
-    As few as end in time, as each takes its room from the tasks; never more
-    than the wave's bound.
+    As few as finish in time, as each takes capacity from tasks, and never more
+    than the wave's limit.
 
     Args:
         wave: The wave.
-        left: Machines that have not come back from their maintenance.
-        elapsed_ms: Time since the wave was seen first.
+        unfinished: Machines that have not come back from their maintenance.
+        elapsed_ms: Time since the wave was first seen.
     """
     time_ms = PLANNED_SHARE * wave.duration_ms - elapsed_ms
     rounds = max(int(time_ms // EXPECTED_ROUND_MS), 1)
-    return min(-(-left // rounds), wave.most_at_once)
+    return min(-(-unfinished // rounds), wave.most_at_once)
--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -1,4 +1,4 @@
-"""Keeps the record of what an owner has learned of images."""
+"""Restores and records the models that an owner learns."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import records
 
-# An owner that is lost takes so much learning with it at most; a record has
-# about 2 KB.
+# Interval between two records, and so the most learning that is lost with an
+# owner. A record has about 2 KB.
 RECORD_INTERVAL_MS = 2_000
 
 
 @final
 class ModelPersistence:
-    """Begins with what an owner before has learned, and hands on what is.
+    """Restores the previous owner's models and records the current ones.
 
-    Only the owner's thread uses it.
+    Used by the owner's thread only.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         durations.restore(inherited.duration_ratios)
 
     def add_writes(self, work: dict[str, bytes | None]) -> None:
-        """Adds what was learned to the records of a round, now and then."""
+        """Adds the learned record to a write if it changed and is due."""
         now_ms = self._clock.monotonic_ms()
         if now_ms - self._recorded_ms < RECORD_INTERVAL_MS:
             return
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -1,8 +1,8 @@
-"""In which order jobs get workers, by what is lost while they wait.
+"""Order in which jobs get workers, by the value lost while they wait.
 
-A job earns most when it ends by its objective, little until three times that,
-and nothing after. Among jobs that can still make the same, the one with more
-worth for each core-second left goes first.
+A job has most value if it ends by its objective, little until three times
+that, and none after. Among jobs of the same timeliness, the one with the most
+value for each remaining core-second goes first.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import runs as runs_module
 
-# A job that ends within this many times its objective still earns something.
+# A job that ends within this many times its objective still has some value.
 LATE_FACTOR = 3.0
-# A job is worth this share of its queue's mean for being done at all, and
-# the rest in proportion to its work.
+# Share of a queue's mean value that every finished job has; the rest is in
+# proportion to its work.
 FIXED_VALUE_SHARE = 0.3
 
 
 class Timeliness(enum.IntEnum):
-    """What a job can still earn."""
+    """When a job can still end, relative to its objective."""
 
     ON_TIME = 0
     LATE = 1
@@ -31,7 +31,7 @@
 
 @attrs.frozen(order=True)
 class Rank:
-    """Sorts steps; the lowest goes first."""
+    """Sort key of a step; the lowest goes first."""
 
     timeliness: Timeliness
     priority: int
@@ -47,26 +47,26 @@
 
 @attrs.define(eq=False)
 class QueueWork:
-    """Mean work of a queue's jobs, smoothed."""
+    """Smoothed mean work of a queue's jobs."""
 
     mean_core_ms: float = 0.0
 
     def observe(self, core_ms: float) -> None:
-        """Takes in the declared work of a job."""
+        """Adds the work of a job to the mean."""
         if self.mean_core_ms == 0:
             self.mean_core_ms = core_ms
         self.mean_core_ms += 0.05 * (core_ms - self.mean_core_ms)
 
 
 class Ranker:
-    """Ranks jobs by what is known of durations."""
+    """Ranks steps by the expected durations of their jobs."""
 
     def __init__(self, durations: duration_model_module.DurationModel) -> None:
         self._durations = durations
         self._queues: dict[str, QueueWork] = {}
 
     def add_job(self, job: runs_module.ActiveJob) -> None:
-        """Takes in a new job's work."""
+        """Adds a new job to the mean work of its queue."""
         queue = job.spec.queue.name
         work = self._queues.setdefault(queue, QueueWork())
         work.observe(self._total_core_ms(job))
@@ -82,7 +82,7 @@
         )
 
     def critical_path_ms(self, job: runs_module.ActiveJob) -> float:
-        """Expected length of a job's longest chain of steps."""
+        """Expected duration of a job's longest chain of steps."""
         queue = job.spec.queue.name
         end_times_ms: list[float] = []
         for step in job.spec.steps:
@@ -100,7 +100,7 @@
         return max(end_times_ms, default=0.0)
 
     def objective_ms(self, job: runs_module.ActiveJob) -> float:
-        """Time from its acceptance in which a job should end."""
+        """Time after its acceptance within which a job should end."""
         queue = job.spec.queue
         return queue.slack_factor * self.critical_path_ms(job) + queue.target_ms
 
@@ -131,7 +131,7 @@
         return _RemainingWork(max(end_times_ms, default=0.0), core_ms)
 
     def rank(self, step: runs_module.StepInstance, now_ms: int) -> Rank:
-        """The rank of a step that is ready."""
+        """Returns the rank of a ready step."""
         job = step.job
         queue = job.spec.queue
         if step.spec.is_lasting:
--- a/src/comfreylatch/_process/cell/serving_load.py
+++ b/src/comfreylatch/_process/cell/serving_load.py
@@ -1,4 +1,4 @@
-"""Follows the load of lasting tasks through noisy readings."""
+"""Estimates the load of lasting tasks from noisy readings."""
 
 from __future__ import annotations
 
@@ -6,17 +6,18 @@
 
 import attrs
 
-# Until a task has shown its load; the middle of what loads have been seen.
+# Estimate before the first reading: the middle of observed loads.
 PRIOR_LOAD = 0.45
 PRIOR_LOAD_SD = 0.2
 PRIOR_SLOPE_SD_PER_S = 0.1
-# Scatter of a reading, as a share of capacity; fitted to a day of readings.
+# Standard deviation of a reading, as a share of capacity; fitted to a day of
+# readings.
 READING_SD = 0.05
-# How fast the slope of a load wanders, in shares per second and root second:
-# loads swing by a quarter within some five seconds.
+# Process noise of the slope, in shares per second and root second: loads swing
+# by a quarter within about five seconds.
 SLOPE_NOISE = 0.1
-# A slope is expected to fade within this time, as loads swing back.
-SLOPE_DECAY_MS = 3_000
+# Time constant of the decay of a slope, as loads swing back.
+SLOPE_DECAY_TIME_CONSTANT_MS = 3_000
 MIN_LOAD_VARIANCE = 1e-5
 
 
@@ -24,13 +25,13 @@
 class ServingLoad:
     """Load of a step's lasting tasks as a share of their capacity.
 
-    A filter with two states, level and slope, for evenly scattered readings
-    at uneven times.
+    A Kalman filter with two states, level and slope, for readings with equal
+    noise at irregular times.
 
     Attributes:
-        load: Newest estimate.
-        slope_per_s: Its change in a second.
-        updated_ms: Monotonic time of the newest reading; 0 before the first.
+        load: Estimated load as of `updated_ms`.
+        slope_per_s: Estimated change of the load in a second.
+        updated_ms: Monotonic time of the estimate; 0 before the first reading.
     """
 
     load: float = PRIOR_LOAD
@@ -43,12 +44,12 @@
     def update(
         self, error: float, now_ms: int, variance: float = READING_SD**2
     ) -> None:
-        """Moves the estimate towards a reading.
+        """Corrects the estimate by a reading.
 
         Args:
-            error: What the reading has over the estimate as of `predict`.
-            now_ms: Time of the reading.
-            variance: Of the reading, whatever else it depends on included.
+            error: Difference of the reading from the predicted load.
+            now_ms: Monotonic time of the reading.
+            variance: Variance of the reading, from all of its sources.
         """
         self.predict(now_ms)
         total = self._load_variance + variance
@@ -64,7 +65,7 @@
         )
 
     def predict(self, now_ms: int) -> None:
-        """Carries the estimate on to a later time."""
+        """Extrapolates the estimate to a later time."""
         if self.updated_ms == 0:
             self.updated_ms = now_ms
         elapsed_s = (now_ms - self.updated_ms) / 1_000
@@ -73,7 +74,9 @@
         self.updated_ms = now_ms
         noise = SLOPE_NOISE**2
         self.load = min(max(self.load + self.slope_per_s * elapsed_s, 0.0), 1.0)
-        self.slope_per_s *= math.exp(-elapsed_s * 1_000 / SLOPE_DECAY_MS)
+        self.slope_per_s *= math.exp(
+            -elapsed_s * 1_000 / SLOPE_DECAY_TIME_CONSTANT_MS
+        )
         self._load_variance += (
             2 * elapsed_s * self._covariance
             + elapsed_s**2 * self._slope_variance
@@ -85,7 +88,9 @@
         self._slope_variance += noise * elapsed_s
 
     def forecast(self, horizon_ms: int) -> float:
-        """The load expected soon; never below what it is now."""
-        decay_s = SLOPE_DECAY_MS / 1_000
-        rise = decay_s * (1 - math.exp(-horizon_ms / SLOPE_DECAY_MS))
+        """Returns the load expected after a time; never below the current."""
+        decay_s = SLOPE_DECAY_TIME_CONSTANT_MS / 1_000
+        rise = decay_s * (
+            1 - math.exp(-horizon_ms / SLOPE_DECAY_TIME_CONSTANT_MS)
+        )
         return min(self.load + max(self.slope_per_s * rise, 0.0), 1.0)
--- a/src/comfreylatch/_process/cell/wave_state.py
+++ b/src/comfreylatch/_process/cell/wave_state.py
@@ -1,4 +1,4 @@
-"""Waves of maintenance as an owner brings them on, and what there is to do."""
+"""State of maintenance waves, and the actions that they call for."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MachinePhase(enum.Enum):
-    """Where a machine of a wave stands."""
+    """Phase of a machine's maintenance."""
 
     WAITING = "waiting"
     EMPTYING = "emptying"
@@ -21,14 +21,14 @@
 
 @attrs.define(eq=False)
 class MachineProgress:
-    """One machine of a wave.
+    """Progress of one machine of a wave.
 
     Attributes:
-        machine_id: Its name.
-        phase: Where it stands.
-        worker_id: Its worker when its turn came.
-        since_ms: When it entered the phase.
-        not_before_ms: No order before this monotonic time.
+        machine_id: Id of the machine.
+        phase: Current phase.
+        worker_id: Worker on the machine when its evacuation started.
+        since_ms: Monotonic time at which it entered the phase.
+        not_before_ms: Earliest monotonic time of the next order.
     """
 
     machine_id: str
@@ -40,14 +40,15 @@
 
 @attrs.define(eq=False)
 class WaveProgress:
-    """A wave, as far as the owner has brought it.
+    """Progress of a wave.
 
     Attributes:
-        wave: What the operators want.
-        began_wall_ms: When it was first seen.
-        machines: Its machines, by name.
-        is_completed: All have had their maintenance, or have left.
-        reported: What the operators were told last; None for nothing.
+        wave: The wave that operators requested.
+        began_wall_ms: Wall time at which it was first seen.
+        machines: Progress of its machines, by id.
+        is_completed: All machines are maintained or no longer listed.
+        reported: Completion last reported to the operators; None before the
+            first report.
     """
 
     wave: machines_port.Wave
@@ -57,20 +58,22 @@
     reported: bool | None = None
 
     def in_phase(self, phase: MachinePhase) -> tuple[str, ...]:
-        """Names of the machines that are in a phase."""
+        """Returns the ids of the machines in a phase."""
         return tuple(
-            name for name, one in self.machines.items() if one.phase is phase
+            machine_id
+            for machine_id, machine in self.machines.items()
+            if machine.phase is phase
         )
 
 
 @attrs.frozen
 class ListMachines:
-    """Machines have to be listed."""
+    """Action: list the machines."""
 
 
 @attrs.frozen
 class OrderMaintenance:
-    """A machine's maintenance has to be ordered."""
+    """Action: order a machine's maintenance."""
 
     machine_id: str
     wave: int
@@ -78,7 +81,7 @@
 
 @attrs.frozen
 class ReportWave:
-    """The operators have to be told of a wave."""
+    """Action: report a wave's completion state to the operators."""
 
     wave: int
     is_completed: bool
