--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -1,4 +1,4 @@
-"""Which workers are named in calls for advice, and what tickets allow."""
+"""Tests of the calls to the advice service and of the tickets it returns."""
 
 from __future__ import annotations
 
@@ -29,30 +29,30 @@
     def setUp(self) -> None:
         super().setUp()
         self.cell = harness.Cell(workers=3)
-        self.plan = advice.AdvicePlanner(metrics.Metrics())
+        self.planner = advice.AdvicePlanner(metrics.Metrics())
         job = attrs.evolve(harness.job(harness.step(2)), queue=POLICY)
         self.job = self.cell.submit(job)
         (self.step,) = self.job.steps[0]
 
     def plan_requests(self) -> list[Any]:
-        """The calls that are needed now."""
-        return self.plan.plan_requests(
+        """Returns the calls that are needed now."""
+        return self.planner.plan_requests(
             self.cell.jobs.ready_steps(),
             self.cell.workers,
             self.cell.clock.monotonic_ms(),
         )
 
     def answer(self, request: Any, *allowed: str) -> None:
-        """The service allows some of the workers named."""
+        """Has the service allow some of the workers named."""
         tickets = {name: f"ticket-{name}" for name in allowed}
         self.handle_advice_returned(
             request, result.Ok(advice_port.Advice(tickets, VALID_MS))
         )
 
     def handle_advice_returned(self, request: Any, outcome: Any) -> None:
-        """Something comes of a call."""
+        """Applies the outcome of a call."""
         now_ms = self.cell.clock.monotonic_ms()
-        self.plan.handle_advice_returned(
+        self.planner.handle_advice_returned(
             events.AdviceReturned(
                 request.step, request.workers, now_ms, now_ms, outcome
             ),
@@ -70,16 +70,16 @@
         placed = self.cell.place()
         self.assertEqual(["w2", "w2"], [run.worker_id for run in placed])
 
-    def test_no_second_call_while_one_is_on_its_way(self) -> None:
+    def test_no_second_call_while_one_is_pending(self) -> None:
         self.plan_requests()
         self.assertEqual([], self.plan_requests())
 
-    def test_no_call_while_tickets_leave_room(self) -> None:
+    def test_no_call_while_tickets_suffice(self) -> None:
         (request,) = self.plan_requests()
         self.answer(request, "w2")
         self.assertEqual([], self.plan_requests())
 
-    def test_expired_ticket_is_renewed_for_allowed_workers_alone(self) -> None:
+    def test_expired_ticket_is_renewed_for_allowed_workers_only(self) -> None:
         (request,) = self.plan_requests()
         self.answer(request, "w2")
         self.cell.clock.advance(VALID_MS)
@@ -87,7 +87,7 @@
         self.assertEqual({"w2"}, set(again.workers))
         self.assertEqual([], self.cell.place())
 
-    def test_new_life_of_a_worker_needs_a_new_ticket(self) -> None:
+    def test_new_incarnation_of_a_worker_needs_a_new_ticket(self) -> None:
         (request,) = self.plan_requests()
         self.answer(request, "w2")
         entries = {
@@ -119,7 +119,7 @@
         self.assertNotIn("w2", self.step.tickets)
         self.assertEqual(1, len(self.step.pending_tasks))
 
-    def test_next_step_is_asked_about_before_its_turn(self) -> None:
+    def test_advice_is_requested_before_next_step_is_ready(self) -> None:
         job = attrs.evolve(
             harness.job(
                 harness.step(), harness.step(depends_on=(0,)), job_id="b" * 16
@@ -139,10 +139,10 @@
         self.assertEqual([second], self.cell.jobs.nearly_ready_steps())
 
     def ticket(self) -> Any:
-        """A ticket that holds."""
+        """Returns a valid ticket."""
         return runs_module.Ticket("t", 1, 10**9)
 
-    def test_what_ended_is_forgotten(self) -> None:
+    def test_ended_step_gets_no_tickets(self) -> None:
         (request,) = self.plan_requests()
         self.cell.jobs.cancel(self.job.spec.job_id)
         other = attrs.evolve(harness.job(job_id="c" * 16), queue=POLICY)
--- a/tests/process/cell/test_candidates.py
+++ b/tests/process/cell/test_candidates.py
@@ -1,4 +1,4 @@
-"""Picking workers for many tasks that are alike."""
+"""Tests of picking workers for many similar tasks."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CandidatesTest(testtools.TestCase):
-    """Workers of which each has room for two tasks."""
+    """Workers with capacity for two tasks each."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -21,11 +21,11 @@
             for n in range(WORKERS)
         ]
         self.placed: dict[str, int] = {}
-        self.looks = 0
+        self.cost_calls = 0
 
     def cost(self, worker: worker_view.WorkerView) -> float | None:
-        """Fuller workers cost more; a third task does not fit."""
-        self.looks += 1
+        """Cost by number of tasks; a third task does not fit."""
+        self.cost_calls += 1
         count = self.placed.get(worker.worker_id, 0)
         return None if count >= 2 else float(count)
 
@@ -45,20 +45,20 @@
         self.assertEqual({"w0", "w1", "w2"}, set(picked[3:6]))
         self.assertIsNone(picked[6])
 
-    def test_unwanted_worker_is_the_last_resort(self) -> None:
+    def test_avoided_worker_is_the_last_resort(self) -> None:
         found = candidates.Candidates(self.workers[:2], self.cost)
         picked = [self.pick(found, "w0") for _ in range(3)]
         self.assertEqual(["w1", "w1", "w0"], picked)
 
-    def test_barred_worker_is_never_picked(self) -> None:
+    def test_excluded_worker_is_never_picked(self) -> None:
         found = candidates.Candidates(self.workers[:1], self.cost)
         self.assertIsNone(found.pick(excluded=("w0",)))
         self.assertIsNotNone(found.pick())
 
-    def test_looks_do_not_grow_with_tasks_times_workers(self) -> None:
-        # Found by a day: a pass over 42 waiting steps and 246 workers took
-        # 177 ms, as each task looked at each worker.
+    def test_cost_calls_do_not_grow_with_tasks_times_workers(self) -> None:
+        # Each task used to compute the cost of each worker, so that a pass over
+        # 42 waiting steps and 246 workers took 177 ms.
         found = candidates.Candidates(self.workers, self.cost)
         for _ in range(WORKERS):
             self.pick(found)
-        self.assertLess(self.looks, 4 * WORKERS)
+        self.assertLess(self.cost_calls, 4 * WORKERS)
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -1,4 +1,4 @@
-"""Tests of what is learned of disturbance, and of the paces that follow."""
+"""Tests of the interference model and of the paces that it sets."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 TARGET_MS = 18
 
 
-class Beside:
-    """A lasting task and a filling one on one worker of eight cores."""
+class SharedWorker:
+    """A lasting and a filling task on one worker of eight cores."""
 
     def __init__(self, load: float, pressure: float) -> None:
         self.load = load
@@ -32,15 +32,15 @@
         self.filling: Any = None
 
     def tail_ms(self) -> int:
-        """The tail that a queue with these loads has."""
+        """Returns the tail of a queue with these loads."""
         busy = self.load
         if self.filling is not None:
             used = 0.25 * self.filling.pace_percent / 100
             busy += self.pressure * used
         return round(BASE_MS / max(1 - busy, 0.01))
 
-    def settle(self, seconds: int) -> None:
-        """Lets readings come twice a second."""
+    def report(self, seconds: int) -> None:
+        """Reports readings twice a second."""
         for _ in range(2 * seconds):
             self.cell.clock.advance(500)
             running = [harness.listed(self.serving, 100.0, self.tail_ms())]
@@ -50,31 +50,31 @@
             self.cell.hold("w1", running=tuple(running))
 
 
-class DisturbanceTest(testtools.TestCase):
+class InterferenceModelTest(testtools.TestCase):
     """Learning from readings that follow the model."""
 
     def test_load_is_learned_from_tails(self) -> None:
-        beside = Beside(0.3, 0.0)
-        beside.settle(10)
-        learned = beside.cell.model.load_estimate(beside.serving).load
+        shared = SharedWorker(0.3, 0.0)
+        shared.report(10)
+        learned = shared.cell.model.load_estimate(shared.serving).load
         self.assertAlmostEqual(0.3, learned, delta=0.06)
 
     def test_harmful_task_is_slowed_until_the_target_is_kept(self) -> None:
-        beside = Beside(0.45, 2.0)
-        beside.settle(4)
-        (beside.filling,) = beside.cell.place()
-        beside.settle(8)
-        self.assertLess(beside.filling.pace_percent, 100)
-        self.assertLessEqual(beside.tail_ms(), TARGET_MS)
+        shared = SharedWorker(0.45, 2.0)
+        shared.report(4)
+        (shared.filling,) = shared.cell.place()
+        shared.report(8)
+        self.assertLess(shared.filling.pace_percent, 100)
+        self.assertLessEqual(shared.tail_ms(), TARGET_MS)
 
     def test_harmless_task_keeps_its_pace(self) -> None:
-        beside = Beside(0.3, 0.1)
-        beside.settle(4)
-        (beside.filling,) = beside.cell.place()
-        beside.settle(8)
-        self.assertEqual(100, beside.filling.pace_percent)
+        shared = SharedWorker(0.3, 0.1)
+        shared.report(4)
+        (shared.filling,) = shared.cell.place()
+        shared.report(8)
+        self.assertEqual(100, shared.filling.pace_percent)
 
-    def test_rising_load_is_expected_to_go_on(self) -> None:
+    def test_rising_load_is_extrapolated(self) -> None:
         state = serving_load.ServingLoad()
         for index in range(20):
             now_ms = 1_000 + 100 * index
--- a/tests/process/cell/test_moving.py
+++ b/tests/process/cell/test_moving.py
@@ -1,4 +1,4 @@
-"""Tests of runs that go on elsewhere: leaving workers, and stragglers."""
+"""Tests of evacuation and of speculative runs of stragglers."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 DONE = cell_workers.RunEnd.DONE
 
 
-class LeavingWorkerTest(testtools.TestCase):
-    """A worker that drains while it has work."""
+class DrainingWorkerTest(testtools.TestCase):
+    """A worker that drains while it has runs."""
 
     def drain(self, cell: harness.Cell, worker_id: str) -> None:
-        """The worker says that it leaves."""
+        """Marks the worker as draining."""
         worker = cell.workers.find(worker_id)
         assert worker is not None
         worker.entry = attrs.evolve(worker.entry, is_draining=True)
         cell.reconciler.move_runs(cell.clock.now_ms)
 
     def stops(self, step: object, percent: float = 10.0) -> int:
-        """How many runs of a step are stopped when their worker leaves."""
+        """Returns how many runs of a step stop when their worker drains."""
         cell = harness.Cell(workers=1)
         cell.submit(harness.job(step))  # type: ignore[arg-type]
         (run,) = cell.place()
@@ -42,15 +42,15 @@
         step = harness.step(estimated_ms=9_000, has_checkpoints=True)
         self.assertEqual(0, self.stops(step, percent=90.0))
 
-    def test_task_without_checkpoints_runs_on(self) -> None:
+    def test_task_without_checkpoints_stays(self) -> None:
         self.assertEqual(0, self.stops(harness.step(estimated_ms=9_000)))
 
 
 class EmptiedWorkerTest(testtools.TestCase):
-    """A worker whose machine is to have its maintenance."""
+    """A worker that is emptied for its machine's maintenance."""
 
     def stops(self, **fields: object) -> int:
-        """How many of three lasting tasks there are stopped at once."""
+        """Returns how many of its three lasting tasks are stopped at once."""
         cell = harness.Cell(workers=1)
         step = harness.step(3, is_lasting=True, **fields)
         cell.submit(harness.job(step))
@@ -66,7 +66,7 @@
     def test_lasting_tasks_move_at_once(self) -> None:
         self.assertEqual(3, self.stops())
 
-    def test_bound_on_absences_is_kept(self) -> None:
+    def test_limit_on_unavailable_tasks_is_kept(self) -> None:
         self.assertEqual(1, self.stops(max_unavailable=1))
 
 
@@ -74,7 +74,7 @@
     """One task of a step takes much longer than its siblings."""
 
     def straggle(self, is_speculative: bool) -> harness.Cell:
-        """Two of three tasks are done in half a second, one is not."""
+        """Finishes two of three tasks in half a second."""
         cell = harness.Cell(workers=3, cpu_millicores=1_000)
         cell.submit(harness.job(harness.step(3, is_speculative=is_speculative)))
         first, second, _ = cell.place()
@@ -84,22 +84,22 @@
         cell.clock.advance(1_000)
         return cell
 
-    def test_copy_runs_on_another_worker_and_the_first_end_counts(
+    def test_second_run_is_on_another_worker_and_the_first_end_counts(
         self,
     ) -> None:
         cell = self.straggle(True)
         jobs = list(cell.jobs)
-        (copy,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
-        (slow,) = [run for run in copy.run.task.runs if run is not copy.run]
-        self.assertNotEqual(slow.worker_id, copy.run.worker_id)
-        end = harness.ended(copy.run, DONE, 2)
-        cell.hold(copy.run.worker_id, ended=(end,))
+        (second,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
+        (slow,) = [run for run in second.run.task.runs if run is not second.run]
+        self.assertNotEqual(slow.worker_id, second.run.worker_id)
+        end = harness.ended(second.run, DONE, 2)
+        cell.hold(second.run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, jobs[0].state)
         self.assertEqual(
             [(slow.task.name, slow.number)], cell.sent[slow.worker_id].stops
         )
 
-    def test_step_that_forbids_it_gets_no_copy(self) -> None:
+    def test_step_without_speculation_gets_no_second_run(self) -> None:
         cell = self.straggle(False)
         self.assertEqual(
             [], cell.planner.place_speculative_runs(list(cell.jobs), 10**9)
--- a/tests/process/cell/test_placement_of_fills.py
+++ b/tests/process/cell/test_placement_of_fills.py
@@ -1,4 +1,4 @@
-"""Where tasks that fill idle processors go, by how much they disturb."""
+"""Tests of the placement of filling tasks by their interference."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 CLEARED_FOR_MS = 10_000
 
 
-class FillsTest(testtools.TestCase):
-    """One worker with a lasting task, one cleared of them."""
+class FillingPlacementTest(testtools.TestCase):
+    """A worker with a lasting task, and one cleared of lasting tasks."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -30,30 +30,34 @@
 
     def _learn(self) -> None:
         """Teaches the model one harmful and one harmless image."""
-        learned = self.cell.model.pressures
+        pressures = self.cell.model.pressures
         for tick in range(60):
             for worker, use in enumerate((0.0, 0.1, 0.2)):
                 uses = {"press": use, "idle": use * ((tick % 2) * 2 - 1)}
                 busy = 0.4 + 2.0 * use
-                learned.observe(
+                pressures.observe(
                     "other", "serve", f"x{worker}", busy, uses, 500 * tick
                 )
 
-    def _fill(self, image: str, job_id: str, count: int = 1) -> list[Any]:
-        fill = harness.step(
+    def _place_filling(
+        self, image: str, job_id: str, count: int = 1
+    ) -> list[Any]:
+        filling = harness.step(
             count, cpu_millicores=1_000, fills_idle=True, image=image
         )
-        self.cell.submit(harness.job(fill, job_id=job_id))
+        self.cell.submit(harness.job(filling, job_id=job_id))
         return [run.worker_id for run in self.cell.place()]
 
-    def test_harmless_image_leaves_the_cleared_worker_alone(self) -> None:
-        self.assertEqual([self.serving.worker_id], self._fill("idle", "b" * 16))
+    def test_harmless_image_shares_the_worker_of_a_lasting_task(self) -> None:
+        self.assertEqual(
+            [self.serving.worker_id], self._place_filling("idle", "b" * 16)
+        )
 
     def test_harmful_image_goes_to_the_cleared_worker(self) -> None:
-        self.assertEqual(["w2"], self._fill("press", "b" * 16))
+        self.assertEqual(["w2"], self._place_filling("press", "b" * 16))
 
     def test_no_worker_is_cleared_for_harmless_images(self) -> None:
-        self._fill("idle", "b" * 16, count=40)
+        self._place_filling("idle", "b" * 16, count=40)
         self.cell.clock.advance(2 * clearing.MIN_WAIT_MS)
         steps = self.cell.jobs.ready_steps()
         now_ms = self.cell.clock.monotonic_ms()
@@ -61,10 +65,10 @@
             0, clearing.waiting_millicores(steps, self.cell.model, now_ms)
         )
 
-    def test_tasks_that_fill_are_slowed_where_all_ask_for_too_much(
+    def test_filling_tasks_are_slowed_where_demand_exceeds_capacity(
         self,
     ) -> None:
-        self._fill("idle", "b" * 16, count=3)
+        self._place_filling("idle", "b" * 16, count=3)
         short = harness.step(cpu_millicores=6_500)
         self.cell.submit(harness.job(short, job_id="c" * 16))
         self.cell.workers.find("w2").avoided_until_ms = 10**9
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of who gets room, by patterns of load."""
+"""Tests of placement, preemption and clearing under typical loads."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 from tests.process.cell import harness
 
 
-class OrderTest(testtools.TestCase):
-    """Which job goes first when there is not room for all."""
+class JobOrderTest(testtools.TestCase):
+    """Order of jobs when capacity does not suffice for all."""
 
     def test_small_job_goes_before_a_large_one(self) -> None:
         cell = harness.Cell(workers=1, cpu_millicores=4_000)
         cell.submit(harness.job(harness.step(20), job_id="a" * 16))
         cell.submit(harness.job(harness.step(2), job_id="b" * 16))
-        owners = [run.task.step.job.spec.job_id[0] for run in cell.place()]
-        self.assertEqual(["b", "b", "a", "a"], owners)
+        job_initials = [
+            run.task.step.job.spec.job_id[0] for run in cell.place()
+        ]
+        self.assertEqual(["b", "b", "a", "a"], job_initials)
 
     def test_job_that_can_be_on_time_goes_before_a_late_one(self) -> None:
         cell = harness.Cell(workers=1, cpu_millicores=1_000)
@@ -41,12 +43,12 @@
         assert worker is not None
         self.assertEqual(3_000, worker.free_cpu)
 
-    def test_bound_a_worker_is_kept(self) -> None:
+    def test_limit_per_worker_is_kept(self) -> None:
         cell = harness.Cell(workers=2)
         cell.submit(harness.job(harness.step(5, max_per_worker=2)))
         self.assertEqual(4, len(cell.place()))
 
-    def test_leaving_worker_gets_nothing_new(self) -> None:
+    def test_draining_worker_gets_nothing_new(self) -> None:
         cell = harness.Cell(workers=1)
         worker = cell.workers.find("w1")
         assert worker is not None
@@ -55,18 +57,20 @@
         self.assertEqual([], cell.place())
 
 
-class ShortTasksBesideLastingOnesTest(testtools.TestCase):
-    """Lasting tasks have taken all processors when short jobs come."""
+class PreemptionTest(testtools.TestCase):
+    """Lasting tasks occupy all processors when short jobs arrive."""
 
     def full_cell(self) -> harness.Cell:
-        """Two workers, full of lasting tasks."""
+        """Returns a cell of two workers full of lasting tasks."""
         cell = harness.Cell(workers=2, cpu_millicores=8_000)
         lasting = harness.step(4, cpu_millicores=4_000, is_lasting=True)
         cell.submit(harness.job(lasting, job_id="a" * 16))
         self.assertEqual(4, len(cell.place()))
         return cell
 
-    def test_one_lasting_run_makes_way_for_tasks_that_fit_there(self) -> None:
+    def test_one_lasting_run_is_preempted_for_tasks_that_fit_there(
+        self,
+    ) -> None:
         cell = self.full_cell()
         cell.submit(harness.job(harness.step(3), job_id="b" * 16))
         self.assertEqual([], cell.place())
@@ -75,7 +79,9 @@
         victims = cell.planner.choose_victims(steps, cell.clock.now_ms)
         self.assertEqual(1, len(victims))
 
-    def test_step_with_a_bound_on_absences_is_left_alone(self) -> None:
+    def test_step_with_a_limit_on_unavailable_tasks_is_not_preempted(
+        self,
+    ) -> None:
         cell = harness.Cell(workers=1, cpu_millicores=4_000)
         lasting = harness.step(
             1, cpu_millicores=4_000, is_lasting=True, max_unavailable=1
@@ -89,11 +95,11 @@
         self.assertEqual([], victims)
 
 
-class HarmfulFillTest(testtools.TestCase):
-    """Tasks that fill find no place where they do not disturb."""
+class HarmfulFillingTest(testtools.TestCase):
+    """Filling tasks that would interfere on every worker."""
 
     def cell_with_lasting(self) -> harness.Cell:
-        """Every worker has a lasting task near its tail target."""
+        """Returns a cell with a lasting task near its target on each worker."""
         cell = harness.Cell(workers=4, cpu_millicores=8_000)
         lasting = harness.step(
             4,
@@ -120,10 +126,12 @@
         )
         return cell
 
-    def test_they_are_not_placed_beside_loaded_tasks(self) -> None:
+    def test_harmful_tasks_are_not_placed_with_loaded_lasting_tasks(
+        self,
+    ) -> None:
         self.assertEqual([], self.cell_with_lasting().place())
 
-    def test_a_worker_is_cleared_for_them(self) -> None:
+    def test_worker_is_cleared_for_harmful_tasks(self) -> None:
         cell = self.cell_with_lasting()
         cell.place()
         cell.clock.advance(clearing.MIN_WAIT_MS)
@@ -148,7 +156,7 @@
         cell.clock.advance(clearing.OVERDUE_MS + 1)
         self.assertIn("a", [one.task.name[0] for one in cell.place()])
 
-    def test_cleared_worker_that_nobody_uses_is_opened_early(self) -> None:
+    def test_unused_cleared_worker_is_reopened_early(self) -> None:
         cell = self.cell_with_lasting()
         cell.clock.advance(clearing.MIN_WAIT_MS)
         steps = cell.jobs.ready_steps()
--- a/tests/process/cell/test_pressure_model.py
+++ b/tests/process/cell/test_pressure_model.py
@@ -1,4 +1,4 @@
-"""Tests of the coefficients of filling images."""
+"""Tests of learning the coefficients of filling images."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 SEED = 7
 
 
-class PressuresTest(testtools.TestCase):
-    """A step on several workers whose load swings by a half."""
+class PressureModelTest(testtools.TestCase):
+    """A step on several workers, with a load that swings by half."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.learned = pressure_model.PressureModel()
+        self.model = pressure_model.PressureModel()
         self.random = random.Random(SEED)
 
-    def _read(self, seconds: int, images: dict[str, float]) -> None:
-        """Takes in two readings a second of each of six workers."""
+    def _observe(self, seconds: int, images: dict[str, float]) -> None:
+        """Observes two readings a second of each of six workers."""
         names = sorted(images)
         for tick in range(2 * seconds):
             load = 0.42 + 0.2 * math.sin(2 * math.pi * tick / 20)
@@ -32,37 +32,37 @@
                 uses = {
                     name: self.random.choice((0.0, 0.1, 0.2)) for name in names
                 }
-                pressed = sum(images[name] * uses[name] for name in names)
+                pressure = sum(images[name] * uses[name] for name in names)
                 noise = self.random.gauss(0, 0.05)
-                self.learned.observe(
+                self.model.observe(
                     "step",
                     "serve",
                     f"w{worker}",
-                    load + pressed + noise,
+                    load + pressure + noise,
                     uses,
                     500 * tick + 10 * worker,
                 )
 
-    def test_harmful_and_harmless_are_told_apart_in_seconds(self) -> None:
+    def test_harmful_and_harmless_are_distinguished_in_seconds(self) -> None:
         images = {"press": HARMFUL, "idle": HARMLESS}
-        self._read(8, images)
+        self._observe(8, images)
         self.assertAlmostEqual(
-            HARMFUL, self.learned.coefficient("serve", "press"), delta=0.3
+            HARMFUL, self.model.coefficient("serve", "press"), delta=0.3
         )
         self.assertAlmostEqual(
-            HARMLESS, self.learned.coefficient("serve", "idle"), delta=0.3
+            HARMLESS, self.model.coefficient("serve", "idle"), delta=0.3
         )
 
-    def test_swing_of_the_load_is_not_taken_for_pressure(self) -> None:
-        self._read(20, {"idle": 0.0})
-        self.assertLess(self.learned.coefficient("serve", "idle"), 0.15)
+    def test_swing_of_the_load_is_not_learned_as_pressure(self) -> None:
+        self._observe(20, {"idle": 0.0})
+        self.assertLess(self.model.coefficient("serve", "idle"), 0.15)
 
-    def test_next_owner_begins_with_what_was_learned(self) -> None:
-        # Found by a day: after all hosts had lost power, lasting tasks were
-        # over their targets until each image had shown again how it presses.
-        self._read(20, {"press": HARMFUL, "idle": HARMLESS})
+    def test_next_owner_restores_learned_coefficients(self) -> None:
+        # After a power loss of all hosts, lasting tasks exceeded their targets
+        # until the coefficient of each image was learned again.
+        self._observe(20, {"press": HARMFUL, "idle": HARMLESS})
         learned = records.LearnedRecord(
-            self.learned.export(), self.learned.export_pairs()
+            self.model.export(), self.model.export_pairs()
         )
         successor = pressure_model.PressureModel()
         successor.restore(
@@ -70,7 +70,7 @@
         )
         for image in ("press", "idle"):
             self.assertAlmostEqual(
-                self.learned.coefficient("serve", image),
+                self.model.coefficient("serve", image),
                 successor.coefficient("serve", image),
                 delta=0.02,
             )
@@ -78,26 +78,26 @@
             successor.uncertainty("press"), successor.uncertainty("new")
         )
 
-    def test_inherited_coefficient_gives_way_to_readings(self) -> None:
-        self.learned.restore(
+    def test_readings_override_inherited_coefficient(self) -> None:
+        self.model.restore(
             records.LearnedRecord(
                 (records.LearnedPressure("press", 0.1, 100.0),)
             )
         )
-        self._read(40, {"press": HARMFUL})
-        self.assertGreater(self.learned.coefficient("serve", "press"), 1.5)
+        self._observe(40, {"press": HARMFUL})
+        self.assertGreater(self.model.coefficient("serve", "press"), 1.5)
 
-    def test_image_of_which_nothing_is_known_has_the_prior(self) -> None:
+    def test_unknown_image_has_the_prior(self) -> None:
         self.assertEqual(
             pressure_model.PRIOR_COEFFICIENT,
-            self.learned.coefficient("serve", "new"),
+            self.model.coefficient("serve", "new"),
         )
 
 
 class SolveTest(testtools.TestCase):
-    """Linear equations."""
+    """Solution of linear equations."""
 
-    def test_solution_fulfils_the_equations(self) -> None:
+    def test_solution_satisfies_the_equations(self) -> None:
         matrix = [[4.0, 1.0, 0.5], [1.0, 3.0, 0.0], [0.5, 0.0, 2.0]]
         solution = pressure_model.solve(
             [row[:] for row in matrix], [1.0, 2.0, 3.0]
--- a/tests/process/cell/test_worker_session.py
+++ b/tests/process/cell/test_worker_session.py
@@ -1,4 +1,4 @@
-"""Tests of leases and orders of one worker."""
+"""Tests of a worker session: leases and orders."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WorkerSessionTest(testtools.TestCase):
-    """A session with a worker in memory."""
+    """A session with an in-memory worker."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -37,14 +37,14 @@
         stack.enter_context(self.session)
 
     def wait_for(self, condition: Any) -> None:
-        """Waits until something holds."""
-        until_s = time.monotonic() + WAIT_S
+        """Waits until a condition is true."""
+        deadline_s = time.monotonic() + WAIT_S
         while not condition():
-            self.assertLess(time.monotonic(), until_s)
+            self.assertLess(time.monotonic(), deadline_s)
             time.sleep(0.01)
 
     def holds(self, kind: type) -> list[Any]:
-        """Holds that came to such an outcome."""
+        """Returns the holds with an outcome of a kind."""
         return [
             event
             for event in list(self.events)
@@ -56,17 +56,17 @@
         self.wait_for(lambda: len(self.worker.deadlines_ms) >= 3)
 
     def test_lease_is_not_renewed_while_calls_fail(self) -> None:
-        # Found on a standard day: the end of lease moved on with each failed
-        # call, so that the runs of a worker that was gone were never given up.
+        # Each failed call used to extend the lease deadline, so that the runs
+        # of a worker that was gone were never counted as lost.
         self.wait_for(lambda: self.worker.deadlines_ms)
         self.worker.is_dark = True
         self.wait_for(lambda: len(self.holds(result.Err)) >= 1)
         before_ms = self.session.latest_deadline_ms
-        seen = len(self.holds(result.Err))
-        self.wait_for(lambda: len(self.holds(result.Err)) >= seen + 3)
+        failed_count = len(self.holds(result.Err))
+        self.wait_for(lambda: len(self.holds(result.Err)) >= failed_count + 3)
         self.assertEqual(before_ms, self.session.latest_deadline_ms)
 
-    def test_owner_that_may_not_act_starts_nothing(self) -> None:
+    def test_host_that_lost_ownership_starts_nothing(self) -> None:
         self.wait_for(lambda: self.worker.deadlines_ms)
         self.may_renew = False
         self.session.start(_Run("a.0.0.0"), "text", "", "")
@@ -77,29 +77,31 @@
         )
         self.assertEqual({}, self.worker.running)
 
-    def test_start_given_up_while_queued_is_not_sent(self) -> None:
-        # Found by a day: copies of tasks were started over a second after
-        # their ends had been recorded, as their starts had waited for others.
+    def test_start_abandoned_while_queued_is_not_sent(self) -> None:
+        # Second runs were started over a second after the ends of their tasks
+        # had been recorded, as their starts were queued behind others.
         self.wait_for(lambda: self.worker.deadlines_ms)
         release = threading.Event()
-        first = self.worker.start
+        start = self.worker.start
 
         def slow_start(order: Any, timeout_ms: int) -> Any:
             release.wait(WAIT_S)
-            return first(order, timeout_ms)
+            return start(order, timeout_ms)
 
         self.worker.start = slow_start
-        ahead, copy = _Run("a.0.0.0"), _Run("b.0.0.0")
-        self.session.start(ahead, "text", "", "")
-        self.session.start(copy, "text", "", "")
-        copy.should_start = False
+        first_run, second_run = _Run("a.0.0.0"), _Run("b.0.0.0")
+        self.session.start(first_run, "text", "", "")
+        self.session.start(second_run, "text", "", "")
+        second_run.should_start = False
         release.set()
-        self.wait_for(lambda: len(self.returned()) == 2)
+        self.wait_for(lambda: len(self.returned_starts()) == 2)
         self.assertEqual({"a.0.0.0": 1}, self.worker.running)
-        self.assertEqual([1, 0], [event.tries for event in self.returned()])
+        self.assertEqual(
+            [1, 0], [event.tries for event in self.returned_starts()]
+        )
 
-    def returned(self) -> list[Any]:
-        """What came of starts."""
+    def returned_starts(self) -> list[Any]:
+        """Returns the outcomes of starts."""
         return [
             event
             for event in list(self.events)
@@ -108,7 +110,7 @@
 
 
 class _Run:
-    """As much of a run as a session uses."""
+    """The part of a run that a session uses."""
 
     def __init__(self, task: str) -> None:
         self.task = self
