--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -11,8 +11,8 @@
 MAX_CLOCK_DRIFT = 0.02
 # Added to the end of a lease for the time that a worker takes to stop its runs.
 LEASE_END_MARGIN_MS = 100
-# Assumed use of a lasting task's processors, as its usage is not reported;
-# filling tasks may use the rest.
+# Share of a lasting task's processors counted as used where its own usage is
+# not reported; filling tasks may use the rest.
 ASSUMED_LASTING_USE_SHARE = 0.5
 RACK_LABEL_MARKER = "-"
 
@@ -142,11 +142,13 @@
             self.lasting_millicores += sign * spec.cpu_millicores
 
     def lease_expiry_ms(self) -> int:
-        """Monotonic time after which none of this owner's runs is on it."""
+        """Monotonic time after which no run that we started is on it."""
         if self.clock_read_ms == 0:
             return self.release_after_ms
         remaining_ms = max(self.deadline_ms - self.clock_ms, 0)
-        expiry_ms = self.clock_read_ms + int(remaining_ms / (1 - MAX_CLOCK_DRIFT))
+        expiry_ms = self.clock_read_ms + int(
+            remaining_ms / (1 - MAX_CLOCK_DRIFT)
+        )
         return expiry_ms + LEASE_END_MARGIN_MS
 
 
