--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -49,7 +49,7 @@
         if step.spec.fills_idle
         and now_ms - step.ready_ms >= MIN_WAIT_MS
         and model.common_coefficient(step.spec.image)
-        >= placement.MAX_HARMLESS_COEFFICIENT
+        >= placement.MIN_HARMFUL_COEFFICIENT
     )
 
 
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -24,9 +24,9 @@
 COLOCATION_BONUS = 20_000.0
 # Slowness penalty for a filling task, in headroom of the lasting tasks.
 FILLING_SLOWNESS_COST = 0.5
-# An image with a higher coefficient counts as harmful: a few of its tasks bring
-# the lasting ones on their worker to their targets.
-MAX_HARMLESS_COEFFICIENT = 0.5
+# An image with this coefficient or more counts as harmful: a few of its tasks
+# bring the lasting ones on their worker to their targets.
+MIN_HARMFUL_COEFFICIENT = 0.5
 # A filling task is placed only where it would get at least this share of the
 # processors it requests.
 MIN_FILLING_CPU_SHARE = 0.7
@@ -170,7 +170,7 @@
         spec = step.spec
         need = spec.need
         min_millicores = int(spec.cpu_millicores * MIN_FILLING_CPU_SHARE)
-        alone_cost = MAX_HARMLESS_COEFFICIENT - self._model.common_coefficient(
+        alone_cost = MIN_HARMFUL_COEFFICIENT - self._model.common_coefficient(
             spec.image
         )
 
