--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -80,7 +80,7 @@
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
         self._steps: dict[runs_module.StepInstance, _StepAdvice] = {}
-        self._shares: dict[str, float] = {}
+        self._allowed_shares: dict[str, float] = {}
 
     def plan_requests(
         self,
@@ -103,7 +103,7 @@
             state = self._steps.setdefault(step, _StepAdvice())
             if state.is_call_pending or now_ms < state.not_before_ms:
                 continue
-            chosen = self._choose(step, state, available)
+            chosen = self._choose_workers(step, state, available)
             if chosen:
                 state.is_call_pending = True
                 requests.append(
@@ -123,7 +123,7 @@
         for step in ended:
             del self._steps[step]
 
-    def _choose(
+    def _choose_workers(
         self,
         step: runs_module.StepInstance,
         state: _StepAdvice,
@@ -151,7 +151,7 @@
             )
         )
         queue = step.job.spec.queue.name
-        share = self._shares.get(queue, PRIOR_ALLOWED_SHARE)
+        share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
         wanted = CAPACITY_FACTOR * needed
         chosen: list[worker_view.WorkerView] = []
         for worker, fitting in candidates[:MAX_WORKERS_PER_CALL]:
@@ -208,7 +208,7 @@
         tickets = {} if step.tickets is None else step.tickets
         step.tickets = tickets
         queue = step.job.spec.queue.name
-        share = self._shares.get(queue, PRIOR_ALLOWED_SHARE)
+        share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
         for worker_id, born_ms in event.workers.items():
             text = advice.tickets.get(worker_id)
             is_allowed = text is not None
@@ -217,7 +217,7 @@
             state.allowed[worker_id] = is_allowed
             if text is not None:
                 tickets[worker_id] = runs_module.Ticket(text, born_ms, until_ms)
-        self._shares[queue] = share
+        self._allowed_shares[queue] = share
         took_ms = event.received_ms - event.sent_ms
         self._metrics.count(metrics_module.Counter.ADVICE_ANSWERS)
         self._metrics.observe(metrics_module.Latency.ADVICE, took_ms * 1_000)
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -16,15 +16,15 @@
 from comfreylatch._process.cell import worker_view
 
 # How long a worker stays cleared.
-CLEARED_MS = 4_000
+CLEARED_DURATION_MS = 4_000
 # A lasting task without a run for this long may use a cleared worker if there
 # is no other; after six seconds it counts as lost if a worker has capacity.
-OVERDUE_MS = 4_500
+LASTING_OVERDUE_MS = 4_500
 # Time from the end of a worker's clearing until it may be cleared again, so
 # that the load is spread over all workers.
-CLEARING_INTERVAL_MS = 6_000
+RECLEARING_DELAY_MS = 6_000
 # How long a task has to wait for a worker before it counts as demand.
-MIN_WAIT_MS = 400
+MIN_FILLING_WAIT_MS = 400
 # Share of a worker's processors that must be in demand to clear it.
 MIN_DEMAND_SHARE = 0.4
 # A cleared worker used less than this is reopened when no task waits.
@@ -47,7 +47,7 @@
         len(step.pending_tasks) * step.spec.cpu_millicores
         for step in steps
         if step.spec.fills_idle
-        and now_ms - step.ready_ms >= MIN_WAIT_MS
+        and now_ms - step.ready_ms >= MIN_FILLING_WAIT_MS
         and model.common_coefficient(step.spec.image)
         >= placement.MIN_HARMFUL_COEFFICIENT
     )
@@ -56,7 +56,7 @@
 def is_overdue(task: runs_module.Task, now_ms: int) -> bool:
     """Whether a lasting task may also use a cleared worker."""
     since_ms = max(task.pending_since_ms, task.step.ready_ms)
-    return now_ms - since_ms > OVERDUE_MS
+    return now_ms - since_ms > LASTING_OVERDUE_MS
 
 
 def reopen_unused(
@@ -95,7 +95,7 @@
 
 
 def _may_clear(worker: worker_view.WorkerView, now_ms: int) -> bool:
-    if now_ms < worker.cleared_until_ms + CLEARING_INTERVAL_MS:
+    if now_ms < worker.cleared_until_ms + RECLEARING_DELAY_MS:
         return False
     lasting = [
         run for run in worker.runs.values() if run.task.step.spec.is_lasting
--- a/src/comfreylatch/_process/cell/duration_model.py
+++ b/src/comfreylatch/_process/cell/duration_model.py
@@ -7,7 +7,7 @@
 from comfreylatch._process.cell import specs
 
 # Weight of a new duration in the smoothed ratio: about the last ten count.
-SMOOTHING = 0.1
+RATIO_SMOOTHING = 0.1
 # Ratios outside these bounds indicate a fault rather than a property of the
 # image.
 MIN_RATIO = 0.05
@@ -31,7 +31,7 @@
         ratio = min(max(duration_ms / declared_ms, MIN_RATIO), MAX_RATIO)
         for key in (queue, f"{queue}/{spec.image}"):
             mean = self._ratios.get(key, ratio)
-            self._ratios[key] = mean + SMOOTHING * (ratio - mean)
+            self._ratios[key] = mean + RATIO_SMOOTHING * (ratio - mean)
 
     def export(self) -> dict[str, float]:
         """Returns the ratios, for the next owner."""
--- a/src/comfreylatch/_process/cell/evacuation.py
+++ b/src/comfreylatch/_process/cell/evacuation.py
@@ -10,7 +10,7 @@
 
 # A run expected to end within this time is not moved: a draining worker keeps
 # running for at least two seconds.
-MAX_REMAINING_MS = 1_500
+MAX_UNMOVED_REMAINING_MS = 1_500
 
 
 @final
@@ -49,7 +49,7 @@
         queue = run.task.step.job.spec.queue.name
         expected_ms = self._durations.estimate_ms(queue, spec)
         remaining_ms = expected_ms * (100 - run.percent) / 100
-        return remaining_ms > MAX_REMAINING_MS
+        return remaining_ms > MAX_UNMOVED_REMAINING_MS
 
 
 def _limit_per_step(moving: list[runs_module.Run]) -> list[runs_module.Run]:
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -22,14 +22,14 @@
 from comfreylatch._process.cell import wave_state
 from comfreylatch._process.cell import worker_view
 
-LIST_INTERVAL_MS = 700
+MACHINE_LIST_INTERVAL_MS = 700
 # Tasks without checkpoints take some seconds; a run that lasts longer is stuck
 # and would block the wave.
 MAX_EVACUATION_MS = 9_000
 # Time to empty a worker, maintain its machine (two seconds) and bring it back.
 EXPECTED_ROUND_MS = 7_000
 # Share of a wave's duration that the plan uses.
-PLANNED_SHARE = 0.75
+PLANNED_DURATION_SHARE = 0.75
 RETRY_PAUSE_MS = 500
 
 _logger = logbook.Logger(__name__)
@@ -89,7 +89,7 @@
                         wave_progress.wave.number, wave_progress.is_completed
                     )
                 )
-        is_due = now_ms - self._listed_ms >= LIST_INTERVAL_MS
+        is_due = now_ms - self._listed_ms >= MACHINE_LIST_INTERVAL_MS
         if running and is_due and not self._is_listing:
             self._is_listing = True
             self._listed_ms = now_ms
@@ -185,7 +185,7 @@
             if progress.phase is wave_state.MachinePhase.WAITING
             and now_ms >= progress.not_before_ms
         ]
-        busy = sum(
+        in_progress_count = sum(
             progress.phase
             in (
                 wave_state.MachinePhase.EMPTYING,
@@ -196,7 +196,7 @@
         )
         limit = concurrent_machines(
             wave_progress.wave,
-            len(waiting) + busy,
+            len(waiting) + in_progress_count,
             wall_ms - wave_progress.began_wall_ms,
         )
         assert self._machines is not None
@@ -209,7 +209,9 @@
                 ready.append(
                     (load, progress.machine_id, progress, machine.worker_id)
                 )
-        for _, _, progress, worker_id in sorted(ready)[: max(limit - busy, 0)]:
+        for _, _, progress, worker_id in sorted(ready)[
+            : max(limit - in_progress_count, 0)
+        ]:
             progress.worker_id = worker_id
             view = workers.get(worker_id)
             if view is not None:
@@ -413,6 +415,6 @@
         unfinished: Machines that have not come back from their maintenance.
         elapsed_ms: Time since the wave was first seen.
     """
-    time_ms = PLANNED_SHARE * wave.duration_ms - elapsed_ms
+    time_ms = PLANNED_DURATION_SHARE * wave.duration_ms - elapsed_ms
     rounds = max(int(time_ms // EXPECTED_ROUND_MS), 1)
     return min(-(-unfinished // rounds), wave.most_at_once)
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -19,7 +19,7 @@
 OFF_RACK_COST = 60_000.0
 SLOWNESS_COST = 40_000.0
 # Penalty for each millicore that filling tasks would lose or lasting ones lack.
-CROWDING_COST = 2.0
+CROWDING_COST_PER_MILLICORE = 2.0
 # Bonus for each task of the same step on a worker, for lasting tasks.
 COLOCATION_BONUS = 20_000.0
 # Slowness penalty for a filling task, in headroom of the lasting tasks.
@@ -71,7 +71,9 @@
         if preferred_rack and worker.rack != preferred_rack:
             cost += OFF_RACK_COST
         cost += worker.free_cpu - spec.cpu_millicores
-        cost += CROWDING_COST * max(expected_use - worker.idle_millicores, 0)
+        cost += CROWDING_COST_PER_MILLICORE * max(
+            expected_use - worker.idle_millicores, 0
+        )
         if spec.is_lasting:
             cost -= COLOCATION_BONUS * _count_colocated(worker, step)
         return cost
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -19,7 +19,7 @@
 from comfreylatch._process.cell import worker_view
 
 # How long a short task waits for capacity before it preempts a lasting one.
-PREEMPT_AFTER_MS = 40
+PREEMPTION_DELAY_MS = 40
 # Tasks of one step that one pass preempts lasting runs for.
 MAX_PREEMPTING_TASKS_PER_STEP = 8
 # Share of the lasting runs that may be stopping at the same time.
@@ -145,7 +145,7 @@
         worker = clearing.choose_worker(available, demand, now_ms)
         if worker is None:
             return []
-        worker.cleared_until_ms = now_ms + clearing.CLEARED_MS
+        worker.cleared_until_ms = now_ms + clearing.CLEARED_DURATION_MS
         return [
             run for run in worker.runs.values() if run.task.step.spec.is_lasting
         ]
@@ -190,7 +190,7 @@
         spec = step.spec
         if spec.is_lasting or spec.fills_idle or spec.is_gang:
             return False
-        if now_ms - step.ready_ms < PREEMPT_AFTER_MS:
+        if now_ms - step.ready_ms < PREEMPTION_DELAY_MS:
             return False
         rank = self._ranker.rank(step, now_ms)
         return rank.timeliness is ranking_module.Timeliness.ON_TIME
--- a/src/comfreylatch/_process/cell/worker_session.py
+++ b/src/comfreylatch/_process/cell/worker_session.py
@@ -31,7 +31,7 @@
 # it renews the lease without acknowledging them.
 RECORDING_WAIT_MS = 300
 
-Post = Callable[[events.Event], None]
+PostEvent = Callable[[events.Event], None]
 Connect = Callable[[cell_workers.WorkerEntry], cell_workers.WorkerOrders]
 
 
@@ -85,7 +85,7 @@
         entry: cell_workers.WorkerEntry,
         orders: cell_workers.WorkerOrders,
         lease: LeaseParameters,
-        post: Post,
+        post: PostEvent,
         clock: clock_port.Clock,
     ) -> None:
         self._entry = entry
--- a/tests/process/cell/test_filling_placement.py
+++ b/tests/process/cell/test_filling_placement.py
@@ -58,7 +58,7 @@
 
     def test_no_worker_is_cleared_for_harmless_images(self) -> None:
         self._place_filling("idle", "b" * 16, count=40)
-        self.cell.clock.advance(2 * clearing.MIN_WAIT_MS)
+        self.cell.clock.advance(2 * clearing.MIN_FILLING_WAIT_MS)
         steps = self.cell.jobs.ready_steps()
         now_ms = self.cell.clock.monotonic_ms()
         self.assertEqual(
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -74,7 +74,7 @@
         cell = self.full_cell()
         cell.submit(harness.job(harness.step(3), job_id="b" * 16))
         self.assertEqual([], cell.place())
-        cell.clock.advance(planner.PREEMPT_AFTER_MS)
+        cell.clock.advance(planner.PREEMPTION_DELAY_MS)
         steps = cell.jobs.ready_steps()
         victims = cell.planner.choose_victims(steps, cell.clock.now_ms)
         self.assertEqual(1, len(victims))
@@ -89,7 +89,7 @@
         cell.submit(harness.job(lasting, job_id="a" * 16))
         cell.place()
         cell.submit(harness.job(job_id="b" * 16))
-        cell.clock.advance(planner.PREEMPT_AFTER_MS)
+        cell.clock.advance(planner.PREEMPTION_DELAY_MS)
         steps = cell.jobs.ready_steps()
         victims = cell.planner.choose_victims(steps, cell.clock.now_ms)
         self.assertEqual([], victims)
@@ -134,7 +134,7 @@
     def test_worker_is_cleared_for_harmful_tasks(self) -> None:
         cell = self.cell_with_lasting()
         cell.place()
-        cell.clock.advance(clearing.MIN_WAIT_MS)
+        cell.clock.advance(clearing.MIN_FILLING_WAIT_MS)
         steps = cell.jobs.ready_steps()
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(steps, now_ms)
@@ -148,17 +148,17 @@
 
     def test_lasting_task_returns_before_it_counts_as_lost(self) -> None:
         cell = self.cell_with_lasting()
-        cell.clock.advance(clearing.MIN_WAIT_MS)
+        cell.clock.advance(clearing.MIN_FILLING_WAIT_MS)
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(cell.jobs.ready_steps(), now_ms)
         stopped = cell_workers.RunEnd.STOPPED
         cell.hold(run.worker_id, ended=(harness.ended(run, stopped),))
-        cell.clock.advance(clearing.OVERDUE_MS + 1)
+        cell.clock.advance(clearing.LASTING_OVERDUE_MS + 1)
         self.assertIn("a", [one.task.name[0] for one in cell.place()])
 
     def test_unused_cleared_worker_is_reopened_early(self) -> None:
         cell = self.cell_with_lasting()
-        cell.clock.advance(clearing.MIN_WAIT_MS)
+        cell.clock.advance(clearing.MIN_FILLING_WAIT_MS)
         steps = cell.jobs.ready_steps()
         (run,) = cell.planner.clear_worker(steps, cell.clock.now_ms)
         stopped = cell_workers.RunEnd.STOPPED
