--- a/src/comfreylatch/_process/cell/copies.py
+++ b/src/comfreylatch/_process/cell/copies.py
@@ -27,4 +27,4 @@
         return False
     usual_ms = statistics.median(done_ms)
     limit_ms = max(SLOW_FACTOR * usual_ms, usual_ms + LEAST_DELAY_MS)
-    return now_ms - run.since_ms > limit_ms
+    return now_ms - run.ordered_ms > limit_ms
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -72,7 +72,7 @@
     number: int
     worker_id: str
     phase: RunPhase
-    since_ms: int
+    ordered_ms: int
     confirmed_ms: int = 0
     percent: float = 0.0
     progressed_ms: int = 0
