--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -201,7 +201,7 @@
     ) -> None:
         step = event.step
         valid_ms = advice.valid_ms or USUAL_VALID_MS
-        until_ms = event.received_ms + valid_ms - TICKET_MARGIN_MS
+        expires_ms = event.received_ms + valid_ms - TICKET_MARGIN_MS
         tickets = {} if step.tickets is None else step.tickets
         step.tickets = tickets
         queue = step.job.spec.queue.name
@@ -213,7 +213,9 @@
                 share += (is_allowed - share) / (GUESS_WEIGHT + 1)
             known.allowed[worker_id] = is_allowed
             if text is not None:
-                tickets[worker_id] = runs_module.Ticket(text, born_ms, until_ms)
+                tickets[worker_id] = runs_module.Ticket(
+                    text, born_ms, expires_ms
+                )
         self._shares[queue] = share
         took_ms = event.received_ms - event.sent_ms
         self._metrics.count(metrics_module.Counter.ADVICE_ANSWERS)
@@ -257,5 +259,5 @@
     for worker_id, ticket in list(step.tickets.items()):
         view = views.get(worker_id)
         is_same_life = view is not None and view.entry.born_ms == ticket.born_ms
-        if now_ms >= ticket.until_ms or not is_same_life:
+        if now_ms >= ticket.expires_ms or not is_same_life:
             del step.tickets[worker_id]
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -41,7 +41,7 @@
 
     text: str
     born_ms: int
-    until_ms: int
+    expires_ms: int
 
 
 @attrs.define(eq=False)
