--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -41,7 +41,7 @@
 
     text: str
     born_ms: int
-    until_ms: int
+    expires_ms: int
 
 
 @attrs.define(eq=False)
@@ -72,7 +72,7 @@
     number: int
     worker_id: str
     phase: RunPhase
-    since_ms: int
+    ordered_ms: int
     confirmed_ms: int = 0
     percent: float = 0.0
     progressed_ms: int = 0
--- a/src/comfreylatch/_process/cell/speculation.py
+++ b/src/comfreylatch/_process/cell/speculation.py
@@ -27,4 +27,4 @@
         return False
     median_ms = statistics.median(done_ms)
     limit_ms = max(STRAGGLER_FACTOR * median_ms, median_ms + MIN_DELAY_MS)
-    return now_ms - run.since_ms > limit_ms
+    return now_ms - run.ordered_ms > limit_ms
