--- a/src/comfreylatch/_connection/log_client.py
+++ b/src/comfreylatch/_connection/log_client.py
@@ -89,21 +89,21 @@
             case result.Ok(answer):
                 return _append_result(answer)
             case result.Err(json_call.NotSent(detail)):
-                return result.Err(log_port.LogDown(detail))
+                return result.Err(log_port.LogUnavailable(detail))
             case result.Err(json_call.AnswerLost(detail)):
                 return result.Err(log_port.LogAnswerLost(detail))
 
     def read(
         self, stream: str, offset: int, max_entries: int, wait_ms: int
     ) -> result.Result[log_port.LogBatch, log_port.ReadError]:
-        """See `LogPort.read`; a lost answer is `LogDown`, too."""
+        """See `LogPort.read`; a lost answer is `LogUnavailable`, too."""
         query = f"?from={offset}&max={max_entries}&wait_ms={wait_ms}"
         target = _target(stream) + query
         match self._call("GET", target, None, self._timeout_ms + wait_ms):
             case result.Ok(answer):
                 return _read_result(answer)
             case result.Err(error):
-                return result.Err(log_port.LogDown(error.detail))
+                return result.Err(log_port.LogUnavailable(error.detail))
 
     def _call(
         self, method: str, target: str, body: bytes | None, timeout_ms: int
@@ -119,7 +119,7 @@
     answer: json_call.Answer,
 ) -> result.Result[int, log_port.AppendError]:
     if answer.status in _NOT_TAKEN:
-        return result.Err(log_port.LogDown(f"status {answer.status}"))
+        return result.Err(log_port.LogUnavailable(f"status {answer.status}"))
     if answer.status != http.HTTPStatus.OK:
         return result.Err(log_port.LogAnswerLost(f"status {answer.status}"))
     try:
@@ -137,10 +137,12 @@
             expired = msgspec.json.decode(answer.body, type=_ExpiredAnswer)
             return result.Err(log_port.LogExpired(expired.first))
         if answer.status != http.HTTPStatus.OK:
-            return result.Err(log_port.LogDown(f"status {answer.status}"))
+            return result.Err(
+                log_port.LogUnavailable(f"status {answer.status}")
+            )
         decoded = msgspec.json.decode(answer.body, type=_ReadAnswer)
     except msgspec.MsgspecError as error:
-        return result.Err(log_port.LogDown(f"answer: {error}"))
+        return result.Err(log_port.LogUnavailable(f"answer: {error}"))
     entries = tuple(
         log_port.LogEntry(record.offset, record.payload.encode("utf-8"))
         for record in decoded.records
--- a/src/comfreylatch/_ports/log.py
+++ b/src/comfreylatch/_ports/log.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen
-class LogDown:
+class LogUnavailable:
     """The log did not take the call; nothing happened."""
 
     detail: str
@@ -60,8 +60,8 @@
     first_offset: int
 
 
-AppendError = LogDown | LogAnswerLost
-ReadError = LogDown | LogExpired
+AppendError = LogUnavailable | LogAnswerLost
+ReadError = LogUnavailable | LogExpired
 
 
 class LogPort(Protocol):
--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -295,7 +295,7 @@
             match answer:
                 case result.Ok(first_offset):
                     self._record_success(batch, first_offset)
-                case result.Err(log_port.LogDown(detail)):
+                case result.Err(log_port.LogUnavailable(detail)):
                     self._record_failure(reasons.RetryReason.LOG_DOWN, detail)
                     self._refuse_unless_sent(batch, detail)
                 case result.Err(log_port.LogAnswerLost(detail)):
@@ -358,7 +358,7 @@
         answer = self._log.read(self._stream, 0, 1, 0)
         with self._condition:
             match answer:
-                case result.Err(log_port.LogDown(detail)):
+                case result.Err(log_port.LogUnavailable(detail)):
                     self._record_failure(reasons.RetryReason.LOG_DOWN, detail)
                 case _:
                     self._mark_reachable()
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -180,7 +180,7 @@
                 )
             case result.Err(log_port.LogExpired(first_offset)):
                 return self._recover_expired(first_offset)
-            case result.Err(log_port.LogDown(detail)):
+            case result.Err(log_port.LogUnavailable(detail)):
                 self._catch_up_from_peer()
                 return self._record_failure(detail)
 
--- a/testing/fakes/log.py
+++ b/testing/fakes/log.py
@@ -29,7 +29,7 @@
     """Implements `LogPort`. Thread-safe.
 
     Attributes:
-        down: While set, every call is answered `LogDown`.
+        down: While set, every call is answered `LogUnavailable`.
         faults: Taken from the left, one for each append; then none.
         append_s: How long each append takes, in seconds of real time.
         appends: Number of appends that took effect, by stream.
@@ -54,7 +54,7 @@
         with self._changed:
             fault = self.faults.popleft() if self.faults else AppendFault.NONE
             if self.down or fault is AppendFault.DOWN:
-                return result.Err(log_port.LogDown("down"))
+                return result.Err(log_port.LogUnavailable("down"))
             if fault is AppendFault.LOST_BEFORE_EFFECT:
                 return result.Err(log_port.LogAnswerLost("lost before"))
             if fault is AppendFault.LOST_AND_LATE:
@@ -71,7 +71,7 @@
         """See `LogPort.read`."""
         with self._changed:
             if self.down:
-                return result.Err(log_port.LogDown("down"))
+                return result.Err(log_port.LogUnavailable("down"))
             held = self._streams.setdefault(stream, [])
             if offset < self._first[stream]:
                 return result.Err(log_port.LogExpired(self._first[stream]))
@@ -79,7 +79,7 @@
                 lambda: len(held) > offset or self.down, wait_ms / 1_000
             )
             if self.down:
-                return result.Err(log_port.LogDown("down"))
+                return result.Err(log_port.LogUnavailable("down"))
             taken = held[offset : offset + max_entries]
             entries = tuple(
                 log_port.LogEntry(offset + index, payload)
--- a/tests/connection/test_log_client.py
+++ b/tests/connection/test_log_client.py
@@ -58,11 +58,11 @@
     def test_nothing_listens(self) -> None:
         with log_client.LogClient(free_address(), TIMEOUT_MS) as client:
             outcome = client.append("s", [b"a"])
-        self.assertIsInstance(outcome.err(), log_port.LogDown)
+        self.assertIsInstance(outcome.err(), log_port.LogUnavailable)
 
     def test_status_503_kept_nothing(self) -> None:
         outcome = self.append(http_server.reply(503, b"{}"))
-        self.assertIsInstance(outcome.err(), log_port.LogDown)
+        self.assertIsInstance(outcome.err(), log_port.LogUnavailable)
 
     def test_other_status_is_lost(self) -> None:
         self.assert_lost(http_server.reply(500, KEPT))
@@ -126,4 +126,4 @@
         ]
         for answer in answers:
             outcome = self.read(answer)
-            self.assertIsInstance(outcome.err(), log_port.LogDown)
+            self.assertIsInstance(outcome.err(), log_port.LogUnavailable)
--- a/tests/process/batch/test_service.py
+++ b/tests/process/batch/test_service.py
@@ -48,14 +48,14 @@
     def append(self, stream: str, payloads: Any) -> Any:
         """See `LogPort.append`."""
         if self.log_cut:
-            return result.Err(log_port.LogDown("cut"))
+            return result.Err(log_port.LogUnavailable("cut"))
         return self._log.append(stream, payloads)
 
     def read(self, stream: str, offset: int, most: int, wait_ms: int) -> Any:
         """See `LogPort.read`."""
         if self.log_cut:
             time.sleep(0.05)
-            return result.Err(log_port.LogDown("cut"))
+            return result.Err(log_port.LogUnavailable("cut"))
         return self._log.read(stream, offset, most, min(wait_ms, 200))
 
     def exchange(self, address: str, exchange: Any, timeout_ms: int) -> Any:
--- a/tests/system/test_adapters.py
+++ b/tests/system/test_adapters.py
@@ -55,7 +55,7 @@
             log.control(**fault)
             seen.append(type(client.append("s", [b"x"]).err_value))
         lost = log_port.LogAnswerLost
-        self.assertEqual([lost, lost, log_port.LogDown], seen)
+        self.assertEqual([lost, lost, log_port.LogUnavailable], seen)
         log.control(down=False, keep_records=1)
         client.append("s", [b"y"])
         expired = client.read("s", 0, 10, 0).err_value
