--- a/src/comfreylatch/_connection/host_list_client.py
+++ b/src/comfreylatch/_connection/host_list_client.py
@@ -45,7 +45,7 @@
 
     def fetch(
         self,
-    ) -> result.Result[hosts_port.HostList, hosts_port.HostListDown]:
+    ) -> result.Result[hosts_port.HostList, hosts_port.HostListUnavailable]:
         """See `HostListPort.fetch`; a malformed line is logged and left out."""
         answer = json_call.call(
             self._pool, "GET", "/hosts", None, self._timeout_ms
@@ -54,18 +54,20 @@
             case result.Ok(json_call.Answer(http.HTTPStatus.OK, body)):
                 return _decode(body)
             case result.Ok(json_call.Answer(status, _)):
-                return result.Err(hosts_port.HostListDown(f"status {status}"))
+                return result.Err(
+                    hosts_port.HostListUnavailable(f"status {status}")
+                )
             case result.Err(error):
-                return result.Err(hosts_port.HostListDown(error.detail))
+                return result.Err(hosts_port.HostListUnavailable(error.detail))
 
 
 def _decode(
     body: bytes,
-) -> result.Result[hosts_port.HostList, hosts_port.HostListDown]:
+) -> result.Result[hosts_port.HostList, hosts_port.HostListUnavailable]:
     try:
         lines = msgspec.json.decode(body, type=_ListAnswer).hosts
     except msgspec.MsgspecError as error:
-        return result.Err(hosts_port.HostListDown(f"answer: {error}"))
+        return result.Err(hosts_port.HostListUnavailable(f"answer: {error}"))
     hosts: list[hosts_port.ListedHost] = []
     for line in lines:
         try:
--- a/src/comfreylatch/_ports/hosts.py
+++ b/src/comfreylatch/_ports/hosts.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class HostListDown:
+class HostListUnavailable:
     """The list can't be had now; the last known one stays in use."""
 
     detail: str
@@ -64,6 +64,6 @@
 class HostListPort(Protocol):
     """Access to the platform's list of hosts."""
 
-    def fetch(self) -> result.Result[HostList, HostListDown]:
+    def fetch(self) -> result.Result[HostList, HostListUnavailable]:
         """Returns the current list."""
         ...
--- a/tests/connection/test_host_list_client.py
+++ b/tests/connection/test_host_list_client.py
@@ -27,7 +27,7 @@
 
     def fetch(
         self, answer: http_server.Answer
-    ) -> result.Result[hosts.HostList, hosts.HostListDown]:
+    ) -> result.Result[hosts.HostList, hosts.HostListUnavailable]:
         with (
             http_server.RawServer(answer) as server,
             host_list_client.HostListClient(
