--- a/src/comfreylatch/_ports/store.py
+++ b/src/comfreylatch/_ports/store.py
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class WrongEnd:
+class EndOffsetMismatch:
     """The partition does not end where the append demanded."""
 
     end_offset: int
@@ -104,7 +104,7 @@
 AppendError = (
     StoreUnavailable
     | StoreAnswerLost
-    | WrongEnd
+    | EndOffsetMismatch
     | ProducerFenced
     | SequenceExpected
 )
--- a/src/comfreylatch/platform/store.py
+++ b/src/comfreylatch/platform/store.py
@@ -191,7 +191,7 @@
     if answer.status == 200:
         return result.Ok(reply.offset)
     if answer.status == 412:
-        return result.Err(store_port.WrongEnd(reply.end_offset))
+        return result.Err(store_port.EndOffsetMismatch(reply.end_offset))
     if answer.status == 409 and reply.reason == "seq":
         return result.Err(store_port.SequenceExpected(reply.sequence))
     if answer.status == 409:
--- a/testing/fakes/record_store.py
+++ b/testing/fakes/record_store.py
@@ -61,7 +61,7 @@
             kept = self._partition(topic, partition)
             end = len(kept.records)
             if at_offset is not None and at_offset != end:
-                return result.Err(store_port.WrongEnd(end))
+                return result.Err(store_port.EndOffsetMismatch(end))
             if producer is not None:
                 refused = _check(kept, producer, bool(records))
                 if refused is not None:
--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -76,7 +76,7 @@
         ):
             case result.Ok(offset):
                 return http.json_reply(200, {"Offset": offset})
-            case result.Err(store_port.WrongEnd(end)):
+            case result.Err(store_port.EndOffsetMismatch(end)):
                 return http.json_reply(412, {"EndOffset": end})
             case result.Err(store_port.ProducerFenced()):
                 return http.json_reply(409, {"Reason": "fenced"})
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -65,7 +65,7 @@
     def test_condition_on_the_end_is_told(self) -> None:
         self.append(new("a"))
         self.assertEqual(
-            store_port.WrongEnd(1), self.append(new("b"), at_offset=0)
+            store_port.EndOffsetMismatch(1), self.append(new("b"), at_offset=0)
         )
 
     def test_repeat_of_a_sequence_writes_once(self) -> None:
