--- a/src/comfreylatch/_ports/store.py
+++ b/src/comfreylatch/_ports/store.py
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen
-class SequenceExpected:
+class SequenceMismatch:
     """The producer's sequence does not follow the last one; this one would."""
 
     sequence: int
@@ -106,7 +106,7 @@
     | StoreAnswerLost
     | EndOffsetMismatch
     | ProducerFenced
-    | SequenceExpected
+    | SequenceMismatch
 )
 ReadError = StoreUnavailable | RecordsExpired
 
--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -221,7 +221,7 @@
                     self._is_fenced = True
                     self._on_fenced(detail)
                     return None
-                case result.Err(store_port.SequenceExpected(sequence)):
+                case result.Err(store_port.SequenceMismatch(sequence)):
                     self._sequences[topic] = sequence
                     producer = attrs.evolve(producer, sequence=sequence)
                     continue
--- a/src/comfreylatch/platform/store.py
+++ b/src/comfreylatch/platform/store.py
@@ -193,7 +193,7 @@
     if answer.status == 412:
         return result.Err(store_port.EndOffsetMismatch(reply.end_offset))
     if answer.status == 409 and reply.reason == "seq":
-        return result.Err(store_port.SequenceExpected(reply.sequence))
+        return result.Err(store_port.SequenceMismatch(reply.sequence))
     if answer.status == 409:
         return result.Err(store_port.ProducerFenced(reply.reason))
     return result.Err(store_port.StoreAnswerLost(f"status {answer.status}"))
--- a/testing/fakes/record_store.py
+++ b/testing/fakes/record_store.py
@@ -152,5 +152,5 @@
     if not has_records or last is None or producer.sequence <= last:
         return None
     if producer.sequence != last + 1:
-        return result.Err(store_port.SequenceExpected(last + 1))
+        return result.Err(store_port.SequenceMismatch(last + 1))
     return None
--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -80,7 +80,7 @@
                 return http.json_reply(412, {"EndOffset": end})
             case result.Err(store_port.ProducerFenced()):
                 return http.json_reply(409, {"Reason": "fenced"})
-            case result.Err(store_port.SequenceExpected(sequence)):
+            case result.Err(store_port.SequenceMismatch(sequence)):
                 return http.json_reply(
                     409, {"Reason": "seq", "Sequence": sequence}
                 )
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -83,7 +83,7 @@
     def test_gap_in_the_sequence_names_the_next(self) -> None:
         self.append(new("a"), producer=store_port.Producer("cell-0", 3, 0))
         self.assertEqual(
-            store_port.SequenceExpected(1),
+            store_port.SequenceMismatch(1),
             self.append(new("b"), producer=store_port.Producer("cell-0", 3, 4)),
         )
 
