--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -125,7 +125,7 @@
         )
         return http.json_reply(200, page)
 
-    def _record_verdict(self, line: verdicts.TicketLine) -> None:
+    def _record_verdict(self, line: verdicts.TicketEntry) -> None:
         """Records a verdict in the journal, except those replayed at start."""
         if not self._follower.ready:
             return
@@ -231,7 +231,7 @@
         return self._reply(ticket, line)
 
     def _reply(
-        self, ticket: tickets.Ticket, line: verdicts.TicketLine
+        self, ticket: tickets.Ticket, line: verdicts.TicketEntry
     ) -> http.HttpReply:
         """Answers with the verdict on the ticket that has the number."""
         if line.content_hash != tickets.content_hash(ticket):
@@ -254,7 +254,7 @@
         return http.json_reply(409, page, {"X-Reason": str(reason)})
 
     def _refuse_stale(
-        self, ticket: tickets.Ticket, line: verdicts.TicketLine
+        self, ticket: tickets.Ticket, line: verdicts.TicketEntry
     ) -> http.HttpReply:
         """Refuses a ticket that the fold would refuse, without an append."""
         reason = _refusal_reason(line)
@@ -307,14 +307,14 @@
         return DEFAULT_TIMEOUT_MS
 
 
-def _names_unread_version(line: verdicts.TicketLine) -> bool:
+def _names_unread_version(line: verdicts.TicketEntry) -> bool:
     """Whether the ticket names a version this host has not read yet."""
     return any(
         conflict.replaces > conflict.current for conflict in line.conflicts
     )
 
 
-def _refusal_reason(line: verdicts.TicketLine) -> reasons.RefusalReason:
+def _refusal_reason(line: verdicts.TicketEntry) -> reasons.RefusalReason:
     if line.verdict is verdicts.Verdict.CONFLICT:
         return reasons.RefusalReason.TICKET_CONFLICT
     return reasons.RefusalReason.BAD_TICKET
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -146,7 +146,7 @@
     return ProblemPage("bad-ticket", detail, tuple(problems))
 
 
-def verdict_page(line: verdicts.TicketLine, reason: str) -> VerdictPage:
+def verdict_page(line: verdicts.TicketEntry, reason: str) -> VerdictPage:
     """Builds the verdict that the submitter is answered with."""
     return VerdictPage(
         number=line.number,
@@ -159,7 +159,7 @@
 
 
 def ticket_list(
-    lines: Iterable[verdicts.TicketLine],
+    lines: Iterable[verdicts.TicketEntry],
 ) -> tuple[TicketSummary, ...]:
     """Summarises tickets in log order."""
     return tuple(
@@ -171,7 +171,7 @@
 
 
 def ticket_page(
-    line: verdicts.TicketLine,
+    line: verdicts.TicketEntry,
     own: OwnView,
     views: Iterable[peers_port.PeerView],
     decisions: Iterable[journal_module.Decision],
@@ -230,7 +230,7 @@
 
 
 def _since_wall_ms(
-    line: verdicts.TicketLine, decisions: Iterable[journal_module.Decision]
+    line: verdicts.TicketEntry, decisions: Iterable[journal_module.Decision]
 ) -> int:
     for decision in decisions:
         if decision.offset == line.offset and decision.reason == line.verdict:
@@ -239,7 +239,7 @@
 
 
 def _seat_line(
-    line: verdicts.TicketLine, own: OwnView, view: peers_port.PeerView
+    line: verdicts.TicketEntry, own: OwnView, view: peers_port.PeerView
 ) -> SeatLine:
     same_offset = view.config_offset == own.offset
     return SeatLine(
@@ -253,7 +253,7 @@
 
 
 def _sentence(
-    line: verdicts.TicketLine,
+    line: verdicts.TicketEntry,
     in_force: Sequence[SeatLine],
     not_yet: Sequence[SeatLine],
     age_ms: int,
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -34,7 +34,7 @@
 
 Key = tuple[objects.ObjectKind, str]
 Listener = Callable[[configuration.Configuration], None]
-TicketListener = Callable[[verdicts.TicketLine], None]
+TicketListener = Callable[[verdicts.TicketEntry], None]
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
 class _Snapshot:
     offset: int
     objects: tuple[_ObjectLine, ...]
-    tickets: tuple[verdicts.TicketLine, ...]
+    tickets: tuple[verdicts.TicketEntry, ...]
 
 
 _FIELD_BY_KIND: Mapping[objects.ObjectKind, str] = types.MappingProxyType(
@@ -76,7 +76,7 @@
 
     def __init__(self) -> None:
         self._objects: dict[Key, configuration.Versioned] = {}
-        self._tickets: dict[int, verdicts.TicketLine] = {}
+        self._tickets: dict[int, verdicts.TicketEntry] = {}
         self._sum = 0
         self._current = configuration.Configuration(digest=_hex(0))
         self._listeners: list[Listener] = []
@@ -176,11 +176,11 @@
         """Calls `listener` with every later verdict, in order."""
         self._ticket_listeners.append(listener)
 
-    def ticket(self, number: int) -> verdicts.TicketLine | None:
+    def ticket(self, number: int) -> verdicts.TicketEntry | None:
         """What was decided about a ticket; None when it is not known."""
         return self._tickets.get(number)
 
-    def tickets(self) -> tuple[verdicts.TicketLine, ...]:
+    def tickets(self) -> tuple[verdicts.TicketEntry, ...]:
         """The tickets remembered, in the order of their offsets."""
         return tuple(self._tickets.copy().values())
 
@@ -188,7 +188,9 @@
         """A copy of all objects, with those removed not long ago."""
         return self._objects.copy()
 
-    def judge(self, offset: int, ticket: tickets.Ticket) -> verdicts.TicketLine:
+    def judge(
+        self, offset: int, ticket: tickets.Ticket
+    ) -> verdicts.TicketEntry:
         """What the verdict would be if the ticket stood at `offset`."""
         conflicts = self._conflicts(ticket)
         broken: list[str] = []
@@ -199,7 +201,7 @@
             broken = reference_rules.broken_references(ticket, self._current)
             if broken:
                 verdict = verdicts.Verdict.BROKEN_REFERENCE
-        return verdicts.TicketLine(
+        return verdicts.TicketEntry(
             number=ticket.number,
             content_hash=tickets.content_hash(ticket),
             author=ticket.author,
@@ -235,7 +237,7 @@
 
     def _fold_ticket(
         self, offset: int, ticket: tickets.Ticket
-    ) -> verdicts.TicketLine | None:
+    ) -> verdicts.TicketEntry | None:
         """Decides on a ticket; None when its number is taken."""
         if ticket.number in self._tickets:
             # The number belongs to its first record, whatever follows.
@@ -248,13 +250,13 @@
 
     def _fold_malformed(
         self, offset: int, value: Mapping[str, Any], problems: Any
-    ) -> verdicts.TicketLine | None:
+    ) -> verdicts.TicketEntry | None:
         """Remembers a malformed ticket by its number, if it has one."""
         self._ignored += 1
         number = value.get("number")
         if not tickets.is_number(number) or number in self._tickets:
             return None
-        line = verdicts.TicketLine(
+        line = verdicts.TicketEntry(
             number=number,
             content_hash="",
             author="",
@@ -266,7 +268,7 @@
         self._remember(line)
         return line
 
-    def _remember(self, line: verdicts.TicketLine) -> None:
+    def _remember(self, line: verdicts.TicketEntry) -> None:
         self._tickets[line.number] = line
         self._sum += _ticket_hash(line)
         while len(self._tickets) > MAX_TICKETS:
@@ -358,7 +360,7 @@
     return xxhash.xxh3_64_intdigest(msgspec.json.encode((key, versioned)))
 
 
-def _ticket_hash(line: verdicts.TicketLine) -> int:
+def _ticket_hash(line: verdicts.TicketEntry) -> int:
     return xxhash.xxh3_64_intdigest(msgspec.json.encode(line))
 
 
--- a/src/comfreylatch/_version/verdicts.py
+++ b/src/comfreylatch/_version/verdicts.py
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen
-class TicketLine:
+class TicketEntry:
     """A ticket as the fold remembers it.
 
     Attributes:
--- a/tests/version/test_configuration_fold.py
+++ b/tests/version/test_configuration_fold.py
@@ -28,7 +28,7 @@
         self.fold = configuration_fold.ConfigurationFold()
         self.offset = -1
 
-    def put(self, value: dict[str, Any]) -> verdicts.TicketLine:
+    def put(self, value: dict[str, Any]) -> verdicts.TicketEntry:
         self.offset += 1
         record = tickets.TicketRecord(value)
         self.fold.apply(self.offset, ENVELOPE, record)
