--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -53,7 +53,7 @@
     stream: str
     source: EntrySource
     entries: tuple[log_port.LogEntry, ...]
-    last_records: Mapping[str, writers.WriterLine]
+    last_records: Mapping[str, writers.WriterPosition]
 
 
 AfterApply = Callable[[Applied], None]
@@ -146,7 +146,7 @@
             )
             if not self._is_contiguous(new_entries):
                 return False
-            last_records: dict[str, writers.WriterLine] = {}
+            last_records: dict[str, writers.WriterPosition] = {}
             for entry in new_entries:
                 self._apply_entry(entry, last_records)
             self._changed.notify_all()
@@ -196,7 +196,7 @@
     def _apply_entry(
         self,
         entry: log_port.LogEntry,
-        last_records: dict[str, writers.WriterLine],
+        last_records: dict[str, writers.WriterPosition],
     ) -> None:
         match records.decode(entry.payload):
             case result.Ok((envelope, body)):
@@ -212,12 +212,12 @@
         offset: int,
         envelope: records.Envelope,
         body: object,
-        last_records: dict[str, writers.WriterLine],
+        last_records: dict[str, writers.WriterPosition],
     ) -> None:
         writer = envelope.writer
         if not self._writers.take(writer, envelope.sequence, offset):
             return
-        last_records[writer] = writers.WriterLine(
+        last_records[writer] = writers.WriterPosition(
             writer, envelope.sequence, offset
         )
         try:
--- a/src/comfreylatch/_version/snapshots.py
+++ b/src/comfreylatch/_version/snapshots.py
@@ -33,7 +33,7 @@
     stream: str
     offset: int
     digest: str
-    writers: tuple[writers.WriterLine, ...]
+    writers: tuple[writers.WriterPosition, ...]
     fold: bytes
 
 
--- a/src/comfreylatch/_version/writers.py
+++ b/src/comfreylatch/_version/writers.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class WriterLine:
+class WriterPosition:
     """The last record folded of one writer.
 
     Attributes:
@@ -36,7 +36,7 @@
     equal on every host at the same offset.
     """
 
-    def __init__(self, lines: Iterable[WriterLine] = ()) -> None:
+    def __init__(self, lines: Iterable[WriterPosition] = ()) -> None:
         self._lines = {line.writer: line for line in lines}
 
     def take(self, writer: str, sequence: int, offset: int) -> bool:
@@ -44,7 +44,7 @@
         known = self._lines.get(writer)
         if known is not None and sequence <= known.sequence:
             return False
-        self._lines[writer] = WriterLine(writer, sequence, offset)
+        self._lines[writer] = WriterPosition(writer, sequence, offset)
         return True
 
     def sweep(self, offset: int) -> None:
@@ -58,10 +58,10 @@
             if line.offset >= oldest
         }
 
-    def line(self, writer: str) -> WriterLine | None:
+    def line(self, writer: str) -> WriterPosition | None:
         """The last record of a writer; None when it is not known."""
         return self._lines.get(writer)
 
-    def lines(self) -> tuple[WriterLine, ...]:
+    def lines(self) -> tuple[WriterPosition, ...]:
         """All writers known."""
         return tuple(self._lines.values())
