--- a/src/comfreylatch/_ports/workers.py
+++ b/src/comfreylatch/_ports/workers.py
@@ -119,7 +119,7 @@
 
 
 @attrs.frozen
-class TaskLine:
+class TaskStatus:
     """One attempt in a worker's report.
 
     Attributes:
@@ -200,7 +200,7 @@
     highest_term: int
     lease_left_ms: int
     capacity: Resources
-    tasks: tuple[TaskLine, ...] = ()
+    tasks: tuple[TaskStatus, ...] = ()
     usage: tuple[Usage, ...] = ()
     statuses: tuple[CommandStatus, ...] = ()
 
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -198,7 +198,7 @@
     def _take_line(
         self,
         attempt: attempt_module.Attempt,
-        line: workers.TaskLine,
+        line: workers.TaskStatus,
         now_ms: int,
     ) -> None:
         attempt.seen = True
@@ -265,7 +265,7 @@
             case _:
                 pass
 
-    def _take_stray(self, worker: str, line: workers.TaskLine) -> None:
+    def _take_stray(self, worker: str, line: workers.TaskStatus) -> None:
         """A line of an attempt that isn't assigned to this worker."""
         state = self._fold.job(line.job)
         if state is not None:
--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -170,7 +170,7 @@
 def report(tasks: int) -> workers.WorkerReport:
     """A worker's report with its tasks and one measurement of each."""
     lines = tuple(
-        workers.TaskLine(
+        workers.TaskStatus(
             f"stack-{index:07d}",
             1,
             workers.TaskState.RUNNING,
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -36,9 +36,9 @@
     share_milli: int = 1_000
     fails: bool = False
 
-    def line(self) -> workers.TaskLine:
+    def line(self) -> workers.TaskStatus:
         """As reported."""
-        return workers.TaskLine(
+        return workers.TaskStatus(
             self.start.job,
             self.start.attempt,
             self.state,
--- a/testing/standins/worker_records.py
+++ b/testing/standins/worker_records.py
@@ -93,9 +93,9 @@
         """Whether it still runs."""
         return self.state == workers.TaskState.RUNNING
 
-    def line(self) -> workers.TaskLine:
+    def line(self) -> workers.TaskStatus:
         """As reported."""
-        return workers.TaskLine(
+        return workers.TaskStatus(
             job=self.start.job,
             attempt=self.start.attempt,
             state=self.state,
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -71,7 +71,7 @@
         """Attempts that run."""
         return [task for task in self._by_key.values() if task.running]
 
-    def lines(self) -> tuple[workers.TaskLine, ...]:
+    def lines(self) -> tuple[workers.TaskStatus, ...]:
         """All attempts as reported."""
         return tuple(task.line() for task in self._by_key.values())
 
