--- a/src/comfreylatch/_version/job_transitions.py
+++ b/src/comfreylatch/_version/job_transitions.py
@@ -25,7 +25,7 @@
 )
 
 
-class FoldEvent(enum.StrEnum):
+class IgnoredReason(enum.StrEnum):
     """Why a record changed nothing."""
 
     REPEATED_RECORD = "repeated-record"
@@ -44,21 +44,21 @@
 
 def next_claim(
     claim: job_state.Claim | None, offset: int, body: ClaimRecord
-) -> job_state.Claim | FoldEvent:
+) -> job_state.Claim | IgnoredReason:
     """The claim in force after a record, or why it changes nothing."""
     match body:
         case job_records.OwnerClaimed():
             term = 0 if claim is None else claim.term
             if body.replaces != term or body.term != term + 1:
-                return FoldEvent.CLAIM_LOST
+                return IgnoredReason.CLAIM_LOST
             return job_state.Claim(
                 body.term, body.host, body.bounds, offset, offset
             )
         case job_records.OwnerRenewed() | job_records.OwnerReleased():
             if claim is None or claim.released:
-                return FoldEvent.WRONG_TERM
+                return IgnoredReason.WRONG_TERM
             if (body.term, body.host) != (claim.term, claim.host):
-                return FoldEvent.WRONG_TERM
+                return IgnoredReason.WRONG_TERM
             released = isinstance(body, job_records.OwnerReleased)
             return attrs.evolve(claim, touched_offset=offset, released=released)
 
@@ -73,9 +73,9 @@
 
 def next_state(
     state: job_state.JobState, offset: int, body: JobRecord
-) -> job_state.JobState | FoldEvent:
+) -> job_state.JobState | IgnoredReason:
     """The job after a record in force, or why it changes nothing."""
-    changes: dict[str, Any] | FoldEvent
+    changes: dict[str, Any] | IgnoredReason
     match body:
         case job_records.JobCancelled():
             changes = _cancelled(state)
@@ -91,14 +91,14 @@
         case job_records.JobMoved():
             detail = f"moved to zone {body.zone}"
             changes = _set_aside(state, job_state.JobPhase.MOVED, detail)
-    if isinstance(changes, FoldEvent):
+    if isinstance(changes, IgnoredReason):
         return changes
     return attrs.evolve(state, changed_offset=offset, **changes)
 
 
-def _cancelled(state: job_state.JobState) -> dict[str, Any] | FoldEvent:
+def _cancelled(state: job_state.JobState) -> dict[str, Any] | IgnoredReason:
     if state.ended or state.cancelled:
-        return FoldEvent.JOB_ENDED
+        return IgnoredReason.JOB_ENDED
     if state.phase is job_state.JobPhase.ASSIGNED:
         return {"cancelled": True}
     return {"cancelled": True, "phase": job_state.JobPhase.CANCELLED}
@@ -106,10 +106,10 @@
 
 def _assigned(
     state: job_state.JobState, body: job_records.AttemptAssigned
-) -> dict[str, Any] | FoldEvent:
+) -> dict[str, Any] | IgnoredReason:
     queued = state.phase is job_state.JobPhase.QUEUED
     if not queued or body.attempt != state.attempt + 1:
-        return FoldEvent.ASSIGN_REFUSED
+        return IgnoredReason.ASSIGN_REFUSED
     return {
         "phase": job_state.JobPhase.ASSIGNED,
         "attempt": body.attempt,
@@ -126,18 +126,18 @@
 
 def _checkpointed(
     state: job_state.JobState, body: job_records.AttemptCheckpointed
-) -> dict[str, Any] | FoldEvent:
+) -> dict[str, Any] | IgnoredReason:
     newer = body.checkpoint_ms > state.checkpoint_ms
     if not newer or not _runs(state, body.attempt):
-        return FoldEvent.LATE_CHECKPOINT
+        return IgnoredReason.LATE_CHECKPOINT
     return {"checkpoint_ms": body.checkpoint_ms}
 
 
 def _ended(
     state: job_state.JobState, body: job_records.AttemptEnded
-) -> dict[str, Any] | FoldEvent:
+) -> dict[str, Any] | IgnoredReason:
     if not _runs(state, body.attempt):
-        return FoldEvent.LATE_END
+        return IgnoredReason.LATE_END
     changes: dict[str, Any] = {
         "phase": job_state.JobPhase.QUEUED,
         "checkpoint_ms": max(state.checkpoint_ms, body.checkpoint_ms),
@@ -162,7 +162,7 @@
 
 def _set_aside(
     state: job_state.JobState, phase: job_state.JobPhase, detail: str
-) -> dict[str, Any] | FoldEvent:
+) -> dict[str, Any] | IgnoredReason:
     if state.phase is not job_state.JobPhase.QUEUED:
-        return FoldEvent.NOT_QUEUED
+        return IgnoredReason.NOT_QUEUED
     return {"phase": phase, "detail": detail}
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -28,7 +28,7 @@
 _encoder = msgspec.json.Encoder()
 
 
-FoldEvent = job_transitions.FoldEvent
+IgnoredReason = job_transitions.IgnoredReason
 
 
 @attrs.frozen
@@ -58,7 +58,7 @@
         self._retire_after_records = retire_after_records
         self._max_retired_ids = max_retired_ids
         self._lock = threading.RLock()
-        self._events: collections.Counter[FoldEvent] = collections.Counter()
+        self._events: collections.Counter[IgnoredReason] = collections.Counter()
         self._changed: dict[str, None] = {}
         self._all_changed = True
         self._clear()
@@ -82,7 +82,7 @@
         del envelope
         with self._lock:
             if offset <= self._offset:
-                self._events[FoldEvent.REPEATED_RECORD] += 1
+                self._events[IgnoredReason.REPEATED_RECORD] += 1
                 return
             self._offset = offset
             self._retire(offset)
@@ -169,7 +169,7 @@
         with self._lock:
             return self._phase_counts[phase]
 
-    def events(self) -> dict[FoldEvent, int]:
+    def events(self) -> dict[IgnoredReason, int]:
         """How many records changed nothing, by reason, since the start."""
         with self._lock:
             return dict(self._events)
@@ -185,7 +185,7 @@
 
     # Records.
 
-    def _fold(self, offset: int, body: Any) -> FoldEvent | None:
+    def _fold(self, offset: int, body: Any) -> IgnoredReason | None:
         match body:
             case (
                 job_records.OwnerClaimed()
@@ -205,17 +205,17 @@
                 | job_records.JobMoved()
             ):
                 if not self._is_owners(body.term):
-                    return FoldEvent.WRONG_TERM
+                    return IgnoredReason.WRONG_TERM
                 return self._fold_job(offset, body)
             case _:
-                return FoldEvent.UNKNOWN_KIND
+                return IgnoredReason.UNKNOWN_KIND
 
     def _fold_claim(
         self, offset: int, body: job_transitions.ClaimRecord
-    ) -> FoldEvent | None:
+    ) -> IgnoredReason | None:
         current = self._claims[-1] if self._claims else None
         claim = job_transitions.next_claim(current, offset, body)
-        if isinstance(claim, FoldEvent):
+        if isinstance(claim, IgnoredReason):
             return claim
         kept = self._claims
         if current is not None and current.term == claim.term:
@@ -231,16 +231,24 @@
 
     def _admit(
         self, offset: int, body: job_records.JobAdmitted
-    ) -> FoldEvent | None:
+    ) -> IgnoredReason | None:
         spec = body.spec
         known = self._jobs.get(spec.id)
         if known is not None and not job_transitions.may_return(known, body):
             same = known.spec == spec
-            return FoldEvent.DUPLICATE_JOB if same else FoldEvent.JOB_ID_TAKEN
+            return (
+                IgnoredReason.DUPLICATE_JOB
+                if same
+                else IgnoredReason.JOB_ID_TAKEN
+            )
         retired = self._retired.get(job_state.id_hash(spec.id))
         if known is None and retired is not None:
             same = retired == job_state.spec_hash(spec)
-            return FoldEvent.DUPLICATE_JOB if same else FoldEvent.JOB_ID_TAKEN
+            return (
+                IgnoredReason.DUPLICATE_JOB
+                if same
+                else IgnoredReason.JOB_ID_TAKEN
+            )
         self._put(
             job_state.JobState(
                 spec=spec,
@@ -254,12 +262,12 @@
 
     def _fold_job(
         self, offset: int, body: job_transitions.JobRecord
-    ) -> FoldEvent | None:
+    ) -> IgnoredReason | None:
         state = self._jobs.get(body.job)
         if state is None:
-            return FoldEvent.UNKNOWN_JOB
+            return IgnoredReason.UNKNOWN_JOB
         changed = job_transitions.next_state(state, offset, body)
-        if isinstance(changed, FoldEvent):
+        if isinstance(changed, IgnoredReason):
             return changed
         self._put(changed)
         if changed.ended:
--- a/tests/version/test_zone_fold.py
+++ b/tests/version/test_zone_fold.py
@@ -13,7 +13,7 @@
 from comfreylatch._version import zone_fold
 
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
-EVENT = zone_fold.FoldEvent
+EVENT = zone_fold.IgnoredReason
 PHASE = job_state.JobPhase
 
 
@@ -47,7 +47,7 @@
             envelope, decoded = records.decode(payload).unwrap()
             self.fold.apply(self.offset, envelope, decoded)
 
-    def count(self, event: zone_fold.FoldEvent) -> int:
+    def count(self, event: zone_fold.IgnoredReason) -> int:
         """How many records were refused for a reason."""
         return self.fold.events().get(event, 0)
 
