--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -175,7 +175,7 @@
             ),
             after_apply=after_apply,
         )
-        self._fold.use_age_source(self._config.age_ms)
+        self._fold.set_age_source(self._config.age_ms)
         self._ticket_handler = ticket_handler.TicketHandler(
             self._config_appender,
             self._fold,
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -95,10 +95,10 @@
         self._listeners.append(listener)
 
     def age_ms(self) -> int:
-        """See `ConfigurationSource.age_ms`; needs `use_age_source` first."""
+        """See `ConfigurationSource.age_ms`; needs `set_age_source` first."""
         return self._age_source()
 
-    def use_age_source(self, age_ms: Callable[[], int]) -> None:
+    def set_age_source(self, age_ms: Callable[[], int]) -> None:
         """Sets where `age_ms` comes from: the follower of the stream."""
         self._age_source = age_ms
 
