--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -227,7 +227,7 @@
                 return False
 
     def _sync_fold(self, now_ms: int) -> None:
-        changed = self._fold.take_changes()
+        changed = self._fold.drain_changes()
         if changed is None:
             for state in self._fold.jobs():
                 self._sync_job(state, now_ms)
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -174,7 +174,7 @@
         with self._lock:
             return dict(self._events)
 
-    def take_changes(self) -> tuple[str, ...] | None:
+    def drain_changes(self) -> tuple[str, ...] | None:
         """Ids changed since the last call; None when any may have."""
         with self._lock:
             changed = tuple(self._changed)
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -130,7 +130,7 @@
 
     def sync(self) -> None:
         """Brings the books up to the fold."""
-        changed = self.fold.take_changes()
+        changed = self.fold.drain_changes()
         if changed is None:
             changed = tuple(state.spec.id for state in self.fold.jobs())
         for job in changed:
