--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -198,7 +198,7 @@
         if state is not None:
             same = state.spec == spec
             return JobLookup.SAME if same else JobLookup.TAKEN
-        content = self._fold.retired_content(spec.id)
+        content = self._fold.retired_spec_hash(spec.id)
         if content is None:
             return JobLookup.NEW
         same = content == job_state.spec_hash(spec)
@@ -283,7 +283,7 @@
         state = self._fold.job(job)
         if state is not None:
             return http.json_reply(200, job_page(state))
-        if self._fold.retired_content(job) is not None:
+        if self._fold.retired_spec_hash(job) is not None:
             page = {"id": job, "phase": "ended", "detail": "ended earlier"}
             return http.json_reply(200, page)
         return self._refuse(_unknown_job(job, self._zone))
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -143,7 +143,7 @@
         with self._lock:
             return self._jobs.get(job)
 
-    def retired_content(self, job: str) -> int | None:
+    def retired_spec_hash(self, job: str) -> int | None:
         """Hash of the content of a job that ended long ago, else None."""
         with self._lock:
             return self._retired.get(job_state.id_hash(job))
