--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -153,7 +153,7 @@
         with self._lock:
             return tuple(self._jobs.values())
 
-    def assigned_to(self, worker: str) -> tuple[job_state.JobState, ...]:
+    def jobs_on_worker(self, worker: str) -> tuple[job_state.JobState, ...]:
         """Jobs whose running attempt is assigned to a worker."""
         with self._lock:
             names = self._by_worker.get(worker, {})
