--- a/src/comfreylatch/_process/batch/owner_status.py
+++ b/src/comfreylatch/_process/batch/owner_status.py
@@ -45,8 +45,8 @@
         term=claim.term if claim else 0,
         holds=holds,
         fold_offset=fold.offset(),
-        queued=fold.phase_count(job_state.JobPhase.QUEUED),
-        running=fold.phase_count(job_state.JobPhase.ASSIGNED),
-        parked=fold.phase_count(job_state.JobPhase.PARKED),
+        queued=fold.count_in_phase(job_state.JobPhase.QUEUED),
+        running=fold.count_in_phase(job_state.JobPhase.ASSIGNED),
+        parked=fold.count_in_phase(job_state.JobPhase.PARKED),
         quarantined=quarantined,
     )
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -164,7 +164,7 @@
         with self._lock:
             return tuple(self._by_worker)
 
-    def phase_count(self, phase: job_state.JobPhase) -> int:
+    def count_in_phase(self, phase: job_state.JobPhase) -> int:
         """How many jobs stand in a phase."""
         with self._lock:
             return self._phase_counts[phase]
