--- a/src/comfreylatch/_ports/cell_workers.py
+++ b/src/comfreylatch/_ports/cell_workers.py
@@ -111,7 +111,7 @@
     """
 
     token: int
-    seen_end: int
+    acknowledged_end: int
     deadline_ms: int
     wait_ms: int
 
--- a/src/comfreylatch/platform/workers.py
+++ b/src/comfreylatch/platform/workers.py
@@ -80,7 +80,7 @@
         body: dict[str, Any] = {
             "FencingToken": order.token,
             # Ends up to this number are forgotten there.
-            "LastSeen": order.seen_end,
+            "LastSeen": order.acknowledged_end,
         }
         if order.deadline_ms:
             body["DeadlineMs"] = order.deadline_ms
--- a/testing/fakes/cell_workers.py
+++ b/testing/fakes/cell_workers.py
@@ -91,7 +91,9 @@
             if order.deadline_ms:
                 self.deadlines_ms.append(order.deadline_ms)
             self._ended = [
-                end for end in self._ended if end.number > order.seen_end
+                end
+                for end in self._ended
+                if end.number > order.acknowledged_end
             ]
             self._changed.wait_for(
                 lambda: bool(self._ended), min(order.wait_ms, 50) / 1_000
