--- a/src/comfreylatch/_ports/cell_workers.py
+++ b/src/comfreylatch/_ports/cell_workers.py
@@ -156,7 +156,7 @@
     TOO_LATE = "too-late"
     NO_ROOM = "no-room"
     NO_TICKET = "no-ticket"
-    OTHER_LIFE = "other-life"
+    OTHER_INCARNATION = "other-life"
     UNHEALTHY = "unhealthy"
     BAD_ORDER = "bad-order"
 
--- a/src/comfreylatch/platform/workers.py
+++ b/src/comfreylatch/platform/workers.py
@@ -24,7 +24,7 @@
 }
 _STATUS_REFUSALS = {
     400: cell_workers.Refusal.BAD_ORDER,
-    421: cell_workers.Refusal.OTHER_LIFE,
+    421: cell_workers.Refusal.OTHER_INCARNATION,
     429: cell_workers.Refusal.UNHEALTHY,
     503: cell_workers.Refusal.UNHEALTHY,
 }
@@ -100,7 +100,9 @@
             reply = wire.decode(wire.HoldReply, answer)
             if reply.born and reply.born != self._entry.born_ms:
                 return result.Err(
-                    cell_workers.OrderRefused(cell_workers.Refusal.OTHER_LIFE)
+                    cell_workers.OrderRefused(
+                        cell_workers.Refusal.OTHER_INCARNATION
+                    )
                 )
             return result.Ok(
                 cell_workers.HoldAnswer(
