--- a/src/comfreylatch/_ports/advice.py
+++ b/src/comfreylatch/_ports/advice.py
@@ -29,7 +29,7 @@
     detail: str
 
 
-class Adviser(Protocol):
+class AdviceService(Protocol):
     """Gives advice, one call at a time for each host."""
 
     def advise(
--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        adviser: advice_port.Adviser,
+        adviser: advice_port.AdviceService,
         post: Callable[[events.Event], None],
         clock: clock_port.Clock,
     ) -> None:
--- a/src/comfreylatch/platform/advice.py
+++ b/src/comfreylatch/platform/advice.py
@@ -19,7 +19,7 @@
 
 @final
 class AdviceClient:
-    """Implements `Adviser`. A context manager."""
+    """Implements `AdviceService`. A context manager."""
 
     def __init__(self, address: str) -> None:
         self._pool = json_call.open_pool(address, CONNECTIONS)
@@ -38,7 +38,7 @@
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
     ) -> result.Result[advice_port.Advice, advice_port.AdviceUnavailable]:
-        """See `Adviser.advise`."""
+        """See `AdviceService.advise`."""
         body = wire.encode({"Step": step, "Workers": list(worker_ids)})
         match json_call.call(
             self._pool, "POST", "/v1/advise", body, timeout_ms
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -89,12 +89,12 @@
 
 
 class OneAllowed:
-    """Implements `Adviser`: the policy allows one worker."""
+    """Implements `AdviceService`: the policy allows one worker."""
 
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
     ) -> result.Result[advice_port.Advice, advice_port.AdviceUnavailable]:
-        """See `Adviser.advise`."""
+        """See `AdviceService.advise`."""
         del timeout_ms
         tickets = {ALLOWED: f"{step}/{ALLOWED}"}
         allowed = {
