--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -30,11 +30,11 @@
 
     def __init__(
         self,
-        adviser: advice_port.AdviceService,
+        advice_service: advice_port.AdviceService,
         post: Callable[[events.Event], None],
         clock: clock_port.Clock,
     ) -> None:
-        self._adviser = adviser
+        self._adviser = advice_service
         self._post = post
         self._clock = clock
         self._executor = call_executor.CallExecutor("advice")
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -138,9 +138,9 @@
     ) -> None:
         """Opens those services of the platform that there are."""
         self._advice_fetcher = None
-        if parts.adviser is not None:
+        if parts.advice_service is not None:
             self._advice_fetcher = advice_fetcher.AdviceFetcher(
-                parts.adviser, self._events.put, parts.clock
+                parts.advice_service, self._events.put, parts.clock
             )
         self._machine_caller = None
         if parts.machines is not None:
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -55,7 +55,7 @@
     keep_ended_ms: int
     metrics: metrics_module.Metrics
     clock: clock_port.Clock
-    adviser: advice_port.AdviceService | None = None
+    advice_service: advice_port.AdviceService | None = None
     machines: machines_port.Machines | None = None
     waves: Callable[[], tuple[machines_port.Wave, ...]] = tuple
     handover_ms: int = 0
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -190,9 +190,9 @@
         )
         logs.event(_logger, "starting", host=host.name, boot=host.boot)
         keep_ended_s = settings.bounds.status_s * KEEP_FACTOR
-        adviser = None
+        advice_service = None
         if settings.advice_address:
-            adviser = self._stack.enter_context(
+            advice_service = self._stack.enter_context(
                 advice.AdviceClient(settings.advice_address)
             )
         api = None
@@ -216,7 +216,7 @@
                 keep_ended_ms=int(keep_ended_s * 1_000),
                 metrics=self._metrics,
                 clock=self._clock,
-                adviser=adviser,
+                advice_service=advice_service,
                 machines=api,
                 waves=self._waves.current,
                 handover_ms=int(settings.bounds.handover_ms),
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -141,7 +141,7 @@
             keep_ended_ms=KEEP_ENDED_MS,
             metrics=counted,
             clock=clock,
-            adviser=OneAllowed(),
+            advice_service=OneAllowed(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
         self.ownership = ownership_module.Ownership(self.parts, self.identity)
