--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -32,6 +32,6 @@
         """
         ...
 
-    def share_connections(self, endpoint: str) -> int:
+    def connection_share(self, endpoint: str) -> int:
         """Connections this host may hold to the endpoint."""
         ...
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -40,7 +40,7 @@
         """Slots of this host's own share that are in force now."""
         ...
 
-    def share_connections(self, endpoint: str) -> int:
+    def connection_share(self, endpoint: str) -> int:
         """Connections this host may hold to the endpoint."""
         ...
 
@@ -152,9 +152,9 @@
         """See `SlotLedger.on_free`."""
         self._listeners.append(callback)
 
-    def share_connections(self, endpoint: str) -> int:
-        """See `SlotLedger.share_connections`."""
-        return self._shares.share_connections(endpoint)
+    def connection_share(self, endpoint: str) -> int:
+        """See `SlotLedger.connection_share`."""
+        return self._shares.connection_share(endpoint)
 
     def want(self, endpoint: str) -> None:
         """Has slots of an endpoint borrowed, if another host has some."""
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -178,8 +178,8 @@
         """See `SlotLedger.on_free`."""
         self._listeners.append(callback)
 
-    def share_connections(self, endpoint: str) -> int:
-        """See `SlotLedger.share_connections`."""
+    def connection_share(self, endpoint: str) -> int:
+        """See `SlotLedger.connection_share`."""
         held = self._held.get(endpoint)
         return 0 if held is None else held.usable.connections
 
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -286,7 +286,7 @@
 
     def _trim_connections(self) -> None:
         """Closes connections that a smaller share no longer allows."""
-        share = self._parts.slots.share_connections
+        share = self._parts.slots.connection_share
         self._parts.client.trim(
             {
                 address: share(endpoint)
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -228,7 +228,7 @@
             deadline_ms=self._call.deadline_ms,
             send_by_ms=send_by_ms,
             hold_until_ms=send_by_ms + parts.table.max_request_ms,
-            max_connections=parts.slots.share_connections(endpoint),
+            max_connections=parts.slots.connection_share(endpoint),
         )
         begun = parts.client.begin(
             self._state.addresses.get(endpoint, ""),
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -111,7 +111,7 @@
     def on_free(self, callback: Callable[[str], None]) -> None:
         self._listeners.append(callback)
 
-    def share_connections(self, endpoint: str) -> int:
+    def connection_share(self, endpoint: str) -> int:
         return 64
 
 
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -26,7 +26,7 @@
     def free(self, endpoint: str) -> int:
         return SHARE
 
-    def share_connections(self, endpoint: str) -> int:
+    def connection_share(self, endpoint: str) -> int:
         return 32
 
     def on_free(self, callback: Callable[[str], None]) -> None:
