--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -179,7 +179,7 @@
         known = self._fold.ticket(ticket.number)
         if known is not None:
             return self._reply(ticket, known)
-        line = self._fold.judge(-1, ticket)
+        line = self._fold.evaluate(-1, ticket)
         if not line.accepted and not _names_unread_version(line):
             return self._refuse_stale(ticket, line)
         record = tickets.TicketRecord(tickets.to_json(ticket))
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -188,7 +188,7 @@
         """A copy of all objects, with those removed not long ago."""
         return self._objects.copy()
 
-    def judge(
+    def evaluate(
         self, offset: int, ticket: tickets.Ticket
     ) -> verdicts.TicketEntry:
         """What the verdict would be if the ticket stood at `offset`."""
@@ -242,7 +242,7 @@
         if ticket.number in self._tickets:
             # The number belongs to its first record, whatever follows.
             return None
-        line = self.judge(offset, ticket)
+        line = self.evaluate(offset, ticket)
         self._remember(line)
         if line.accepted:
             self._put_in_force(offset, ticket)
