--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -91,7 +91,9 @@
             name = named.get(key)
             if isinstance(name, str) and not name.strip():
                 name_path = schema.join(path, key)
-                yield schema.Problem(name_path, "a name", schema.show(name))
+                yield schema.Problem(
+                    name_path, "a name", schema.describe_value(name)
+                )
 
 
 def _check_addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
@@ -150,7 +152,9 @@
     level = value.get("log_level")
     if isinstance(level, str) and level not in LOG_LEVELS:
         expected = "one of " + ", ".join(LOG_LEVELS)
-        yield schema.Problem("log_level", expected, schema.show(level))
+        yield schema.Problem(
+            "log_level", expected, schema.describe_value(level)
+        )
 
 
 def _check_routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
@@ -159,7 +163,7 @@
     known = [known.value for known in load_balancing.Policy]
     if isinstance(policy, str) and policy not in known:
         expected = "one of " + ", ".join(known)
-        found = schema.show(policy)
+        found = schema.describe_value(policy)
         yield schema.Problem("routing.policy", expected, found)
     keep_ms = routing.get("mark_keep_ms")
     if _is_int(keep_ms) and not 1 <= keep_ms <= MAX_TIMING_MS:
--- a/src/comfreylatch/_version/object_rules.py
+++ b/src/comfreylatch/_version/object_rules.py
@@ -50,7 +50,9 @@
             expected = f"the name {objects.FLEET_LIMITS_NAME!r}"
             found.append(
                 schema.Problem(
-                    schema.join(path, "name"), expected, schema.show(name)
+                    schema.join(path, "name"),
+                    expected,
+                    schema.describe_value(name),
                 )
             )
         case _:
@@ -84,7 +86,7 @@
     if parsed.is_ok():
         return []
     where = schema.join(path, "address")
-    return [schema.Problem(where, "IP:port", schema.show(text))]
+    return [schema.Problem(where, "IP:port", schema.describe_value(text))]
 
 
 def _seat_problems(seats: tuple[str, ...], path: str) -> schema.Problems:
--- a/src/comfreylatch/_version/schema.py
+++ b/src/comfreylatch/_version/schema.py
@@ -60,7 +60,7 @@
         return _check_enum(value, expected, path)
     if type(value) is expected or (expected is float and type(value) is int):
         return []
-    return [Problem(path, _NAMES[expected], show(value))]
+    return [Problem(path, _NAMES[expected], describe_value(value))]
 
 
 def unknown_keys(
@@ -88,7 +88,7 @@
     return f"{path}.{key}" if path else key
 
 
-def show(value: Any) -> str:
+def describe_value(value: Any) -> str:
     """A short text for a value found."""
     if value is None:
         return "null"
@@ -114,7 +114,7 @@
 
 def _check_list(value: Any, item: Any, path: str) -> Problems:
     if not isinstance(value, list):
-        return [Problem(path, "a list", show(value))]
+        return [Problem(path, "a list", describe_value(value))]
     return [
         problem
         for index, element in enumerate(value)
@@ -133,7 +133,7 @@
         Problem(
             path,
             "one of " + ", ".join(words),
-            show(value),
+            describe_value(value),
             near[0] if near else "",
         )
     ]
@@ -141,7 +141,7 @@
 
 def _check_object(value: Any, expected: type, path: str) -> Problems:
     if not isinstance(value, Mapping):
-        return [Problem(path, "an object", show(value))]
+        return [Problem(path, "an object", describe_value(value))]
     hints = typing.get_type_hints(expected)
     fields = attrs.fields(expected)
     known = [field.name for field in fields]
--- a/src/comfreylatch/_version/tickets.py
+++ b/src/comfreylatch/_version/tickets.py
@@ -102,7 +102,9 @@
 
 def _ticket_problems(value: Any) -> schema.Problems:
     if not isinstance(value, Mapping):
-        return [schema.Problem("ticket", "an object", schema.show(value))]
+        return [
+            schema.Problem("ticket", "an object", schema.describe_value(value))
+        ]
     known = [field.name for field in attrs.fields(Ticket)]
     problems = schema.unknown_keys(value, known, "")
     problems += _missing(value, known, "")
@@ -117,7 +119,7 @@
 def _changes_problems(value: Any) -> schema.Problems:
     if not isinstance(value, list) or not 1 <= len(value) <= MAX_CHANGES:
         expected = f"a list of 1 to {MAX_CHANGES} changes"
-        found = schema.show(value)
+        found = schema.describe_value(value)
         if isinstance(value, list):
             found = f"{len(value)} changes"
         return [schema.Problem("changes", expected, found)]
@@ -129,7 +131,7 @@
 
 def _change_problems(value: Any, path: str) -> schema.Problems:
     if not isinstance(value, Mapping):
-        return [schema.Problem(path, "an object", schema.show(value))]
+        return [schema.Problem(path, "an object", schema.describe_value(value))]
     known = [field.name for field in attrs.fields(Change)]
     problems = schema.unknown_keys(value, known, path)
     problems += _missing(value, known, path)
@@ -154,7 +156,7 @@
             return [schema.Problem(where, expected, "null")]
         return []
     if not isinstance(state, Mapping):
-        return [schema.Problem(where, REMOVAL, schema.show(state))]
+        return [schema.Problem(where, REMOVAL, schema.describe_value(state))]
     object_class = objects.CLASS_BY_KIND[kind]
     problems = schema.check(state, object_class, where)
     if problems:
@@ -196,7 +198,7 @@
         return []
     expected = f"a text of 1 to {longest} printable characters"
     where = schema.join(path, key)
-    return [schema.Problem(where, expected, schema.show(text))]
+    return [schema.Problem(where, expected, schema.describe_value(text))]
 
 
 def _repeated(changes: list[Any]) -> schema.Problems:
