--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -263,7 +263,7 @@
             reason="",
             offset=offset,
             verdict=verdicts.Verdict.MALFORMED,
-            detail=tickets.describe(problems)[:MAX_DETAIL_CHARACTERS],
+            detail=tickets.format_problems(problems)[:MAX_DETAIL_CHARACTERS],
         )
         self._remember(line)
         return line
--- a/src/comfreylatch/_version/tickets.py
+++ b/src/comfreylatch/_version/tickets.py
@@ -221,6 +221,6 @@
     return problems
 
 
-def describe(problems: typing.Iterable[schema.Problem]) -> str:
+def format_problems(problems: typing.Iterable[schema.Problem]) -> str:
     """All problems as one text."""
     return "; ".join(map(str, problems))
