--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -34,7 +34,7 @@
         post: Callable[[events.Event], None],
         clock: clock_port.Clock,
     ) -> None:
-        self._adviser = advice_service
+        self._advice_service = advice_service
         self._post = post
         self._clock = clock
         self._executor = call_executor.CallExecutor("advice")
@@ -56,7 +56,7 @@
 
     def _fetch(self, request: advice.AdviceRequest) -> None:
         sent_ms = self._clock.monotonic_ms()
-        outcome = self._adviser.advise(
+        outcome = self._advice_service.advise(
             request.step.name, tuple(request.workers), CALL_TIMEOUT_MS
         )
         self._post(
