--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -12,7 +12,7 @@
 from comfreylatch._ports import workers
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import attempt_stops
+from comfreylatch._process.batch import attempt_stopper
 from comfreylatch._process.batch import pending_records
 from comfreylatch._process.batch import worker_session
 from comfreylatch._version import job_records
@@ -48,7 +48,7 @@
         self._by_worker: dict[str, dict[str, attempt_module.Attempt]] = {}
         self._todo: dict[str, None] = {}
         self._pending = pending_records.PendingRecords()
-        self._stops = attempt_stops.AttemptStops(sink, self._pending)
+        self._stops = attempt_stopper.AttemptStops(sink, self._pending)
 
     def reset(self, term: int) -> None:
         """Forgets everything, as at the start of a term."""
@@ -357,7 +357,7 @@
         if attempt.state.term != self._term or not may_start:
             return
         asked_ms = attempt.start_asked_ms
-        if asked_ms >= 0 and now_ms - asked_ms < attempt_stops.RESEND_MS:
+        if asked_ms >= 0 and now_ms - asked_ms < attempt_stopper.RESEND_MS:
             return
         attempt.start_asked_ms = now_ms
         worker = attempt.state.worker
--- a/tests/process/batch/test_ownership_model.py
+++ b/tests/process/batch/test_ownership_model.py
@@ -280,7 +280,9 @@
         case "wait":
             patches.append(
                 mock.patch.object(
-                    ownership.Ownership, "predecessor_tasks_until_ms", lambda _: 0
+                    ownership.Ownership,
+                    "predecessor_tasks_until_ms",
+                    lambda _: 0,
                 )
             )
     for patch in patches:
