--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -13,7 +13,7 @@
 
 
 @final
-class AttemptStops:
+class AttemptStopper:
     """Asks for checkpoints and stops. Used by one thread."""
 
     def __init__(
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -48,7 +48,7 @@
         self._by_worker: dict[str, dict[str, attempt_module.Attempt]] = {}
         self._todo: dict[str, None] = {}
         self._pending = pending_records.PendingRecords()
-        self._stops = attempt_stopper.AttemptStops(sink, self._pending)
+        self._stops = attempt_stopper.AttemptStopper(sink, self._pending)
 
     def reset(self, term: int) -> None:
         """Forgets everything, as at the start of a term."""
