--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -23,7 +23,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.batch import end_observer
+from comfreylatch._process.batch import decision_reporter
 from comfreylatch._process.batch import evictor
 from comfreylatch._process.batch import link_pool
 from comfreylatch._process.batch import owner_status
@@ -92,7 +92,7 @@
         self._health = worker_health.WorkerHealth()
         self._usage = usage_analyzer.UsageAnalyzer()
         self._evictor = evictor.Evictor(metrics)
-        self._observer = end_observer.EndObserver(
+        self._observer = decision_reporter.EndObserver(
             zone, fold, self._health, journal, metrics
         )
         self._scheduling = self._new_scheduling_state()
