--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -21,7 +21,7 @@
 
 
 @final
-class EndObserver:
+class DecisionReporter:
     """Journal, counters and the workers' health. Used by one thread."""
 
     def __init__(
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -92,7 +92,7 @@
         self._health = worker_health.WorkerHealth()
         self._usage = usage_analyzer.UsageAnalyzer()
         self._evictor = evictor.Evictor(metrics)
-        self._observer = decision_reporter.EndObserver(
+        self._observer = decision_reporter.DecisionReporter(
             zone, fold, self._health, journal, metrics
         )
         self._scheduling = self._new_scheduling_state()
