--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -10,7 +10,7 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference_control
 from comfreylatch._process.batch import job_queue
 from comfreylatch._process.batch import job_scheduler as job_scheduler_module
@@ -32,7 +32,7 @@
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
-        self._budget = eviction.EvictionBudget()
+        self._budget = eviction_planner.EvictionBudget()
         self._waiting_since_ms: dict[str, int] = {}
 
     def make_room(
@@ -95,7 +95,7 @@
         state: job_state.JobState,
         may_evict: _MayEvict,
         now_ms: int,
-    ) -> eviction.EvictionPlan | None:
+    ) -> eviction_planner.EvictionPlan | None:
         job = state.spec.id
         size = state.spec.resources
         plan = scheduling.planner.make(job, size, may_evict, now_ms)
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -16,7 +16,7 @@
 import attrs
 
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference
 
 HIGH_MARGIN = 0.05
@@ -262,5 +262,5 @@
 ) -> tuple[str, ...]:
     """Of the upper half by contribution, those that lose least work."""
     upper = ranked[: max(1, (len(ranked) + 1) // 2)]
-    ordered = sorted(upper, key=eviction.lost_ms)
+    ordered = sorted(upper, key=eviction_planner.lost_ms)
     return tuple(attempt.job for attempt in ordered[:MAX_MOVED_PER_STEP])
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -9,7 +9,7 @@
 from comfreylatch._process.batch import attempt as attempt_module
 from comfreylatch._process.batch import attempt_tracker
 from comfreylatch._process.batch import capacity
-from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference_cost
 from comfreylatch._process.batch import job_queue
 from comfreylatch._process.batch import job_scheduler as job_scheduler_module
@@ -63,7 +63,7 @@
             fold, sink, metrics, self._share_for
         )
         self.attempts.reset(term)
-        self.planner = eviction.EvictionPlanner(
+        self.planner = eviction_planner.EvictionPlanner(
             self.ledger, self.attempts.on_worker
         )
 
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -9,7 +9,7 @@
 from comfreylatch._ports import workers
 from comfreylatch._process.batch import attempt as attempt_module
 from comfreylatch._process.batch import capacity
-from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference
 from comfreylatch._process.batch import interference_cost
 from comfreylatch._process.batch import job_queue
@@ -211,14 +211,14 @@
     def test_least_lost_work_goes_first(self) -> None:
         """One victim is enough, and it is the youngest."""
         attempts = [self._attempt("old", 90_000), self._attempt("new", 10)]
-        victims = eviction.fewest_victims(
+        victims = eviction_planner.fewest_victims(
             workers.Resources(1_000, 100), capacity.NO_RESOURCES, attempts
         )
         self.assertEqual(["new"], [victim.job for victim in victims])
 
     def test_no_victims_when_even_all_are_too_few(self) -> None:
         """Nobody is stopped in vain."""
-        victims = eviction.fewest_victims(
+        victims = eviction_planner.fewest_victims(
             workers.Resources(3_000, 100),
             capacity.NO_RESOURCES,
             [self._attempt("one", 0)],
@@ -227,10 +227,10 @@
 
     def test_budget_is_for_one_hour(self) -> None:
         """All of a request or none is granted."""
-        budget = eviction.EvictionBudget()
+        budget = eviction_planner.EvictionBudget()
         self.assertTrue(budget.take(2, 3, 0))
         self.assertFalse(budget.take(2, 3, 1_000))
-        self.assertTrue(budget.take(2, 3, eviction.HOUR_MS))
+        self.assertTrue(budget.take(2, 3, eviction_planner.HOUR_MS))
 
 
 class LearningTest(testtools.TestCase):
