--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -70,20 +70,20 @@
     """
 
     state: job_state.JobState
-    since_ms: int
-    start_asked_ms: int = -1
-    unsettled_ms: int = -1
-    seen: bool = False
+    known_since_ms: int
+    start_queued_ms: int = -1
+    unanswered_start_ms: int = -1
+    confirmed: bool = False
     stop_reason: StopReason | None = None
     evicted_ms: int = 0
-    kept: bool = False
-    keep_asked_ms: int = -1
-    stop_asked_ms: int = -1
+    eviction_checkpoint_taken: bool = False
+    eviction_checkpoint_queued_ms: int = -1
+    stop_queued_ms: int = -1
     progress_ms: int = 0
     checkpoint_ms: int = 0
     share_milli: int = 1_000
-    kept_ms: int = 0
-    recorded_ms: int = 0
+    checkpoint_requested_ms: int = 0
+    checkpoint_recorded_ms: int = 0
     recorded_checkpoint_ms: int = 0
 
     @property
@@ -91,12 +91,12 @@
         """Job id."""
         return self.state.spec.id
 
-    def evict(self, keep_first: bool, now_ms: int) -> None:
+    def evict(self, checkpoint_first: bool, now_ms: int) -> None:
         """Begins an eviction, with a checkpoint of its own if wanted."""
         self.stop_reason = StopReason.EVICTED
         self.evicted_ms = now_ms
-        self.kept = not keep_first
-        self.keep_asked_ms = -1
+        self.eviction_checkpoint_taken = not checkpoint_first
+        self.eviction_checkpoint_queued_ms = -1
 
     def may_stop(self) -> bool:
         """Whether a stop can lose nothing that its worker has kept.
@@ -106,25 +106,28 @@
         """
         if self.stop_reason is not StopReason.EVICTED:
             return True
-        return self.kept and self.state.checkpoint_ms >= self.checkpoint_ms
+        return (
+            self.eviction_checkpoint_taken
+            and self.state.checkpoint_ms >= self.checkpoint_ms
+        )
 
-    def unanswered(self, was_sent: bool, sent_ms: int) -> None:
+    def on_start_unanswered(self, was_sent: bool, sent_ms: int) -> None:
         """Takes that a start got no answer."""
-        self.start_asked_ms = -1
+        self.start_queued_ms = -1
         if was_sent:
-            self.unsettled_ms = sent_ms
+            self.unanswered_start_ms = sent_ms
 
-    def ask_again(self) -> None:
+    def retry_stop(self) -> None:
         """Makes an eviction begin anew, as when an answer was lost.
 
         Until a stop arrives the attempt goes on, beyond its checkpoint.
         """
-        self.stop_asked_ms = -1
-        if self.keep_asked_ms >= 0:
-            self.keep_asked_ms = -1
-            self.kept = False
+        self.stop_queued_ms = -1
+        if self.eviction_checkpoint_queued_ms >= 0:
+            self.eviction_checkpoint_queued_ms = -1
+            self.eviction_checkpoint_taken = False
 
-    def left_ms(self) -> int:
+    def remaining_ms(self) -> int:
         """Time until it ends if it goes on undisturbed."""
         work_ms = self.state.spec.run_time_ms - self.progress_ms
         return max(0, work_ms) * 1_000 // max(1, self.share_milli)
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -20,12 +20,12 @@
 from comfreylatch._version import zone_fold
 
 # Ends that fall together are asked for together.
-END_SLACK_MS = 100
-LEAST_POLL_MS = 400
-LONGEST_POLL_MS = 5_000
+END_POLL_SLACK_MS = 100
+MIN_POLL_DELAY_MS = 400
+MAX_POLL_DELAY_MS = 5_000
 CHECKPOINT_INTERVAL_MS = 60_000
 FULL_SHARE_MILLI = 1_000
-GIVE_UP_UNSENT_MS = 2_000
+UNSENT_START_TIMEOUT_MS = 2_000
 
 
 @final
@@ -46,16 +46,16 @@
         self._term = 0
         self._attempts: dict[str, attempt_module.Attempt] = {}
         self._by_worker: dict[str, dict[str, attempt_module.Attempt]] = {}
-        self._todo: dict[str, None] = {}
+        self._jobs_needing_command: dict[str, None] = {}
         self._pending = pending_records.PendingRecords()
-        self._stops = attempt_stopper.AttemptStopper(sink, self._pending)
+        self._stopper = attempt_stopper.AttemptStopper(sink, self._pending)
 
     def reset(self, term: int) -> None:
         """Forgets everything, as at the start of a term."""
         self._term = term
         self._attempts.clear()
         self._by_worker.clear()
-        self._todo.clear()
+        self._jobs_needing_command.clear()
         self._pending.reset(term)
 
     def attempt(self, job: str) -> attempt_module.Attempt | None:
@@ -84,23 +84,23 @@
             if same and known.state.worker == state.worker:
                 known.state = state
                 if state.cancelled:
-                    self._todo[job] = None
-                self._pending.folded_checkpoint(job, state.checkpoint_ms)
+                    self._jobs_needing_command[job] = None
+                self._pending.on_checkpoint_folded(job, state.checkpoint_ms)
                 return
-            self._drop(known)
+            self._remove(known)
         if not assigned:
             return
         fresh = attempt_module.Attempt(state, now_ms)
-        fresh.kept_ms = now_ms
-        fresh.recorded_ms = now_ms
+        fresh.checkpoint_requested_ms = now_ms
+        fresh.checkpoint_recorded_ms = now_ms
         fresh.checkpoint_ms = state.checkpoint_ms
         fresh.progress_ms = state.checkpoint_ms
         fresh.recorded_checkpoint_ms = state.checkpoint_ms
         self._attempts[job] = fresh
-        self._todo[job] = None
+        self._jobs_needing_command[job] = None
         self._by_worker.setdefault(state.worker, {})[job] = fresh
 
-    def _drop(self, attempt: attempt_module.Attempt) -> None:
+    def _remove(self, attempt: attempt_module.Attempt) -> None:
         job = attempt.job
         worker = attempt.state.worker
         del self._attempts[job]
@@ -108,11 +108,11 @@
         if not self._by_worker[worker]:
             del self._by_worker[worker]
         self._pending.forget(job)
-        if attempt.seen:
+        if attempt.confirmed:
             # Lets the worker forget the ended line.
             command = attempt.stop_command()
             self._sink.request(worker, command, at_once=False)
-        elif attempt.start_asked_ms >= 0:
+        elif attempt.start_queued_ms >= 0:
             self._sink.withdraw(worker, attempt.start_command())
 
     def on_reported(
@@ -124,13 +124,13 @@
         """Takes a worker's answer to an exchange of the current term."""
         # A worker that has restarted since knows no term and did nothing.
         if event.report.highest_term == self._term:
-            self._take_lines(event, bounds, now_ms)
+            self._process_task_lines(event, bounds, now_ms)
         for command, status in zip(
             event.commands, event.report.statuses, strict=True
         ):
-            self._take_status(command, status, now_ms)
+            self._process_status(command, status, now_ms)
 
-    def _take_lines(
+    def _process_task_lines(
         self,
         event: worker_session.Reported,
         bounds: job_records.ClaimBounds,
@@ -140,26 +140,30 @@
         for attempt in self.on_worker(event.worker):
             line = lines.pop((attempt.job, attempt.state.attempt), None)
             if line is None:
-                self._absent(attempt, event, bounds)
+                self._on_missing_from_report(attempt, event, bounds)
             else:
-                self._take_line(attempt, line, now_ms)
-        told = {(command.job, command.attempt) for command in event.commands}
+                self._process_task_line(attempt, line, now_ms)
+        commanded = {
+            (command.job, command.attempt) for command in event.commands
+        }
         for key, line in lines.items():
-            if line.state is workers.TaskState.RUNNING or key not in told:
-                self._take_stray(event.worker, line)
-        self._poll_for_end(event.worker, now_ms)
+            if line.state is workers.TaskState.RUNNING or key not in commanded:
+                self._handle_stray(event.worker, line)
+        self._schedule_poll(event.worker, now_ms)
 
-    def _poll_for_end(self, worker: str, now_ms: int) -> None:
-        left_ms = min(
+    def _schedule_poll(self, worker: str, now_ms: int) -> None:
+        remaining_ms = min(
             (
-                attempt.left_ms()
+                attempt.remaining_ms()
                 for attempt in self.on_worker(worker)
-                if attempt.seen and not self._pending.has_end(attempt.job)
+                if attempt.confirmed and not self._pending.has_end(attempt.job)
             ),
-            default=LONGEST_POLL_MS,
+            default=MAX_POLL_DELAY_MS,
         )
-        if left_ms < LONGEST_POLL_MS:
-            due_ms = now_ms + max(left_ms + END_SLACK_MS, LEAST_POLL_MS)
+        if remaining_ms < MAX_POLL_DELAY_MS:
+            due_ms = now_ms + max(
+                remaining_ms + END_POLL_SLACK_MS, MIN_POLL_DELAY_MS
+            )
             self._sink.poll_by(worker, due_ms)
 
     def on_unanswered(self, event: worker_session.Unanswered) -> None:
@@ -170,46 +174,46 @@
                 continue
             match command:
                 case workers.StartTask():
-                    attempt.unanswered(event.was_sent, event.sent_ms)
+                    attempt.on_start_unanswered(event.was_sent, event.sent_ms)
                 case workers.StopTask() | workers.CheckpointTask():
-                    attempt.ask_again()
+                    attempt.retry_stop()
                 case _:
                     pass
 
-    def _absent(
+    def _on_missing_from_report(
         self,
         attempt: attempt_module.Attempt,
         event: worker_session.Reported,
         bounds: job_records.ClaimBounds,
     ) -> None:
         """An attempt that the report doesn't name."""
-        if attempt.state.term < self._term or attempt.seen:
-            self._lost(attempt)
+        if attempt.state.term < self._term or attempt.confirmed:
+            self._record_lost(attempt)
             return
         # A start whose answer was lost may arrive until its report is stale.
         settled_ms = (
-            attempt.unsettled_ms
+            attempt.unanswered_start_ms
             + bounds.command_ttl_ms
             + bounds.drift_margin_ms
         )
-        if attempt.unsettled_ms >= 0 and event.sent_ms > settled_ms:
-            attempt.unsettled_ms = -1
+        if attempt.unanswered_start_ms >= 0 and event.sent_ms > settled_ms:
+            attempt.unanswered_start_ms = -1
 
-    def _take_line(
+    def _process_task_line(
         self,
         attempt: attempt_module.Attempt,
         line: workers.TaskStatus,
         now_ms: int,
     ) -> None:
-        attempt.seen = True
-        attempt.unsettled_ms = -1
+        attempt.confirmed = True
+        attempt.unanswered_start_ms = -1
         attempt.progress_ms = line.progress_ms
         attempt.checkpoint_ms = max(attempt.checkpoint_ms, line.checkpoint_ms)
         attempt.share_milli = line.share_milli
         match line.state:
             case workers.TaskState.RUNNING:
                 self._pending.checkpoint(attempt, now_ms)
-                self._keep(attempt, now_ms)
+                self._request_checkpoint(attempt, now_ms)
             case workers.TaskState.FINISHED:
                 self._pending.end(attempt, job_records.AttemptEnd.FINISHED)
             case workers.TaskState.FAILED:
@@ -221,15 +225,17 @@
                 end = job_records.AttemptEnd
                 self._pending.end(attempt, end.EVICTED if evicted else end.LOST)
 
-    def _keep(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
+    def _request_checkpoint(
+        self, attempt: attempt_module.Attempt, now_ms: int
+    ) -> None:
         """Asks for a checkpoint now and then, with the next renewal."""
-        if now_ms - attempt.kept_ms < CHECKPOINT_INTERVAL_MS:
+        if now_ms - attempt.checkpoint_requested_ms < CHECKPOINT_INTERVAL_MS:
             return
-        attempt.kept_ms = now_ms
+        attempt.checkpoint_requested_ms = now_ms
         command = attempt.checkpoint_command()
         self._sink.request(attempt.state.worker, command, at_once=False)
 
-    def _take_status(
+    def _process_status(
         self,
         command: workers.Command,
         status: workers.CommandStatus,
@@ -245,27 +251,27 @@
         statuses = workers.CommandStatus
         match command, status:
             case workers.StartTask(), statuses.DONE:
-                attempt.seen = True
-                attempt.unsettled_ms = -1
+                attempt.confirmed = True
+                attempt.unanswered_start_ms = -1
             case workers.StartTask(), statuses.REFUSED_DUPLICATE:
-                attempt.seen = True
-                attempt.unsettled_ms = -1
+                attempt.confirmed = True
+                attempt.unanswered_start_ms = -1
             case workers.StartTask(), statuses.REFUSED_CAPACITY:
-                attempt.start_asked_ms = -1
+                attempt.start_queued_ms = -1
                 # An earlier copy on its way might still find room.
-                if attempt.unsettled_ms < 0:
-                    self._lost(attempt)
+                if attempt.unanswered_start_ms < 0:
+                    self._record_lost(attempt)
             case workers.StartTask(), _:
-                attempt.start_asked_ms = -1
+                attempt.start_queued_ms = -1
             case workers.CheckpointTask(), statuses.DONE:
-                self._stops.take_kept(attempt, now_ms)
+                self._stopper.on_checkpoint_taken(attempt, now_ms)
             case ((workers.StopTask() | workers.CheckpointTask()), _):
                 if status is not statuses.DONE:
-                    attempt.ask_again()
+                    attempt.retry_stop()
             case _:
                 pass
 
-    def _take_stray(self, worker: str, line: workers.TaskStatus) -> None:
+    def _handle_stray(self, worker: str, line: workers.TaskStatus) -> None:
         """A line of an attempt that isn't assigned to this worker."""
         state = self._fold.job(line.job)
         if state is not None:
@@ -280,10 +286,10 @@
         command = workers.StopTask(line.job, line.attempt)
         self._sink.request(worker, command, at_once=running)
 
-    def _lost(self, attempt: attempt_module.Attempt) -> None:
+    def _record_lost(self, attempt: attempt_module.Attempt) -> None:
         self._pending.end(attempt, job_records.AttemptEnd.LOST)
 
-    def declare_lost(
+    def record_lost_attempts(
         self,
         worker: str,
         predecessor_tasks_until_ms: int,
@@ -310,80 +316,87 @@
                 if inherited
                 else gone_ms
             )
-            if not inherited and self._never_sent(attempt, now_ms):
-                until_ms = attempt.since_ms + GIVE_UP_UNSENT_MS
+            if not inherited and self._start_was_never_sent(attempt, now_ms):
+                until_ms = attempt.known_since_ms + UNSENT_START_TIMEOUT_MS
             if now_ms >= until_ms:
-                self._lost(attempt)
+                self._record_lost(attempt)
 
-    def _never_sent(self, attempt: attempt_module.Attempt, now_ms: int) -> bool:
-        if attempt.seen or attempt.unsettled_ms >= 0:
+    def _start_was_never_sent(
+        self, attempt: attempt_module.Attempt, now_ms: int
+    ) -> bool:
+        if attempt.confirmed or attempt.unanswered_start_ms >= 0:
             return False
         if attempt.state.term < self._term:
             return False
-        if now_ms - attempt.since_ms < GIVE_UP_UNSENT_MS:
+        if now_ms - attempt.known_since_ms < UNSENT_START_TIMEOUT_MS:
             return False
         return self._withdraw_start(attempt)
 
     def _withdraw_start(self, attempt: attempt_module.Attempt) -> bool:
         """Makes sure that no start goes out; False if one may be."""
-        if attempt.start_asked_ms < 0:
+        if attempt.start_queued_ms < 0:
             return True
         command = attempt.start_command()
         if not self._sink.withdraw(attempt.state.worker, command):
             return False
-        attempt.start_asked_ms = -1
+        attempt.start_queued_ms = -1
         return True
 
-    def drive(self, may_start: bool, now_ms: int) -> None:
+    def send_due_commands(self, may_start: bool, now_ms: int) -> None:
         """Asks for the starts and stops that are due."""
-        for job in tuple(self._todo):
+        for job in tuple(self._jobs_needing_command):
             attempt = self._attempts.get(job)
             if attempt is None or self._pending.has_end(job):
-                del self._todo[job]
+                del self._jobs_needing_command[job]
                 continue
-            self._drive_one(attempt, may_start, now_ms)
+            self._send_due_command(attempt, may_start, now_ms)
 
-    def _drive_one(
+    def _send_due_command(
         self, attempt: attempt_module.Attempt, may_start: bool, now_ms: int
     ) -> None:
         if attempt.state.cancelled:
             attempt.stop_reason = attempt_module.StopReason.CANCELLED
         if attempt.stop_reason is not None:
-            self._drive_stop(attempt, now_ms)
+            self._stop(attempt, now_ms)
             return
-        if attempt.seen:
-            del self._todo[attempt.job]
+        if attempt.confirmed:
+            del self._jobs_needing_command[attempt.job]
             return
         if attempt.state.term != self._term or not may_start:
             return
-        asked_ms = attempt.start_asked_ms
-        if asked_ms >= 0 and now_ms - asked_ms < attempt_stopper.RESEND_MS:
+        queued_ms = attempt.start_queued_ms
+        if (
+            queued_ms >= 0
+            and now_ms - queued_ms < attempt_stopper.RESEND_INTERVAL_MS
+        ):
             return
-        attempt.start_asked_ms = now_ms
+        attempt.start_queued_ms = now_ms
         worker = attempt.state.worker
         self._sink.request(worker, attempt.start_command())
         share_milli = self._share_for(attempt.job)
         if share_milli < FULL_SHARE_MILLI:
             self._sink.request(worker, attempt.throttle_command(share_milli))
 
-    def _drive_stop(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
+    def _stop(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         own = attempt.state.term == self._term
-        unsent = not attempt.seen and attempt.unsettled_ms < 0
+        unsent = not attempt.confirmed and attempt.unanswered_start_ms < 0
         if own and unsent:
             if self._withdraw_start(attempt):
-                self._lost(attempt)
+                self._record_lost(attempt)
             return
-        self._stops.drive(attempt, now_ms)
+        self._stopper.send_due_command(attempt, now_ms)
 
     def throttle(self, job: str, share_milli: int) -> None:
         """Asks for a share of its processors for a job's attempt."""
         attempt = self._attempts.get(job)
         # A command would make the worker forget an end not yet recorded.
-        if attempt and attempt.seen and not self._pending.has_end(job):
+        if attempt and attempt.confirmed and not self._pending.has_end(job):
             command = attempt.throttle_command(share_milli)
             self._sink.request(attempt.state.worker, command)
 
-    def evict(self, job: str, now_ms: int, keep_first: bool = True) -> bool:
+    def evict(
+        self, job: str, now_ms: int, checkpoint_first: bool = True
+    ) -> bool:
         """Asks for a checkpoint, if wanted, and then a stop.
 
         False if the job isn't running or is being stopped already.
@@ -393,6 +406,6 @@
             return False
         if self._pending.has_end(job):
             return False
-        attempt.evict(keep_first, now_ms)
-        self._todo[job] = None
+        attempt.evict(checkpoint_first, now_ms)
+        self._jobs_needing_command[job] = None
         return True
--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -10,7 +10,7 @@
 
 from comfreylatch._ports import workers
 
-MAX_LOOKS = 96
+MAX_WORKERS_EXAMINED = 96
 NO_RESOURCES = workers.Resources(0, 0, 0)
 
 
@@ -23,7 +23,7 @@
     )
 
 
-def minus(
+def subtract(
     left: workers.Resources, right: workers.Resources
 ) -> workers.Resources:
     """Difference by dimension; may be negative."""
@@ -34,7 +34,7 @@
     )
 
 
-def least(
+def minimum(
     left: workers.Resources, right: workers.Resources
 ) -> workers.Resources:
     """Smaller amount by dimension."""
@@ -54,7 +54,7 @@
     )
 
 
-def short_dimensions(
+def insufficient_dimensions(
     size: workers.Resources, free: workers.Resources
 ) -> tuple[str, ...]:
     """Names of the dimensions in which `size` is more than `free`."""
@@ -83,23 +83,23 @@
     rack: str = ""
     total: workers.Resources = NO_RESOURCES
     services: workers.Resources = NO_RESOURCES
-    open: bool = False
+    schedulable: bool = False
     reserved: workers.Resources = NO_RESOURCES
     by_job: dict[str, workers.Resources] = attrs.field(factory=dict)
-    cell: tuple[int, int, int] | None = None
+    bucket: tuple[int, int, int] | None = None
 
     @property
     def free(self) -> workers.Resources:
         """What is left; negative while over-committed by a shrink."""
-        return minus(minus(self.total, self.services), self.reserved)
+        return subtract(subtract(self.total, self.services), self.reserved)
 
     @property
     def usable(self) -> workers.Resources:
         """What batch work may ever use of it."""
-        return minus(self.total, self.services)
+        return subtract(self.total, self.services)
 
 
-def _cell_of(free: workers.Resources) -> tuple[int, int, int]:
+def _bucket_of(free: workers.Resources) -> tuple[int, int, int]:
     return (
         max(free.processors_milli, 0).bit_length(),
         max(free.memory_mib, 0).bit_length(),
@@ -119,7 +119,7 @@
     def __init__(self) -> None:
         self._accounts: dict[str, WorkerAccount] = {}
         self._worker_by_job: dict[str, str] = {}
-        self._cells: dict[tuple[int, int, int], dict[str, None]] = {}
+        self._buckets: dict[tuple[int, int, int], dict[str, None]] = {}
 
     def account(self, worker: str) -> WorkerAccount | None:
         """One worker's account, else None."""
@@ -135,7 +135,7 @@
         rack: str,
         total: workers.Resources,
         services: workers.Resources,
-        is_open: bool,
+        is_schedulable: bool,
     ) -> None:
         """Declares a worker, or changes what it has."""
         account = self._accounts.get(worker)
@@ -145,14 +145,14 @@
         account.rack = rack
         account.total = total
         account.services = services
-        account.open = is_open
+        account.schedulable = is_schedulable
         self._index(account)
 
-    def set_schedulable(self, worker: str, is_open: bool) -> None:
+    def set_schedulable(self, worker: str, is_schedulable: bool) -> None:
         """Opens a worker for placement, or closes it."""
         account = self._accounts.get(worker)
-        if account is not None and account.open != is_open:
-            account.open = is_open
+        if account is not None and account.schedulable != is_schedulable:
+            account.schedulable = is_schedulable
             self._index(account)
 
     def remove_worker(self, worker: str) -> None:
@@ -160,7 +160,7 @@
         account = self._accounts.get(worker)
         if account is None or account.by_job:
             return
-        account.open = False
+        account.schedulable = False
         self._index(account)
         del self._accounts[worker]
 
@@ -183,7 +183,7 @@
             return None
         account = self._accounts[worker]
         size = account.by_job.pop(job)
-        account.reserved = minus(account.reserved, size)
+        account.reserved = subtract(account.reserved, size)
         self._index(account)
         return worker
 
@@ -194,25 +194,25 @@
     def candidates(
         self, size: workers.Resources, limit: int
     ) -> list[WorkerAccount]:
-        """Up to `limit` open workers with room, tightest cells first.
+        """Up to `limit` schedulable workers with room, fullest buckets first.
 
-        At most `MAX_LOOKS` workers are looked at; those found too full go to
-        the end of their cell, so that later searches see the others.
+        Examines at most `MAX_WORKERS_EXAMINED` workers. Those without room
+        move to the end of their bucket, so that later searches see others.
         """
-        least_cell = _cell_of(size)
+        min_bucket = _bucket_of(size)
         reachable = sorted(
-            cell
-            for cell in self._cells
-            if cell[0] >= least_cell[0]
-            and cell[1] >= least_cell[1]
-            and cell[2] >= least_cell[2]
+            bucket
+            for bucket in self._buckets
+            if bucket[0] >= min_bucket[0]
+            and bucket[1] >= min_bucket[1]
+            and bucket[2] >= min_bucket[2]
         )
         found: list[WorkerAccount] = []
-        looks_left = MAX_LOOKS
-        for cell in reachable:
-            names = self._cells[cell]
-            for name in list(itertools.islice(names, looks_left)):
-                looks_left -= 1
+        examinations_left = MAX_WORKERS_EXAMINED
+        for bucket in reachable:
+            names = self._buckets[bucket]
+            for name in list(itertools.islice(names, examinations_left)):
+                examinations_left -= 1
                 account = self._accounts[name]
                 if not fits(size, account.free):
                     # The next search starts with others of this cell.
@@ -225,14 +225,14 @@
         return found
 
     def _index(self, account: WorkerAccount) -> None:
-        cell = _cell_of(account.free) if account.open else None
-        if cell == account.cell:
+        bucket = _bucket_of(account.free) if account.schedulable else None
+        if bucket == account.bucket:
             return
-        if account.cell is not None:
-            names = self._cells[account.cell]
+        if account.bucket is not None:
+            names = self._buckets[account.bucket]
             del names[account.name]
             if not names:
-                del self._cells[account.cell]
-        if cell is not None:
-            self._cells.setdefault(cell, {})[account.name] = None
-        account.cell = cell
+                del self._buckets[account.bucket]
+        if bucket is not None:
+            self._buckets.setdefault(bucket, {})[account.name] = None
+        account.bucket = bucket
--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -38,7 +38,7 @@
         self._journal = journal
         self._metrics = metrics
 
-    def judge(self, body: Any) -> Any:
+    def with_worker_fault(self, body: Any) -> Any:
         """Says in the record of a failure whose fault it was."""
         if not isinstance(body, job_records.AttemptEnded):
             return body
@@ -49,7 +49,7 @@
         suspect = self._health.is_suspect(state.worker)
         return attrs.evolve(body, worker_fault=suspect)
 
-    def note_folded(
+    def report_folded(
         self, bodies: Sequence[Any], worker_count: int, now_ms: int
     ) -> None:
         """Takes records that are now folded."""
@@ -57,37 +57,37 @@
             match body:
                 case job_records.AttemptAssigned():
                     sentence = f"attempt {body.attempt} on {body.worker}"
-                    self._note(body.job, "assigned", sentence)
+                    self._report(body.job, "assigned", sentence)
                 case job_records.AttemptEnded():
-                    self._note_end(body, worker_count, now_ms)
+                    self._report_end(body, worker_count, now_ms)
                 case job_records.JobParked():
-                    self._note(body.job, body.reason, body.detail)
+                    self._report(body.job, body.reason, body.detail)
                 case _:
                     pass
 
-    def _note_end(
+    def _report_end(
         self, body: job_records.AttemptEnded, worker_count: int, now_ms: int
     ) -> None:
         sentence = (
             f"attempt {body.attempt} {body.end} after {body.progress_ms} ms, "
             f"kept {body.checkpoint_ms} ms"
         )
-        self._note(body.job, f"attempt-{body.end}", sentence)
+        self._report(body.job, f"attempt-{body.end}", sentence)
         state = self._fold.job(body.job)
         if state is None or state.attempt != body.attempt:
             return
         match body.end:
             case job_records.AttemptEnd.FINISHED:
-                if self._health.finished(state.worker):
-                    self._note_worker(state.worker, "quarantine-ended")
+                if self._health.record_success(state.worker):
+                    self._report_worker(state.worker, "quarantine-ended")
             case job_records.AttemptEnd.FAILED:
                 elsewhere = any(
                     worker != state.worker for worker in state.failed_workers
                 )
-                if self._health.failed(
+                if self._health.record_failure(
                     state.worker, body.job, elsewhere, worker_count, now_ms
                 ):
-                    self._note_worker(state.worker, "quarantined")
+                    self._report_worker(state.worker, "quarantined")
             case job_records.AttemptEnd.EVICTED:
                 self._metrics.count(
                     metrics_module.Counter.EVICTIONS, state.spec.job_class
@@ -95,12 +95,12 @@
             case _:
                 pass
 
-    def _note(self, job: str, reason: str, sentence: str) -> None:
+    def _report(self, job: str, reason: str, sentence: str) -> None:
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         offset = self._fold.offset()
         self._journal.record(reasons.Subject.JOB, job, reason, sentence, offset)
 
-    def _note_worker(self, worker: str, reason: str) -> None:
+    def _report_worker(self, worker: str, reason: str) -> None:
         logs.event(_events, reason, worker=worker, zone=self._zone)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         sentence = "compared with the other workers' ends of attempts"
--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -15,7 +15,7 @@
 from comfreylatch._process.batch import capacity
 
 HOUR_MS = 3_600_000
-MAX_WORKERS_LOOKED_AT = 48
+MAX_WORKERS_EXAMINED = 48
 PLAN_TIMEOUT_MS = 10_000
 
 
@@ -36,8 +36,8 @@
     worker: str
     size: workers.Resources
     victims: tuple[str, ...]
-    lost_ms: int
-    made_ms: int
+    unsaved_work_ms: int
+    created_ms: int
 
 
 @final
@@ -47,14 +47,14 @@
     def __init__(self) -> None:
         self._times_ms: collections.deque[int] = collections.deque()
 
-    def take(self, count: int, per_hour: int, now_ms: int) -> bool:
+    def try_spend(self, count: int, per_hour: int, now_ms: int) -> bool:
         """Takes evictions out of the budget, all of them or none."""
-        if not self.has(count, per_hour, now_ms):
+        if not self.allows(count, per_hour, now_ms):
             return False
         self.spend(count, now_ms)
         return True
 
-    def has(self, count: int, per_hour: int, now_ms: int) -> bool:
+    def allows(self, count: int, per_hour: int, now_ms: int) -> bool:
         """Whether that many evictions are left."""
         while self._times_ms and self._times_ms[0] <= now_ms - HOUR_MS:
             self._times_ms.popleft()
@@ -65,12 +65,12 @@
         self._times_ms.extend([now_ms] * count)
 
 
-def lost_ms(attempt: attempt_module.Attempt) -> int:
+def unsaved_work_ms(attempt: attempt_module.Attempt) -> int:
     """Work of an attempt that its last checkpoint doesn't keep."""
     return max(0, attempt.progress_ms - attempt.checkpoint_ms)
 
 
-def fewest_victims(
+def select_victims(
     size: workers.Resources,
     free: workers.Resources,
     attempts: Iterable[attempt_module.Attempt],
@@ -81,15 +81,15 @@
     together make too little room.
     """
     chosen: list[attempt_module.Attempt] = []
-    for attempt in sorted(attempts, key=lost_ms):
+    for attempt in sorted(attempts, key=unsaved_work_ms):
         if capacity.fits(size, free):
             break
         chosen.append(attempt)
         free = capacity.add(free, attempt.state.size)
     if not capacity.fits(size, free):
         return None
-    for attempt in sorted(chosen, key=lost_ms, reverse=True):
-        without = capacity.minus(free, attempt.state.size)
+    for attempt in sorted(chosen, key=unsaved_work_ms, reverse=True):
+        without = capacity.subtract(free, attempt.state.size)
         if capacity.fits(size, without):
             chosen.remove(attempt)
             free = without
@@ -108,13 +108,13 @@
         self._ledger = ledger
         self._attempts_on = attempts_on
         self._plans: dict[str, EvictionPlan] = {}
-        self._start = 0
+        self._sample_start = 0
 
     def plan_for(self, job: str) -> EvictionPlan | None:
         """The plan under way for a job, else None."""
         return self._plans.get(job)
 
-    def make(
+    def plan(
         self,
         job: str,
         size: workers.Resources,
@@ -126,61 +126,65 @@
         A bounded number of workers is looked at, others the next time.
         """
         best: EvictionPlan | None = None
-        for account in self._some_workers():
+        for account in self._sample_workers():
             if not capacity.fits(size, account.usable):
                 continue
-            victims = fewest_victims(
+            victims = select_victims(
                 size,
                 account.free,
                 filter(may_evict, self._attempts_on(account.name)),
             )
             if victims is None:
                 continue
-            lost = sum(map(lost_ms, victims))
+            unsaved_ms = sum(map(unsaved_work_ms, victims))
             names = tuple(attempt.job for attempt in victims)
-            plan = EvictionPlan(job, account.name, size, names, lost, now_ms)
-            if best is None or _rank(plan) < _rank(best):
+            plan = EvictionPlan(
+                job, account.name, size, names, unsaved_ms, now_ms
+            )
+            if best is None or _cost(plan) < _cost(best):
                 best = plan
         if best is not None:
             self._plans[job] = best
             self._ledger.reserve(job, best.worker, size)
         return best
 
-    def ready(self, now_ms: int) -> list[EvictionPlan]:
+    def ready_plans(self, now_ms: int) -> list[EvictionPlan]:
         """Plans whose worker now has room; drops those that took too long."""
         found = []
         for plan in tuple(self._plans.values()):
             account = self._ledger.account(plan.worker)
             held = self._ledger.worker_of(plan.job) == plan.worker
-            if account is None or not account.open or not held:
-                self.drop(plan.job)
+            if account is None or not account.schedulable or not held:
+                self.cancel(plan.job)
             elif capacity.fits(capacity.NO_RESOURCES, account.free):
                 found.append(plan)
-            elif now_ms - plan.made_ms > PLAN_TIMEOUT_MS:
-                self.drop(plan.job)
+            elif now_ms - plan.created_ms > PLAN_TIMEOUT_MS:
+                self.cancel(plan.job)
         return found
 
     def finish(self, job: str) -> None:
         """Ends a plan whose job has been assigned; its room stays taken."""
         self._plans.pop(job, None)
 
-    def drop(self, job: str) -> None:
+    def cancel(self, job: str) -> None:
         """Ends a plan and frees the room taken for it."""
         plan = self._plans.pop(job, None)
         if plan and self._ledger.worker_of(job) == plan.worker:
             self._ledger.release(job)
 
-    def _some_workers(self) -> list[capacity.WorkerAccount]:
+    def _sample_workers(self) -> list[capacity.WorkerAccount]:
         accounts = [
-            account for account in self._ledger.accounts() if account.open
+            account
+            for account in self._ledger.accounts()
+            if account.schedulable
         ]
-        if len(accounts) <= MAX_WORKERS_LOOKED_AT:
+        if len(accounts) <= MAX_WORKERS_EXAMINED:
             return accounts
-        start = self._start % len(accounts)
-        self._start = start + MAX_WORKERS_LOOKED_AT
+        start = self._sample_start % len(accounts)
+        self._sample_start = start + MAX_WORKERS_EXAMINED
         ring = itertools.chain(accounts[start:], accounts[:start])
-        return list(itertools.islice(ring, MAX_WORKERS_LOOKED_AT))
+        return list(itertools.islice(ring, MAX_WORKERS_EXAMINED))
 
 
-def _rank(plan: EvictionPlan) -> tuple[int, int]:
-    return plan.lost_ms, len(plan.victims)
+def _cost(plan: EvictionPlan) -> tuple[int, int]:
+    return plan.unsaved_work_ms, len(plan.victims)
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -13,13 +13,13 @@
 from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference_control
 from comfreylatch._process.batch import job_queue
-from comfreylatch._process.batch import job_scheduler as job_scheduler_module
+from comfreylatch._process.batch import job_scheduler
 from comfreylatch._process.batch import scheduling_state
 from comfreylatch._version import job_state
 
 MAX_PLANS_PER_ROUND = 8
-RECLAIM_AFTER_MS = 30_000
-MAX_WAITING_KEPT = 1_024
+RECLAIM_DELAY_MS = 30_000
+MAX_TRACKED_WAITING_JOBS = 1_024
 
 _events = logbook.Logger(__name__)
 
@@ -38,18 +38,18 @@
     def make_room(
         self,
         scheduling: scheduling_state.SchedulingState,
-        made: job_scheduler_module.Round,
+        decisions: job_scheduler.RoundDecisions,
         per_hour: int,
         now_ms: int,
     ) -> None:
         """Plans evictions for jobs that found no room in a round."""
-        for state in made.waiting_urgent[:MAX_PLANS_PER_ROUND]:
-            self._plan(scheduling, state, _not_urgent, now_ms)
-        due = self._due(made.waiting_entitled, now_ms)
+        for state in decisions.waiting_urgent[:MAX_PLANS_PER_ROUND]:
+            self._start_eviction(scheduling, state, _not_urgent, now_ms)
+        due = self._overdue_for_reclaim(decisions.waiting_within_quota, now_ms)
         for state in due[:MAX_PLANS_PER_ROUND]:
             self._reclaim(scheduling, state, per_hour, now_ms)
 
-    def act(
+    def apply(
         self,
         scheduling: scheduling_state.SchedulingState,
         worker: str,
@@ -73,11 +73,11 @@
         scheduling: scheduling_state.SchedulingState,
         worker: str,
         jobs: tuple[str, ...],
-        keep_first: bool,
+        checkpoint_first: bool,
         per_hour: int,
         now_ms: int,
     ) -> None:
-        if not self._budget.take(len(jobs), per_hour, now_ms):
+        if not self._budget.try_spend(len(jobs), per_hour, now_ms):
             self._count("eviction-budget-spent")
             return
         for job in jobs:
@@ -86,10 +86,10 @@
                 scheduling.cost_model.avoid(
                     worker, attempt.state.spec.job_class
                 )
-            scheduling.attempts.evict(job, now_ms, keep_first)
+            scheduling.attempts.evict(job, now_ms, checkpoint_first)
             logs.event(_events, "evict", job=job, worker=worker, cause="slow")
 
-    def _plan(
+    def _start_eviction(
         self,
         scheduling: scheduling_state.SchedulingState,
         state: job_state.JobState,
@@ -98,7 +98,7 @@
     ) -> eviction_planner.EvictionPlan | None:
         job = state.spec.id
         size = state.spec.resources
-        plan = scheduling.planner.make(job, size, may_evict, now_ms)
+        plan = scheduling.planner.plan(job, size, may_evict, now_ms)
         if plan is None:
             return None
         for victim in plan.victims:
@@ -109,7 +109,7 @@
             jobs=",".join(plan.victims),
             worker=plan.worker,
             for_job=job,
-            lost_ms=plan.lost_ms,
+            lost_ms=plan.unsaved_work_ms,
         )
         return plan
 
@@ -121,22 +121,24 @@
         now_ms: int,
     ) -> None:
         """Takes borrowed room back, from teams above their quotas only."""
-        if not self._budget.has(1, per_hour, now_ms):
+        if not self._budget.allows(1, per_hour, now_ms):
             self._count("eviction-budget-spent")
             return
 
-        def borrows(attempt: attempt_module.Attempt) -> bool:
-            share_milli = scheduling.queue.share_of(attempt.state.spec.team)
+        def is_borrowing(attempt: attempt_module.Attempt) -> bool:
+            share_milli = scheduling.queue.quota_share_milli(
+                attempt.state.spec.team
+            )
             over = share_milli > job_queue.FULL_SHARE_MILLI
             return over and _not_urgent(attempt)
 
-        plan = self._plan(scheduling, state, borrows, now_ms)
+        plan = self._start_eviction(scheduling, state, is_borrowing, now_ms)
         if plan is not None:
             # A plan may take more than is left; the next one then waits.
             self._budget.spend(len(plan.victims), now_ms)
             self._count("quota-reclaimed")
 
-    def _due(
+    def _overdue_for_reclaim(
         self, waiting: tuple[job_state.JobState, ...], now_ms: int
     ) -> list[job_state.JobState]:
         """Jobs that have been waiting for long within their quota."""
@@ -147,13 +149,13 @@
             if job in names
         }
         for job in names:
-            if len(self._waiting_since_ms) < MAX_WAITING_KEPT:
+            if len(self._waiting_since_ms) < MAX_TRACKED_WAITING_JOBS:
                 self._waiting_since_ms.setdefault(job, now_ms)
         return [
             state
             for state in waiting
             if now_ms - self._waiting_since_ms.get(state.spec.id, now_ms)
-            >= RECLAIM_AFTER_MS
+            >= RECLAIM_DELAY_MS
         ]
 
     def _count(self, label: str) -> None:
--- a/src/comfreylatch/_process/batch/interference.py
+++ b/src/comfreylatch/_process/batch/interference.py
@@ -25,7 +25,7 @@
 MAX_COEFFICIENT = 8.0
 MAX_VICTIMS = 128
 MAX_AGGRESSORS = 128
-CAUTION = 0.5
+CONSERVATIVE_DEVIATIONS = 0.5
 MIN_LOAD = 0.005
 FULL_MILLI = 1_000
 
@@ -42,17 +42,21 @@
 
     mean: float = PRIOR_MEAN
     variance: float = PRIOR_VARIANCE
-    cautious: float = PRIOR_MEAN + CAUTION * math.sqrt(PRIOR_VARIANCE)
+    conservative: float = PRIOR_MEAN + CONSERVATIVE_DEVIATIONS * math.sqrt(
+        PRIOR_VARIANCE
+    )
 
     def update(self, mean: float, variance: float) -> None:
         """Takes a new estimate, within its bounds."""
         self.mean = min(max(mean, 0.0), MAX_COEFFICIENT)
         self.variance = min(variance + DRIFT_VARIANCE, PRIOR_VARIANCE)
-        self.cautious = self.mean + CAUTION * math.sqrt(self.variance)
+        self.conservative = self.mean + CONSERVATIVE_DEVIATIONS * math.sqrt(
+            self.variance
+        )
 
 
-UNKNOWN = Coefficient()
-_NOTHING_KNOWN: Mapping[str, Coefficient] = {}
+PRIOR_COEFFICIENT = Coefficient()
+_NO_ESTIMATES: Mapping[str, Coefficient] = {}
 
 
 @attrs.frozen
@@ -70,7 +74,7 @@
     processors: float
 
 
-def sample_of(
+def build_sample(
     usage: workers.Usage,
     class_by_job: Mapping[str, str],
     capacity_milli: int,
@@ -120,15 +124,15 @@
         """The estimate for a pair; the prior if nothing is known."""
         known = self._victims.get(victim)
         if known is None:
-            return UNKNOWN
-        return known.get(aggressor, UNKNOWN)
+            return PRIOR_COEFFICIENT
+        return known.get(aggressor, PRIOR_COEFFICIENT)
 
     def estimates_for(self, victim: str) -> Mapping[str, Coefficient]:
         """The estimates known for a victim, by aggressor."""
-        return self._victims.get(victim, _NOTHING_KNOWN)
+        return self._victims.get(victim, _NO_ESTIMATES)
 
     def _update(
-        self, victim: str, loads: Mapping[str, float], extra: float
+        self, victim: str, loads: Mapping[str, float], extra_slowdown: float
     ) -> None:
         known = self._victims.setdefault(victim, collections.OrderedDict())
         self._victims.move_to_end(victim)
@@ -143,11 +147,11 @@
         while len(known) > MAX_AGGRESSORS:
             known.popitem(last=False)
         predicted = sum(pair.mean * load for pair, load in pairs)
-        spread = SAMPLE_VARIANCE + sum(
+        innovation_variance = SAMPLE_VARIANCE + sum(
             pair.variance * load * load for pair, load in pairs
         )
-        error = extra - predicted
+        error = extra_slowdown - predicted
         for pair, load in pairs:
-            gain = pair.variance * load / spread
-            kept = pair.variance * (1.0 - gain * load)
-            pair.update(pair.mean + gain * error, kept)
+            gain = pair.variance * load / innovation_variance
+            variance_left = pair.variance * (1.0 - gain * load)
+            pair.update(pair.mean + gain * error, variance_left)
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -19,16 +19,16 @@
 from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference
 
-HIGH_MARGIN = 0.05
-LOW_MARGIN = -0.04
+ESCALATION_MARGIN = 0.05
+RELAXATION_MARGIN = -0.04
 MIN_SAMPLES = 3
 SETTLE_MS = 1_500
 FULL_SHARE_MILLI = 1_000
 FIRST_SHARE_MILLI = 500
 SECOND_SHARE_MILLI = 250
 MAX_THROTTLED_PER_STEP = 8
-LEAST_GAIN_MILLI = 100
-TINY_HARM = 0.001
+MIN_SHARE_GAIN_MILLI = 100
+MIN_FULL_SHARE_SLOWDOWN = 0.001
 MAX_MOVED_PER_STEP = 2
 
 
@@ -80,7 +80,7 @@
 class _WorkerState:
     step: Step = Step.NONE
     acted_ms: int = -SETTLE_MS
-    worst: collections.deque[tuple[str, float]] = attrs.field(
+    worst_slowdowns: collections.deque[tuple[str, float]] = attrs.field(
         factory=lambda: collections.deque(maxlen=MIN_SAMPLES)
     )
 
@@ -98,18 +98,20 @@
         self._states: dict[str, _WorkerState] = {}
         self.allowed_slowdown = 0.1
 
-    def step_of(self, worker: str) -> Step:
+    def current_step(self, worker: str) -> Step:
         """How far the control of a worker has gone."""
         state = self._states.get(worker)
         return Step.NONE if state is None else state.step
 
-    def is_slow(self, worker: str) -> bool:
+    def needs_frequent_reports(self, worker: str) -> bool:
         """Whether more measurements are wanted than renewals bring."""
         state = self._states.get(worker)
         if state is None:
             return False
-        low = 1.0 + self.allowed_slowdown + LOW_MARGIN
-        slow = bool(state.worst) and state.worst[-1][1] > low
+        low = 1.0 + self.allowed_slowdown + RELAXATION_MARGIN
+        slow = (
+            bool(state.worst_slowdowns) and state.worst_slowdowns[-1][1] > low
+        )
         return slow or state.step is not Step.NONE
 
     def forget(self, worker: str) -> None:
@@ -140,19 +142,19 @@
         state = self._states.setdefault(worker, _WorkerState())
         if measured_ms < state.acted_ms + SETTLE_MS:
             return None
-        state.worst.append(max(services, key=lambda pair: pair[1]))
-        if len(state.worst) < MIN_SAMPLES:
+        state.worst_slowdowns.append(max(services, key=lambda pair: pair[1]))
+        if len(state.worst_slowdowns) < MIN_SAMPLES:
             return None
-        slowdowns = [slowdown for _, slowdown in state.worst]
+        slowdowns = [slowdown for _, slowdown in state.worst_slowdowns]
         action: Action | None = None
         allowed = 1.0 + self.allowed_slowdown
-        if min(slowdowns) > allowed + HIGH_MARGIN:
+        if min(slowdowns) > allowed + ESCALATION_MARGIN:
             action = self._escalate(state, attempts, load_of)
-        elif max(slowdowns) < allowed + LOW_MARGIN:
+        elif max(slowdowns) < allowed + RELAXATION_MARGIN:
             action = self._relax(state, attempts, load_of)
         if action is not None:
             state.acted_ms = now_ms
-            state.worst.clear()
+            state.worst_slowdowns.clear()
         return action
 
     def _escalate(
@@ -161,26 +163,30 @@
         attempts: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> Action | None:
-        service, slowdown = state.worst[-1]
+        service, slowdown = state.worst_slowdowns[-1]
         ranked = self._ranked(service, attempts, load_of)
         if not ranked:
             return None
         state.step = Step(min(state.step + 1, Step.STOPPED))
         match state.step:
             case Step.THROTTLED:
-                chosen = self._enough(service, slowdown, ranked, load_of)
+                chosen = self._select_contributors(
+                    service, slowdown, ranked, load_of
+                )
                 return _throttle(chosen, FIRST_SHARE_MILLI)
             case Step.THROTTLED_MORE:
-                chosen = self._enough(service, slowdown, ranked, load_of)
+                chosen = self._select_contributors(
+                    service, slowdown, ranked, load_of
+                )
                 return _throttle(chosen, SECOND_SHARE_MILLI)
             case Step.MOVED:
-                return Move(_least_lost(ranked))
+                return Move(_least_unsaved(ranked))
             case _:
                 # The next one starts with moving again.
                 state.step = Step.THROTTLED_MORE
-                return Stop(_least_lost(ranked))
+                return Stop(_least_unsaved(ranked))
 
-    def _enough(
+    def _select_contributors(
         self,
         service: str,
         slowdown: float,
@@ -209,7 +215,7 @@
     ) -> Action | None:
         """Gives back what is not predicted to bring the slowness back."""
         state.step = Step(max(state.step - 1, Step.NONE))
-        service, slowdown = max(state.worst, key=lambda pair: pair[1])
+        service, slowdown = max(state.worst_slowdowns, key=lambda pair: pair[1])
         left = 1.0 + self.allowed_slowdown - slowdown
         shares = []
         for attempt in reversed(self._ranked(service, attempts, load_of)):
@@ -217,10 +223,10 @@
                 continue
             spec = attempt.state.spec
             pair = self._model.coefficient(service, spec.job_class)
-            whole = max(pair.mean * load_of(attempt), TINY_HARM)
+            whole = max(pair.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN)
             gain_milli = int(left / whole * FULL_SHARE_MILLI)
             share = min(attempt.share_milli + gain_milli, FULL_SHARE_MILLI)
-            if share - attempt.share_milli < LEAST_GAIN_MILLI:
+            if share - attempt.share_milli < MIN_SHARE_GAIN_MILLI:
                 continue
             gained_milli = share - attempt.share_milli
             left -= whole * gained_milli / FULL_SHARE_MILLI
@@ -257,10 +263,10 @@
     return Throttle(shares[:MAX_THROTTLED_PER_STEP])
 
 
-def _least_lost(
+def _least_unsaved(
     ranked: Sequence[attempt_module.Attempt],
 ) -> tuple[str, ...]:
     """Of the upper half by contribution, those that lose least work."""
     upper = ranked[: max(1, (len(ranked) + 1) // 2)]
-    ordered = sorted(upper, key=eviction_planner.lost_ms)
+    ordered = sorted(upper, key=eviction_planner.unsaved_work_ms)
     return tuple(attempt.job for attempt in ordered[:MAX_MOVED_PER_STEP])
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -12,12 +12,12 @@
 
 SERVICE_WEIGHT = 4.0
 # Part of the allowed slowdown that placement plans to use.
-PLANNED_PART = 0.8
-NO_HARM = 0.02
-TINY_HARM = 0.004
-LEAST_SHARE_MILLI = 100
+PLANNED_SLOWDOWN_FRACTION = 0.8
+NEGLIGIBLE_TOTAL_SLOWDOWN = 0.02
+NEGLIGIBLE_ADDED_SLOWDOWN = 0.004
+MIN_SHARE_MILLI = 100
 AVOID_COST_MILLI = 5_000
-AVOID_MS = 60_000
+AVOID_DURATION_MS = 60_000
 
 
 @final
@@ -36,9 +36,9 @@
     ) -> None:
         self._model = model
         self._sizes = sizes
-        self._milli: dict[str, collections.Counter[str]] = {}
+        self._load_milli: dict[str, collections.Counter[str]] = {}
         self._placed: dict[str, tuple[str, str, int]] = {}
-        self._whole: dict[str, int] = {}
+        self._processors_milli: dict[str, int] = {}
         self._services: dict[str, Collection[str]] = {}
         self._avoid_until_ms: dict[tuple[str, str], int] = {}
         self.now_ms = 0
@@ -46,7 +46,7 @@
 
     def set_worker(self, worker: str, processors_milli: int) -> None:
         """Declares what a worker has."""
-        self._whole[worker] = max(1, processors_milli)
+        self._processors_milli[worker] = max(1, processors_milli)
 
     def set_services(self, worker: str, services: Collection[str]) -> None:
         """Declares which services run on a worker."""
@@ -56,8 +56,8 @@
         """Counts an attempt."""
         self.remove(job)
         self._placed[job] = (worker, job_class, milli)
-        mix = self._milli.setdefault(worker, collections.Counter())
-        mix[job_class] += milli
+        load_milli = self._load_milli.setdefault(worker, collections.Counter())
+        load_milli[job_class] += milli
 
     def remove(self, job: str) -> None:
         """Stops counting an attempt."""
@@ -65,36 +65,45 @@
         if placed is None:
             return
         worker, job_class, milli = placed
-        mix = self._milli[worker]
-        mix[job_class] -= milli
-        if not mix[job_class]:
-            del mix[job_class]
-        if not mix:
-            del self._milli[worker]
+        load_milli = self._load_milli[worker]
+        load_milli[job_class] -= milli
+        if not load_milli[job_class]:
+            del load_milli[job_class]
+        if not load_milli:
+            del self._load_milli[worker]
 
     def avoid(self, worker: str, job_class: str) -> None:
         """Keeps a class that was moved off a worker away for a while."""
-        self._avoid_until_ms[worker, job_class] = self.now_ms + AVOID_MS
-        passed = [
+        self._avoid_until_ms[worker, job_class] = (
+            self.now_ms + AVOID_DURATION_MS
+        )
+        expired = [
             key
             for key, until_ms in self._avoid_until_ms.items()
             if until_ms <= self.now_ms
         ]
-        for key in passed:
+        for key in expired:
             del self._avoid_until_ms[key]
 
-    def harms(self, job_class: str, declared_milli: int, worker: str) -> bool:
-        """See `placement.CostModel.harms`."""
-        whole = self._whole.get(worker, 1)
-        load = self._sizes.used_milli(job_class, declared_milli) / whole
-        budget = PLANNED_PART * self.allowed_slowdown
+    def exceeds_slowdown(
+        self, job_class: str, declared_milli: int, worker: str
+    ) -> bool:
+        """See `placement.CostModel.exceeds_slowdown`."""
+        processors_milli = self._processors_milli.get(worker, 1)
+        load = (
+            self._sizes.used_milli(job_class, declared_milli) / processors_milli
+        )
+        budget = PLANNED_SLOWDOWN_FRACTION * self.allowed_slowdown
         for service in self._services.get(worker, ()):
             known = self._model.estimates_for(service)
-            unknown = interference.UNKNOWN
-            before = self._harm(known, worker)
+            unknown = interference.PRIOR_COEFFICIENT
+            before = self._predicted_slowdown(known, worker)
             more = known.get(job_class, unknown).mean * load
             # Work that does no harm may join a slow worker.
-            if more < TINY_HARM or before <= NO_HARM:
+            if (
+                more < NEGLIGIBLE_ADDED_SLOWDOWN
+                or before <= NEGLIGIBLE_TOTAL_SLOWDOWN
+            ):
                 continue
             if before + more > budget:
                 return True
@@ -109,43 +118,49 @@
         if placed is None:
             return interference.FULL_MILLI
         worker, job_class, milli = placed
-        whole = self._whole.get(worker, 1)
+        processors_milli = self._processors_milli.get(worker, 1)
         share = interference.FULL_MILLI
         for service in self._services.get(worker, ()):
             known = self._model.estimates_for(service)
-            unknown = interference.UNKNOWN
-            everything = self._harm(known, worker)
-            own = known.get(job_class, unknown).mean * milli / whole
+            unknown = interference.PRIOR_COEFFICIENT
+            everything = self._predicted_slowdown(known, worker)
+            own = known.get(job_class, unknown).mean * milli / processors_milli
             left = self.allowed_slowdown - (everything - own)
             if own > max(left, 0.0):
-                fitting = int(max(left, 0.0) / own * interference.FULL_MILLI)
-                share = min(share, fitting)
-        return max(share, LEAST_SHARE_MILLI)
+                fitting_milli = int(
+                    max(left, 0.0) / own * interference.FULL_MILLI
+                )
+                share = min(share, fitting_milli)
+        return max(share, MIN_SHARE_MILLI)
 
-    def _harm(
+    def _predicted_slowdown(
         self, known: Mapping[str, interference.Coefficient], worker: str
     ) -> float:
         """Predicted extra slowdown of a service on a worker."""
-        whole = self._whole.get(worker, 1)
-        unknown = interference.UNKNOWN
+        processors_milli = self._processors_milli.get(worker, 1)
+        unknown = interference.PRIOR_COEFFICIENT
         return sum(
-            known.get(other, unknown).mean * milli / whole
-            for other, milli in self._milli.get(worker, {}).items()
+            known.get(other, unknown).mean * milli / processors_milli
+            for other, milli in self._load_milli.get(worker, {}).items()
         )
 
     def cost_milli(self, job_class: str, worker: str) -> int:
         """See `placement.CostModel.cost_milli`."""
-        whole = self._whole.get(worker, 1)
+        processors_milli = self._processors_milli.get(worker, 1)
         cost = 0.0
         for service in self._services.get(worker, ()):
             pair = self._model.coefficient(service, job_class)
-            cost += SERVICE_WEIGHT * pair.cautious
+            cost += SERVICE_WEIGHT * pair.conservative
         suffered = self._model.estimates_for(job_class)
-        unknown = interference.UNKNOWN
-        for other, milli in self._milli.get(worker, {}).items():
+        unknown = interference.PRIOR_COEFFICIENT
+        for other, milli in self._load_milli.get(worker, {}).items():
             caused = self._model.coefficient(other, job_class)
             pair = suffered.get(other, unknown)
-            cost += (caused.cautious + pair.cautious) * milli / whole
+            cost += (
+                (caused.conservative + pair.conservative)
+                * milli
+                / processors_milli
+            )
         found = int(cost * interference.FULL_MILLI)
         until_ms = self._avoid_until_ms.get((worker, job_class), 0)
         return found + (AVOID_COST_MILLI if until_ms > self.now_ms else 0)
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -247,13 +247,13 @@
         quota: workers.Resources,
     ) -> _Refusal | None:
         reason = reasons.RefusalReason.NEVER_FITS
-        usable = zone_workers.usable_amounts(self._listed, configuration)
+        usable = zone_workers.usable_capacities(self._listed, configuration)
         never = placement.never_fits(spec.resources, usable)
         if never is not None:
             detail = never.sentence(spec.resources)
             return _Refusal(422, reason, detail)
         team = configuration.teams[spec.team]
-        short = capacity.short_dimensions(spec.resources, quota)
+        short = capacity.insufficient_dimensions(spec.resources, quota)
         if short and not team.may_borrow:
             names = ", ".join(short)
             detail = f"above the quota of team {spec.team}: {names}"
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -21,17 +21,19 @@
 NO_QUOTA_SHARE_MILLI = 1_000_000
 
 
-def share_milli(used: workers.Resources, quota: workers.Resources) -> int:
+def dominant_share_milli(
+    used: workers.Resources, quota: workers.Resources
+) -> int:
     """Largest used part of a quota over its dimensions, in thousandths."""
     parts = [
-        _part(used.processors_milli, quota.processors_milli),
-        _part(used.memory_mib, quota.memory_mib),
-        _part(used.accelerators, quota.accelerators),
+        _share_milli(used.processors_milli, quota.processors_milli),
+        _share_milli(used.memory_mib, quota.memory_mib),
+        _share_milli(used.accelerators, quota.accelerators),
     ]
     return max(parts)
 
 
-def _part(used: int, quota: int) -> int:
+def _share_milli(used: int, quota: int) -> int:
     if used <= 0:
         return 0
     if quota <= 0:
@@ -62,7 +64,7 @@
         self._teams: dict[str, _TeamQueue] = {}
         self._team_by_job: dict[str, str] = {}
         self._used: dict[str, workers.Resources] = {}
-        self._held: dict[str, tuple[str, workers.Resources]] = {}
+        self._usage_by_job: dict[str, tuple[str, workers.Resources]] = {}
         self._quotas: Mapping[str, objects.Team] = {}
 
     def __len__(self) -> int:
@@ -77,10 +79,10 @@
         job = state.spec.id
         self.discard(job)
         team = self._teams.setdefault(state.spec.team, _TeamQueue())
-        lane = team.urgent if state.spec.urgent else team.normal
-        lane[job] = state
+        queue = team.urgent if state.spec.urgent else team.normal
+        queue[job] = state
         if state.attempt > 0:
-            lane.move_to_end(job, last=False)
+            queue.move_to_end(job, last=False)
         self._team_by_job[job] = state.spec.team
 
     def discard(self, job: str) -> None:
@@ -97,33 +99,33 @@
     def add_usage(self, job: str, team: str, size: workers.Resources) -> None:
         """Counts a placed job against its team."""
         self.remove_usage(job)
-        self._held[job] = (team, size)
+        self._usage_by_job[job] = (team, size)
         used = self._used.get(team, capacity.NO_RESOURCES)
         self._used[team] = capacity.add(used, size)
 
     def remove_usage(self, job: str) -> None:
         """Stops counting a job against its team."""
-        held = self._held.pop(job, None)
+        held = self._usage_by_job.pop(job, None)
         if held is None:
             return
         team, size = held
-        self._used[team] = capacity.minus(self._used[team], size)
+        self._used[team] = capacity.subtract(self._used[team], size)
         if self._used[team] == capacity.NO_RESOURCES:
             del self._used[team]
 
-    def share_of(self, team: str) -> int:
+    def quota_share_milli(self, team: str) -> int:
         """Part of its quota that a team uses, in thousandths."""
         used = self._used.get(team, capacity.NO_RESOURCES)
         quota = self._quotas.get(team)
-        return share_milli(
+        return dominant_share_milli(
             used, quota.quota if quota else capacity.NO_RESOURCES
         )
 
-    def share_with(self, team: str, size: workers.Resources) -> int:
+    def quota_share_milli_with(self, team: str, size: workers.Resources) -> int:
         """Part of its quota that a team would use with one more job."""
         used = capacity.add(self._used.get(team, capacity.NO_RESOURCES), size)
         quota = self._quotas.get(team)
-        return share_milli(
+        return dominant_share_milli(
             used, quota.quota if quota else capacity.NO_RESOURCES
         )
 
@@ -146,13 +148,13 @@
         shares are read again after each. At most `BACKFILL_DEPTH` jobs of a
         team are skipped in a row before the team is left for this round.
         """
-        heap = [(self.share_of(name), name) for name in self._teams]
+        heap = [(self.quota_share_milli(name), name) for name in self._teams]
         heapq.heapify(heap)
-        seen: dict[str, set[str]] = {}
+        skipped_by_team: dict[str, set[str]] = {}
         while heap:
             _, name = heapq.heappop(heap)
-            skipped = seen.setdefault(name, set())
-            state = self._next_of(name, skipped)
+            skipped = skipped_by_team.setdefault(name, set())
+            state = self._next_job(name, skipped)
             if state is None:
                 continue
             yield state
@@ -160,9 +162,9 @@
                 skipped.add(state.spec.id)
                 if len(skipped) >= BACKFILL_DEPTH:
                     continue
-            heapq.heappush(heap, (self.share_of(name), name))
+            heapq.heappush(heap, (self.quota_share_milli(name), name))
 
-    def _next_of(
+    def _next_job(
         self, name: str, skipped: set[str]
     ) -> job_state.JobState | None:
         team = self._teams.get(name)
--- a/src/comfreylatch/_process/batch/job_scheduler.py
+++ b/src/comfreylatch/_process/batch/job_scheduler.py
@@ -14,11 +14,11 @@
 from comfreylatch._version import job_state
 
 MAX_STARTS_PER_ROUND = 64
-MAX_MISSES_PER_ROUND = 48
+MAX_FAILED_PLACEMENTS_PER_ROUND = 48
 
 
 @attrs.frozen
-class Round:
+class RoundDecisions:
     """What one round decided.
 
     Attributes:
@@ -32,23 +32,23 @@
     assigned: tuple[job_records.AttemptAssigned, ...] = ()
     parked: tuple[job_records.JobParked, ...] = ()
     waiting_urgent: tuple[job_state.JobState, ...] = ()
-    waiting_entitled: tuple[job_state.JobState, ...] = ()
+    waiting_within_quota: tuple[job_state.JobState, ...] = ()
 
 
 @attrs.define
-class _Draft:
+class _RoundBuilder:
     assigned: list[job_records.AttemptAssigned] = attrs.field(factory=list)
     parked: list[job_records.JobParked] = attrs.field(factory=list)
     urgent: list[job_state.JobState] = attrs.field(factory=list)
-    entitled: list[job_state.JobState] = attrs.field(factory=list)
-    misses: int = 0
-    hopeless: set[tuple[str, workers.Resources]] = attrs.field(factory=set)
+    within_quota: list[job_state.JobState] = attrs.field(factory=list)
+    failed_placements: int = 0
+    unplaceable: set[tuple[str, workers.Resources]] = attrs.field(factory=set)
 
     @property
     def full(self) -> bool:
         return (
             len(self.assigned) >= MAX_STARTS_PER_ROUND
-            or self.misses >= MAX_MISSES_PER_ROUND
+            or self.failed_placements >= MAX_FAILED_PLACEMENTS_PER_ROUND
         )
 
 
@@ -72,7 +72,7 @@
         """How many jobs wait."""
         return len(self._queue)
 
-    def take_changed(self) -> bool:
+    def consume_changed(self) -> bool:
         """Whether a round may do more than the last one; asked once."""
         changed = self._changed
         self._changed = False
@@ -99,34 +99,34 @@
         term: int,
         max_attempts: int,
         is_planned: Callable[[str], bool] = lambda _: False,
-    ) -> Round:
+    ) -> RoundDecisions:
         """Places what has room now, the most entitled first.
 
         Jobs for which room is being made already are left out.
         """
-        draft = _Draft()
+        builder = _RoundBuilder()
         for state in self._queue.urgent():
-            if draft.full:
+            if builder.full:
                 break
             if is_planned(state.spec.id):
                 continue
-            if not self._try(state, term, max_attempts, draft):
-                draft.urgent.append(state)
+            if not self._try_place(state, term, max_attempts, builder):
+                builder.urgent.append(state)
         for state in self._queue.fair_order():
-            if draft.full:
+            if builder.full:
                 break
             if is_planned(state.spec.id):
                 continue
-            if self._try(state, term, max_attempts, draft):
+            if self._try_place(state, term, max_attempts, builder):
                 continue
             if self._within_quota(state, self._size_for(state)):
-                draft.entitled.append(state)
-        self._changed |= draft.full
-        return Round(
-            tuple(draft.assigned),
-            tuple(draft.parked),
-            tuple(draft.urgent),
-            tuple(draft.entitled),
+                builder.within_quota.append(state)
+        self._changed |= builder.full
+        return RoundDecisions(
+            tuple(builder.assigned),
+            tuple(builder.parked),
+            tuple(builder.urgent),
+            tuple(builder.within_quota),
         )
 
     def assign(
@@ -150,40 +150,40 @@
             reserved=None if size == state.spec.resources else size,
         )
 
-    def _try(
+    def _try_place(
         self,
         state: job_state.JobState,
         term: int,
         max_attempts: int,
-        draft: _Draft,
+        builder: _RoundBuilder,
     ) -> bool:
         job = state.spec.id
         if state.failures >= max_attempts:
             names = ", ".join(state.failed_workers)
             detail = f"{state.failures} failed attempts on {names}"
             reason = job_records.ParkReason.FAILED_OFTEN
-            draft.parked.append(
+            builder.parked.append(
                 job_records.JobParked(term, job, reason, detail)
             )
             self._queue.discard(job)
             return True
         size = self._size_for(state)
-        if not self._may_use(state, size):
-            draft.misses += 1
+        if not self._may_place(state, size):
+            builder.failed_placements += 1
             return False
         shape = (state.spec.job_class, size)
-        if shape in draft.hopeless:
+        if shape in builder.unplaceable:
             return False
         worker = self._placement.choose(state, size)
         if worker is None:
-            draft.misses += 1
+            builder.failed_placements += 1
             if not state.failed_workers and not state.spec.urgent:
-                draft.hopeless.add(shape)
+                builder.unplaceable.add(shape)
             return False
-        draft.assigned.append(self.assign(state, worker, size, term))
+        builder.assigned.append(self.assign(state, worker, size, term))
         return True
 
-    def _may_use(
+    def _may_place(
         self, state: job_state.JobState, size: workers.Resources
     ) -> bool:
         if self._queue.may_borrow(state.spec.team):
@@ -193,5 +193,5 @@
     def _within_quota(
         self, state: job_state.JobState, size: workers.Resources
     ) -> bool:
-        share_milli = self._queue.share_with(state.spec.team, size)
+        share_milli = self._queue.quota_share_milli_with(state.spec.team, size)
         return share_milli <= job_queue.FULL_SHARE_MILLI
--- a/src/comfreylatch/_process/batch/learned_sizes.py
+++ b/src/comfreylatch/_process/batch/learned_sizes.py
@@ -9,8 +9,8 @@
 
 from comfreylatch._ports import workers
 
-MIN_ATTEMPTS = 6
-MAX_ATTEMPTS = 64
+MIN_ATTEMPTS_TO_LEARN = 6
+MAX_ATTEMPTS_PER_CLASS = 64
 MAX_CLASSES = 256
 MAX_RATIO_MILLI = 8_000
 DECLARED_RATIO_MILLI = 1_000
@@ -53,7 +53,7 @@
             collections.OrderedDict()
         )
 
-    def note(
+    def record(
         self,
         job_class: str,
         declared: workers.Resources,
@@ -78,13 +78,13 @@
             return
         sizes.attempts[key] = highest
         sizes.cached = None
-        if len(sizes.attempts) > MAX_ATTEMPTS:
+        if len(sizes.attempts) > MAX_ATTEMPTS_PER_CLASS:
             sizes.attempts.popitem(last=False)
 
     def ratio(self, job_class: str) -> SizeRatio:
         """What to reserve over the declared size, in thousandths."""
         sizes = self._classes.get(job_class)
-        if sizes is None or len(sizes.attempts) < MIN_ATTEMPTS:
+        if sizes is None or len(sizes.attempts) < MIN_ATTEMPTS_TO_LEARN:
             return SizeRatio(DECLARED_RATIO_MILLI, DECLARED_RATIO_MILLI)
         if sizes.cached is None:
             ratios = list(sizes.attempts.values())
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -31,13 +31,13 @@
         self,
         host_id: str,
         port: workers.WorkerPort,
-        holder: ownership.Ownership,
+        zone_ownership: ownership.Ownership,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self._host_id = host_id
         self._port = port
-        self._holder = holder
+        self._ownership = zone_ownership
         self._metrics = metrics
         self._clock = clock
         self._sessions: dict[str, worker_session.WorkerSession] = {}
@@ -136,7 +136,7 @@
         link = worker_link.WorkerLink(
             session,
             self._port,
-            self._holder,
+            self._ownership,
             self._deliver,
             self._metrics,
             self._clock,
--- a/src/comfreylatch/_process/batch/owner_status.py
+++ b/src/comfreylatch/_process/batch/owner_status.py
@@ -33,7 +33,7 @@
     quarantined: tuple[str, ...]
 
 
-def of_fold(
+def from_fold(
     fold: zone_fold.ZoneFold, holds: bool, quarantined: tuple[str, ...]
 ) -> OwnerStatus:
     """Reads the counts of a fold."""
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -35,7 +35,7 @@
 APPEND_TIMEOUT_MS = 1_500
 STEP_INTERVAL_MS = 100
 RENEWALS_PER_CLAIM = 3
-MAX_JITTER_MS = 1_000
+MAX_CLAIM_JITTER_MS = 1_000
 # What a claim without a configured zone uses.
 DEFAULT_AUTONOMY_MS = 60_000
 
@@ -83,10 +83,10 @@
         return self.term > 0 and now_ms < self.renew_until_ms
 
 
-NO_HOLD = OwnerPermissions()
+NO_PERMISSIONS = OwnerPermissions()
 
 
-def hold_span_ms(claim: job_state.Claim) -> int:
+def max_task_lifetime_ms(claim: job_state.Claim) -> int:
     """Longest time after its last proof in which a claim's tasks can run."""
     bounds = claim.bounds
     tail_ms = (
@@ -125,16 +125,16 @@
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
-        self._jitter_ms = random.Random(host_id).randrange(MAX_JITTER_MS)
+        self._jitter_ms = random.Random(host_id).randrange(MAX_CLAIM_JITTER_MS)
         self._lock = threading.Lock()
-        self._hold = NO_HOLD
-        self._proved_ms = -1
+        self._permissions = NO_PERMISSIONS
+        self._proof_ms = -1
         self._renewal_sent_ms: int | None = None
-        self._unresolved_ms: int | None = None
+        self._unconfirmed_sent_ms: int | None = None
         self._own_touched_offset = -1
-        self._seen: dict[int, tuple[int, bool, bool]] = {}
-        self._guards_ms: dict[int, int] = {}
-        self._changed_ms = clock.monotonic_ms()
+        self._seen_claims: dict[int, tuple[int, bool, bool]] = {}
+        self._predecessor_tasks_until_ms: dict[int, int] = {}
+        self._claim_changed_ms = clock.monotonic_ms()
         self._fenced_term = 0
         self._claiming = False
         self._stopping = threading.Event()
@@ -163,14 +163,14 @@
     def permissions(self) -> OwnerPermissions:
         """What this host may do now; check it right before each exchange."""
         with self._lock:
-            if self._fenced_term > self._hold.term:
-                return NO_HOLD
-            return self._hold
+            if self._fenced_term > self._permissions.term:
+                return NO_PERMISSIONS
+            return self._permissions
 
     def predecessor_tasks_until_ms(self) -> int:
         """Until when unfenced workers may run what other hosts started."""
         with self._lock:
-            return max(self._guards_ms.values(), default=0)
+            return max(self._predecessor_tasks_until_ms.values(), default=0)
 
     def report_fenced(self, term: int) -> None:
         """Tells that a worker has seen a higher term than this host's."""
@@ -199,8 +199,8 @@
         """Gives the claim up; nothing may be sent to workers any more."""
         self._stopping.set()
         with self._lock:
-            permissions = self._hold
-            self._hold = NO_HOLD
+            permissions = self._permissions
+            self._permissions = NO_PERMISSIONS
         if permissions.term == 0:
             return
         body = job_records.OwnerReleased(permissions.term, self._host_id)
@@ -224,48 +224,54 @@
             for claim in claims:
                 own = claim.host == self._host_id
                 superseded = own and claim is not claims[-1]
-                mark = (claim.touched_offset, claim.released, superseded)
-                if self._seen.get(claim.term) == mark:
+                seen = (claim.touched_offset, claim.released, superseded)
+                if self._seen_claims.get(claim.term) == seen:
                     continue
-                self._seen[claim.term] = mark
-                self._changed_ms = now_ms
+                self._seen_claims[claim.term] = seen
+                self._claim_changed_ms = now_ms
                 if superseded or not own:
-                    self._guards_ms[claim.term] = now_ms + hold_span_ms(claim)
+                    self._predecessor_tasks_until_ms[claim.term] = (
+                        now_ms + max_task_lifetime_ms(claim)
+                    )
             self._forget_old(claims, now_ms)
-            self._update_hold(claims[-1] if claims else None)
+            self._update_permissions(claims[-1] if claims else None)
 
     def _forget_old(
         self, claims: tuple[job_state.Claim, ...], now_ms: int
     ) -> None:
         known = {claim.term for claim in claims}
-        for term in [term for term in self._seen if term not in known]:
-            del self._seen[term]
+        for term in [term for term in self._seen_claims if term not in known]:
+            del self._seen_claims[term]
         passed = [
-            term for term, until in self._guards_ms.items() if until <= now_ms
+            term
+            for term, until in self._predecessor_tasks_until_ms.items()
+            if until <= now_ms
         ]
         for term in passed:
-            del self._guards_ms[term]
+            del self._predecessor_tasks_until_ms[term]
 
-    def _update_hold(self, claim: job_state.Claim | None) -> None:
+    def _update_permissions(self, claim: job_state.Claim | None) -> None:
         if claim is None or not self._is_own(claim) or self._stopping.is_set():
-            self._hold = NO_HOLD
+            self._permissions = NO_PERMISSIONS
             return
         if claim.touched_offset > self._own_touched_offset:
             self._own_touched_offset = claim.touched_offset
-            if self._unresolved_ms is not None:
-                self._proved_ms = max(self._proved_ms, self._unresolved_ms)
-                self._unresolved_ms = None
+            if self._unconfirmed_sent_ms is not None:
+                self._proof_ms = max(self._proof_ms, self._unconfirmed_sent_ms)
+                self._unconfirmed_sent_ms = None
         bounds = claim.bounds
         renew_ms = max(bounds.autonomy_ms, bounds.claim_ms)
-        gained = self._hold.term != claim.term
-        self._hold = OwnerPermissions(
+        gained = self._permissions.term != claim.term
+        self._permissions = OwnerPermissions(
             term=claim.term,
             bounds=bounds,
-            command_until_ms=self._proved_ms + bounds.claim_ms,
-            renew_until_ms=self._proved_ms + renew_ms,
+            command_until_ms=self._proof_ms + bounds.claim_ms,
+            renew_until_ms=self._proof_ms + renew_ms,
         )
         if gained:
-            self._note("owner-gained", f"claim {claim.term} won", claim.offset)
+            self._journal_event(
+                "owner-gained", f"claim {claim.term} won", claim.offset
+            )
 
     def _may_claim(
         self, claim: job_state.Claim | None, age_ms: int, now_ms: int
@@ -279,7 +285,7 @@
         bounds = self._configured_bounds()
         if age_ms > bounds.claim_ms // 2:
             return False
-        waited_ms = now_ms - self._changed_ms - self._jitter_ms
+        waited_ms = now_ms - self._claim_changed_ms - self._jitter_ms
         if claim is None or claim.released or claim.host == self._host_id:
             return waited_ms >= 0
         lapse_ms = claim.bounds.claim_ms + claim.bounds.drift_margin_ms
@@ -308,8 +314,8 @@
         self._append(body)
         with self._lock:
             # A claim that lost the race waits for the winner's lapse.
-            self._changed_ms = self._clock.monotonic_ms()
-            lost = self._hold.term != body.term
+            self._claim_changed_ms = self._clock.monotonic_ms()
+            lost = self._permissions.term != body.term
         if lost:
             self._metrics.count(
                 metrics_module.Counter.JOB_EVENTS, "claim-not-won"
@@ -340,29 +346,29 @@
                 folded = self._follower.wait_for(
                     appended.offset, APPEND_TIMEOUT_MS
                 )
-                self._record_sent(sent_ms, folded, appended.offset)
+                self._record_outcome(sent_ms, folded, appended.offset)
             case result.Err(streams.AppendUnknown()):
-                self._record_sent(sent_ms, False, -1)
+                self._record_outcome(sent_ms, False, -1)
             case result.Err(streams.NotAccepted(detail)):
                 logs.warning(
                     _events, "claim-not-kept", zone=self._zone, detail=detail
                 )
         self._observe()
 
-    def _record_sent(self, sent_ms: int, folded: bool, offset: int) -> None:
+    def _record_outcome(self, sent_ms: int, folded: bool, offset: int) -> None:
         claims = self._fold.claims()
         with self._lock:
             if not folded:
-                if self._unresolved_ms is None:
-                    self._unresolved_ms = sent_ms
+                if self._unconfirmed_sent_ms is None:
+                    self._unconfirmed_sent_ms = sent_ms
                 return
             stands = claims and claims[-1].touched_offset >= offset
             if stands and self._is_own(claims[-1]):
-                self._proved_ms = max(self._proved_ms, sent_ms)
+                self._proof_ms = max(self._proof_ms, sent_ms)
                 self._own_touched_offset = claims[-1].touched_offset
-                self._unresolved_ms = None
+                self._unconfirmed_sent_ms = None
 
-    def _note(self, reason: str, sentence: str, offset: int) -> None:
+    def _journal_event(self, reason: str, sentence: str, offset: int) -> None:
         logs.event(_events, reason, zone=self._zone, detail=sentence)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         self._journal.record(
--- a/src/comfreylatch/_process/batch/pending_records.py
+++ b/src/comfreylatch/_process/batch/pending_records.py
@@ -7,7 +7,7 @@
 from comfreylatch._process.batch import attempt as attempt_module
 from comfreylatch._version import job_records
 
-CHECKPOINT_RECORD_MS = 30_000
+MIN_CHECKPOINT_RECORD_INTERVAL_MS = 30_000
 
 PendingRecord = job_records.AttemptEnded | job_records.AttemptCheckpointed
 
@@ -40,7 +40,7 @@
         self._ends.pop(job, None)
         self._checkpoints.pop(job, None)
 
-    def folded_checkpoint(self, job: str, checkpoint_ms: int) -> None:
+    def on_checkpoint_folded(self, job: str, checkpoint_ms: int) -> None:
         """Drops a checkpoint that the fold has reached."""
         pending = self._checkpoints.get(job)
         if pending is not None and pending.checkpoint_ms <= checkpoint_ms:
@@ -63,13 +63,16 @@
 
     def checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Notes a newer checkpoint now and then, at once for an eviction."""
-        due = now_ms - attempt.recorded_ms >= CHECKPOINT_RECORD_MS
+        due = (
+            now_ms - attempt.checkpoint_recorded_ms
+            >= MIN_CHECKPOINT_RECORD_INTERVAL_MS
+        )
         evicted = attempt.stop_reason is attempt_module.StopReason.EVICTED
-        if not due and not (evicted and attempt.kept):
+        if not due and not (evicted and attempt.eviction_checkpoint_taken):
             return
         if attempt.checkpoint_ms <= attempt.recorded_checkpoint_ms:
             return
-        attempt.recorded_ms = now_ms
+        attempt.checkpoint_recorded_ms = now_ms
         attempt.recorded_checkpoint_ms = attempt.checkpoint_ms
         self._checkpoints[attempt.job] = job_records.AttemptCheckpointed(
             term=self._term,
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -15,7 +15,7 @@
 from comfreylatch._version import job_state
 
 MAX_CANDIDATES = 12
-MORE_CANDIDATES = 48
+MAX_CANDIDATES_WIDENED = 48
 RACK_COST_MILLI = 20
 LEFTOVER_COST_MILLI = 100
 
@@ -75,7 +75,7 @@
     """
     nearest: NeverFits | None = None
     for amount in set(usable):
-        short = capacity.short_dimensions(size, amount)
+        short = capacity.insufficient_dimensions(size, amount)
         if not short:
             return None
         closer = nearest is None or len(short) < len(nearest.dimensions)
@@ -112,25 +112,27 @@
         if self._policy is Policy.FIRST_FIT:
             found = self._ledger.candidates(size, MAX_CANDIDATES)
             return _untried(state, found)[0].name if found else None
-        for limit in (MAX_CANDIDATES, MORE_CANDIDATES):
+        for limit in (MAX_CANDIDATES, MAX_CANDIDATES_WIDENED):
             found = self._ledger.candidates(size, limit)
-            harmless = [
-                account for account in found if not self._harms(state, account)
+            acceptable = [
+                account
+                for account in found
+                if not self._exceeds_slowdown(state, account)
             ]
-            if harmless:
-                return self._cheapest(state, size, harmless)
+            if acceptable:
+                return self._cheapest(state, size, acceptable)
             if len(found) < limit:
                 break
         if found and state.spec.urgent:
             return self._cheapest(state, size, found)
         return None
 
-    def _harms(
+    def _exceeds_slowdown(
         self, state: job_state.JobState, account: capacity.WorkerAccount
     ) -> bool:
         spec = state.spec
         milli = spec.resources.processors_milli
-        return self._model.harms(spec.job_class, milli, account.name)
+        return self._model.exceeds_slowdown(spec.job_class, milli, account.name)
 
     def _cheapest(
         self,
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -12,7 +12,7 @@
 from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference_cost
 from comfreylatch._process.batch import job_queue
-from comfreylatch._process.batch import job_scheduler as job_scheduler_module
+from comfreylatch._process.batch import job_scheduler
 from comfreylatch._process.batch import placement as placement_module
 from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._process.batch import zone_workers
@@ -54,7 +54,7 @@
         self.cost_model = interference_cost.InterferenceCostModel(
             usage.model, usage.sizes
         )
-        self.scheduler = job_scheduler_module.JobScheduler(
+        self.scheduler = job_scheduler.JobScheduler(
             self.queue,
             placement_module.Placement(self.ledger, self.cost_model, policy),
             self.size_for,
--- a/src/comfreylatch/_process/batch/service.py
+++ b/src/comfreylatch/_process/batch/service.py
@@ -117,7 +117,7 @@
             clock,
             policy,
         )
-        self._desk = job_handler.JobHandler(
+        self._job_handler = job_handler.JobHandler(
             zone,
             self.appender,
             self.follower,
@@ -156,19 +156,19 @@
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
         """Answers `/jobs` and `/jobs/ID`."""
-        return self._desk.handle(request)
+        return self._job_handler.handle(request)
 
     def update_host_list(self, host_list: hosts.HostList) -> None:
         """Takes a new list of hosts."""
         self._owner.update_host_list(host_list)
-        self._desk.update_host_list(host_list)
+        self._job_handler.update_host_list(host_list)
 
     def release(self) -> None:
         """Stops commanding workers, then gives the claim up.
 
         Tasks go on under their leases until the next owner takes over.
         """
-        self._desk.stop_accepting()
+        self._job_handler.stop_accepting()
         self._owner_stack.close()
         self._ownership.release()
 
--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -70,8 +70,8 @@
                 continue
             spec = state.spec
             class_by_job[used.job] = spec.job_class
-            self.sizes.note(spec.job_class, spec.resources, used)
-        sample = interference.sample_of(
+            self.sizes.record(spec.job_class, spec.resources, used)
+        sample = interference.build_sample(
             usage, class_by_job, amount.processors_milli
         )
         self.model.learn(sample)
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -13,11 +13,11 @@
 MAX_PEER_FAILED_PERCENT = 40
 MAX_QUARANTINED_PERCENT = 25
 FIRST_QUARANTINE_MS = 30_000
-LONGEST_QUARANTINE_MS = 960_000
+MAX_QUARANTINE_MS = 960_000
 MAX_ENDS = 64
 
 
-class Standing(enum.StrEnum):
+class HealthState(enum.StrEnum):
     """Whether a worker gets new work."""
 
     GOOD = "good"
@@ -26,13 +26,13 @@
 
 
 @attrs.define(eq=False)
-class _Record:
+class _History:
     finished: int = 0
     failed: int = 0
     failed_jobs: dict[str, None] = attrs.field(factory=dict)
-    standing: Standing = Standing.GOOD
+    standing: HealthState = HealthState.GOOD
     until_ms: int = 0
-    span_ms: int = FIRST_QUARANTINE_MS
+    quarantine_ms: int = FIRST_QUARANTINE_MS
 
     def halve(self) -> None:
         if self.finished + self.failed > MAX_ENDS:
@@ -45,22 +45,22 @@
     """Ends of attempts by worker, and who is quarantined. One thread."""
 
     def __init__(self) -> None:
-        self._records: dict[str, _Record] = {}
+        self._histories: dict[str, _History] = {}
         self._finished = 0
         self._failed = 0
 
-    def finished(self, worker: str) -> bool:
+    def record_success(self, worker: str) -> bool:
         """Notes a success; True if it ends the worker's quarantine."""
-        record = self._records.setdefault(worker, _Record())
-        self._count(record, finished=1)
-        record.failed_jobs.clear()
-        if record.standing is Standing.GOOD:
+        history = self._histories.setdefault(worker, _History())
+        self._count(history, finished=1)
+        history.failed_jobs.clear()
+        if history.standing is HealthState.GOOD:
             return False
-        record.standing = Standing.GOOD
-        record.span_ms = FIRST_QUARANTINE_MS
+        history.standing = HealthState.GOOD
+        history.quarantine_ms = FIRST_QUARANTINE_MS
         return True
 
-    def failed(
+    def record_failure(
         self,
         worker: str,
         job: str,
@@ -80,83 +80,85 @@
         """
         if failed_elsewhere:
             return False
-        record = self._records.setdefault(worker, _Record())
-        self._count(record, failed=1)
-        record.failed_jobs[job] = None
-        if record.standing is Standing.PROBED:
-            record.span_ms = min(record.span_ms * 2, LONGEST_QUARANTINE_MS)
-            self._quarantine(record, now_ms)
+        history = self._histories.setdefault(worker, _History())
+        self._count(history, failed=1)
+        history.failed_jobs[job] = None
+        if history.standing is HealthState.PROBED:
+            history.quarantine_ms = min(
+                history.quarantine_ms * 2, MAX_QUARANTINE_MS
+            )
+            self._quarantine(history, now_ms)
             return True
-        if record.standing is Standing.QUARANTINED:
+        if history.standing is HealthState.QUARANTINED:
             return False
-        if len(record.failed_jobs) < MIN_FAILED_JOBS:
+        if len(history.failed_jobs) < MIN_FAILED_JOBS:
             return False
-        if not self._worse_than_peers(record):
+        if not self._worse_than_peers(history):
             return False
-        if not self._room(worker_count):
+        if not self._may_quarantine(worker_count):
             return False
-        self._quarantine(record, now_ms)
+        self._quarantine(history, now_ms)
         return True
 
     def is_suspect(self, worker: str) -> bool:
         """Whether a failure there is rather the worker's fault."""
-        record = self._records.get(worker)
-        if record is None:
+        history = self._histories.get(worker)
+        if history is None:
             return False
-        if record.standing is not Standing.GOOD:
+        if history.standing is not HealthState.GOOD:
             return True
-        many = len(record.failed_jobs) >= SUSPECT_FAILED_JOBS
-        return many and self._worse_than_peers(record)
+        many = len(history.failed_jobs) >= SUSPECT_FAILED_JOBS
+        return many and self._worse_than_peers(history)
 
-    def standing(self, worker: str, now_ms: int) -> Standing:
+    def standing(self, worker: str, now_ms: int) -> HealthState:
         """Where a worker stands; a quarantine that ran out becomes a probe."""
-        record = self._records.get(worker)
-        if record is None:
-            return Standing.GOOD
-        waiting = record.standing is Standing.QUARANTINED
-        if waiting and now_ms >= record.until_ms:
-            record.standing = Standing.PROBED
-        return record.standing
+        history = self._histories.get(worker)
+        if history is None:
+            return HealthState.GOOD
+        waiting = history.standing is HealthState.QUARANTINED
+        if waiting and now_ms >= history.until_ms:
+            history.standing = HealthState.PROBED
+        return history.standing
 
     def quarantined(self) -> tuple[str, ...]:
         """Workers not in good standing."""
         return tuple(
             worker
-            for worker, record in self._records.items()
-            if record.standing is not Standing.GOOD
+            for worker, history in self._histories.items()
+            if history.standing is not HealthState.GOOD
         )
 
     def forget(self, worker: str) -> None:
         """Drops a worker that is gone."""
-        record = self._records.pop(worker, None)
-        if record is not None:
-            self._finished -= record.finished
-            self._failed -= record.failed
+        history = self._histories.pop(worker, None)
+        if history is not None:
+            self._finished -= history.finished
+            self._failed -= history.failed
 
     def _count(
-        self, record: _Record, finished: int = 0, failed: int = 0
+        self, history: _History, finished: int = 0, failed: int = 0
     ) -> None:
-        self._finished -= record.finished
-        self._failed -= record.failed
-        record.finished += finished
-        record.failed += failed
-        record.halve()
-        self._finished += record.finished
-        self._failed += record.failed
-
-    def _worse_than_peers(self, record: _Record) -> bool:
-        finished = self._finished - record.finished
-        failed = self._failed - record.failed
+        self._finished -= history.finished
+        self._failed -= history.failed
+        history.finished += finished
+        history.failed += failed
+        history.halve()
+        self._finished += history.finished
+        self._failed += history.failed
+
+    def _worse_than_peers(self, history: _History) -> bool:
+        finished = self._finished - history.finished
+        failed = self._failed - history.failed
         ends = finished + failed
         if ends < MIN_PEER_ENDS:
             return False
         return failed * 100 <= MAX_PEER_FAILED_PERCENT * ends
 
-    def _room(self, worker_count: int) -> bool:
+    def _may_quarantine(self, worker_count: int) -> bool:
         most = max(1, worker_count * MAX_QUARANTINED_PERCENT // 100)
         return len(self.quarantined()) < most
 
-    def _quarantine(self, record: _Record, now_ms: int) -> None:
-        record.standing = Standing.QUARANTINED
-        record.until_ms = now_ms + record.span_ms
-        record.failed_jobs.clear()
+    def _quarantine(self, history: _History, now_ms: int) -> None:
+        history.standing = HealthState.QUARANTINED
+        history.until_ms = now_ms + history.quarantine_ms
+        history.failed_jobs.clear()
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -19,7 +19,7 @@
 from comfreylatch._process.batch import worker_session
 
 EXCHANGE_TIMEOUT_MS = 1_000
-IDLE_MS = 200
+IDLE_DELAY_MS = 200
 MIN_RETRY_MS = 100
 MAX_RETRY_MS = 2_000
 
@@ -29,25 +29,25 @@
 def exchange_once(
     session: worker_session.WorkerSession,
     port: workers.WorkerPort,
-    holder: ownership.Ownership,
+    zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
     """Makes one exchange if the hold allows it; checked right before it."""
     now_ms = clock.monotonic_ms()
-    exchange = session.next_exchange(holder.permissions(), now_ms)
+    exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
         return None
-    before_ms = session.sending(exchange, now_ms)
+    before_ms = session.mark_sent(exchange, now_ms)
     answer = port.exchange(session.address, exchange, EXCHANGE_TIMEOUT_MS)
     match answer:
         case result.Ok(report):
             if report.highest_term > exchange.term:
-                holder.report_fenced(report.highest_term)
-            return session.answered(
+                zone_ownership.report_fenced(report.highest_term)
+            return session.on_answer(
                 exchange, report, now_ms, clock.monotonic_ms()
             )
         case result.Err(error):
-            return session.unanswered(exchange, error, now_ms, before_ms)
+            return session.on_no_answer(exchange, error, now_ms, before_ms)
 
 
 @final
@@ -58,14 +58,14 @@
         self,
         session: worker_session.WorkerSession,
         port: workers.WorkerPort,
-        holder: ownership.Ownership,
+        zone_ownership: ownership.Ownership,
         deliver: Callable[[worker_session.LinkEvent], None],
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self.session = session
         self._port = port
-        self._holder = holder
+        self._ownership = zone_ownership
         self._deliver = deliver
         self._metrics = metrics
         self._clock = clock
@@ -111,17 +111,17 @@
 
     def _step(self) -> int:
         now_ms = self._clock.monotonic_ms()
-        permissions = self._holder.permissions()
+        permissions = self._ownership.permissions()
         if not permissions.may_renew(now_ms):
-            return IDLE_MS
+            return IDLE_DELAY_MS
         due_ms = self.session.due_in_ms(permissions, now_ms)
         if due_ms > 0:
             return due_ms
         event = exchange_once(
-            self.session, self._port, self._holder, self._clock
+            self.session, self._port, self._ownership, self._clock
         )
         if event is None:
-            return IDLE_MS
+            return IDLE_DELAY_MS
         self._deliver(event)
         if isinstance(event, worker_session.Unanswered):
             self._metrics.count(
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -32,7 +32,7 @@
     report: workers.WorkerReport
     commands: tuple[workers.Command, ...]
     sent_ms: int
-    fresh_boot: bool
+    restarted: bool
     renewal_refused: bool = False
 
 
@@ -65,15 +65,15 @@
         self._host_id = host_id
         self._lock = threading.Lock()
         self._commands: list[workers.Command] = []
-        self._later: list[workers.Command] = []
+        self._deferred_commands: list[workers.Command] = []
         self._boot = ""
-        self._report = 0
-        self._report_sent_ms = 0
+        self._last_report = 0
+        self._last_report_sent_ms = 0
         self._fenced_term = 0
         self._lease_sent_ms = -1
         self._last_sent_ms = -1
         self._answered_ms = -1
-        self._poll_ms = NEVER_MS
+        self._poll_due_ms = NEVER_MS
         self._failures = 0
 
     @property
@@ -99,13 +99,13 @@
     def request(self, command: workers.Command, at_once: bool = True) -> None:
         """Queues a command; unless `at_once`, for the next renewal."""
         with self._lock:
-            queue = self._commands if at_once else self._later
+            queue = self._commands if at_once else self._deferred_commands
             if command not in queue and len(queue) < MAX_QUEUED_COMMANDS:
                 queue.append(command)
 
     def poll_by(self, due_ms: int) -> None:
         """Asks for an exchange by a time, as when an attempt should end."""
-        self._poll_ms = min(self._poll_ms, due_ms)
+        self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
     def withdraw(self, command: workers.Command) -> bool:
         """Takes a queued command back; False if it may be on its way."""
@@ -119,7 +119,7 @@
         """Drops all queued commands, as when the claim was lost."""
         with self._lock:
             self._commands.clear()
-            self._later.clear()
+            self._deferred_commands.clear()
 
     def due_in_ms(
         self, permissions: ownership.OwnerPermissions, now_ms: int
@@ -131,7 +131,7 @@
             if self._commands and permissions.may_start(now_ms):
                 return 0
         interval_ms = permissions.bounds.lease_ms // 3
-        due_ms = min(self._lease_sent_ms + interval_ms, self._poll_ms)
+        due_ms = min(self._lease_sent_ms + interval_ms, self._poll_due_ms)
         return max(0, due_ms - now_ms)
 
     def next_exchange(
@@ -146,23 +146,23 @@
             return None
         ttl_ms = permissions.bounds.command_ttl_ms
         with self._lock:
-            age_ms = now_ms - self._report_sent_ms
+            age_ms = now_ms - self._last_report_sent_ms
             fenced = self._fenced_term == permissions.term
-            if not fenced or self._report == 0 or age_ms > ttl_ms // 2:
+            if not fenced or self._last_report == 0 or age_ms > ttl_ms // 2:
                 return workers.Exchange(self._host_id, permissions.term, 0, 0)
             return workers.Exchange(
                 owner=self._host_id,
                 term=permissions.term,
-                quoted_report=self._report,
+                quoted_report=self._last_report,
                 lease_ms=permissions.bounds.lease_ms,
-                commands=self._take(permissions.may_start(now_ms)),
+                commands=self._dequeue_commands(permissions.may_start(now_ms)),
             )
 
-    def sending(self, exchange: workers.Exchange, now_ms: int) -> int:
+    def mark_sent(self, exchange: workers.Exchange, now_ms: int) -> int:
         """Notes that an exchange is about to go out.
 
         Returns:
-            The earlier `last_sent_ms`, to be given back to `unanswered`.
+            The earlier `last_sent_ms`, to be given back to `on_no_answer`.
         """
         with self._lock:
             before_ms = self._last_sent_ms
@@ -172,7 +172,7 @@
                 self._lease_sent_ms = now_ms
             return before_ms
 
-    def answered(
+    def on_answer(
         self,
         exchange: workers.Exchange,
         report: workers.WorkerReport,
@@ -181,12 +181,12 @@
     ) -> Reported:
         """Takes the worker's answer."""
         with self._lock:
-            fresh_boot = self._boot not in ("", report.boot)
+            restarted = self._boot not in ("", report.boot)
             self._boot = report.boot
-            self._report = report.report
-            self._report_sent_ms = sent_ms
+            self._last_report = report.report
+            self._last_report_sent_ms = sent_ms
             self._answered_ms = now_ms
-            self._poll_ms = NEVER_MS
+            self._poll_due_ms = NEVER_MS
             self._failures = 0
             if report.highest_term == exchange.term:
                 self._fenced_term = max(self._fenced_term, exchange.term)
@@ -199,11 +199,11 @@
             report=report,
             commands=exchange.commands,
             sent_ms=sent_ms,
-            fresh_boot=fresh_boot,
+            restarted=restarted,
             renewal_refused=refused,
         )
 
-    def unanswered(
+    def on_no_answer(
         self,
         exchange: workers.Exchange,
         error: workers.WorkerError,
@@ -214,7 +214,7 @@
         was_sent = isinstance(error, workers.WorkerAnswerLost)
         with self._lock:
             self._failures += 1
-            self._report = 0
+            self._last_report = 0
             self._lease_sent_ms = -1
             if not was_sent:
                 self._last_sent_ms = before_ms
@@ -227,7 +227,7 @@
             detail=error.detail,
         )
 
-    def _take(self, may_start: bool) -> tuple[workers.Command, ...]:
+    def _dequeue_commands(self, may_start: bool) -> tuple[workers.Command, ...]:
         """Takes queued commands, none while their outcome can't be recorded.
 
         A worker forgets an ended attempt once it gets a command for it; the
@@ -236,7 +236,7 @@
         if not may_start:
             return ()
         taken: list[workers.Command] = []
-        for queue in (self._commands, self._later):
+        for queue in (self._commands, self._deferred_commands):
             room = MAX_COMMANDS_PER_EXCHANGE - len(taken)
             taken.extend(queue[:room])
             del queue[:room]
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -39,10 +39,10 @@
 
 STEP_INTERVAL_MS = 100
 IDLE_STEP_MS = 250
-LEAST_STEP_MS = 20
-CHECK_MS = 250
-IDLE_ROUND_MS = 500
-SLOW_POLL_MS = 1_500
+MIN_STEP_INTERVAL_MS = 20
+WORKER_CHECK_INTERVAL_MS = 250
+MAX_ROUND_INTERVAL_MS = 500
+SLOWED_WORKER_POLL_INTERVAL_MS = 1_500
 APPEND_TIMEOUT_MS = 1_500
 MAX_RECORDS_PER_APPEND = 256
 
@@ -84,15 +84,15 @@
         self._policy = policy
         self._term = 0
         self._host_list: hosts.HostList | None = None
-        self._used_list: hosts.HostList | None = None
-        self._checked_ms = -CHECK_MS
+        self._applied_host_list: hosts.HostList | None = None
+        self._checked_ms = -WORKER_CHECK_INTERVAL_MS
         self._append_after_ms = 0
-        self._place_ms = 0
-        self._uncertain: dict[str, job_records.AttemptAssigned] = {}
+        self._next_round_ms = 0
+        self._unconfirmed: dict[str, job_records.AttemptAssigned] = {}
         self._health = worker_health.WorkerHealth()
         self._usage = usage_analyzer.UsageAnalyzer()
         self._evictor = evictor.Evictor(metrics)
-        self._observer = decision_reporter.DecisionReporter(
+        self._reporter = decision_reporter.DecisionReporter(
             zone, fold, self._health, journal, metrics
         )
         self._scheduling = self._new_scheduling_state()
@@ -137,7 +137,7 @@
         now_ms = self._clock.monotonic_ms()
         holds = self._ownership.permissions().may_start(now_ms)
         quarantined = self._health.quarantined()
-        return owner_status.of_fold(self._fold, holds, quarantined)
+        return owner_status.from_fold(self._fold, holds, quarantined)
 
     def evict(self, job: str, reason: str) -> bool:
         """Checkpoints and stops a job's attempt; False if none runs here.
@@ -163,17 +163,19 @@
             return IDLE_STEP_MS
         now_ms = self._clock.monotonic_ms()
         self._sync_fold(now_ms)
-        self._take_events(permissions.bounds, now_ms)
-        if now_ms - self._checked_ms >= CHECK_MS:
+        self._process_link_events(permissions.bounds, now_ms)
+        if now_ms - self._checked_ms >= WORKER_CHECK_INTERVAL_MS:
             self._checked_ms = now_ms
             self._refresh_workers(now_ms)
-            self._check_lost(permissions.bounds, now_ms)
+            self._record_lost_attempts(permissions.bounds, now_ms)
         self._append_pending(now_ms)
         if permissions.may_start(self._clock.monotonic_ms()):
-            self._place()
+            self._run_scheduling_round()
         now_ms = self._clock.monotonic_ms()
         permissions = self._ownership.permissions()
-        self._scheduling.attempts.drive(permissions.may_start(now_ms), now_ms)
+        self._scheduling.attempts.send_due_commands(
+            permissions.may_start(now_ms), now_ms
+        )
         return STEP_INTERVAL_MS
 
     # Inputs.
@@ -181,8 +183,8 @@
     def _change_term(self, term: int) -> None:
         self._term = term
         self._pool.clear_commands()
-        self._uncertain.clear()
-        self._checked_ms = -CHECK_MS
+        self._unconfirmed.clear()
+        self._checked_ms = -WORKER_CHECK_INTERVAL_MS
         self._scheduling = self._new_scheduling_state()
         if term == 0:
             self._pool.stop_all()
@@ -194,8 +196,8 @@
     def _refresh_workers(self, now_ms: int) -> None:
         scheduling = self._scheduling
         host_list = self._host_list
-        if host_list is not None and host_list is not self._used_list:
-            self._used_list = host_list
+        if host_list is not None and host_list is not self._applied_host_list:
+            self._applied_host_list = host_list
             scheduling.workers.set_list(host_list)
         elif host_list is not None and not scheduling.workers.listed():
             scheduling.workers.set_list(host_list)
@@ -210,20 +212,22 @@
         scheduling.cost_model.allowed_slowdown = allowed
         self._usage.control.allowed_slowdown = allowed
         for name, host in listed.items():
-            scheduling.ledger.set_schedulable(name, self._is_open(host, now_ms))
+            scheduling.ledger.set_schedulable(
+                name, self._is_schedulable(host, now_ms)
+            )
 
-    def _is_open(self, host: hosts.ListedHost, now_ms: int) -> bool:
+    def _is_schedulable(self, host: hosts.ListedHost, now_ms: int) -> bool:
         session = self._pool.session(host.name)
         if session is None or session.fenced_term != self._term:
             return False
         if host.state is not hosts.HostState.LIVE or session.failures > 0:
             return False
         match self._health.standing(host.name, now_ms):
-            case worker_health.Standing.GOOD:
+            case worker_health.HealthState.GOOD:
                 return True
-            case worker_health.Standing.PROBED:
+            case worker_health.HealthState.PROBED:
                 return not self._scheduling.attempts.on_worker(host.name)
-            case worker_health.Standing.QUARANTINED:
+            case worker_health.HealthState.QUARANTINED:
                 return False
 
     def _sync_fold(self, now_ms: int) -> None:
@@ -238,10 +242,10 @@
                 self._sync_job(state, now_ms)
 
     def _sync_job(self, state: job_state.JobState, now_ms: int) -> None:
-        self._uncertain.pop(state.spec.id, None)
+        self._unconfirmed.pop(state.spec.id, None)
         self._scheduling.sync_job(state, now_ms)
 
-    def _take_events(
+    def _process_link_events(
         self, bounds: job_records.ClaimBounds, now_ms: int
     ) -> None:
         for event in self._pool.take_events():
@@ -252,31 +256,35 @@
                     amount = event.report.capacity
                     self._scheduling.workers.set_reported(event.worker, amount)
                     self._scheduling.attempts.on_reported(event, bounds, now_ms)
-                    self._take_usage(event.report, now_ms)
+                    self._process_usage(event.report, now_ms)
                 case worker_session.Unanswered():
                     self._scheduling.attempts.on_unanswered(event)
                     self._scheduling.ledger.set_schedulable(event.worker, False)
 
-    def _take_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
+    def _process_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
         if self._policy is placement_module.Policy.FIRST_FIT:
             return
         attempts = self._scheduling.attempts.on_worker(report.worker)
         action = self._usage.process(report, self._fold.job, attempts, now_ms)
-        if self._usage.control.is_slow(report.worker):
-            self._pool.poll_by(report.worker, now_ms + SLOW_POLL_MS)
+        if self._usage.control.needs_frequent_reports(report.worker):
+            self._pool.poll_by(
+                report.worker, now_ms + SLOWED_WORKER_POLL_INTERVAL_MS
+            )
         if action is not None:
             per_hour = self._source.current().limits.evictions_per_hour
-            self._evictor.act(
+            self._evictor.apply(
                 self._scheduling, report.worker, action, per_hour, now_ms
             )
 
-    def _check_lost(self, bounds: job_records.ClaimBounds, now_ms: int) -> None:
+    def _record_lost_attempts(
+        self, bounds: job_records.ClaimBounds, now_ms: int
+    ) -> None:
         predecessor_tasks_until_ms = (
             self._ownership.predecessor_tasks_until_ms()
         )
         attempts = self._scheduling.attempts
         for worker in attempts.workers():
-            attempts.declare_lost(
+            attempts.record_lost_attempts(
                 worker, predecessor_tasks_until_ms, bounds, now_ms
             )
 
@@ -284,18 +292,18 @@
 
     def _append_pending(self, now_ms: int) -> None:
         pending: list[Any] = self._scheduling.attempts.pending_records()
-        if not pending and self._uncertain:
+        if not pending and self._unconfirmed:
             # Anything known to stand settles what was sent before it.
             host = self._ownership.host_id
             pending = [job_records.OwnerRenewed(self._term, host)]
         if not pending or now_ms < self._append_after_ms:
             return
         bodies = [
-            self._observer.judge(body)
+            self._reporter.with_worker_fault(body)
             for body in pending[:MAX_RECORDS_PER_APPEND]
         ]
         if self._append(bodies):
-            self._settle_uncertain()
+            self._revert_unconfirmed()
             self._sync_fold(now_ms)
 
     def _append(self, bodies: Sequence[Any]) -> bool:
@@ -306,7 +314,7 @@
                 last = appended.offset + len(bodies) - 1
                 folded = self._follower.wait_for(last, APPEND_TIMEOUT_MS)
                 if folded:
-                    self._observer.note_folded(
+                    self._reporter.report_folded(
                         bodies,
                         len(self._scheduling.workers.listed()),
                         self._clock.monotonic_ms(),
@@ -315,61 +323,64 @@
             case result.Err(streams.NotAccepted(_, retry_after_ms)):
                 now_ms = self._clock.monotonic_ms()
                 self._append_after_ms = now_ms + retry_after_ms
-                self._undo(bodies)
+                self._revert(bodies)
                 return False
             case result.Err(streams.AppendUnknown()):
                 return False
 
-    def _undo(self, bodies: Sequence[Any]) -> None:
+    def _revert(self, bodies: Sequence[Any]) -> None:
         """Takes back assignments that certainly don't stand."""
         for body in bodies:
             if not isinstance(
                 body, job_records.AttemptAssigned | job_records.JobParked
             ):
                 continue
-            self._uncertain.pop(body.job, None)
+            self._unconfirmed.pop(body.job, None)
             state = self._fold.job(body.job)
             if state is not None:
                 self._scheduling.scheduler.sync(state)
 
-    def _settle_uncertain(self) -> None:
-        settled = tuple(self._uncertain.values())
-        self._uncertain.clear()
-        self._undo(settled)
+    def _revert_unconfirmed(self) -> None:
+        unconfirmed = tuple(self._unconfirmed.values())
+        self._unconfirmed.clear()
+        self._revert(unconfirmed)
 
-    def _place(self) -> None:
+    def _run_scheduling_round(self) -> None:
         now_ms = self._clock.monotonic_ms()
         scheduling = self._scheduling
         if scheduling.scheduler.queued == 0 or now_ms < self._append_after_ms:
             return
-        if not scheduling.scheduler.take_changed() and now_ms < self._place_ms:
+        if (
+            not scheduling.scheduler.consume_changed()
+            and now_ms < self._next_round_ms
+        ):
             return
-        self._place_ms = now_ms + IDLE_ROUND_MS
+        self._next_round_ms = now_ms + MAX_ROUND_INTERVAL_MS
         limits = self._source.current().limits
         planned = self._assign_planned(now_ms)
-        made = scheduling.scheduler.run_round(
+        decisions = scheduling.scheduler.run_round(
             self._term,
             limits.max_attempts,
             lambda job: scheduling.planner.plan_for(job) is not None,
         )
         self._evictor.make_room(
-            scheduling, made, limits.evictions_per_hour, now_ms
+            scheduling, decisions, limits.evictions_per_hour, now_ms
         )
-        assigned = [*planned, *made.assigned]
-        bodies: list[Any] = [*assigned, *made.parked]
+        assigned = [*planned, *decisions.assigned]
+        bodies: list[Any] = [*assigned, *decisions.parked]
         if not bodies:
             return
         for body in assigned:
-            self._uncertain[body.job] = body
+            self._unconfirmed[body.job] = body
         if self._append(bodies):
-            self._settle_uncertain()
+            self._revert_unconfirmed()
             self._sync_fold(now_ms)
 
     def _assign_planned(self, now_ms: int) -> list[job_records.AttemptAssigned]:
         """Assigns jobs for which evictions have made room."""
         scheduling = self._scheduling
         assigned = []
-        for plan in scheduling.planner.ready(now_ms):
+        for plan in scheduling.planner.ready_plans(now_ms):
             scheduling.planner.finish(plan.job)
             state = self._fold.job(plan.job)
             if state is not None:
@@ -386,6 +397,6 @@
             except Exception:
                 logs.exception(_events, "owner-step-failed", zone=self._zone)
                 delay_ms = IDLE_STEP_MS
-            self._stopping.wait(LEAST_STEP_MS / 1_000)
+            self._stopping.wait(MIN_STEP_INTERVAL_MS / 1_000)
             self._pool.woken.wait(delay_ms / 1_000)
             self._pool.woken.clear()
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -79,7 +79,7 @@
                 host.rack,
                 self._total(host),
                 self._services.get(name, capacity.NO_RESOURCES),
-                is_open=account is not None and account.open,
+                is_schedulable=account is not None and account.schedulable,
             )
         for account in tuple(self._ledger.accounts()):
             if account.name not in self._listed:
@@ -95,7 +95,7 @@
             return reported or capacity.NO_RESOURCES
         if reported is None:
             return configured.capacity
-        return capacity.least(configured.capacity, reported)
+        return capacity.minimum(configured.capacity, reported)
 
 
 def zone_workers(
@@ -109,7 +109,7 @@
     }
 
 
-def usable_amounts(
+def usable_capacities(
     listed: Mapping[str, hosts.ListedHost],
     configuration: configuration_module.Configuration,
 ) -> list[workers.Resources]:
@@ -126,7 +126,7 @@
             held = services.get(endpoint.worker, capacity.NO_RESOURCES)
             services[endpoint.worker] = capacity.add(held, endpoint.resources)
     return [
-        capacity.minus(
+        capacity.subtract(
             classes[host.worker_class].capacity,
             services.get(host.name, capacity.NO_RESOURCES),
         )
--- a/tests/process/batch/test_job_handler.py
+++ b/tests/process/batch/test_job_handler.py
@@ -34,7 +34,7 @@
         }
         self.zone = fake_zone.FakeZone(host_count=1, teams=teams)
         self.host = self.zone.hosts[0]
-        self.desk = job_handler.JobHandler(
+        self.handler = job_handler.JobHandler(
             fake_zone.ZONE,
             self.host.appender,
             self.host.follower,
@@ -43,12 +43,12 @@
             self.host.journal,
             self.host.metrics,
         )
-        self.desk.update_host_list(self.zone.host_list)
+        self.handler.update_host_list(self.zone.host_list)
 
     def _call(
         self, method: str, path: str = "/jobs", body: bytes = b""
     ) -> http.HttpReply:
-        return self.desk.handle(http.HttpRequest(method, path, {}, {}, body))
+        return self.handler.handle(http.HttpRequest(method, path, {}, {}, body))
 
     def _post(self, **changes: Any) -> http.HttpReply:
         return self._call("POST", body=msgspec.json.encode({**JOB, **changes}))
@@ -147,5 +147,5 @@
         self._post(id="stack-2")
         self._call("DELETE", "/jobs/stack-1")
         request = http.HttpRequest("GET", "/jobs", {"phase": "queued"}, {}, b"")
-        page = msgspec.json.decode(self.desk.handle(request).body)
+        page = msgspec.json.decode(self.handler.handle(request).body)
         self.assertEqual(["stack-2"], [job["id"] for job in page["jobs"]])
--- a/tests/process/batch/test_job_refusal_explained.py
+++ b/tests/process/batch/test_job_refusal_explained.py
@@ -38,7 +38,7 @@
         journal = journal_module.Journal("h", clock_fake.FakeClock())
         unused: Any = None
         source: Any = EmptySource()
-        desk = job_handler.JobHandler(
+        handler = job_handler.JobHandler(
             "bole",
             unused,
             unused,
@@ -48,7 +48,7 @@
             metrics_module.Metrics(),
         )
         body = json.dumps(JOB).encode()
-        reply = desk.handle(http.HttpRequest("POST", "/jobs", {}, {}, body))
+        reply = handler.handle(http.HttpRequest("POST", "/jobs", {}, {}, body))
         self.assertEqual(422, reply.status)
         (decision,) = journal.about(reasons.Subject.JOB, "stack-1")
         self.assertEqual("unknown-team", decision.reason)
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -200,5 +200,5 @@
         zone.run(5_000)
         self.assertGreater(
             owner.ownership.predecessor_tasks_until_ms(),
-            zone.clock.now_ms - 5_000 + ownership.hold_span_ms(old),
+            zone.clock.now_ms - 5_000 + ownership.max_task_lifetime_ms(old),
         )
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -211,14 +211,14 @@
     def test_least_lost_work_goes_first(self) -> None:
         """One victim is enough, and it is the youngest."""
         attempts = [self._attempt("old", 90_000), self._attempt("new", 10)]
-        victims = eviction_planner.fewest_victims(
+        victims = eviction_planner.select_victims(
             workers.Resources(1_000, 100), capacity.NO_RESOURCES, attempts
         )
         self.assertEqual(["new"], [victim.job for victim in victims])
 
     def test_no_victims_when_even_all_are_too_few(self) -> None:
         """Nobody is stopped in vain."""
-        victims = eviction_planner.fewest_victims(
+        victims = eviction_planner.select_victims(
             workers.Resources(3_000, 100),
             capacity.NO_RESOURCES,
             [self._attempt("one", 0)],
@@ -228,9 +228,9 @@
     def test_budget_is_for_one_hour(self) -> None:
         """All of a request or none is granted."""
         budget = eviction_planner.EvictionBudget()
-        self.assertTrue(budget.take(2, 3, 0))
-        self.assertFalse(budget.take(2, 3, 1_000))
-        self.assertTrue(budget.take(2, 3, eviction_planner.HOUR_MS))
+        self.assertTrue(budget.try_spend(2, 3, 0))
+        self.assertFalse(budget.try_spend(2, 3, 1_000))
+        self.assertTrue(budget.try_spend(2, 3, eviction_planner.HOUR_MS))
 
 
 class LearningTest(testtools.TestCase):
@@ -263,7 +263,7 @@
         declared = workers.Resources(1_000, 1_000)
         for number in range(10):
             used = workers.TaskSlowdown(f"j{number}", 1, 1_000, 500, 3_000)
-            sizes.note("stack", declared, used)
+            sizes.record("stack", declared, used)
         self.assertEqual(
             workers.Resources(1_000, 3_000),
             sizes.size("stack", declared, AMOUNT),
@@ -277,5 +277,5 @@
         declared = workers.Resources(1_000, 1_000)
         used = workers.TaskSlowdown("j", 1, 1_000, 500, 3_000)
         for _ in range(50):
-            sizes.note("stack", declared, used)
+            sizes.record("stack", declared, used)
         self.assertEqual(declared, sizes.size("stack", declared, AMOUNT))
--- a/tests/process/batch/test_worker_session.py
+++ b/tests/process/batch/test_worker_session.py
@@ -17,14 +17,14 @@
 
     def test_lease_moves_it(self) -> None:
         lease = workers.Exchange("host", 1, quoted_report=7, lease_ms=2_000)
-        self.session.sending(lease, 1_000)
+        self.session.mark_sent(lease, 1_000)
         self.assertEqual(1_000, self.session.last_sent_ms)
 
     def test_question_to_a_silent_worker_does_not_move_it(self) -> None:
         lease = workers.Exchange("host", 1, quoted_report=7, lease_ms=2_000)
-        self.session.sending(lease, 1_000)
+        self.session.mark_sent(lease, 1_000)
         question = workers.Exchange("host", 1, quoted_report=0, lease_ms=0)
-        before_ms = self.session.sending(question, 5_000)
+        before_ms = self.session.mark_sent(question, 5_000)
         lost = workers.WorkerAnswerLost("timeout")
-        self.session.unanswered(question, lost, 5_000, before_ms)
+        self.session.on_no_answer(question, lost, 5_000, before_ms)
         self.assertEqual(1_000, self.session.last_sent_ms)
