--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -1,4 +1,4 @@
-"""One assigned attempt, as the zone's owner knows it."""
+"""State of an assigned attempt and the commands for it."""
 
 from __future__ import annotations
 
@@ -20,52 +20,53 @@
 
 
 class CommandSink(Protocol):
-    """Where commands for workers go."""
+    """Queues commands for workers."""
 
     def request(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
-        """Queues a command; dropped when the worker isn't known.
+        """Queues a command; drops it if the worker is unknown.
 
-        Unless `at_once`, it waits for the next renewal of the lease.
+        Unless `at_once`, the command waits for the next lease renewal.
         """
         ...
 
     def poll_by(self, worker: str, due_ms: int) -> None:
-        """Asks for a report by a time."""
+        """Requests a report from a worker by `due_ms`."""
         ...
 
     def withdraw(self, worker: str, command: workers.Command) -> bool:
-        """Takes a queued command back; False if it may be on its way."""
+        """Removes a queued command; False if it may have been sent."""
         ...
 
     def session(self, worker: str) -> worker_session.WorkerSession | None:
-        """The worker's session, else None."""
+        """Returns the worker's session, or None."""
         ...
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """One assigned attempt, as this owner knows it.
+    """An assigned attempt as this owner knows it; times are monotonic.
 
     Attributes:
-        state: The job as folded when the attempt was assigned.
-        since_ms: When this owner first knew of it.
-        start_asked_ms: When its start was last handed to the link; -1 if not.
-        unsettled_ms: When a start was sent whose answer was lost; -1 if none.
-        seen: Whether the worker has confirmed it.
-        stop_reason: Why it is being stopped.
+        state: Latest folded state of the job.
+        known_since_ms: When this owner first saw the assignment.
+        start_queued_ms: When its start was last queued; -1 if it isn't.
+        unanswered_start_ms: When a start was sent whose answer was lost; -1
+            if none.
+        confirmed: Whether the worker has confirmed it.
+        stop_reason: Why it is being stopped; None if it isn't.
         evicted_ms: When its eviction was decided.
-        kept: Whether a checkpoint has been written for its eviction, or none
-            is wanted.
-        keep_asked_ms: When that checkpoint was last handed to the link; -1 if
-            not.
-        stop_asked_ms: When the stop was last handed to the link; -1 if not.
+        eviction_checkpoint_taken: Whether the checkpoint of its eviction has
+            been written or is not wanted.
+        eviction_checkpoint_queued_ms: When that checkpoint was last queued;
+            -1 if it isn't.
+        stop_queued_ms: When its stop was last queued; -1 if it isn't.
         progress_ms: Progress in the last report.
-        checkpoint_ms: Checkpoint in the last report.
-        share_milli: Throttle in the last report.
-        kept_ms: When a checkpoint was last asked for.
-        recorded_ms: When its last checkpoint record was made.
+        checkpoint_ms: Progress covered by the checkpoint in the last report.
+        share_milli: Share of its processors in the last report.
+        checkpoint_requested_ms: When a periodic checkpoint was last requested.
+        checkpoint_recorded_ms: When its last checkpoint record was made.
         recorded_checkpoint_ms: Progress in that record.
     """
 
@@ -92,17 +93,17 @@
         return self.state.spec.id
 
     def evict(self, checkpoint_first: bool, now_ms: int) -> None:
-        """Begins an eviction, with a checkpoint of its own if wanted."""
+        """Starts an eviction, after a checkpoint if `checkpoint_first`."""
         self.stop_reason = StopReason.EVICTED
         self.evicted_ms = now_ms
         self.eviction_checkpoint_taken = not checkpoint_first
         self.eviction_checkpoint_queued_ms = -1
 
     def may_stop(self) -> bool:
-        """Whether a stop can lose nothing that its worker has kept.
+        """Whether a stop loses no progress that a checkpoint covers.
 
-        The answer to a stop may be the last that its worker says of it, so
-        the checkpoint of an eviction is folded before.
+        The worker may forget the attempt after it answers a stop, so the
+        checkpoint of an eviction must be folded first.
         """
         if self.stop_reason is not StopReason.EVICTED:
             return True
@@ -112,15 +113,15 @@
         )
 
     def on_start_unanswered(self, was_sent: bool, sent_ms: int) -> None:
-        """Takes that a start got no answer."""
+        """Notes that a start got no answer."""
         self.start_queued_ms = -1
         if was_sent:
             self.unanswered_start_ms = sent_ms
 
     def retry_stop(self) -> None:
-        """Makes an eviction begin anew, as when an answer was lost.
+        """Resets the stop, and the checkpoint before it, to be sent again.
 
-        Until a stop arrives the attempt goes on, beyond its checkpoint.
+        The attempt runs on beyond its checkpoint until a stop arrives.
         """
         self.stop_queued_ms = -1
         if self.eviction_checkpoint_queued_ms >= 0:
@@ -128,14 +129,14 @@
             self.eviction_checkpoint_taken = False
 
     def remaining_ms(self) -> int:
-        """Time until it ends if it goes on undisturbed."""
+        """Time until it finishes at its current share."""
         work_ms = self.state.spec.run_time_ms - self.progress_ms
         return max(0, work_ms) * 1_000 // max(1, self.share_milli)
 
     def start_command(self) -> workers.StartTask:
-        """The command that starts it."""
+        """Returns the command that starts it."""
         spec = self.state.spec
-        # More may be reserved; the worker counts the declared size.
+        # The ledger may reserve more; the worker counts the declared size.
         return workers.StartTask(
             job=spec.id,
             attempt=self.state.attempt,
@@ -146,13 +147,13 @@
         )
 
     def stop_command(self) -> workers.StopTask:
-        """The command that stops it, or lets its worker forget it."""
+        """Returns the command that stops it or makes its worker forget it."""
         return workers.StopTask(self.job, self.state.attempt)
 
     def checkpoint_command(self) -> workers.CheckpointTask:
-        """The command that keeps its progress."""
+        """Returns the command that checkpoints it."""
         return workers.CheckpointTask(self.job, self.state.attempt)
 
     def throttle_command(self, share_milli: int) -> workers.ThrottleTask:
-        """The command that limits it to a share of its processors."""
+        """Returns the command that limits it to a share of its processors."""
         return workers.ThrottleTask(self.job, self.state.attempt, share_milli)
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -1,4 +1,4 @@
-"""Stops attempts; an eviction keeps and records their progress first."""
+"""Stops attempts; an eviction first checkpoints and records progress."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from comfreylatch._process.batch import pending_records
 
 RESEND_INTERVAL_MS = 2_000
-# Until its checkpoint is recorded; then the attempt simply goes on.
+# Time in which the checkpoint of an eviction must be recorded; after it the
+# eviction is abandoned and the attempt runs on.
 EVICTION_CHECKPOINT_TIMEOUT_MS = 10_000
 
 
 @final
 class AttemptStopper:
-    """Asks for checkpoints and stops. Used by one thread."""
+    """Queues the checkpoints and stops of attempts. Not thread-safe."""
 
     def __init__(
         self,
@@ -27,7 +28,7 @@
     def send_due_command(
         self, attempt: attempt_module.Attempt, now_ms: int
     ) -> None:
-        """Asks for what is due towards the end of an attempt."""
+        """Queues the checkpoint or stop that an ending attempt needs next."""
         queued_ms = attempt.stop_queued_ms
         if queued_ms < 0 and not attempt.may_stop():
             self._request_checkpoint(attempt, now_ms)
@@ -37,7 +38,7 @@
         worker = attempt.state.worker
         command = attempt.stop_command()
         if queued_ms >= 0 and self._sink.withdraw(worker, command):
-            # It never went out, and the attempt has gone on meanwhile.
+            # The stop was never sent; the attempt has progressed since.
             attempt.retry_stop()
             return
         attempt.stop_queued_ms = now_ms
@@ -46,7 +47,7 @@
     def _request_checkpoint(
         self, attempt: attempt_module.Attempt, now_ms: int
     ) -> None:
-        """Asks for the checkpoint of an eviction, or gives the latter up."""
+        """Queues the checkpoint of an eviction, or abandons the eviction."""
         worker = attempt.state.worker
         command = attempt.checkpoint_command()
         if now_ms - attempt.evicted_ms >= EVICTION_CHECKPOINT_TIMEOUT_MS:
@@ -54,7 +55,7 @@
             attempt.stop_reason = None
             return
         if attempt.eviction_checkpoint_taken:
-            # Its record is on its way.
+            # Its record is not folded yet.
             self._pending.checkpoint(attempt, now_ms)
             return
         queued_ms = attempt.eviction_checkpoint_queued_ms
@@ -65,7 +66,7 @@
     def on_checkpoint_taken(
         self, attempt: attempt_module.Attempt, now_ms: int
     ) -> None:
-        """Has the checkpoint of an eviction recorded, the stop behind it."""
+        """Records the checkpoint of an eviction; the stop follows it."""
         if attempt.eviction_checkpoint_queued_ms < 0 or self._pending.has_end(
             attempt.job
         ):
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -1,6 +1,6 @@
-"""Attempts assigned in the zone, and what their workers say of them.
+"""Reconciles the zone's assigned attempts with the reports of its workers.
 
-The fold says which attempts exist; reports say how they do. From both follow
+The fold tells which attempts exist, reports tell their state. From both follow
 the records to append (ends, checkpoints) and the commands to send.
 """
 
@@ -19,7 +19,7 @@
 from comfreylatch._version import job_state
 from comfreylatch._version import zone_fold
 
-# Ends that fall together are asked for together.
+# Delay after the earliest expected end, so that one poll sees several ends.
 END_POLL_SLACK_MS = 100
 MIN_POLL_DELAY_MS = 400
 MAX_POLL_DELAY_MS = 5_000
@@ -30,7 +30,7 @@
 
 @final
 class AttemptTracker:
-    """All assigned attempts of the zone. Used by one thread."""
+    """Tracks all assigned attempts of the zone. Not thread-safe."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         self._stopper = attempt_stopper.AttemptStopper(sink, self._pending)
 
     def reset(self, term: int) -> None:
-        """Forgets everything, as at the start of a term."""
+        """Drops all state, as at the start of a term."""
         self._term = term
         self._attempts.clear()
         self._by_worker.clear()
@@ -59,7 +59,7 @@
         self._pending.reset(term)
 
     def attempt(self, job: str) -> attempt_module.Attempt | None:
-        """The running attempt of a job, else None."""
+        """Returns the assigned attempt of a job, or None."""
         return self._attempts.get(job)
 
     def on_worker(self, worker: str) -> tuple[attempt_module.Attempt, ...]:
@@ -71,11 +71,11 @@
         return tuple(self._by_worker)
 
     def pending_records(self) -> list[pending_records.PendingRecord]:
-        """Ends and checkpoints not yet on the stream."""
+        """Returns ends and checkpoints that are not folded yet."""
         return self._pending.all()
 
     def sync(self, state: job_state.JobState, now_ms: int) -> None:
-        """Takes a job's state from the fold."""
+        """Updates a job's attempt from its folded state."""
         job = state.spec.id
         known = self._attempts.get(job)
         assigned = state.phase is job_state.JobPhase.ASSIGNED
@@ -109,7 +109,7 @@
             del self._by_worker[worker]
         self._pending.forget(job)
         if attempt.confirmed:
-            # Lets the worker forget the ended line.
+            # Makes the worker forget the ended attempt.
             command = attempt.stop_command()
             self._sink.request(worker, command, at_once=False)
         elif attempt.start_queued_ms >= 0:
@@ -121,8 +121,8 @@
         bounds: job_records.ClaimBounds,
         now_ms: int,
     ) -> None:
-        """Takes a worker's answer to an exchange of the current term."""
-        # A worker that has restarted since knows no term and did nothing.
+        """Handles a worker's answer to an exchange of the current term."""
+        # A worker that restarted after fencing knows no term and ran nothing.
         if event.report.highest_term == self._term:
             self._process_task_lines(event, bounds, now_ms)
         for command, status in zip(
@@ -167,7 +167,7 @@
             self._sink.poll_by(worker, due_ms)
 
     def on_unanswered(self, event: worker_session.Unanswered) -> None:
-        """Takes the lack of an answer to an exchange."""
+        """Handles an exchange that got no answer."""
         for command in event.commands:
             attempt = self._attempts.get(command.job)
             if attempt is None or attempt.state.attempt != command.attempt:
@@ -186,11 +186,12 @@
         event: worker_session.Reported,
         bounds: job_records.ClaimBounds,
     ) -> None:
-        """An attempt that the report doesn't name."""
+        """Handles an attempt that is missing from its worker's report."""
         if attempt.state.term < self._term or attempt.confirmed:
             self._record_lost(attempt)
             return
-        # A start whose answer was lost may arrive until its report is stale.
+        # A start whose answer was lost may still arrive until the report that
+        # it quotes is stale.
         settled_ms = (
             attempt.unanswered_start_ms
             + bounds.command_ttl_ms
@@ -228,7 +229,7 @@
     def _request_checkpoint(
         self, attempt: attempt_module.Attempt, now_ms: int
     ) -> None:
-        """Asks for a checkpoint now and then, with the next renewal."""
+        """Queues the periodic checkpoint for the next lease renewal."""
         if now_ms - attempt.checkpoint_requested_ms < CHECKPOINT_INTERVAL_MS:
             return
         attempt.checkpoint_requested_ms = now_ms
@@ -258,7 +259,7 @@
                 attempt.unanswered_start_ms = -1
             case workers.StartTask(), statuses.REFUSED_CAPACITY:
                 attempt.start_queued_ms = -1
-                # An earlier copy on its way might still find room.
+                # An earlier start still in transit might yet be accepted.
                 if attempt.unanswered_start_ms < 0:
                     self._record_lost(attempt)
             case workers.StartTask(), _:
@@ -272,7 +273,7 @@
                 pass
 
     def _handle_stray(self, worker: str, line: workers.TaskStatus) -> None:
-        """A line of an attempt that isn't assigned to this worker."""
+        """Stops a reported attempt that isn't assigned to this worker."""
         state = self._fold.job(line.job)
         if state is not None:
             assigned = state.phase is job_state.JobPhase.ASSIGNED
@@ -296,11 +297,12 @@
         bounds: job_records.ClaimBounds,
         now_ms: int,
     ) -> None:
-        """Ends attempts of a silent worker once they can't run any more."""
+        """Records a silent worker's attempts as lost once they can't run."""
         session = self._sink.session(worker)
         sent_ms = -1
         if session is not None:
-            # The predecessor's lease may date from just before the answer.
+            # The predecessor may have renewed the lease just before the
+            # worker's last answer to this host.
             sent_ms = max(session.last_sent_ms, session.answered_ms)
         silent = session is None or session.failures > 0
         if not silent:
@@ -333,7 +335,7 @@
         return self._withdraw_start(attempt)
 
     def _withdraw_start(self, attempt: attempt_module.Attempt) -> bool:
-        """Makes sure that no start goes out; False if one may be."""
+        """Withdraws a queued start; False if it may have been sent."""
         if attempt.start_queued_ms < 0:
             return True
         command = attempt.start_command()
@@ -343,7 +345,7 @@
         return True
 
     def send_due_commands(self, may_start: bool, now_ms: int) -> None:
-        """Asks for the starts and stops that are due."""
+        """Queues the starts, checkpoints and stops that are due."""
         for job in tuple(self._jobs_needing_command):
             attempt = self._attempts.get(job)
             if attempt is None or self._pending.has_end(job):
@@ -387,9 +389,10 @@
         self._stopper.send_due_command(attempt, now_ms)
 
     def throttle(self, job: str, share_milli: int) -> None:
-        """Asks for a share of its processors for a job's attempt."""
+        """Queues a limit of a job's attempt to a share of its processors."""
         attempt = self._attempts.get(job)
-        # A command would make the worker forget an end not yet recorded.
+        # A worker forgets an ended attempt when it gets a command for it;
+        # an end that isn't recorded yet would be lost.
         if attempt and attempt.confirmed and not self._pending.has_end(job):
             command = attempt.throttle_command(share_milli)
             self._sink.request(attempt.state.worker, command)
@@ -397,9 +400,10 @@
     def evict(
         self, job: str, now_ms: int, checkpoint_first: bool = True
     ) -> bool:
-        """Asks for a checkpoint, if wanted, and then a stop.
+        """Starts an eviction: a checkpoint if wanted, then a stop.
 
-        False if the job isn't running or is being stopped already.
+        Returns:
+            False if the job has no attempt or that is ending already.
         """
         attempt = self._attempts.get(job)
         if attempt is None or attempt.stop_reason is not None:
--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -1,4 +1,4 @@
-"""What is free on each worker, in whole units, indexed for placement."""
+"""Ledger of free capacity by worker, indexed for placement."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def add(left: workers.Resources, right: workers.Resources) -> workers.Resources:
-    """Sum by dimension."""
+    """Adds two amounts by dimension."""
     return workers.Resources(
         left.processors_milli + right.processors_milli,
         left.memory_mib + right.memory_mib,
@@ -26,7 +26,7 @@
 def subtract(
     left: workers.Resources, right: workers.Resources
 ) -> workers.Resources:
-    """Difference by dimension; may be negative."""
+    """Subtracts by dimension; the result may be negative."""
     return workers.Resources(
         left.processors_milli - right.processors_milli,
         left.memory_mib - right.memory_mib,
@@ -37,7 +37,7 @@
 def minimum(
     left: workers.Resources, right: workers.Resources
 ) -> workers.Resources:
-    """Smaller amount by dimension."""
+    """Returns the smaller amount by dimension."""
     return workers.Resources(
         min(left.processors_milli, right.processors_milli),
         min(left.memory_mib, right.memory_mib),
@@ -57,7 +57,7 @@
 def insufficient_dimensions(
     size: workers.Resources, free: workers.Resources
 ) -> tuple[str, ...]:
-    """Names of the dimensions in which `size` is more than `free`."""
+    """Names of the dimensions in which `size` exceeds `free`."""
     return tuple(
         name
         for name in ("processors_milli", "memory_mib", "accelerators")
@@ -67,16 +67,17 @@
 
 @attrs.define(eq=False)
 class WorkerAccount:
-    """One worker's ledger.
+    """Capacity and reservations of one worker.
 
     Attributes:
-        name: Worker.
+        name: Name of the worker.
         rack: Its rack.
-        total: What it has.
-        services: What endpoints on it reserve.
-        open: Whether new work may be placed on it.
+        total: Its total resources.
+        services: Resources reserved by endpoints on it.
+        schedulable: Whether new work may be placed on it.
         reserved: Sum of all attempts' reservations.
         by_job: Reservation of each attempt, by job.
+        bucket: Bucket of the index that holds it; None if not schedulable.
     """
 
     name: str
@@ -90,12 +91,12 @@
 
     @property
     def free(self) -> workers.Resources:
-        """What is left; negative while over-committed by a shrink."""
+        """Free resources; negative if its total fell below reservations."""
         return subtract(subtract(self.total, self.services), self.reserved)
 
     @property
     def usable(self) -> workers.Resources:
-        """What batch work may ever use of it."""
+        """Resources that batch work may use when nothing is reserved."""
         return subtract(self.total, self.services)
 
 
@@ -109,11 +110,11 @@
 
 @final
 class CapacityLedger:
-    """Accounts of all workers of a zone. Used by one thread.
+    """Accounts of all workers of a zone. Not thread-safe.
 
-    Workers with room stand in cells by the binary order of magnitude of what
-    they have free. A search visits cells, of which there are a fixed number,
-    and then a few workers of the cells that can hold the size.
+    Schedulable workers are indexed in buckets by the binary order of magnitude
+    of their free resources. A search visits buckets, whose number is fixed,
+    and then a few workers of those buckets that can hold the size.
     """
 
     def __init__(self) -> None:
@@ -122,11 +123,11 @@
         self._buckets: dict[tuple[int, int, int], dict[str, None]] = {}
 
     def account(self, worker: str) -> WorkerAccount | None:
-        """One worker's account, else None."""
+        """Returns a worker's account, or None."""
         return self._accounts.get(worker)
 
     def accounts(self) -> Iterator[WorkerAccount]:
-        """All accounts."""
+        """Iterates over all accounts."""
         return iter(self._accounts.values())
 
     def set_worker(
@@ -137,7 +138,7 @@
         services: workers.Resources,
         is_schedulable: bool,
     ) -> None:
-        """Declares a worker, or changes what it has."""
+        """Adds a worker or updates its resources."""
         account = self._accounts.get(worker)
         if account is None:
             account = WorkerAccount(worker)
@@ -149,14 +150,14 @@
         self._index(account)
 
     def set_schedulable(self, worker: str, is_schedulable: bool) -> None:
-        """Opens a worker for placement, or closes it."""
+        """Sets whether new work may be placed on a worker."""
         account = self._accounts.get(worker)
         if account is not None and account.schedulable != is_schedulable:
             account.schedulable = is_schedulable
             self._index(account)
 
     def remove_worker(self, worker: str) -> None:
-        """Forgets a worker that has no reservations."""
+        """Removes a worker that has no reservations."""
         account = self._accounts.get(worker)
         if account is None or account.by_job:
             return
@@ -165,7 +166,7 @@
         del self._accounts[worker]
 
     def reserve(self, job: str, worker: str, size: workers.Resources) -> None:
-        """Reserves for a job's attempt; replaces its earlier reservation."""
+        """Reserves resources for a job, replacing its earlier reservation."""
         self.release(job)
         account = self._accounts.get(worker)
         if account is None:
@@ -177,7 +178,7 @@
         self._index(account)
 
     def release(self, job: str) -> str | None:
-        """Frees a job's reservation; returns the worker it was on."""
+        """Releases a job's reservation; returns the worker it was on."""
         worker = self._worker_by_job.pop(job, None)
         if worker is None:
             return None
@@ -188,7 +189,7 @@
         return worker
 
     def worker_of(self, job: str) -> str | None:
-        """Worker on which a job holds a reservation."""
+        """Returns the worker on which a job has a reservation, or None."""
         return self._worker_by_job.get(job)
 
     def candidates(
@@ -215,7 +216,7 @@
                 examinations_left -= 1
                 account = self._accounts[name]
                 if not fits(size, account.free):
-                    # The next search starts with others of this cell.
+                    # The next search starts with others of this bucket.
                     del names[name]
                     names[name] = None
                     continue
--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -1,4 +1,4 @@
-"""Notes decisions once they are folded, and learns from ends of attempts."""
+"""Reports folded decisions and updates worker health from ends of attempts."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @final
 class DecisionReporter:
-    """Journal, counters and the workers' health. Used by one thread."""
+    """Updates journal, metrics and worker health. Not thread-safe."""
 
     def __init__(
         self,
@@ -39,7 +39,7 @@
         self._metrics = metrics
 
     def with_worker_fault(self, body: Any) -> Any:
-        """Says in the record of a failure whose fault it was."""
+        """Sets `worker_fault` in the record of a failed attempt."""
         if not isinstance(body, job_records.AttemptEnded):
             return body
         state = self._fold.job(body.job)
@@ -52,7 +52,7 @@
     def report_folded(
         self, bodies: Sequence[Any], worker_count: int, now_ms: int
     ) -> None:
-        """Takes records that are now folded."""
+        """Reports records that are now folded."""
         for body in bodies:
             match body:
                 case job_records.AttemptAssigned():
--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -1,4 +1,4 @@
-"""Planned evictions: for urgent starts, and to give borrowed quota back."""
+"""Plans evictions that make room for urgent jobs or reclaim borrowed quota."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 @attrs.frozen
 class EvictionPlan:
-    """Attempts to be stopped so that a job fits on a worker.
+    """Attempts to stop so that a job fits on a worker.
 
     Attributes:
-        job: The job that is to start.
-        worker: Where.
-        size: What is reserved for it.
+        job: Job that is to start.
+        worker: Worker on which it is to start.
+        size: Resources reserved for it.
         victims: Jobs whose attempts are stopped.
-        lost_ms: Work of theirs that no checkpoint keeps yet.
-        made_ms: When it was made.
+        unsaved_work_ms: Work of the victims that no checkpoint covers.
+        created_ms: Monotonic time at which the plan was made.
     """
 
     job: str
@@ -42,31 +42,31 @@
 
 @final
 class EvictionBudget:
-    """How many evictions an hour may see, urgent starts aside."""
+    """Limits evictions per hour; those for urgent jobs aren't counted."""
 
     def __init__(self) -> None:
         self._times_ms: collections.deque[int] = collections.deque()
 
     def try_spend(self, count: int, per_hour: int, now_ms: int) -> bool:
-        """Takes evictions out of the budget, all of them or none."""
+        """Spends evictions if the budget allows all of them."""
         if not self.allows(count, per_hour, now_ms):
             return False
         self.spend(count, now_ms)
         return True
 
     def allows(self, count: int, per_hour: int, now_ms: int) -> bool:
-        """Whether that many evictions are left."""
+        """Whether the budget has `count` evictions left in this hour."""
         while self._times_ms and self._times_ms[0] <= now_ms - HOUR_MS:
             self._times_ms.popleft()
         return len(self._times_ms) + count <= per_hour
 
     def spend(self, count: int, now_ms: int) -> None:
-        """Counts evictions, also beyond the budget."""
+        """Counts evictions, even beyond the budget."""
         self._times_ms.extend([now_ms] * count)
 
 
 def unsaved_work_ms(attempt: attempt_module.Attempt) -> int:
-    """Work of an attempt that its last checkpoint doesn't keep."""
+    """Work of an attempt that its last checkpoint doesn't cover."""
     return max(0, attempt.progress_ms - attempt.checkpoint_ms)
 
 
@@ -75,10 +75,12 @@
     free: workers.Resources,
     attempts: Iterable[attempt_module.Attempt],
 ) -> tuple[attempt_module.Attempt, ...] | None:
-    """Attempts whose end makes room for a size, least lost work first.
+    """Selects attempts to stop so that a size fits, least unsaved work first.
 
-    Those that turn out not to be needed are left alone. None if even all
-    together make too little room.
+    Drops those that turn out not to be needed.
+
+    Returns:
+        The victims; None if stopping all attempts frees too little.
     """
     chosen: list[attempt_module.Attempt] = []
     for attempt in sorted(attempts, key=unsaved_work_ms):
@@ -98,7 +100,7 @@
 
 @final
 class EvictionPlanner:
-    """Makes and follows plans. Used by the owner's thread."""
+    """Makes eviction plans and tracks them. Not thread-safe."""
 
     def __init__(
         self,
@@ -111,7 +113,7 @@
         self._sample_start = 0
 
     def plan_for(self, job: str) -> EvictionPlan | None:
-        """The plan under way for a job, else None."""
+        """Returns the plan under way for a job, or None."""
         return self._plans.get(job)
 
     def plan(
@@ -121,9 +123,13 @@
         may_evict: Callable[[attempt_module.Attempt], bool],
         now_ms: int,
     ) -> EvictionPlan | None:
-        """Plans room for a job and reserves it, or finds none.
+        """Plans evictions for a job and reserves its capacity.
+
+        Examines a bounded number of workers and continues with the others in
+        the next call.
 
-        A bounded number of workers is looked at, others the next time.
+        Returns:
+            The plan that loses least work, or None if no worker qualifies.
         """
         best: EvictionPlan | None = None
         for account in self._sample_workers():
@@ -149,7 +155,7 @@
         return best
 
     def ready_plans(self, now_ms: int) -> list[EvictionPlan]:
-        """Plans whose worker now has room; drops those that took too long."""
+        """Returns plans whose worker has room now; cancels overdue ones."""
         found = []
         for plan in tuple(self._plans.values()):
             account = self._ledger.account(plan.worker)
@@ -163,11 +169,11 @@
         return found
 
     def finish(self, job: str) -> None:
-        """Ends a plan whose job has been assigned; its room stays taken."""
+        """Removes the plan of an assigned job; its reservation stays."""
         self._plans.pop(job, None)
 
     def cancel(self, job: str) -> None:
-        """Ends a plan and frees the room taken for it."""
+        """Removes a plan and releases its reservation."""
         plan = self._plans.pop(job, None)
         if plan and self._ledger.worker_of(job) == plan.worker:
             self._ledger.release(job)
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -1,4 +1,4 @@
-"""Carries out evictions: urgent starts, quotas and interference."""
+"""Carries out evictions for urgent jobs, quotas and interference."""
 
 from __future__ import annotations
 
@@ -28,7 +28,10 @@
 
 @final
 class Evictor:
-    """Used by the owner's thread; the budget outlives a term."""
+    """Starts evictions and throttles; its budget spans terms.
+
+    Not thread-safe.
+    """
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
@@ -42,7 +45,7 @@
         per_hour: int,
         now_ms: int,
     ) -> None:
-        """Plans evictions for jobs that found no room in a round."""
+        """Starts evictions for jobs that a round could not place."""
         for state in decisions.waiting_urgent[:MAX_PLANS_PER_ROUND]:
             self._start_eviction(scheduling, state, _not_urgent, now_ms)
         due = self._overdue_for_reclaim(decisions.waiting_within_quota, now_ms)
@@ -57,7 +60,7 @@
         per_hour: int,
         now_ms: int,
     ) -> None:
-        """Carries out a step against interference."""
+        """Carries out an action against interference."""
         match action:
             case interference_control.Throttle(shares, relaxes):
                 self._count("relaxed" if relaxes else "throttled")
@@ -120,7 +123,7 @@
         per_hour: int,
         now_ms: int,
     ) -> None:
-        """Takes borrowed room back, from teams above their quotas only."""
+        """Reclaims capacity for a job, only from teams above their quotas."""
         if not self._budget.allows(1, per_hour, now_ms):
             self._count("eviction-budget-spent")
             return
@@ -134,14 +137,14 @@
 
         plan = self._start_eviction(scheduling, state, is_borrowing, now_ms)
         if plan is not None:
-            # A plan may take more than is left; the next one then waits.
+            # A plan may exceed the budget; the next plan then waits.
             self._budget.spend(len(plan.victims), now_ms)
             self._count("quota-reclaimed")
 
     def _overdue_for_reclaim(
         self, waiting: tuple[job_state.JobState, ...], now_ms: int
     ) -> list[job_state.JobState]:
-        """Jobs that have been waiting for long within their quota."""
+        """Jobs that have waited `RECLAIM_DELAY_MS` within their quota."""
         names = {state.spec.id for state in waiting}
         self._waiting_since_ms = {
             job: since_ms
--- a/src/comfreylatch/_process/batch/job_scheduler.py
+++ b/src/comfreylatch/_process/batch/job_scheduler.py
@@ -1,4 +1,4 @@
-"""Turns queued jobs into assignments, and keeps the ledgers by the fold."""
+"""Assigns queued jobs to workers and updates the ledgers from the fold."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 @attrs.frozen
 class RoundDecisions:
-    """What one round decided.
+    """Decisions of one scheduling round.
 
     Attributes:
-        assigned: Assignments, capacity already reserved.
-        parked: Jobs that can't run.
-        waiting_urgent: Urgent jobs that found no room.
-        waiting_entitled: Other jobs that found none, though their teams stay
-            within their quotas with them.
+        assigned: Assignments, whose capacity is already reserved.
+        parked: Jobs that failed too often to be tried again.
+        waiting_urgent: Urgent jobs that could not be placed.
+        waiting_within_quota: Other jobs that could not be placed although
+            their teams would stay within their quotas.
     """
 
     assigned: tuple[job_records.AttemptAssigned, ...] = ()
@@ -54,7 +54,7 @@
 
 @final
 class JobScheduler:
-    """Queue, ledgers and choice of worker. Used by one thread."""
+    """Runs scheduling rounds over the job queue. Not thread-safe."""
 
     def __init__(
         self,
@@ -69,17 +69,17 @@
 
     @property
     def queued(self) -> int:
-        """How many jobs wait."""
+        """Number of queued jobs."""
         return len(self._queue)
 
     def consume_changed(self) -> bool:
-        """Whether a round may do more than the last one; asked once."""
+        """Whether a round may place more than the last; resets the flag."""
         changed = self._changed
         self._changed = False
         return changed
 
     def sync(self, state: job_state.JobState) -> None:
-        """Takes a job's state from the fold."""
+        """Updates queue and reservations from a job's folded state."""
         job = state.spec.id
         self._changed = True
         if state.phase is job_state.JobPhase.ASSIGNED:
@@ -100,9 +100,13 @@
         max_attempts: int,
         is_planned: Callable[[str], bool] = lambda _: False,
     ) -> RoundDecisions:
-        """Places what has room now, the most entitled first.
+        """Places queued jobs: urgent ones first, then by their teams' shares.
 
-        Jobs for which room is being made already are left out.
+        Args:
+            term: Term of the assignments.
+            max_attempts: Failed attempts after which a job is parked.
+            is_planned: Whether evictions for a job are already under way;
+                such jobs are skipped.
         """
         builder = _RoundBuilder()
         for state in self._queue.urgent():
@@ -136,7 +140,7 @@
         size: workers.Resources,
         term: int,
     ) -> job_records.AttemptAssigned:
-        """Assigns a job to a worker that has room for it."""
+        """Assigns a job to a worker with enough free capacity."""
         job = state.spec.id
         self._queue.discard(job)
         self._placement.place(state, worker, size)
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -1,12 +1,12 @@
-"""Holding a zone's workers: claims, renewals, lapses and waits.
-
-A host holds the zone by a claim on the zone's stream. What it may do follows
-from its last proof: a renewal known to stand on the stream under its own term,
-dated from before that renewal was sent. Until `claim_ms` after the proof
-nobody else claims, and everything is allowed. Until `autonomy_ms` after it the
-host goes on renewing the leases of workers that no later term has fenced, and
-starts nothing. A successor counts the tasks of workers it has not fenced as
-running until the predecessor's bounds have passed.
+"""Leader election for a zone, by claims on the zone's stream.
+
+A host owns the zone by a claim record. What it may do follows from its last
+proof: a claim or renewal known to be on the stream under its own term, dated
+from before that record was sent. Until `claim_ms` after the proof no other
+host claims the zone, and everything is allowed. Until `autonomy_ms` after it
+the host still renews the leases of workers that no later term has fenced, but
+starts nothing. A successor treats tasks of workers that it has not fenced as
+running until the bounds of the predecessor's claim have passed.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 STEP_INTERVAL_MS = 100
 RENEWALS_PER_CLAIM = 3
 MAX_CLAIM_JITTER_MS = 1_000
-# What a claim without a configured zone uses.
+# Autonomy in a claim's bounds when the zone is not configured.
 DEFAULT_AUTONOMY_MS = 60_000
 
 _events = logbook.Logger(__name__)
@@ -50,7 +50,7 @@
         ...
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
-        """Waits until a record is folded; False when the time was up."""
+        """Waits until a record is folded; False on a timeout."""
         ...
 
     def age_ms(self) -> int:
@@ -60,13 +60,14 @@
 
 @attrs.frozen
 class OwnerPermissions:
-    """What this host may do as owner, on its monotonic clock.
+    """What this host may do as owner; times are on its monotonic clock.
 
     Attributes:
-        term: Term of its claim; 0 when it isn't the owner.
-        bounds: Bounds of that claim; None when it isn't the owner.
-        command_until_ms: Until when it may start work.
-        renew_until_ms: Until when it may renew leases and send the rest.
+        term: Term of its claim; 0 if it isn't the owner.
+        bounds: Bounds of that claim; None if it isn't the owner.
+        command_until_ms: End of the time in which it may start work.
+        renew_until_ms: End of the time in which it may renew leases and send
+            what doesn't start work.
     """
 
     term: int = 0
@@ -75,7 +76,7 @@
     renew_until_ms: int = 0
 
     def may_start(self, now_ms: int) -> bool:
-        """Whether nobody else can have claimed the zone yet."""
+        """Whether work may be started: no other host can have claimed yet."""
         return self.term > 0 and now_ms < self.command_until_ms
 
     def may_renew(self, now_ms: int) -> bool:
@@ -87,7 +88,7 @@
 
 
 def max_task_lifetime_ms(claim: job_state.Claim) -> int:
-    """Longest time after its last proof in which a claim's tasks can run."""
+    """Longest time for which tasks can run after a claim's last proof."""
     bounds = claim.bounds
     tail_ms = (
         bounds.lease_ms + bounds.command_ttl_ms + 2 * bounds.drift_margin_ms
@@ -99,9 +100,9 @@
 
 @final
 class Ownership:
-    """This host's part in who owns the zone's workers. Thread-safe.
+    """Claims the zone for this host and renews the claim. Thread-safe.
 
-    As a context manager it runs `step` on a thread of its own.
+    As a context manager it calls `step` in a loop on its own thread.
     """
 
     def __init__(
@@ -161,29 +162,30 @@
         return self._host_id
 
     def permissions(self) -> OwnerPermissions:
-        """What this host may do now; check it right before each exchange."""
+        """Returns what this host may do; check right before each exchange."""
         with self._lock:
             if self._fenced_term > self._permissions.term:
                 return NO_PERMISSIONS
             return self._permissions
 
     def predecessor_tasks_until_ms(self) -> int:
-        """Until when unfenced workers may run what other hosts started."""
+        """Time until which unfenced workers may run tasks of earlier terms."""
         with self._lock:
             return max(self._predecessor_tasks_until_ms.values(), default=0)
 
     def report_fenced(self, term: int) -> None:
-        """Tells that a worker has seen a higher term than this host's."""
+        """Notes that a worker has seen a term higher than this host's."""
         with self._lock:
             self._fenced_term = max(self._fenced_term, term)
 
     def step(self) -> int:
-        """Looks at the stream, then claims or renews if it is time.
+        """Checks the folded claims, then claims or renews when due.
 
         Returns:
             Milliseconds until the next step is due.
         """
-        # Read before the fold, so that no renewal can slip in between.
+        # Read before the claims: a renewal that is folded in between can only
+        # make the claims newer than this age says.
         age_ms = self._follower.age_ms()
         self._observe()
         claims = self._fold.claims()
@@ -196,7 +198,7 @@
         return STEP_INTERVAL_MS
 
     def release(self) -> None:
-        """Gives the claim up; nothing may be sent to workers any more."""
+        """Releases the claim; nothing may be sent to workers afterwards."""
         self._stopping.set()
         with self._lock:
             permissions = self._permissions
@@ -217,7 +219,7 @@
         return claim.host == self._host_id and not claim.released
 
     def _observe(self) -> None:
-        """Notes new claims and renewals, with the time they were seen."""
+        """Notes new claims and renewals and the time they were first seen."""
         now_ms = self._clock.monotonic_ms()
         claims = self._fold.claims()
         with self._lock:
@@ -278,8 +280,8 @@
     ) -> bool:
         if self._stopping.is_set():
             return False
-        # Bounds of a claim made before the zone's limits are known would
-        # have to be waited out by the first successor.
+        # The first successor would have to wait out the default bounds of a
+        # claim made before the zone's limits are known.
         if self._zone not in self._source.current().zones:
             return False
         bounds = self._configured_bounds()
@@ -313,7 +315,7 @@
         )
         self._append(body)
         with self._lock:
-            # A claim that lost the race waits for the winner's lapse.
+            # After a lost race, wait until the winner's claim lapses.
             self._claim_changed_ms = self._clock.monotonic_ms()
             lost = self._permissions.term != body.term
         if lost:
@@ -329,7 +331,7 @@
         if self._stopping.is_set():
             return
         if claim.bounds != self._configured_bounds():
-            # A term keeps its bounds to its end; new ones need a new term.
+            # The bounds of a term never change; new bounds need a new term.
             self._claim(claim.term)
             return
         self._append(job_records.OwnerRenewed(claim.term, self._host_id))
@@ -337,7 +339,7 @@
     def _append(
         self, body: job_records.OwnerClaimed | job_records.OwnerRenewed
     ) -> None:
-        """Appends and, if it is known to stand, counts it as a proof."""
+        """Appends a record; once folded, it proves the claim."""
         sent_ms = self._clock.monotonic_ms()
         self._renewal_sent_ms = sent_ms
         outcome = self._appender.append([body], APPEND_TIMEOUT_MS)
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -1,4 +1,4 @@
-"""Which worker takes the next attempt, and which jobs can never run."""
+"""Choice of a worker for an attempt, and detection of jobs that never fit."""
 
 from __future__ import annotations
 
@@ -21,42 +21,42 @@
 
 
 class Policy(enum.StrEnum):
-    """How a worker is chosen."""
+    """Rule by which a worker is chosen."""
 
     PREDICTED_COST = "predicted-cost"
     FIRST_FIT = "first-fit"
 
 
 class CostModel(Protocol):
-    """Predicts what an attempt would cost the work beside it."""
+    """Predicts the slowdown between an attempt and its neighbours."""
 
     def place(self, job: str, worker: str, job_class: str, milli: int) -> None:
-        """Counts an attempt, which uses that much of the processors."""
+        """Adds an attempt that uses `milli` thousandths of a processor."""
         ...
 
     def remove(self, job: str) -> None:
-        """Stops counting an attempt."""
+        """Removes a job's attempt."""
         ...
 
     def cost_milli(self, job_class: str, worker: str) -> int:
-        """Predicted slowdown caused and suffered, in thousandths."""
+        """Predicts the slowdown caused and suffered, in thousandths."""
         ...
 
 
 @attrs.frozen
 class NeverFits:
-    """No worker can hold the size, now or ever.
+    """No worker can hold the requested resources, even when idle.
 
     Attributes:
-        dimensions: Those in which it exceeds the nearest worker.
-        largest: What the nearest worker could give.
+        dimensions: Those in which the request exceeds the nearest worker.
+        largest: Resources that the nearest worker has for batch work.
     """
 
     dimensions: tuple[str, ...]
     largest: workers.Resources
 
     def sentence(self, size: workers.Resources) -> str:
-        """What is too large, for a person."""
+        """Describes for people what is too large."""
         parts = []
         for name in self.dimensions:
             asked = getattr(size, name)
@@ -68,10 +68,15 @@
 def never_fits(
     size: workers.Resources, usable: Iterable[workers.Resources]
 ) -> NeverFits | None:
-    """Compares a size with what each kind of worker can give to batch work.
+    """Checks whether any worker could hold the requested resources.
 
-    None is returned if one can hold it, or if no worker is known. The answer
-    names the worker that falls short in the fewest dimensions.
+    Args:
+        size: Requested resources.
+        usable: Resources that each kind of worker has for batch work.
+
+    Returns:
+        The worker that falls short in the fewest dimensions; None if one can
+        hold the request or if no worker is known.
     """
     nearest: NeverFits | None = None
     for amount in set(usable):
@@ -86,7 +91,7 @@
 
 @final
 class Placement:
-    """Chooses workers. Used by one thread."""
+    """Chooses workers and reserves their capacity. Not thread-safe."""
 
     def __init__(
         self,
@@ -105,9 +110,9 @@
     def choose(
         self, state: job_state.JobState, size: workers.Resources
     ) -> str | None:
-        """The worker for a job's next attempt, or None if none has room.
+        """Chooses a worker for a job's next attempt; None if none has room.
 
-        Workers on which the job has failed come last.
+        Workers on which the job has failed are chosen last.
         """
         if self._policy is Policy.FIRST_FIT:
             found = self._ledger.candidates(size, MAX_CANDIDATES)
@@ -152,7 +157,7 @@
         worker: str,
         size: workers.Resources,
     ) -> None:
-        """Reserves for a job's attempt."""
+        """Reserves capacity for a job's attempt on a worker."""
         self.remove(state.spec.id)
         self._ledger.reserve(state.spec.id, worker, size)
         self._model.place(
@@ -168,7 +173,7 @@
         self._team_on_rack[key] += 1
 
     def remove(self, job: str) -> str | None:
-        """Frees what a job holds; returns the worker it was on."""
+        """Releases a job's reservation; returns the worker it was on."""
         self._model.remove(job)
         key = self._placed.pop(job, None)
         if key is not None:
@@ -197,7 +202,7 @@
 def _untried(
     state: job_state.JobState, accounts: list[capacity.WorkerAccount]
 ) -> list[capacity.WorkerAccount]:
-    """Workers on which the job has not failed; all if it has on each."""
+    """Workers on which the job has not failed; all if it failed on each."""
     untried = [
         account
         for account in accounts
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -1,4 +1,4 @@
-"""The owner's books of one term: ledgers, queue, attempts and plans."""
+"""Scheduling state of a zone's owner during one term."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 @final
 class SchedulingState:
-    """Built anew from the fold at the start of each term. One thread.
+    """Built from the fold at the start of each term. Not thread-safe.
 
     Attributes:
-        ledger: What is free on each worker.
+        ledger: Free capacity of each worker.
         workers: Workers as listed and configured.
-        queue: Jobs that wait, and the teams' use.
-        mix: What runs on each worker by class.
-        dispatcher: Turns queued jobs into assignments.
-        table: Attempts, and what their workers say.
-        planner: Evictions under way for jobs that wait.
+        queue: Queued jobs and the resources that each team uses.
+        cost_model: Predicts the slowdown between attempts and services.
+        scheduler: Assigns queued jobs to workers.
+        attempts: Tracks assigned attempts and the reports of their workers.
+        planner: Plans evictions for queued jobs.
     """
 
     def __init__(
@@ -68,12 +68,12 @@
         )
 
     def sync_job(self, state: job_state.JobState, now_ms: int) -> None:
-        """Takes a job's state from the fold."""
+        """Updates queue, reservations and attempts from a folded job state."""
         self.scheduler.sync(state)
         self.attempts.sync(state, now_ms)
 
     def size_for(self, state: job_state.JobState) -> workers.Resources:
-        """What to reserve for a job's next attempt."""
+        """Returns the resources to reserve for a job's next attempt."""
         declared = state.spec.resources
         if self._policy is placement_module.Policy.FIRST_FIT:
             return declared
@@ -82,7 +82,7 @@
         )
 
     def refresh_workers(self) -> None:
-        """Brings what depends on the list and configuration up to date."""
+        """Applies changes of the host list, configuration and reports."""
         if not self.workers.refresh():
             return
         self._largest = capacity.NO_RESOURCES
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -1,7 +1,7 @@
-"""The owner's loop: from the fold and the workers' reports to records.
+"""Control loop of a zone's owner: turns folded state and reports into records.
 
 An assignment is on the stream and folded under this host's term before its
-start is sent; what the fold does not show has not been decided.
+start command is sent. A decision that the fold does not show was not made.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
 
 @final
 class ZoneOwner:
-    """Runs the zone's workers while this host holds the claim.
+    """Schedules jobs on the zone's workers while this host holds the claim.
 
-    As a context manager it runs `step` on a thread of its own.
+    As a context manager it calls `step` in a loop on its own thread.
     """
 
     def __init__(
@@ -122,27 +122,30 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        """Ends the loop, then all links; the claim is released after it."""
+        """Stops the loop, then all links; the claim is released afterwards."""
         self._stopping.set()
         self._pool.woken.set()
         self._thread.join()
         self._pool.stop_all()
 
     def update_host_list(self, host_list: hosts.HostList) -> None:
-        """Takes a new list of hosts; any thread may call it."""
+        """Sets the list of hosts that the next step applies. Thread-safe."""
         self._host_list = host_list
 
     def status(self) -> owner_status.OwnerStatus:
-        """What `status` shows; any thread may call it."""
+        """Returns what the `status` command shows. Thread-safe."""
         now_ms = self._clock.monotonic_ms()
         holds = self._ownership.permissions().may_start(now_ms)
         quarantined = self._health.quarantined()
         return owner_status.from_fold(self._fold, holds, quarantined)
 
     def evict(self, job: str, reason: str) -> bool:
-        """Checkpoints and stops a job's attempt; False if none runs here.
+        """Starts to evict a job's attempt: a checkpoint, then a stop.
 
-        To be called from the thread that calls `step`.
+        Must be called from the thread that calls `step`.
+
+        Returns:
+            False if no attempt runs here or it is ending already.
         """
         now_ms = self._clock.monotonic_ms()
         if not self._scheduling.attempts.evict(job, now_ms):
@@ -151,11 +154,18 @@
         return True
 
     def throttle(self, job: str, share_milli: int) -> None:
-        """Limits a running attempt; from the thread that calls `step`."""
+        """Limits a running attempt to a share of its processors.
+
+        Must be called from the thread that calls `step`.
+        """
         self._scheduling.attempts.throttle(job, share_milli)
 
     def step(self) -> int:
-        """Does all that is due; returns milliseconds until the next step."""
+        """Does all work that is due.
+
+        Returns:
+            Milliseconds until the next step.
+        """
         permissions = self._ownership.permissions()
         if permissions.term != self._term:
             self._change_term(permissions.term)
@@ -293,7 +303,8 @@
     def _append_pending(self, now_ms: int) -> None:
         pending: list[Any] = self._scheduling.attempts.pending_records()
         if not pending and self._unconfirmed:
-            # Anything known to stand settles what was sent before it.
+            # Once a later record is folded, an earlier one of unknown
+            # outcome is either folded too or never will be.
             host = self._ownership.host_id
             pending = [job_records.OwnerRenewed(self._term, host)]
         if not pending or now_ms < self._append_after_ms:
@@ -307,7 +318,7 @@
             self._sync_fold(now_ms)
 
     def _append(self, bodies: Sequence[Any]) -> bool:
-        """Appends; True if the records stand and are folded."""
+        """Appends records; True once they are on the stream and folded."""
         outcome = self._appender.append(bodies, APPEND_TIMEOUT_MS)
         match outcome:
             case result.Ok(appended):
@@ -329,7 +340,7 @@
                 return False
 
     def _revert(self, bodies: Sequence[Any]) -> None:
-        """Takes back assignments that certainly don't stand."""
+        """Reverts decisions whose records are certainly not on the stream."""
         for body in bodies:
             if not isinstance(
                 body, job_records.AttemptAssigned | job_records.JobParked
@@ -377,7 +388,7 @@
             self._sync_fold(now_ms)
 
     def _assign_planned(self, now_ms: int) -> list[job_records.AttemptAssigned]:
-        """Assigns jobs for which evictions have made room."""
+        """Assigns jobs whose planned evictions have freed enough capacity."""
         scheduling = self._scheduling
         assigned = []
         for plan in scheduling.planner.ready_plans(now_ms):
