--- a/src/comfreylatch/_process/batch/__init__.py
+++ b/src/comfreylatch/_process/batch/__init__.py
@@ -1,3 +1,3 @@
-"""Batch work: who runs a zone's workers, and what they run."""
+"""Batch jobs: zone ownership, scheduling and the zone's workers."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_process/batch/interference.py
+++ b/src/comfreylatch/_process/batch/interference.py
@@ -1,10 +1,10 @@
-"""Who slows whom down, learned from late usage reports.
+"""Interference between classes of work, learned from delayed usage reports.
 
-For each victim (a service or a job class) the extra slowdown is taken as the
-sum over the classes beside it of a coefficient times that class's share of
-the host's processors. Coefficients are estimated by a Kalman filter with a
-diagonal covariance, so that each comes with its uncertainty. A usage report
-names what ran when it was measured, so its lag does not mix up the causes.
+For each victim (a service or a job class) the extra slowdown is modelled as
+the sum, over the classes on the same host, of a coefficient times the share
+of the host's processors that the class uses. A Kalman filter with a diagonal
+covariance estimates the coefficients and their uncertainty. A usage report
+names what ran when it was measured, so its delay does not blur the causes.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 
 @attrs.define(eq=False)
 class Coefficient:
-    """Slowdown caused by a class that fills the host.
+    """Slowdown caused by a class that uses all processors of the host.
 
     Attributes:
         mean: Best estimate.
-        variance: Its uncertainty.
-        cautious: The mean, raised by a part of its standard deviation.
+        variance: Variance of the estimate.
+        conservative: The mean plus a fraction of the standard deviation.
     """
 
     mean: float = PRIOR_MEAN
@@ -47,7 +47,7 @@
     )
 
     def update(self, mean: float, variance: float) -> None:
-        """Takes a new estimate, within its bounds."""
+        """Sets a new estimate, clamped to its bounds."""
         self.mean = min(max(mean, 0.0), MAX_COEFFICIENT)
         self.variance = min(variance + DRIFT_VARIANCE, PRIOR_VARIANCE)
         self.conservative = self.mean + CONSERVATIVE_DEVIATIONS * math.sqrt(
@@ -61,12 +61,13 @@
 
 @attrs.frozen
 class Sample:
-    """What ran on a host at one moment, and how slow everything was.
+    """Loads and slowdowns on a host at one moment.
 
     Attributes:
-        loads: Share of the host's processors by class; services by name.
-        slowdowns: Slowdown over running alone by class or service, 1 if none.
-        processors: Sum of the loads.
+        loads: Share of the host's processors used by each job class.
+        slowdowns: Slowdown relative to running alone, by class or service;
+            1 if none.
+        processors: Share of the host's processors in use.
     """
 
     loads: Mapping[str, float]
@@ -79,7 +80,7 @@
     class_by_job: Mapping[str, str],
     capacity_milli: int,
 ) -> Sample:
-    """Reads one measurement; attempts of unknown jobs are left out."""
+    """Converts one measurement; tasks of unknown jobs are left out."""
     whole = max(1, capacity_milli)
     loads: collections.Counter[str] = collections.Counter()
     weighted: collections.Counter[str] = collections.Counter()
@@ -102,7 +103,7 @@
 
 @final
 class InterferenceModel:
-    """Learned coefficients by victim and aggressor. Used by one thread."""
+    """Learned coefficients by victim and aggressor. Not thread-safe."""
 
     def __init__(self) -> None:
         self._victims: collections.OrderedDict[
@@ -110,7 +111,7 @@
         ] = collections.OrderedDict()
 
     def learn(self, sample: Sample) -> None:
-        """Takes one measurement."""
+        """Updates the coefficients from one measurement."""
         for victim, slowdown in sample.slowdowns.items():
             loads = {
                 job_class: load
@@ -121,14 +122,14 @@
                 self._update(victim, loads, slowdown - 1.0)
 
     def coefficient(self, victim: str, aggressor: str) -> Coefficient:
-        """The estimate for a pair; the prior if nothing is known."""
+        """Returns the estimate for a pair, or the prior if there is none."""
         known = self._victims.get(victim)
         if known is None:
             return PRIOR_COEFFICIENT
         return known.get(aggressor, PRIOR_COEFFICIENT)
 
     def estimates_for(self, victim: str) -> Mapping[str, Coefficient]:
-        """The estimates known for a victim, by aggressor."""
+        """Returns the estimates for a victim by aggressor."""
         return self._victims.get(victim, _NO_ESTIMATES)
 
     def _update(
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -1,8 +1,9 @@
-"""Steps against batch work that slows a service down on one worker.
+"""Escalation against batch work that slows down services on a worker.
 
-Throttle, throttle more, checkpoint and move, stop: each step only on several
-measurements in a row, all made after the step before it had time to act, and
-taken back only well below the mark that led to it.
+The steps are: throttle, throttle more, checkpoint and move, stop. Each step
+needs several consecutive measurements, all made after the previous step had
+time to take effect. Hysteresis: a step is relaxed only well below the
+threshold that led to it.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 class Step(enum.IntEnum):
-    """How far the control of a worker has gone."""
+    """Escalation step reached on a worker."""
 
     NONE = 0
     THROTTLED = 1
@@ -44,7 +45,7 @@
 
 @attrs.frozen
 class JobShare:
-    """A share of its processors for a job's attempt, in thousandths."""
+    """Share of its processors, in thousandths, that a job's attempt gets."""
 
     job: str
     share_milli: int
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class Throttle:
-    """Limit attempts to shares; `relaxes` if they get more than before."""
+    """Limit attempts to shares; `relaxes` if the shares are raised."""
 
     shares: tuple[JobShare, ...]
     relaxes: bool = False
@@ -87,10 +88,10 @@
 
 @final
 class InterferenceControl:
-    """Decides the steps for every worker. Used by one thread.
+    """Decides the escalation steps of every worker. Not thread-safe.
 
     Attributes:
-        allowed_slowdown: How much slower a service may get, as a fraction.
+        allowed_slowdown: Allowed extra slowdown of a service, as a fraction.
     """
 
     def __init__(self, model: interference.InterferenceModel) -> None:
@@ -99,12 +100,12 @@
         self.allowed_slowdown = 0.1
 
     def current_step(self, worker: str) -> Step:
-        """How far the control of a worker has gone."""
+        """Returns the escalation step reached on a worker."""
         state = self._states.get(worker)
         return Step.NONE if state is None else state.step
 
     def needs_frequent_reports(self, worker: str) -> bool:
-        """Whether more measurements are wanted than renewals bring."""
+        """Whether reports are needed more often than lease renewals bring."""
         state = self._states.get(worker)
         if state is None:
             return False
@@ -127,15 +128,18 @@
         load_of: LoadOf,
         now_ms: int,
     ) -> Action | None:
-        """Takes one measurement of a worker's services.
+        """Evaluates one measurement of a worker's services.
 
         Args:
             worker: Name of the worker.
             services: Services there and their slowdown, 1 if none.
-            measured_ms: When it was measured, on this host's clock.
-            attempts: Attempts that run there now.
-            load_of: Part of the host an attempt would use unthrottled.
+            measured_ms: Time of the measurement on this host's clock.
+            attempts: Attempts assigned to the worker now.
+            load_of: Share of the host that an attempt would use unthrottled.
             now_ms: Monotonic time.
+
+        Returns:
+            The action to carry out, or None.
         """
         if not services:
             return None
@@ -182,7 +186,7 @@
             case Step.MOVED:
                 return Move(_least_unsaved(ranked))
             case _:
-                # The next one starts with moving again.
+                # The next escalation moves attempts again.
                 state.step = Step.THROTTLED_MORE
                 return Stop(_least_unsaved(ranked))
 
@@ -193,7 +197,7 @@
         ranked: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> list[attempt_module.Attempt]:
-        """Attempts that together are predicted to cause the excess."""
+        """Selects attempts that are predicted to cause the excess together."""
         excess = slowdown - 1.0 - self.allowed_slowdown
         chosen = []
         for attempt in ranked:
@@ -213,7 +217,7 @@
         attempts: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> Action | None:
-        """Gives back what is not predicted to bring the slowness back."""
+        """Raises shares as far as no excess slowdown is predicted."""
         state.step = Step(max(state.step - 1, Step.NONE))
         service, slowdown = max(state.worst_slowdowns, key=lambda pair: pair[1])
         left = 1.0 + self.allowed_slowdown - slowdown
@@ -239,7 +243,7 @@
         attempts: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> list[attempt_module.Attempt]:
-        """Attempts that still run, the largest contribution first."""
+        """Attempts not being stopped, the largest contribution first."""
 
         def contribution(attempt: attempt_module.Attempt) -> float:
             spec = attempt.state.spec
@@ -266,7 +270,7 @@
 def _least_unsaved(
     ranked: Sequence[attempt_module.Attempt],
 ) -> tuple[str, ...]:
-    """Of the upper half by contribution, those that lose least work."""
+    """Jobs with least unsaved work in the upper half by contribution."""
     upper = ranked[: max(1, (len(ranked) + 1) // 2)]
     ordered = sorted(upper, key=eviction_planner.unsaved_work_ms)
     return tuple(attempt.job for attempt in ordered[:MAX_MOVED_PER_STEP])
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -1,4 +1,4 @@
-"""What runs on each worker by class, and what one more attempt would cost."""
+"""Cost model of placement, from the load of each worker by job class."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from comfreylatch._process.batch import learned_sizes
 
 SERVICE_WEIGHT = 4.0
-# Part of the allowed slowdown that placement plans to use.
+# Fraction of the allowed slowdown that placement plans to use.
 PLANNED_SLOWDOWN_FRACTION = 0.8
 NEGLIGIBLE_TOTAL_SLOWDOWN = 0.02
 NEGLIGIBLE_ADDED_SLOWDOWN = 0.004
@@ -22,11 +22,11 @@
 
 @final
 class InterferenceCostModel:
-    """Implements `placement.CostModel`. Used by one thread.
+    """Implements `placement.CostModel`. Not thread-safe.
 
     Attributes:
         now_ms: Monotonic time, set by the owner's loop.
-        allowed_slowdown: How much slower a service may get, as a fraction.
+        allowed_slowdown: Allowed extra slowdown of a service, as a fraction.
     """
 
     def __init__(
@@ -45,22 +45,22 @@
         self.allowed_slowdown = 0.1
 
     def set_worker(self, worker: str, processors_milli: int) -> None:
-        """Declares what a worker has."""
+        """Sets the processors of a worker."""
         self._processors_milli[worker] = max(1, processors_milli)
 
     def set_services(self, worker: str, services: Collection[str]) -> None:
-        """Declares which services run on a worker."""
+        """Sets the services that run on a worker."""
         self._services[worker] = services
 
     def place(self, job: str, worker: str, job_class: str, milli: int) -> None:
-        """Counts an attempt."""
+        """Adds an attempt to the load of a worker."""
         self.remove(job)
         self._placed[job] = (worker, job_class, milli)
         load_milli = self._load_milli.setdefault(worker, collections.Counter())
         load_milli[job_class] += milli
 
     def remove(self, job: str) -> None:
-        """Stops counting an attempt."""
+        """Removes a job's attempt from the load of its worker."""
         placed = self._placed.pop(job, None)
         if placed is None:
             return
@@ -73,7 +73,7 @@
             del self._load_milli[worker]
 
     def avoid(self, worker: str, job_class: str) -> None:
-        """Keeps a class that was moved off a worker away for a while."""
+        """Raises the cost of a class on a worker for `AVOID_DURATION_MS`."""
         self._avoid_until_ms[worker, job_class] = (
             self.now_ms + AVOID_DURATION_MS
         )
@@ -88,7 +88,7 @@
     def exceeds_slowdown(
         self, job_class: str, declared_milli: int, worker: str
     ) -> bool:
-        """See `placement.CostModel.exceeds_slowdown`."""
+        """Whether an attempt would slow a service more than is planned for."""
         processors_milli = self._processors_milli.get(worker, 1)
         load = (
             self._sizes.used_milli(job_class, declared_milli) / processors_milli
@@ -99,7 +99,7 @@
             unknown = interference.PRIOR_COEFFICIENT
             before = self._predicted_slowdown(known, worker)
             more = known.get(job_class, unknown).mean * load
-            # Work that does no harm may join a slow worker.
+            # Work with negligible effect may join a slow worker.
             if (
                 more < NEGLIGIBLE_ADDED_SLOWDOWN
                 or before <= NEGLIGIBLE_TOTAL_SLOWDOWN
@@ -110,9 +110,9 @@
         return False
 
     def share_milli(self, job: str) -> int:
-        """Share of its processors with which a placed job should start.
+        """Share of its processors, in thousandths, for a placed job's start.
 
-        Less than all of them if services on its worker would get too slow.
+        Below 1000 if services on its worker would exceed the allowed slowdown.
         """
         placed = self._placed.get(job)
         if placed is None:
@@ -136,7 +136,7 @@
     def _predicted_slowdown(
         self, known: Mapping[str, interference.Coefficient], worker: str
     ) -> float:
-        """Predicted extra slowdown of a service on a worker."""
+        """Predicts the extra slowdown of a service on a worker."""
         processors_milli = self._processors_milli.get(worker, 1)
         unknown = interference.PRIOR_COEFFICIENT
         return sum(
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -1,6 +1,6 @@
-"""Submitting, showing and cancelling jobs over HTTP.
+"""HTTP handler that submits, shows and cancels jobs.
 
-Nothing is acknowledged before its record is known to stand on the stream. A
+A request is acknowledged only after its record is on the stream and folded. A
 submission repeated with the same id and content is answered like the first.
 """
 
@@ -42,7 +42,7 @@
 
 @attrs.frozen
 class _Submission:
-    """A job as callers write it; `zone` may be empty."""
+    """Body of a job submission; an empty `zone` means this host's zone."""
 
     id: str
     team: str
@@ -61,7 +61,7 @@
 
 
 class JobLookup(enum.StrEnum):
-    """What a repeated submission turns out to be."""
+    """Relation of a submission to the jobs known under its id."""
 
     NEW = "new"
     SAME = "same"
@@ -72,7 +72,7 @@
 
 
 def job_page(state: job_state.JobState) -> dict[str, Any]:
-    """One job as shown to people."""
+    """Returns one job as a JSON object for replies."""
     return {
         "id": state.spec.id,
         "team": state.spec.team,
@@ -119,11 +119,11 @@
         self._stopping = False
 
     def update_host_list(self, host_list: hosts.HostList) -> None:
-        """Takes a new list of hosts."""
+        """Sets the list of hosts against which job sizes are checked."""
         self._listed = zone_workers.zone_workers(host_list, self._zone)
 
     def stop_accepting(self) -> None:
-        """Refuses new jobs from now on, as during a planned stop."""
+        """Refuses new jobs from now on, as in a planned stop."""
         self._stopping = True
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
@@ -139,7 +139,7 @@
             case "DELETE", True:
                 return self._cancel(job)
             case _:
-                detail = f"{request.method} is not known here"
+                detail = f"method {request.method} is not supported here"
                 reason = reasons.RefusalReason.BAD_REQUEST
                 return self._refuse(_Refusal(405, reason, detail))
 
@@ -163,8 +163,8 @@
             return appended
         lookup = self._look_up(spec)
         if lookup is JobLookup.NEW:
-            return self._unknown("the record stands but is not folded yet")
-        self._note(spec.id, "admitted", "the record stands", appended)
+            return self._unknown("the record is appended but not folded yet")
+        self._note(spec.id, "admitted", "the record is appended", appended)
         return self._known(spec, lookup)
 
     def _parse(
@@ -209,7 +209,7 @@
     ) -> http.HttpReply:
         if lookup is JobLookup.TAKEN:
             reason = reasons.RefusalReason.JOB_ID_TAKEN
-            detail = f"job {spec.id} exists with other content"
+            detail = f"job {spec.id} already exists with different content"
             return self._refuse(_Refusal(409, reason, detail))
         state = self._fold.job(spec.id)
         if state is None:
@@ -298,7 +298,7 @@
         self._note(job, "cancelled", "asked for by its submitter", appended)
         return self._show(job)
 
-    # Common to both.
+    # Helpers.
 
     def _append(
         self,
@@ -325,7 +325,7 @@
         self._metrics.count(
             metrics_module.Counter.OUTCOMES, reasons.Outcome.UNKNOWN
         )
-        advice = f"{detail}; ask for the job, or send the same again"
+        advice = f"{detail}; query the job or repeat the same request"
         return http.error_reply(504, reasons.Outcome.UNKNOWN, advice)
 
     def _refuse(
@@ -342,7 +342,7 @@
 
 def _unknown_job(job: str, zone: str) -> _Refusal:
     reason = reasons.RefusalReason.UNKNOWN_JOB
-    # A path may decode to text that no JSON reply can carry.
+    # A path may decode to text that can't be encoded in a JSON reply.
     shown = ascii(job[:MAX_NAME_LENGTH])
     detail = f"job {shown} is not known in zone {zone}"
     return _Refusal(404, reason, detail)
@@ -355,7 +355,7 @@
 
 
 def _wrong_field(spec: job_records.JobSpec) -> str:
-    """What is wrong with a job's fields; empty if nothing is."""
+    """Describes the first invalid field of a job; empty if all are valid."""
     for name in ("id", "team", "zone", "job_class"):
         if not _is_name(getattr(spec, name)):
             return (
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -1,4 +1,4 @@
-"""Queued jobs by team, taken in the order of the teams' shares."""
+"""Queue of jobs by team, in the order of the teams' dominant shares."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
 
-# Jobs of one team looked at behind one that finds no room.
+# Jobs of one team that a round skips for lack of capacity before it leaves the
+# team.
 BACKFILL_DEPTH = 32
 FULL_SHARE_MILLI = 1_000
 NO_QUOTA_SHARE_MILLI = 1_000_000
@@ -24,7 +25,7 @@
 def dominant_share_milli(
     used: workers.Resources, quota: workers.Resources
 ) -> int:
-    """Largest used part of a quota over its dimensions, in thousandths."""
+    """Largest used share of a quota over all dimensions, in thousandths."""
     parts = [
         _share_milli(used.processors_milli, quota.processors_milli),
         _share_milli(used.memory_mib, quota.memory_mib),
@@ -53,10 +54,10 @@
 
 @final
 class JobQueue:
-    """Queued jobs and what each team uses. Used by one thread.
+    """Queued jobs and the resources that each team uses. Not thread-safe.
 
     Urgent jobs come first. Among the rest the team that uses the smallest
-    part of its quota comes first; a team above its quota may only borrow
+    share of its quota comes first; a team above its quota may only borrow
     what no team within its quota asks for.
     """
 
@@ -71,11 +72,11 @@
         return len(self._team_by_job)
 
     def set_teams(self, teams: Mapping[str, objects.Team]) -> None:
-        """Puts other quotas in force."""
+        """Replaces the teams and their quotas."""
         self._quotas = teams
 
     def add(self, state: job_state.JobState) -> None:
-        """Queues a job; a requeued one takes its old place again."""
+        """Queues a job; one that was started before goes to the front."""
         job = state.spec.id
         self.discard(job)
         team = self._teams.setdefault(state.spec.team, _TeamQueue())
@@ -86,7 +87,7 @@
         self._team_by_job[job] = state.spec.team
 
     def discard(self, job: str) -> None:
-        """Takes a job out of the queue, if it is there."""
+        """Removes a job from the queue, if present."""
         name = self._team_by_job.pop(job, None)
         if name is None:
             return
@@ -97,14 +98,14 @@
             del self._teams[name]
 
     def add_usage(self, job: str, team: str, size: workers.Resources) -> None:
-        """Counts a placed job against its team."""
+        """Counts the resources of a placed job as used by its team."""
         self.remove_usage(job)
         self._usage_by_job[job] = (team, size)
         used = self._used.get(team, capacity.NO_RESOURCES)
         self._used[team] = capacity.add(used, size)
 
     def remove_usage(self, job: str) -> None:
-        """Stops counting a job against its team."""
+        """Stops counting the resources of a job as used by its team."""
         held = self._usage_by_job.pop(job, None)
         if held is None:
             return
@@ -114,7 +115,7 @@
             del self._used[team]
 
     def quota_share_milli(self, team: str) -> int:
-        """Part of its quota that a team uses, in thousandths."""
+        """Share of its quota that a team uses, in thousandths."""
         used = self._used.get(team, capacity.NO_RESOURCES)
         quota = self._quotas.get(team)
         return dominant_share_milli(
@@ -122,7 +123,7 @@
         )
 
     def quota_share_milli_with(self, team: str, size: workers.Resources) -> int:
-        """Part of its quota that a team would use with one more job."""
+        """Share of its quota that a team would use with one more job."""
         used = capacity.add(self._used.get(team, capacity.NO_RESOURCES), size)
         quota = self._quotas.get(team)
         return dominant_share_milli(
@@ -130,23 +131,23 @@
         )
 
     def may_borrow(self, team: str) -> bool:
-        """Whether a team may go above its quota."""
+        """Whether a team may exceed its quota."""
         quota = self._quotas.get(team)
         return quota is None or quota.may_borrow
 
     def urgent(self) -> Iterator[job_state.JobState]:
-        """Urgent jobs, each team's in its order."""
+        """Iterates over urgent jobs, those of each team in queue order."""
         for name in list(self._teams):
             team = self._teams.get(name)
             if team is not None and team.urgent:
                 yield from list(team.urgent.values())
 
     def fair_order(self) -> Iterator[job_state.JobState]:
-        """Other jobs, the team with the smallest share first.
+        """Iterates over other jobs, the team with the smallest share first.
 
-        The consumer places or skips each job before it asks for the next;
-        shares are read again after each. At most `BACKFILL_DEPTH` jobs of a
-        team are skipped in a row before the team is left for this round.
+        The consumer places or skips each job before it requests the next;
+        shares are recomputed after each. A team of which `BACKFILL_DEPTH` jobs
+        have been skipped is left out for the rest of the round.
         """
         heap = [(self.quota_share_milli(name), name) for name in self._teams]
         heapq.heapify(heap)
--- a/src/comfreylatch/_process/batch/learned_sizes.py
+++ b/src/comfreylatch/_process/batch/learned_sizes.py
@@ -1,4 +1,4 @@
-"""Real sizes by job class, learned from usage reports."""
+"""Actual resource use by job class, learned from usage reports."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class SizeRatio:
-    """Largest use of one attempt over its declared size, in thousandths."""
+    """Peak use of an attempt relative to its declared size, in thousandths."""
 
     processors_milli: int
     memory_milli: int
@@ -34,7 +34,7 @@
 
 
 def quantile(values: list[int], percent: int) -> int:
-    """The value that `percent` of the values do not exceed."""
+    """Returns the value that `percent` of the values do not exceed."""
     ordered = sorted(values)
     index = -(-len(ordered) * percent // 100) - 1
     return ordered[max(0, index)]
@@ -42,10 +42,10 @@
 
 @final
 class LearnedSizes:
-    """Quantiles of use over declaration. Used by one thread.
+    """Quantiles of used over declared resources. Not thread-safe.
 
-    A placement reserves at least the declared size, as workers count that
-    one; classes that declare too little get more.
+    A placement reserves at least the declared size, which is what workers
+    count; classes that declare too little get more.
     """
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         declared: workers.Resources,
         used: workers.TaskSlowdown,
     ) -> None:
-        """Takes one measurement of an attempt."""
+        """Records one measurement of an attempt."""
         sizes = self._classes.setdefault(job_class, _ClassSizes())
         self._classes.move_to_end(job_class)
         if len(self._classes) > MAX_CLASSES:
@@ -82,7 +82,7 @@
             sizes.attempts.popitem(last=False)
 
     def ratio(self, job_class: str) -> SizeRatio:
-        """What to reserve over the declared size, in thousandths."""
+        """Ratio of used to declared size of a class, in thousandths."""
         sizes = self._classes.get(job_class)
         if sizes is None or len(sizes.attempts) < MIN_ATTEMPTS_TO_LEARN:
             return SizeRatio(DECLARED_RATIO_MILLI, DECLARED_RATIO_MILLI)
@@ -100,7 +100,7 @@
         return sizes.cached
 
     def used_milli(self, job_class: str, declared_milli: int) -> int:
-        """Processors a class really uses, above or below its declaration."""
+        """Estimates the processors that a job of a class really uses."""
         ratio = self.ratio(job_class)
         return max(1, declared_milli * ratio.processors_milli // 1_000)
 
@@ -110,7 +110,10 @@
         declared: workers.Resources,
         largest: workers.Resources,
     ) -> workers.Resources:
-        """What to reserve for a job; never more than the largest worker."""
+        """Returns the resources to reserve for a job.
+
+        At least the declared size; beyond it, at most the largest worker.
+        """
         ratio = self.ratio(job_class)
         return workers.Resources(
             _scaled(
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -1,4 +1,4 @@
-"""The links to a zone's workers, by the list of hosts."""
+"""Pool of links to a zone's workers, kept in step with the host list."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 @final
 class LinkPool:
-    """A session and a thread for each worker while this host is the owner.
+    """Runs a session and a thread for each worker while this host is owner.
 
-    Implements `attempt.CommandSink`. Sessions outlive a lost claim, as
-    they remember when the worker was last sent something.
+    Implements `attempt.CommandSink`. Sessions survive a lost claim, as they
+    know when a lease was last sent to the worker.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         listed: Collection[hosts.ListedHost],
         needed: Collection[str],
     ) -> None:
-        """Follows the list; unlisted workers stay while they are needed."""
+        """Applies the host list; keeps unlisted workers while needed."""
         by_name = {host.name: host for host in listed}
         for host in by_name.values():
             session = self._sessions.get(host.name)
@@ -80,7 +80,7 @@
                 del self._sessions[name]
 
     def stop_all(self) -> None:
-        """Ends all threads and waits for them; sessions are kept."""
+        """Stops all threads and waits for them; sessions are kept."""
         links = list(self._links.values())
         self._links.clear()
         for link in links:
@@ -89,13 +89,13 @@
             link.__exit__(None, None, None)
 
     def clear_commands(self) -> None:
-        """Drops what is queued, as when the claim was lost."""
+        """Drops queued commands and events, as when the claim is lost."""
         for session in self._sessions.values():
             session.clear()
         self._events.clear()
 
     def take_events(self) -> list[worker_session.LinkEvent]:
-        """Events since the last call, in order for each worker."""
+        """Returns events since the last call, in order for each worker."""
         taken: list[worker_session.LinkEvent] = []
         while self._events:
             taken.append(self._events.popleft())
--- a/src/comfreylatch/_process/batch/owner_status.py
+++ b/src/comfreylatch/_process/batch/owner_status.py
@@ -1,4 +1,4 @@
-"""What `status` shows of batch work."""
+"""Status of a zone's owner, as the `status` command shows it."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
     Attributes:
         owner: Host id of the zone's owner; empty if there is none.
-        term: Term in force.
+        term: Term of the latest claim.
         holds: Whether this host may start work now.
         fold_offset: Last record of the zone's stream folded here.
-        queued: Jobs that wait.
-        running: Attempts assigned.
-        parked: Jobs set aside.
-        quarantined: Workers that get no new work, or only probes.
+        queued: Number of queued jobs.
+        running: Number of assigned attempts.
+        parked: Number of jobs parked after repeated failures.
+        quarantined: Workers that get no new work, or only a probe.
     """
 
     owner: str
@@ -36,7 +36,7 @@
 def from_fold(
     fold: zone_fold.ZoneFold, holds: bool, quarantined: tuple[str, ...]
 ) -> OwnerStatus:
-    """Reads the counts of a fold."""
+    """Builds the status from a fold."""
     claims = fold.claims()
     claim = claims[-1] if claims else None
     owned = claim is not None and not claim.released
--- a/src/comfreylatch/_process/batch/pending_records.py
+++ b/src/comfreylatch/_process/batch/pending_records.py
@@ -1,4 +1,4 @@
-"""Ends and checkpoints of attempts that are not on the stream yet."""
+"""Records of ends and checkpoints that are waiting to be appended."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @final
 class PendingRecords:
-    """Kept until the fold shows them. Used by one thread."""
+    """Holds records until the fold shows them. Not thread-safe."""
 
     def __init__(self) -> None:
         self._term = 0
@@ -22,26 +22,26 @@
         self._checkpoints: dict[str, job_records.AttemptCheckpointed] = {}
 
     def reset(self, term: int) -> None:
-        """Forgets everything, as at the start of a term."""
+        """Drops all records, as at the start of a term."""
         self._term = term
         self._ends.clear()
         self._checkpoints.clear()
 
     def all(self) -> list[PendingRecord]:
-        """What is to be appended."""
+        """Returns the records to append."""
         return [*self._ends.values(), *self._checkpoints.values()]
 
     def has_end(self, job: str) -> bool:
-        """Whether a job's attempt has ended, though not yet in the fold."""
+        """Whether a job's attempt has ended but the fold doesn't show it."""
         return job in self._ends
 
     def forget(self, job: str) -> None:
-        """Drops what is pending of a job whose attempt the fold has ended."""
+        """Drops the records of an attempt that is no longer assigned."""
         self._ends.pop(job, None)
         self._checkpoints.pop(job, None)
 
     def on_checkpoint_folded(self, job: str, checkpoint_ms: int) -> None:
-        """Drops a checkpoint that the fold has reached."""
+        """Drops a checkpoint record once the fold shows its progress."""
         pending = self._checkpoints.get(job)
         if pending is not None and pending.checkpoint_ms <= checkpoint_ms:
             del self._checkpoints[job]
@@ -49,7 +49,7 @@
     def end(
         self, attempt: attempt_module.Attempt, end: job_records.AttemptEnd
     ) -> None:
-        """Notes the end of an attempt, the first one told."""
+        """Adds the end of an attempt; later ends of it are ignored."""
         if attempt.job in self._ends:
             return
         self._ends[attempt.job] = job_records.AttemptEnded(
@@ -62,7 +62,7 @@
         )
 
     def checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
-        """Notes a newer checkpoint now and then, at once for an eviction."""
+        """Adds a newer checkpoint if due; that of an eviction always is."""
         due = (
             now_ms - attempt.checkpoint_recorded_ms
             >= MIN_CHECKPOINT_RECORD_INTERVAL_MS
--- a/src/comfreylatch/_process/batch/service.py
+++ b/src/comfreylatch/_process/batch/service.py
@@ -1,4 +1,4 @@
-"""Everything of batch work that one entry host runs for its zone."""
+"""Assembles the batch service that an entry host runs for its zone."""
 
 from __future__ import annotations
 
@@ -30,19 +30,20 @@
 from comfreylatch._version import job_records
 from comfreylatch._version import zone_fold
 
-# A shorter wait tells sooner that the fold is at the head of the stream.
+# Longest wait of a read. A shorter one shows earlier that the fold has reached
+# the head of the stream.
 READ_WAIT_MS = 1_000
 
 
 @attrs.frozen
 class BatchStatus:
-    """What `status` shows of batch work.
+    """Batch part of the `status` command's output.
 
     Attributes:
         zone: Zone whose stream this host follows.
-        age_ms: Time since it was known to be at the head of that stream.
+        age_ms: Time since the fold was known to be at the stream's head.
         digest: Hash of the folded state.
-        owner: Who owns the zone's workers, and its counts.
+        owner: Owner of the zone's workers, and counts of jobs.
     """
 
     zone: str
@@ -53,9 +54,9 @@
 
 @final
 class BatchService:
-    """Appender, follower, fold, ownership, owner's loop and job desk.
+    """Runs appender, follower, ownership, owner's loop and job handler.
 
-    A context manager; `release` comes before the exit in a planned stop.
+    A context manager; a planned stop calls `release` before it exits.
     """
 
     def __init__(
@@ -146,7 +147,7 @@
         self._stack.close()
 
     def routes(self) -> list[routes.Route]:
-        """The routes of jobs."""
+        """Returns the HTTP routes of jobs."""
         return [
             routes.Route("POST", "/jobs", self.handle),
             routes.Route("GET", "/jobs", self.handle),
@@ -155,25 +156,25 @@
         ]
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers `/jobs` and `/jobs/ID`."""
+        """Handles a request for `/jobs` or `/jobs/ID`."""
         return self._job_handler.handle(request)
 
     def update_host_list(self, host_list: hosts.HostList) -> None:
-        """Takes a new list of hosts."""
+        """Passes a new list of hosts to the owner and the job handler."""
         self._owner.update_host_list(host_list)
         self._job_handler.update_host_list(host_list)
 
     def release(self) -> None:
-        """Stops commanding workers, then gives the claim up.
+        """Stops sending commands to workers, then releases the claim.
 
-        Tasks go on under their leases until the next owner takes over.
+        Tasks run on under their leases until the next owner takes over.
         """
         self._job_handler.stop_accepting()
         self._owner_stack.close()
         self._ownership.release()
 
     def status(self) -> BatchStatus:
-        """What `status` shows."""
+        """Returns the batch part of the `status` command's output."""
         return BatchStatus(
             zone=self._zone,
             age_ms=self.follower.age_ms(),
--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -1,4 +1,4 @@
-"""What late usage reports teach, and the steps they lead to."""
+"""Analysis of usage reports: learned sizes, interference and actions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @final
 class UsageAnalyzer:
-    """Learns sizes and interference. Used by one thread."""
+    """Learns sizes and interference. Not thread-safe."""
 
     def __init__(self) -> None:
         self.sizes = learned_sizes.LearnedSizes()
@@ -29,7 +29,11 @@
         attempts: tuple[attempt_module.Attempt, ...],
         now_ms: int,
     ) -> interference_control.Action | None:
-        """Takes the measurements of one report, oldest first."""
+        """Processes the measurements of a report in the given order.
+
+        Returns:
+            The last action decided against interference, or None.
+        """
         whole = max(1, report.capacity.processors_milli)
 
         def load_of(attempt: attempt_module.Attempt) -> float:
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -1,4 +1,4 @@
-"""Workers that fail everything: set aside by comparison with their peers."""
+"""Quarantine of workers whose attempts fail more often than their peers'."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HealthState(enum.StrEnum):
-    """Whether a worker gets new work."""
+    """Whether a worker gets new work; PROBED gets one attempt at a time."""
 
     GOOD = "good"
     QUARANTINED = "quarantined"
@@ -42,7 +42,7 @@
 
 @final
 class WorkerHealth:
-    """Ends of attempts by worker, and who is quarantined. One thread."""
+    """Counts ends of attempts and quarantines workers. Not thread-safe."""
 
     def __init__(self) -> None:
         self._histories: dict[str, _History] = {}
@@ -50,7 +50,7 @@
         self._failed = 0
 
     def record_success(self, worker: str) -> bool:
-        """Notes a success; True if it ends the worker's quarantine."""
+        """Records a success; True if it ends the worker's quarantine."""
         history = self._histories.setdefault(worker, _History())
         self._count(history, finished=1)
         history.failed_jobs.clear()
@@ -68,14 +68,14 @@
         worker_count: int,
         now_ms: int,
     ) -> bool:
-        """Notes a failure; True if it puts the worker into quarantine.
+        """Records a failure; True if it puts the worker into quarantine.
 
         Args:
-            worker: Where the attempt failed.
-            job: The attempt's job.
-            failed_elsewhere: Whether the job has failed on other workers; its
-                failure then says nothing about this one.
-            worker_count: Workers in the zone.
+            worker: Worker on which the attempt failed.
+            job: Job of the attempt.
+            failed_elsewhere: Whether the job has failed on other workers; the
+                failure is then not counted against this one.
+            worker_count: Number of workers in the zone.
             now_ms: Monotonic time.
         """
         if failed_elsewhere:
@@ -101,7 +101,7 @@
         return True
 
     def is_suspect(self, worker: str) -> bool:
-        """Whether a failure there is rather the worker's fault."""
+        """Whether a failure there is probably the worker's fault."""
         history = self._histories.get(worker)
         if history is None:
             return False
@@ -111,7 +111,7 @@
         return many and self._worse_than_peers(history)
 
     def standing(self, worker: str, now_ms: int) -> HealthState:
-        """Where a worker stands; a quarantine that ran out becomes a probe."""
+        """Returns a worker's state; an expired quarantine becomes a probe."""
         history = self._histories.get(worker)
         if history is None:
             return HealthState.GOOD
@@ -121,7 +121,7 @@
         return history.standing
 
     def quarantined(self) -> tuple[str, ...]:
-        """Workers not in good standing."""
+        """Returns workers that are quarantined or probed."""
         return tuple(
             worker
             for worker, history in self._histories.items()
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -1,4 +1,4 @@
-"""One thread a worker: renews its lease and carries commands to it."""
+"""Thread that renews a worker's lease and sends commands to it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
-    """Makes one exchange if the hold allows it; checked right before it."""
+    """Makes one exchange if permitted; checked right before it is sent."""
     now_ms = clock.monotonic_ms()
     exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
@@ -52,7 +52,7 @@
 
 @final
 class WorkerLink:
-    """Runs one worker's session on a thread of its own."""
+    """Runs a worker's session on its own thread."""
 
     def __init__(
         self,
@@ -89,12 +89,12 @@
         self._thread.join()
 
     def stop(self) -> None:
-        """Asks the thread to end, without waiting for it."""
+        """Signals the thread to stop without waiting for it."""
         self._stopping = True
         self._wake.set()
 
     def wake(self) -> None:
-        """Makes queued commands go out at once."""
+        """Wakes the thread so that it sends queued commands now."""
         self._wake.set()
 
     def _run(self) -> None:
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -1,4 +1,4 @@
-"""What one worker was told and has answered, apart from the thread."""
+"""State of the exchanges with one worker, without the thread that runs them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
     Attributes:
         term: Term of the exchange.
+        report: Report in the answer.
         commands: Commands of the exchange; the report has a status for each.
-        sent_ms: Monotonic time before it was sent.
-        fresh_boot: Whether the worker has restarted since its last report.
-        renewal_refused: Whether a lease was asked for and not granted.
+        sent_ms: Monotonic time right before the exchange was sent.
+        restarted: Whether the worker has restarted since its last report.
+        renewal_refused: Whether a lease was requested and not granted.
     """
 
     worker: str
@@ -78,22 +79,25 @@
 
     @property
     def fenced_term(self) -> int:
-        """Highest own term under which the worker has answered."""
+        """Highest term of this host under which the worker has answered."""
         return self._fenced_term
 
     @property
     def last_sent_ms(self) -> int:
-        """Before the last lease that may have been received; -1: none."""
+        """Time right before sending the last lease that may have arrived.
+
+        It is -1 if there is none.
+        """
         return self._last_sent_ms
 
     @property
     def answered_ms(self) -> int:
-        """When the last answer came; -1 before the first."""
+        """Time of the last answer; -1 before the first."""
         return self._answered_ms
 
     @property
     def failures(self) -> int:
-        """Exchanges without an answer since the last answer."""
+        """Number of unanswered exchanges since the last answer."""
         return self._failures
 
     def request(self, command: workers.Command, at_once: bool = True) -> None:
@@ -104,11 +108,11 @@
                 queue.append(command)
 
     def poll_by(self, due_ms: int) -> None:
-        """Asks for an exchange by a time, as when an attempt should end."""
+        """Requests an exchange by `due_ms`, as when an attempt should end."""
         self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
     def withdraw(self, command: workers.Command) -> bool:
-        """Takes a queued command back; False if it may be on its way."""
+        """Removes a queued command; False if it may have been sent."""
         with self._lock:
             if command not in self._commands:
                 return False
@@ -116,7 +120,7 @@
             return True
 
     def clear(self) -> None:
-        """Drops all queued commands, as when the claim was lost."""
+        """Drops all queued commands, as when the claim is lost."""
         with self._lock:
             self._commands.clear()
             self._deferred_commands.clear()
@@ -124,7 +128,7 @@
     def due_in_ms(
         self, permissions: ownership.OwnerPermissions, now_ms: int
     ) -> int:
-        """Time until the next exchange is due; 0 when it is."""
+        """Milliseconds until the next exchange is due; 0 if it is due now."""
         if permissions.bounds is None or self._fenced_term < permissions.term:
             return 0
         with self._lock:
@@ -137,10 +141,10 @@
     def next_exchange(
         self, permissions: ownership.OwnerPermissions, now_ms: int
     ) -> workers.Exchange | None:
-        """The exchange to send now, or None when none may be sent.
+        """Returns the exchange to send now, or None if none is permitted.
 
-        A report that would be stale on arrival is renewed first, by an
-        exchange that carries nothing.
+        If the last report would be stale on arrival, the exchange carries
+        neither lease nor commands and only fetches a new report.
         """
         if not permissions.may_renew(now_ms) or permissions.bounds is None:
             return None
@@ -159,14 +163,14 @@
             )
 
     def mark_sent(self, exchange: workers.Exchange, now_ms: int) -> int:
-        """Notes that an exchange is about to go out.
+        """Notes that an exchange is about to be sent.
 
         Returns:
-            The earlier `last_sent_ms`, to be given back to `on_no_answer`.
+            The previous `last_sent_ms`, to be passed to `on_no_answer`.
         """
         with self._lock:
             before_ms = self._last_sent_ms
-            # One that only asks can't keep a task running.
+            # An exchange without a lease can't keep a task running.
             if exchange.lease_ms > 0:
                 self._last_sent_ms = now_ms
                 self._lease_sent_ms = now_ms
@@ -179,7 +183,7 @@
         sent_ms: int,
         now_ms: int,
     ) -> Reported:
-        """Takes the worker's answer."""
+        """Handles the worker's answer."""
         with self._lock:
             restarted = self._boot not in ("", report.boot)
             self._boot = report.boot
@@ -210,7 +214,7 @@
         sent_ms: int,
         before_ms: int,
     ) -> Unanswered:
-        """Takes the lack of an answer."""
+        """Handles an exchange without an answer."""
         was_sent = isinstance(error, workers.WorkerAnswerLost)
         with self._lock:
             self._failures += 1
@@ -228,7 +232,7 @@
         )
 
     def _dequeue_commands(self, may_start: bool) -> tuple[workers.Command, ...]:
-        """Takes queued commands, none while their outcome can't be recorded.
+        """Dequeues commands; none while their outcome can't be recorded.
 
         A worker forgets an ended attempt once it gets a command for it; the
         end would be lost if this host could not record it.
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -1,4 +1,4 @@
-"""The zone's workers as listed and configured, kept in the ledger."""
+"""Capacity of the zone's workers, from host list, configuration and reports."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @final
 class ZoneWorkers:
-    """What each listed worker has for batch work. Used by one thread."""
+    """Keeps the ledger's capacity of each worker current. Not thread-safe."""
 
     def __init__(self, zone: str, ledger: capacity.CapacityLedger) -> None:
         self._zone = zone
@@ -27,18 +27,18 @@
         self._dirty = True
 
     def listed(self) -> dict[str, hosts.ListedHost]:
-        """The zone's listed workers by name."""
+        """Returns the zone's listed workers by name."""
         return self._listed
 
     def set_list(self, host_list: hosts.HostList) -> None:
-        """Takes a new list of hosts."""
+        """Sets the list of hosts."""
         self._listed = zone_workers(host_list, self._zone)
         self._dirty = True
 
     def set_configuration(
         self, configuration: configuration_module.Configuration
     ) -> None:
-        """Takes a new version of the configuration."""
+        """Sets the configuration; ignored if it is the current one."""
         if configuration is self._configuration:
             return
         self._configuration = configuration
@@ -58,17 +58,17 @@
         self._dirty = True
 
     def services_on(self, worker: str) -> frozenset[str]:
-        """Names of the services with endpoints on a worker."""
+        """Returns the names of the services with endpoints on a worker."""
         return frozenset(self._service_names.get(worker, ()))
 
     def set_reported(self, worker: str, amount: workers.Resources) -> None:
-        """Takes what a worker says it has."""
+        """Sets the resources that a worker reports."""
         if self._reported.get(worker) != amount:
             self._reported[worker] = amount
             self._dirty = True
 
     def refresh(self) -> bool:
-        """Brings the ledger up to date; False if nothing has changed."""
+        """Updates the ledger; False if nothing has changed."""
         if not self._dirty:
             return False
         self._dirty = False
@@ -101,7 +101,7 @@
 def zone_workers(
     host_list: hosts.HostList, zone: str
 ) -> dict[str, hosts.ListedHost]:
-    """Workers of one zone by name."""
+    """Returns the workers of one zone by name."""
     return {
         host.name: host
         for host in host_list.hosts
@@ -113,9 +113,10 @@
     listed: Mapping[str, hosts.ListedHost],
     configuration: configuration_module.Configuration,
 ) -> list[workers.Resources]:
-    """What each listed worker of a configured class can give to batch work.
+    """Returns the resources that each listed worker has for batch work.
 
-    Without listed workers, what each configured class has.
+    Workers of unconfigured classes are left out. Without listed workers,
+    returns the capacity of each configured class.
     """
     classes = configuration.worker_classes
     if not listed:
