--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -77,28 +77,28 @@
     def sync(self, state: job_state.JobState, now_ms: int) -> None:
         """Updates a job's attempt from its folded state."""
         job = state.spec.id
-        known = self._attempts.get(job)
+        current = self._attempts.get(job)
         assigned = state.phase is job_state.JobPhase.ASSIGNED
-        if known is not None:
-            same = assigned and known.state.attempt == state.attempt
-            if same and known.state.worker == state.worker:
-                known.state = state
+        if current is not None:
+            same = assigned and current.state.attempt == state.attempt
+            if same and current.state.worker == state.worker:
+                current.state = state
                 if state.cancelled:
                     self._jobs_needing_command[job] = None
                 self._pending.on_checkpoint_folded(job, state.checkpoint_ms)
                 return
-            self._remove(known)
+            self._remove(current)
         if not assigned:
             return
-        fresh = attempt_module.Attempt(state, now_ms)
-        fresh.checkpoint_requested_ms = now_ms
-        fresh.checkpoint_recorded_ms = now_ms
-        fresh.checkpoint_ms = state.checkpoint_ms
-        fresh.progress_ms = state.checkpoint_ms
-        fresh.recorded_checkpoint_ms = state.checkpoint_ms
-        self._attempts[job] = fresh
+        attempt = attempt_module.Attempt(state, now_ms)
+        attempt.checkpoint_requested_ms = now_ms
+        attempt.checkpoint_recorded_ms = now_ms
+        attempt.checkpoint_ms = state.checkpoint_ms
+        attempt.progress_ms = state.checkpoint_ms
+        attempt.recorded_checkpoint_ms = state.checkpoint_ms
+        self._attempts[job] = attempt
         self._jobs_needing_command[job] = None
-        self._by_worker.setdefault(state.worker, {})[job] = fresh
+        self._by_worker.setdefault(state.worker, {})[job] = attempt
 
     def _remove(self, attempt: attempt_module.Attempt) -> None:
         job = attempt.job
--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -70,7 +70,7 @@
     ) -> None:
         sentence = (
             f"attempt {body.attempt} {body.end} after {body.progress_ms} ms, "
-            f"kept {body.checkpoint_ms} ms"
+            f"checkpoint at {body.checkpoint_ms} ms"
         )
         self._report(body.job, f"attempt-{body.end}", sentence)
         state = self._fold.job(body.job)
@@ -103,5 +103,5 @@
     def _report_worker(self, worker: str, reason: str) -> None:
         logs.event(_events, reason, worker=worker, zone=self._zone)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
-        sentence = "compared with the other workers' ends of attempts"
+        sentence = "compared with ends of attempts on other workers"
         self._journal.record(reasons.Subject.WORKER, worker, reason, sentence)
--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -91,10 +91,10 @@
     if not capacity.fits(size, free):
         return None
     for attempt in sorted(chosen, key=unsaved_work_ms, reverse=True):
-        without = capacity.subtract(free, attempt.state.size)
-        if capacity.fits(size, without):
+        free_without = capacity.subtract(free, attempt.state.size)
+        if capacity.fits(size, free_without):
             chosen.remove(attempt)
-            free = without
+            free = free_without
     return tuple(chosen)
 
 
@@ -159,8 +159,8 @@
         found = []
         for plan in tuple(self._plans.values()):
             account = self._ledger.account(plan.worker)
-            held = self._ledger.worker_of(plan.job) == plan.worker
-            if account is None or not account.schedulable or not held:
+            is_reserved = self._ledger.worker_of(plan.job) == plan.worker
+            if account is None or not account.schedulable or not is_reserved:
                 self.cancel(plan.job)
             elif capacity.fits(capacity.NO_RESOURCES, account.free):
                 found.append(plan)
@@ -168,7 +168,7 @@
                 self.cancel(plan.job)
         return found
 
-    def finish(self, job: str) -> None:
+    def complete(self, job: str) -> None:
         """Removes the plan of an assigned job; its reservation stays."""
         self._plans.pop(job, None)
 
@@ -188,8 +188,8 @@
             return accounts
         start = self._sample_start % len(accounts)
         self._sample_start = start + MAX_WORKERS_EXAMINED
-        ring = itertools.chain(accounts[start:], accounts[:start])
-        return list(itertools.islice(ring, MAX_WORKERS_EXAMINED))
+        rotated = itertools.chain(accounts[start:], accounts[:start])
+        return list(itertools.islice(rotated, MAX_WORKERS_EXAMINED))
 
 
 def _cost(plan: EvictionPlan) -> tuple[int, int]:
--- a/src/comfreylatch/_process/batch/interference.py
+++ b/src/comfreylatch/_process/batch/interference.py
@@ -27,7 +27,7 @@
 MAX_AGGRESSORS = 128
 CONSERVATIVE_DEVIATIONS = 0.5
 MIN_LOAD = 0.005
-FULL_MILLI = 1_000
+UNIT_MILLI = 1_000
 
 
 @attrs.define(eq=False)
@@ -81,24 +81,24 @@
     capacity_milli: int,
 ) -> Sample:
     """Converts one measurement; tasks of unknown jobs are left out."""
-    whole = max(1, capacity_milli)
+    host_milli = max(1, capacity_milli)
     loads: collections.Counter[str] = collections.Counter()
     weighted: collections.Counter[str] = collections.Counter()
     for task in usage.tasks:
         job_class = class_by_job.get(task.job)
         if job_class is None:
             continue
-        load = task.processors_milli / whole
+        load = task.processors_milli / host_milli
         loads[job_class] += load
-        weighted[job_class] += load * task.slowdown_milli / FULL_MILLI
+        weighted[job_class] += load * task.slowdown_milli / UNIT_MILLI
     slowdowns = {
         job_class: weighted[job_class] / load
         for job_class, load in loads.items()
         if load > MIN_LOAD
     }
     for service in usage.services:
-        slowdowns[service.service] = service.slowdown_milli / FULL_MILLI
-    return Sample(loads, slowdowns, usage.processors_milli / whole)
+        slowdowns[service.service] = service.slowdown_milli / UNIT_MILLI
+    return Sample(loads, slowdowns, usage.processors_milli / host_milli)
 
 
 @final
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -23,10 +23,10 @@
 ESCALATION_MARGIN = 0.05
 RELAXATION_MARGIN = -0.04
 MIN_SAMPLES = 3
-SETTLE_MS = 1_500
+ACTION_SETTLE_MS = 1_500
 FULL_SHARE_MILLI = 1_000
-FIRST_SHARE_MILLI = 500
-SECOND_SHARE_MILLI = 250
+FIRST_THROTTLE_SHARE_MILLI = 500
+SECOND_THROTTLE_SHARE_MILLI = 250
 MAX_THROTTLED_PER_STEP = 8
 MIN_SHARE_GAIN_MILLI = 100
 MIN_FULL_SHARE_SLOWDOWN = 0.001
@@ -80,7 +80,7 @@
 @attrs.define(eq=False)
 class _WorkerState:
     step: Step = Step.NONE
-    acted_ms: int = -SETTLE_MS
+    acted_ms: int = -ACTION_SETTLE_MS
     worst_slowdowns: collections.deque[tuple[str, float]] = attrs.field(
         factory=lambda: collections.deque(maxlen=MIN_SAMPLES)
     )
@@ -144,7 +144,7 @@
         if not services:
             return None
         state = self._states.setdefault(worker, _WorkerState())
-        if measured_ms < state.acted_ms + SETTLE_MS:
+        if measured_ms < state.acted_ms + ACTION_SETTLE_MS:
             return None
         state.worst_slowdowns.append(max(services, key=lambda pair: pair[1]))
         if len(state.worst_slowdowns) < MIN_SAMPLES:
@@ -177,12 +177,12 @@
                 chosen = self._select_contributors(
                     service, slowdown, ranked, load_of
                 )
-                return _throttle(chosen, FIRST_SHARE_MILLI)
+                return _throttle(chosen, FIRST_THROTTLE_SHARE_MILLI)
             case Step.THROTTLED_MORE:
                 chosen = self._select_contributors(
                     service, slowdown, ranked, load_of
                 )
-                return _throttle(chosen, SECOND_SHARE_MILLI)
+                return _throttle(chosen, SECOND_THROTTLE_SHARE_MILLI)
             case Step.MOVED:
                 return Move(_least_unsaved(ranked))
             case _:
@@ -220,20 +220,22 @@
         """Raises shares as far as no excess slowdown is predicted."""
         state.step = Step(max(state.step - 1, Step.NONE))
         service, slowdown = max(state.worst_slowdowns, key=lambda pair: pair[1])
-        left = 1.0 + self.allowed_slowdown - slowdown
+        slack = 1.0 + self.allowed_slowdown - slowdown
         shares = []
         for attempt in reversed(self._ranked(service, attempts, load_of)):
             if attempt.share_milli >= FULL_SHARE_MILLI:
                 continue
             spec = attempt.state.spec
             pair = self._model.coefficient(service, spec.job_class)
-            whole = max(pair.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN)
-            gain_milli = int(left / whole * FULL_SHARE_MILLI)
+            full_share_slowdown = max(
+                pair.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN
+            )
+            gain_milli = int(slack / full_share_slowdown * FULL_SHARE_MILLI)
             share = min(attempt.share_milli + gain_milli, FULL_SHARE_MILLI)
             if share - attempt.share_milli < MIN_SHARE_GAIN_MILLI:
                 continue
             gained_milli = share - attempt.share_milli
-            left -= whole * gained_milli / FULL_SHARE_MILLI
+            slack -= full_share_slowdown * gained_milli / FULL_SHARE_MILLI
             shares.append(JobShare(attempt.job, share))
         return Throttle(tuple(shares), relaxes=True) if shares else None
 
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -116,10 +116,10 @@
         """
         placed = self._placed.get(job)
         if placed is None:
-            return interference.FULL_MILLI
+            return interference.UNIT_MILLI
         worker, job_class, milli = placed
         processors_milli = self._processors_milli.get(worker, 1)
-        share = interference.FULL_MILLI
+        share = interference.UNIT_MILLI
         for service in self._services.get(worker, ()):
             known = self._model.estimates_for(service)
             unknown = interference.PRIOR_COEFFICIENT
@@ -128,7 +128,7 @@
             left = self.allowed_slowdown - (everything - own)
             if own > max(left, 0.0):
                 fitting_milli = int(
-                    max(left, 0.0) / own * interference.FULL_MILLI
+                    max(left, 0.0) / own * interference.UNIT_MILLI
                 )
                 share = min(share, fitting_milli)
         return max(share, MIN_SHARE_MILLI)
@@ -161,6 +161,6 @@
                 * milli
                 / processors_milli
             )
-        found = int(cost * interference.FULL_MILLI)
+        found = int(cost * interference.UNIT_MILLI)
         until_ms = self._avoid_until_ms.get((worker, job_class), 0)
         return found + (AVOID_COST_MILLI if until_ms > self.now_ms else 0)
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -36,7 +36,7 @@
 MAX_NAME_LENGTH = 128
 MAX_BODY_BYTES = 65_536
 MAX_AMOUNT = 1_000_000_000
-MAX_LISTED = 1_000
+MAX_LISTED_JOBS = 1_000
 JOBS_PATH = "/jobs"
 
 
@@ -141,31 +141,35 @@
             case _:
                 detail = f"method {request.method} is not supported here"
                 reason = reasons.RefusalReason.BAD_REQUEST
-                return self._refuse(_Refusal(405, reason, detail))
+                return self._reply_refused(_Refusal(405, reason, detail))
 
     # Submitting.
 
     def _submit(self, request: http.HttpRequest) -> http.HttpReply:
         parsed = self._parse(request.body)
         if isinstance(parsed, result.Err):
-            return self._refuse(parsed.err_value)
+            return self._reply_refused(parsed.err_value)
         spec = parsed.ok_value
         lookup = self._look_up(spec)
         if lookup is not JobLookup.NEW:
-            return self._known(spec, lookup)
-        refusal = self._check(spec)
+            return self._reply_known(spec, lookup)
+        refusal = self._check_admission(spec)
         if refusal is not None:
-            self._note(spec.id, refusal.reason, refusal.detail, -1)
-            return self._refuse(refusal)
+            self._journal_event(spec.id, refusal.reason, refusal.detail, -1)
+            return self._reply_refused(refusal)
         body = job_records.JobAdmitted(spec)
         appended = self._append(spec.id, body)
         if isinstance(appended, http.HttpReply):
             return appended
         lookup = self._look_up(spec)
         if lookup is JobLookup.NEW:
-            return self._unknown("the record is appended but not folded yet")
-        self._note(spec.id, "admitted", "the record is appended", appended)
-        return self._known(spec, lookup)
+            return self._reply_unknown(
+                "the record is appended but not folded yet"
+            )
+        self._journal_event(
+            spec.id, "admitted", "the record is appended", appended
+        )
+        return self._reply_known(spec, lookup)
 
     def _parse(
         self, body: bytes
@@ -176,21 +180,21 @@
             detail = f"a job is at most {MAX_BODY_BYTES} bytes"
             return result.Err(_Refusal(413, too_long, detail))
         try:
-            given = _decoder.decode(body)
+            submission = _decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
             return result.Err(_Refusal(400, reason, str(error)))
         spec = job_records.JobSpec(
-            id=given.id,
-            team=given.team,
-            zone=given.zone or self._zone,
-            job_class=given.job_class,
-            resources=given.resources,
-            run_time_ms=given.run_time_ms,
-            urgent=given.urgent,
+            id=submission.id,
+            team=submission.team,
+            zone=submission.zone or self._zone,
+            job_class=submission.job_class,
+            resources=submission.resources,
+            run_time_ms=submission.run_time_ms,
+            urgent=submission.urgent,
         )
-        wrong = _wrong_field(spec)
-        if wrong:
-            return result.Err(_Refusal(400, reason, wrong))
+        invalid = _describe_invalid_field(spec)
+        if invalid:
+            return result.Err(_Refusal(400, reason, invalid))
         return result.Ok(spec)
 
     def _look_up(self, spec: job_records.JobSpec) -> JobLookup:
@@ -204,20 +208,20 @@
         same = content == job_state.spec_hash(spec)
         return JobLookup.SAME if same else JobLookup.TAKEN
 
-    def _known(
+    def _reply_known(
         self, spec: job_records.JobSpec, lookup: JobLookup
     ) -> http.HttpReply:
         if lookup is JobLookup.TAKEN:
             reason = reasons.RefusalReason.JOB_ID_TAKEN
             detail = f"job {spec.id} already exists with different content"
-            return self._refuse(_Refusal(409, reason, detail))
+            return self._reply_refused(_Refusal(409, reason, detail))
         state = self._fold.job(spec.id)
         if state is None:
             page = {"id": spec.id, "phase": "ended", "detail": "ended earlier"}
             return http.json_reply(200, page)
         return http.json_reply(200, job_page(state))
 
-    def _check(self, spec: job_records.JobSpec) -> _Refusal | None:
+    def _check_admission(self, spec: job_records.JobSpec) -> _Refusal | None:
         if self._stopping:
             reason = reasons.RefusalReason.STOPPING
             return _Refusal(503, reason, "this host is stopping")
@@ -275,7 +279,7 @@
             "offset": self._fold.offset(),
             "age_ms": self._follower.age_ms(),
             "count": len(states),
-            "jobs": [job_page(state) for state in states[:MAX_LISTED]],
+            "jobs": [job_page(state) for state in states[:MAX_LISTED_JOBS]],
         }
         return http.json_reply(200, page)
 
@@ -286,7 +290,7 @@
         if self._fold.retired_spec_hash(job) is not None:
             page = {"id": job, "phase": "ended", "detail": "ended earlier"}
             return http.json_reply(200, page)
-        return self._refuse(_unknown_job(job, self._zone))
+        return self._reply_refused(_unknown_job(job, self._zone))
 
     def _cancel(self, job: str) -> http.HttpReply:
         state = self._fold.job(job)
@@ -295,7 +299,9 @@
         appended = self._append(job, job_records.JobCancelled(job))
         if isinstance(appended, http.HttpReply):
             return appended
-        self._note(job, "cancelled", "asked for by its submitter", appended)
+        self._journal_event(
+            job, "cancelled", "requested by its submitter", appended
+        )
         return self._show(job)
 
     # Helpers.
@@ -311,24 +317,24 @@
                 if not self._follower.wait_for(
                     appended.offset, FOLD_TIMEOUT_MS
                 ):
-                    return self._unknown("the record is not folded yet")
+                    return self._reply_unknown("the record is not folded yet")
                 return appended.offset
             case result.Err(streams.NotAccepted(detail, retry_after_ms)):
                 reason = reasons.RefusalReason.LOG_DOWN
                 refusal = _Refusal(503, reason, f"not accepted: {detail}")
-                self._note(job, reason, detail, -1)
-                return self._refuse(refusal, retry_after_ms)
+                self._journal_event(job, reason, detail, -1)
+                return self._reply_refused(refusal, retry_after_ms)
             case result.Err(streams.AppendUnknown(detail)):
-                return self._unknown(detail)
+                return self._reply_unknown(detail)
 
-    def _unknown(self, detail: str) -> http.HttpReply:
+    def _reply_unknown(self, detail: str) -> http.HttpReply:
         self._metrics.count(
             metrics_module.Counter.OUTCOMES, reasons.Outcome.UNKNOWN
         )
         advice = f"{detail}; query the job or repeat the same request"
         return http.error_reply(504, reasons.Outcome.UNKNOWN, advice)
 
-    def _refuse(
+    def _reply_refused(
         self, refusal: _Refusal, retry_after_ms: int = 0
     ) -> http.HttpReply:
         self._metrics.count(metrics_module.Counter.REFUSALS, refusal.reason)
@@ -336,7 +342,9 @@
             refusal.status, refusal.reason, refusal.detail, retry_after_ms
         )
 
-    def _note(self, job: str, reason: str, sentence: str, offset: int) -> None:
+    def _journal_event(
+        self, job: str, reason: str, sentence: str, offset: int
+    ) -> None:
         self._journal.record(reasons.Subject.JOB, job, reason, sentence, offset)
 
 
@@ -348,16 +356,16 @@
     return _Refusal(404, reason, detail)
 
 
-def _is_name(text: str) -> bool:
+def _is_valid_name(text: str) -> bool:
     if not 0 < len(text) <= MAX_NAME_LENGTH or "/" in text:
         return False
     return text.isascii() and text.isprintable() and " " not in text
 
 
-def _wrong_field(spec: job_records.JobSpec) -> str:
+def _describe_invalid_field(spec: job_records.JobSpec) -> str:
     """Describes the first invalid field of a job; empty if all are valid."""
     for name in ("id", "team", "zone", "job_class"):
-        if not _is_name(getattr(spec, name)):
+        if not _is_valid_name(getattr(spec, name)):
             return (
                 f"{name} must be 1 to {MAX_NAME_LENGTH} printable ASCII "
                 "characters without spaces and slashes"
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -106,10 +106,10 @@
 
     def remove_usage(self, job: str) -> None:
         """Stops counting the resources of a job as used by its team."""
-        held = self._usage_by_job.pop(job, None)
-        if held is None:
+        usage = self._usage_by_job.pop(job, None)
+        if usage is None:
             return
-        team, size = held
+        team, size = usage
         self._used[team] = capacity.subtract(self._used[team], size)
         if self._used[team] == capacity.NO_RESOURCES:
             del self._used[team]
--- a/src/comfreylatch/_process/batch/learned_sizes.py
+++ b/src/comfreylatch/_process/batch/learned_sizes.py
@@ -14,7 +14,7 @@
 MAX_CLASSES = 256
 MAX_RATIO_MILLI = 8_000
 DECLARED_RATIO_MILLI = 1_000
-QUANTILE_PERCENT = 90
+RESERVED_QUANTILE_PERCENT = 90
 
 
 @attrs.frozen
@@ -91,10 +91,11 @@
             sizes.cached = SizeRatio(
                 quantile(
                     [ratio.processors_milli for ratio in ratios],
-                    QUANTILE_PERCENT,
+                    RESERVED_QUANTILE_PERCENT,
                 ),
                 quantile(
-                    [ratio.memory_milli for ratio in ratios], QUANTILE_PERCENT
+                    [ratio.memory_milli for ratio in ratios],
+                    RESERVED_QUANTILE_PERCENT,
                 ),
             )
         return sizes.cached
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -364,8 +364,8 @@
                 if self._unconfirmed_sent_ms is None:
                     self._unconfirmed_sent_ms = sent_ms
                 return
-            stands = claims and claims[-1].touched_offset >= offset
-            if stands and self._is_own(claims[-1]):
+            is_folded = claims and claims[-1].touched_offset >= offset
+            if is_folded and self._is_own(claims[-1]):
                 self._proof_ms = max(self._proof_ms, sent_ms)
                 self._own_touched_offset = claims[-1].touched_offset
                 self._unconfirmed_sent_ms = None
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -16,8 +16,8 @@
 
 MAX_CANDIDATES = 12
 MAX_CANDIDATES_WIDENED = 48
-RACK_COST_MILLI = 20
-LEFTOVER_COST_MILLI = 100
+SAME_RACK_COST_MILLI = 20
+UNUSED_CAPACITY_COST_MILLI = 100
 
 
 class Policy(enum.StrEnum):
@@ -189,12 +189,12 @@
         account: capacity.WorkerAccount,
     ) -> tuple[int, str]:
         on_rack = self._team_on_rack[state.spec.team, account.rack]
-        left = account.free.processors_milli - size.processors_milli
-        whole = max(1, account.total.processors_milli)
+        free_after_milli = account.free.processors_milli - size.processors_milli
+        total_milli = max(1, account.total.processors_milli)
         cost_milli = (
             self._model.cost_milli(state.spec.job_class, account.name)
-            + RACK_COST_MILLI * on_rack
-            + LEFTOVER_COST_MILLI * left // whole
+            + SAME_RACK_COST_MILLI * on_rack
+            + UNUSED_CAPACITY_COST_MILLI * free_after_milli // total_milli
         )
         return cost_milli, account.name
 
--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -34,21 +34,24 @@
         Returns:
             The last action decided against interference, or None.
         """
-        whole = max(1, report.capacity.processors_milli)
+        host_milli = max(1, report.capacity.processors_milli)
 
         def load_of(attempt: attempt_module.Attempt) -> float:
             spec = attempt.state.spec
             milli = self.sizes.used_milli(
                 spec.job_class, spec.resources.processors_milli
             )
-            return milli / whole
+            return milli / host_milli
 
         action: interference_control.Action | None = None
         for usage in report.usage:
             self._learn(usage, report.capacity, job_of)
             services = [
-                (one.service, one.slowdown_milli / interference.FULL_MILLI)
-                for one in usage.services
+                (
+                    service.service,
+                    service.slowdown_milli / interference.UNIT_MILLI,
+                )
+                for service in usage.services
             ]
             decided = self.control.decide(
                 report.worker,
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -14,7 +14,7 @@
 MAX_QUARANTINED_PERCENT = 25
 FIRST_QUARANTINE_MS = 30_000
 MAX_QUARANTINE_MS = 960_000
-MAX_ENDS = 64
+MAX_COUNTED_ENDS = 64
 
 
 class HealthState(enum.StrEnum):
@@ -30,12 +30,12 @@
     finished: int = 0
     failed: int = 0
     failed_jobs: dict[str, None] = attrs.field(factory=dict)
-    standing: HealthState = HealthState.GOOD
+    health_state: HealthState = HealthState.GOOD
     until_ms: int = 0
     quarantine_ms: int = FIRST_QUARANTINE_MS
 
     def halve(self) -> None:
-        if self.finished + self.failed > MAX_ENDS:
+        if self.finished + self.failed > MAX_COUNTED_ENDS:
             self.finished //= 2
             self.failed //= 2
 
@@ -54,9 +54,9 @@
         history = self._histories.setdefault(worker, _History())
         self._count(history, finished=1)
         history.failed_jobs.clear()
-        if history.standing is HealthState.GOOD:
+        if history.health_state is HealthState.GOOD:
             return False
-        history.standing = HealthState.GOOD
+        history.health_state = HealthState.GOOD
         history.quarantine_ms = FIRST_QUARANTINE_MS
         return True
 
@@ -83,13 +83,13 @@
         history = self._histories.setdefault(worker, _History())
         self._count(history, failed=1)
         history.failed_jobs[job] = None
-        if history.standing is HealthState.PROBED:
+        if history.health_state is HealthState.PROBED:
             history.quarantine_ms = min(
                 history.quarantine_ms * 2, MAX_QUARANTINE_MS
             )
             self._quarantine(history, now_ms)
             return True
-        if history.standing is HealthState.QUARANTINED:
+        if history.health_state is HealthState.QUARANTINED:
             return False
         if len(history.failed_jobs) < MIN_FAILED_JOBS:
             return False
@@ -105,27 +105,27 @@
         history = self._histories.get(worker)
         if history is None:
             return False
-        if history.standing is not HealthState.GOOD:
+        if history.health_state is not HealthState.GOOD:
             return True
         many = len(history.failed_jobs) >= SUSPECT_FAILED_JOBS
         return many and self._worse_than_peers(history)
 
-    def standing(self, worker: str, now_ms: int) -> HealthState:
+    def health_state(self, worker: str, now_ms: int) -> HealthState:
         """Returns a worker's state; an expired quarantine becomes a probe."""
         history = self._histories.get(worker)
         if history is None:
             return HealthState.GOOD
-        waiting = history.standing is HealthState.QUARANTINED
+        waiting = history.health_state is HealthState.QUARANTINED
         if waiting and now_ms >= history.until_ms:
-            history.standing = HealthState.PROBED
-        return history.standing
+            history.health_state = HealthState.PROBED
+        return history.health_state
 
     def quarantined(self) -> tuple[str, ...]:
         """Returns workers that are quarantined or probed."""
         return tuple(
             worker
             for worker, history in self._histories.items()
-            if history.standing is not HealthState.GOOD
+            if history.health_state is not HealthState.GOOD
         )
 
     def forget(self, worker: str) -> None:
@@ -159,6 +159,6 @@
         return len(self.quarantined()) < most
 
     def _quarantine(self, history: _History, now_ms: int) -> None:
-        history.standing = HealthState.QUARANTINED
+        history.health_state = HealthState.QUARANTINED
         history.until_ms = now_ms + history.quarantine_ms
         history.failed_jobs.clear()
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -20,8 +20,8 @@
 
 EXCHANGE_TIMEOUT_MS = 1_000
 IDLE_DELAY_MS = 200
-MIN_RETRY_MS = 100
-MAX_RETRY_MS = 2_000
+MIN_RETRY_DELAY_MS = 100
+MAX_RETRY_DELAY_MS = 2_000
 
 _events = logbook.Logger(__name__)
 
@@ -105,7 +105,7 @@
                 logs.exception(
                     _events, "exchange-failed", worker=self.session.worker
                 )
-                delay_ms = MAX_RETRY_MS
+                delay_ms = MAX_RETRY_DELAY_MS
             self._wake.wait(delay_ms / 1_000)
             self._wake.clear()
 
@@ -129,5 +129,5 @@
                 reasons.RetryReason.WORKER_UNREACHABLE,
             )
             shift = min(self.session.failures - 1, 5)
-            return min(MIN_RETRY_MS << shift, MAX_RETRY_MS)
-        return MIN_RETRY_MS if event.renewal_refused else 0
+            return min(MIN_RETRY_DELAY_MS << shift, MAX_RETRY_DELAY_MS)
+        return MIN_RETRY_DELAY_MS if event.renewal_refused else 0
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -239,9 +239,9 @@
         """
         if not may_start:
             return ()
-        taken: list[workers.Command] = []
+        dequeued: list[workers.Command] = []
         for queue in (self._commands, self._deferred_commands):
-            room = MAX_COMMANDS_PER_EXCHANGE - len(taken)
-            taken.extend(queue[:room])
-            del queue[:room]
-        return tuple(taken)
+            remaining = MAX_COMMANDS_PER_EXCHANGE - len(dequeued)
+            dequeued.extend(queue[:remaining])
+            del queue[:remaining]
+        return tuple(dequeued)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -38,7 +38,7 @@
 from comfreylatch._version import zone_fold
 
 STEP_INTERVAL_MS = 100
-IDLE_STEP_MS = 250
+IDLE_STEP_INTERVAL_MS = 250
 MIN_STEP_INTERVAL_MS = 20
 WORKER_CHECK_INTERVAL_MS = 250
 MAX_ROUND_INTERVAL_MS = 500
@@ -170,7 +170,7 @@
         if permissions.term != self._term:
             self._change_term(permissions.term)
         if permissions.bounds is None:
-            return IDLE_STEP_MS
+            return IDLE_STEP_INTERVAL_MS
         now_ms = self._clock.monotonic_ms()
         self._sync_fold(now_ms)
         self._process_link_events(permissions.bounds, now_ms)
@@ -232,7 +232,7 @@
             return False
         if host.state is not hosts.HostState.LIVE or session.failures > 0:
             return False
-        match self._health.standing(host.name, now_ms):
+        match self._health.health_state(host.name, now_ms):
             case worker_health.HealthState.GOOD:
                 return True
             case worker_health.HealthState.PROBED:
@@ -392,7 +392,7 @@
         scheduling = self._scheduling
         assigned = []
         for plan in scheduling.planner.ready_plans(now_ms):
-            scheduling.planner.finish(plan.job)
+            scheduling.planner.complete(plan.job)
             state = self._fold.job(plan.job)
             if state is not None:
                 body = scheduling.scheduler.assign(
@@ -407,7 +407,7 @@
                 delay_ms = self.step()
             except Exception:
                 logs.exception(_events, "owner-step-failed", zone=self._zone)
-                delay_ms = IDLE_STEP_MS
+                delay_ms = IDLE_STEP_INTERVAL_MS
             self._stopping.wait(MIN_STEP_INTERVAL_MS / 1_000)
             self._pool.woken.wait(delay_ms / 1_000)
             self._pool.woken.clear()
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -48,9 +48,9 @@
         names: dict[str, set[str]] = collections.defaultdict(set)
         for endpoint in configuration.endpoints.values():
             if endpoint.worker:
-                held = services[endpoint.worker]
+                reserved = services[endpoint.worker]
                 services[endpoint.worker] = capacity.add(
-                    held, endpoint.resources
+                    reserved, endpoint.resources
                 )
                 names[endpoint.worker].add(endpoint.service)
         self._services = dict(services)
@@ -124,8 +124,10 @@
     services: dict[str, workers.Resources] = {}
     for endpoint in configuration.endpoints.values():
         if endpoint.worker:
-            held = services.get(endpoint.worker, capacity.NO_RESOURCES)
-            services[endpoint.worker] = capacity.add(held, endpoint.resources)
+            reserved = services.get(endpoint.worker, capacity.NO_RESOURCES)
+            services[endpoint.worker] = capacity.add(
+                reserved, endpoint.resources
+            )
     return [
         capacity.subtract(
             classes[host.worker_class].capacity,
