--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -77,8 +77,8 @@
     confirmed: bool = False
     stop_reason: StopReason | None = None
     evicted_ms: int = 0
-    eviction_checkpoint_taken: bool = False
-    eviction_checkpoint_queued_ms: int = -1
+    checkpointed: bool = False
+    checkpoint_queued_ms: int = -1
     stop_queued_ms: int = -1
     progress_ms: int = 0
     checkpoint_ms: int = 0
@@ -96,8 +96,8 @@
         """Starts an eviction, after a checkpoint if `checkpoint_first`."""
         self.stop_reason = StopReason.EVICTED
         self.evicted_ms = now_ms
-        self.eviction_checkpoint_taken = not checkpoint_first
-        self.eviction_checkpoint_queued_ms = -1
+        self.checkpointed = not checkpoint_first
+        self.checkpoint_queued_ms = -1
 
     def may_stop(self) -> bool:
         """Whether a stop loses no progress that a checkpoint covers.
@@ -108,8 +108,7 @@
         if self.stop_reason is not StopReason.EVICTED:
             return True
         return (
-            self.eviction_checkpoint_taken
-            and self.state.checkpoint_ms >= self.checkpoint_ms
+            self.checkpointed and self.state.checkpoint_ms >= self.checkpoint_ms
         )
 
     def on_start_unanswered(self, was_sent: bool, sent_ms: int) -> None:
@@ -124,9 +123,9 @@
         The attempt runs on beyond its checkpoint until a stop arrives.
         """
         self.stop_queued_ms = -1
-        if self.eviction_checkpoint_queued_ms >= 0:
-            self.eviction_checkpoint_queued_ms = -1
-            self.eviction_checkpoint_taken = False
+        if self.checkpoint_queued_ms >= 0:
+            self.checkpoint_queued_ms = -1
+            self.checkpointed = False
 
     def remaining_ms(self) -> int:
         """Time until it finishes at its current share."""
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -25,13 +25,11 @@
         self._sink = sink
         self._pending = pending
 
-    def send_due_command(
-        self, attempt: attempt_module.Attempt, now_ms: int
-    ) -> None:
+    def advance(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Queues the checkpoint or stop that an ending attempt needs next."""
         queued_ms = attempt.stop_queued_ms
         if queued_ms < 0 and not attempt.may_stop():
-            self._request_checkpoint(attempt, now_ms)
+            self._checkpoint(attempt, now_ms)
             return
         if queued_ms >= 0 and now_ms - queued_ms < RESEND_INTERVAL_MS:
             return
@@ -44,9 +42,7 @@
         attempt.stop_queued_ms = now_ms
         self._sink.request(worker, command)
 
-    def _request_checkpoint(
-        self, attempt: attempt_module.Attempt, now_ms: int
-    ) -> None:
+    def _checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Queues the checkpoint of an eviction, or abandons the eviction."""
         worker = attempt.state.worker
         command = attempt.checkpoint_command()
@@ -54,22 +50,22 @@
             self._sink.withdraw(worker, command)
             attempt.stop_reason = None
             return
-        if attempt.eviction_checkpoint_taken:
+        if attempt.checkpointed:
             # Its record is not folded yet.
             self._pending.checkpoint(attempt, now_ms)
             return
-        queued_ms = attempt.eviction_checkpoint_queued_ms
+        queued_ms = attempt.checkpoint_queued_ms
         if queued_ms < 0 or now_ms - queued_ms >= RESEND_INTERVAL_MS:
-            attempt.eviction_checkpoint_queued_ms = now_ms
+            attempt.checkpoint_queued_ms = now_ms
             self._sink.request(worker, command)
 
     def on_checkpoint_taken(
         self, attempt: attempt_module.Attempt, now_ms: int
     ) -> None:
         """Records the checkpoint of an eviction; the stop follows it."""
-        if attempt.eviction_checkpoint_queued_ms < 0 or self._pending.has_end(
+        if attempt.checkpoint_queued_ms < 0 or self._pending.has_end(
             attempt.job
         ):
             return
-        attempt.eviction_checkpoint_taken = True
+        attempt.checkpointed = True
         self._pending.checkpoint(attempt, now_ms)
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -386,7 +386,7 @@
             if self._withdraw_start(attempt):
                 self._record_lost(attempt)
             return
-        self._stopper.send_due_command(attempt, now_ms)
+        self._stopper.advance(attempt, now_ms)
 
     def throttle(self, job: str, share_milli: int) -> None:
         """Queues a limit of a job's attempt to a share of its processors."""
--- a/src/comfreylatch/_process/batch/pending_records.py
+++ b/src/comfreylatch/_process/batch/pending_records.py
@@ -68,7 +68,7 @@
             >= MIN_CHECKPOINT_RECORD_INTERVAL_MS
         )
         evicted = attempt.stop_reason is attempt_module.StopReason.EVICTED
-        if not due and not (evicted and attempt.eviction_checkpoint_taken):
+        if not due and not (evicted and attempt.checkpointed):
             return
         if attempt.checkpoint_ms <= attempt.recorded_checkpoint_ms:
             return
