--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -57,10 +57,10 @@
         confirmed: Whether the worker has confirmed it.
         stop_reason: Why it is being stopped; None if it isn't.
         evicted_ms: When its eviction was decided.
-        eviction_checkpoint_taken: Whether the checkpoint of its eviction has
-            been written or is not wanted.
-        eviction_checkpoint_queued_ms: When that checkpoint was last queued;
-            -1 if it isn't.
+        checkpointed: Whether the checkpoint of its eviction has been written
+            or is not wanted.
+        checkpoint_queued_ms: When that checkpoint was last queued; -1 if it
+            isn't.
         stop_queued_ms: When its stop was last queued; -1 if it isn't.
         progress_ms: Progress in the last report.
         checkpoint_ms: Progress covered by the checkpoint in the last report.
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -8,9 +8,8 @@
 from comfreylatch._process.batch import pending_records
 
 RESEND_INTERVAL_MS = 2_000
-# Time in which the checkpoint of an eviction must be recorded; after it the
-# eviction is abandoned and the attempt runs on.
-EVICTION_CHECKPOINT_TIMEOUT_MS = 10_000
+# Until its checkpoint is recorded; then the attempt simply goes on.
+EVICTION_TIMEOUT_MS = 10_000
 
 
 @final
@@ -46,7 +45,7 @@
         """Queues the checkpoint of an eviction, or abandons the eviction."""
         worker = attempt.state.worker
         command = attempt.checkpoint_command()
-        if now_ms - attempt.evicted_ms >= EVICTION_CHECKPOINT_TIMEOUT_MS:
+        if now_ms - attempt.evicted_ms >= EVICTION_TIMEOUT_MS:
             self._sink.withdraw(worker, command)
             attempt.stop_reason = None
             return
