--- a/tests/process/batch/test_evictions.py
+++ b/tests/process/batch/test_evictions.py
@@ -1,4 +1,4 @@
-"""An eviction is a checkpoint, its record, and only then a stop."""
+"""Tests that an eviction records a checkpoint before it stops the attempt."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class EvictionTest(testtools.TestCase):
-    """One job is evicted from its worker while something fails."""
+    """Evictions of one job under various faults."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -28,13 +28,13 @@
         self.session = owner.pool.sessions[self.worker.name]
 
     def exchange(self) -> None:
-        """The owner decides, and its worker answers."""
+        """Runs one step of the owner and one exchange with the worker."""
         self.zone.clock.advance(fake_zone.TICK_MS)
         self.owner.owner.step()
         self.owner.exchange(self.session)
 
     def evict(self, fault: fake_workers.ExchangeFault | None = None) -> None:
-        # A fresh report, so that the command needs one exchange.
+        # With a current report the command needs only one exchange.
         self.session.poll_by(0)
         self.exchange()
         self.assertTrue(self.owner.owner.evict("job", "test"))
@@ -48,7 +48,7 @@
         self.zone.network.faults[pair] = fault
 
     def check_finished(self, attempts: int) -> None:
-        """Nothing a checkpoint kept was done again."""
+        """Checks that no work covered by a checkpoint was repeated."""
         self.zone.run(60_000)
         state = self.zone.state("job")
         self.assertEqual(job_state.JobPhase.FINISHED, state.phase)
@@ -93,12 +93,12 @@
         self.check_finished(1)
 
     def test_stop_that_could_not_go_out_is_dropped(self) -> None:
-        # Nobody else claims, so the owner goes on under its term.
+        # No other host claims, so the owner keeps its term.
         self.zone.hosts = [self.owner]
         self.evict()
         self.owner.owner.step()
         self.zone.stream.cut.add(self.owner.name)
-        # Beyond what the claim lets it send.
+        # Beyond the time in which the claim permits commands.
         self.zone.clock.advance(6_000)
         self.zone.run(5_000)
         self.zone.stream.cut.clear()
--- a/tests/process/batch/test_job_handler.py
+++ b/tests/process/batch/test_job_handler.py
@@ -1,4 +1,4 @@
-"""Tests of submitting, showing and cancelling jobs."""
+"""Tests of the HTTP handler of jobs."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class JobDeskTest(testtools.TestCase):
-    """Answers of the desk."""
+    """Replies of the job handler."""
 
     def setUp(self) -> None:
-        """Makes a zone with a desk on its first host."""
+        """Creates a zone with a job handler on its first host."""
         super().setUp()
         teams = {
             "faculty": objects.Team(workers.Resources(10_000, 10_000)),
@@ -54,7 +54,7 @@
         return self._call("POST", body=msgspec.json.encode({**JOB, **changes}))
 
     def test_accepted_job_is_on_the_stream(self) -> None:
-        """Before it is acknowledged."""
+        """The record is appended before the job is acknowledged."""
         reply = self._post()
         self.assertEqual(200, reply.status)
         self.assertEqual(1, len(self.zone.stream.payloads))
@@ -64,20 +64,20 @@
         )
 
     def test_repeated_submission_is_the_same_job(self) -> None:
-        """The second one adds nothing."""
+        """The second submission appends nothing."""
         self._post()
         self.assertEqual(200, self._post().status)
         self.assertEqual(1, len(self.zone.stream.payloads))
 
     def test_other_content_under_an_id_is_refused(self) -> None:
-        """The id is taken."""
+        """The reply is a conflict."""
         self._post()
         reply = self._post(run_time_ms=2_000)
         self.assertEqual(409, reply.status)
         self.assertEqual("job-id-taken", reply.headers["X-Reason"])
 
     def test_log_down_is_refused_at_once(self) -> None:
-        """With a time to come back, and nothing is kept."""
+        """The reply has a retry delay and nothing is appended."""
         self.zone.stream.cut.add(self.host.name)
         reply = self._post()
         self.assertEqual(503, reply.status)
@@ -85,7 +85,7 @@
         self.assertEqual([], self.zone.stream.payloads)
 
     def test_lost_answer_is_unknown(self) -> None:
-        """The same submission, sent again, finds the job."""
+        """Repeating the same submission then finds the job."""
         self.host.appender.lose_next = True
         self.assertEqual(504, self._post().status)
         self.host.follower.read()
@@ -93,7 +93,7 @@
         self.assertEqual(1, len(self.zone.stream.payloads))
 
     def test_too_large_job_is_told_by_dimension(self) -> None:
-        """What no worker can hold is refused at once."""
+        """A job that fits no worker is refused at once."""
         size = {"processors_milli": 1_000, "memory_mib": 9_000}
         reply = self._post(resources=size)
         self.assertEqual(422, reply.status)
@@ -101,12 +101,12 @@
         self.assertNotIn(b"processors_milli", reply.body)
 
     def test_quota_without_borrowing_can_never_hold_it(self) -> None:
-        """It would wait for ever."""
+        """The job is refused, as it would wait forever."""
         reply = self._post(team="small")
         self.assertEqual("never-fits", reply.headers["X-Reason"])
 
     def test_refusals_name_what_is_wrong(self) -> None:
-        """Each kind of mistake has its reason."""
+        """Each kind of invalid job has its own reason."""
         expected = {
             "unknown-team": {"team": "nobody"},
             "unknown-zone": {"zone": "mars"},
@@ -118,7 +118,7 @@
             self.assertEqual(reason, reply.headers["X-Reason"])
 
     def test_bad_bodies_never_raise(self) -> None:
-        """They are answered as bad requests."""
+        """They are answered with status 400."""
         bodies = [b"", b"[]", b"{}", b"\xff", b"[" * 5_000, b'{"id": 1}']
         for amount in (-1, 0, 10**12, 10**30):
             size = {"processors_milli": amount, "memory_mib": 1}
@@ -128,7 +128,7 @@
             self.assertEqual(400, reply.status, body)
 
     def test_cancelled_job_is_shown_as_cancelled(self) -> None:
-        """Cancelling twice does no harm."""
+        """Cancelling twice has the same result."""
         self._post()
         for _ in range(2):
             reply = self._call("DELETE", "/jobs/stack-1")
@@ -136,13 +136,13 @@
             self.assertEqual("cancelled", page["phase"])
 
     def test_unknown_job(self) -> None:
-        """It is not found, whatever its id looks like."""
+        """Any unknown id is answered with status 404."""
         for path in ("/jobs/none", "/jobs/\udce9", "/jobs/a/b"):
             self.assertEqual(404, self._call("GET", path).status)
             self.assertEqual(404, self._call("DELETE", path).status)
 
     def test_list_by_phase(self) -> None:
-        """Only the jobs asked for are shown."""
+        """Only jobs of the requested phase are listed."""
         self._post()
         self._post(id="stack-2")
         self._call("DELETE", "/jobs/stack-1")
--- a/tests/process/batch/test_job_refusal_explained.py
+++ b/tests/process/batch/test_job_refusal_explained.py
@@ -1,4 +1,4 @@
-"""Test that a refused job can be asked about."""
+"""Test that the journal explains a refused job."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class EmptySource:
-    """A configuration without any object."""
+    """Source of an empty configuration."""
 
     def current(self) -> configuration.Configuration:
         return configuration.Configuration(offset=0)
 
 
 class JobRefusalTest(testtools.TestCase):
-    """What the journal holds after a refusal."""
+    """Journal entries of refusals."""
 
     def test_refused_job_is_in_the_journal(self) -> None:
         journal = journal_module.Journal("h", clock_fake.FakeClock())
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of claims, lapses and waits on a clock that tests move."""
+"""Tests of claims, their lapse and the waits of successors, on a fake clock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def owned_zone(
     **given: object,
 ) -> tuple[fake_zone.FakeZone, fake_zone.FakeHost]:
-    """A zone with an owner, and that owner."""
+    """Returns a zone with an owner, and that owner."""
     zone = fake_zone.FakeZone(**given)
     zone.run(3_000)
     owner = zone.owner()
@@ -27,10 +27,10 @@
 
 
 class ClaimTest(testtools.TestCase):
-    """Who is the owner."""
+    """Election of the zone's owner."""
 
     def test_one_host_wins(self) -> None:
-        """Of several hosts exactly one holds the zone."""
+        """Exactly one of several hosts becomes owner."""
         zone, owner = owned_zone(host_count=3)
         zone.run(30_000)
         holders = [
@@ -42,7 +42,7 @@
         self.assertEqual(1, owner.ownership.permissions().term)
 
     def test_zone_that_is_not_configured_is_not_claimed(self) -> None:
-        """A first claim by default bounds would hold its successor up."""
+        """A first claim with default bounds would delay its successor."""
         zone = fake_zone.FakeZone()
         configured = zone.source.given
         zone.source.given = attrs.evolve(configured, zones={})
@@ -62,7 +62,7 @@
         self.assertNotEqual(owner.name, zone.owner().name)
 
     def test_woken_owner_does_nothing_more(self) -> None:
-        """Its hold has run out by its own monotonic clock."""
+        """Its permissions have expired by its own monotonic clock."""
         zone, owner = owned_zone()
         permissions = owner.ownership.permissions()
         zone.clock.advance(CLAIM_MS + 1)
@@ -71,7 +71,7 @@
         self.assertFalse(permissions.may_renew(zone.clock.now_ms))
 
     def test_renewal_with_lost_answer_is_proved_by_reading(self) -> None:
-        """The owner holds on when only answers are lost."""
+        """The owner keeps its claim when only answers are lost."""
         zone, owner = owned_zone()
         for _ in range(40):
             owner.appender.lose_next = True
@@ -80,7 +80,7 @@
         self.assertEqual(1, owner.ownership.permissions().term)
 
     def test_host_behind_the_head_does_not_claim(self) -> None:
-        """A host cut from the log can't tell whether the owner lives."""
+        """A host cut from the log can't know whether the owner is alive."""
         zone, owner = owned_zone()
         other = zone.hosts[1 - zone.hosts.index(owner)]
         zone.stream.cut.add(other.name)
@@ -91,10 +91,10 @@
 
 
 class AutonomyTest(testtools.TestCase):
-    """An owner that is cut from the log."""
+    """Behaviour of an owner that is cut from the log."""
 
     def test_running_work_goes_on_for_the_bound(self) -> None:
-        """Leases are renewed past the claim, up to the bound."""
+        """Leases are renewed beyond the claim, up to the autonomy bound."""
         zone, owner = owned_zone(host_count=1)
         zone.submit("job", HALF, 60_000)
         zone.run(1_000)
@@ -103,7 +103,7 @@
         self.assertIn("job", zone.running())
 
     def test_running_work_stops_after_the_bound(self) -> None:
-        """Bound, lease and margin later nothing runs any more."""
+        """Nothing runs once autonomy bound, lease and margin have passed."""
         zone, owner = owned_zone(host_count=1)
         zone.submit("job", HALF, 60_000)
         zone.run(1_000)
@@ -120,7 +120,7 @@
         self.assertEqual({}, zone.running())
 
     def test_owner_goes_on_when_the_log_is_back(self) -> None:
-        """Nobody else has claimed: the same term, the same attempts."""
+        """No other host has claimed: term and attempts stay the same."""
         zone, owner = owned_zone(host_count=1)
         zone.submit("job", HALF, 20_000)
         zone.run(1_000)
@@ -134,10 +134,10 @@
 
 
 class SuccessorTest(testtools.TestCase):
-    """A successor that can't reach a worker."""
+    """Takeover by a successor, with and without access to a worker."""
 
     def test_unreachable_work_waits_for_the_bound(self) -> None:
-        """It starts elsewhere only when it can't run any more."""
+        """The job restarts elsewhere only after its task can't run any more."""
         zone, owner = owned_zone()
         zone.submit("job", HALF, 120_000)
         zone.run(1_000)
@@ -157,7 +157,7 @@
         self.assertNotEqual(worker, zone.running()["job"])
 
     def test_reachable_work_is_taken_over_at_once(self) -> None:
-        """A worker that answers under the new term needs no wait."""
+        """A worker that answers under the new term is taken over at once."""
         zone, owner = owned_zone()
         zone.submit("job", HALF, 60_000)
         zone.run(1_000)
@@ -171,14 +171,14 @@
 
 
 class ChangedLimitsTest(testtools.TestCase):
-    """Limits that a ticket changes while a host owns the zone."""
+    """Limits that change while a host owns the zone."""
 
     def change_limits(self, zone: fake_zone.FakeZone) -> None:
         limits = objects.Limits(lease_ms=3_000, claim_ms=3_000)
         zone.source.given = attrs.evolve(zone.source.given, limits=limits)
 
     def test_owner_takes_them_into_force_by_a_new_term(self) -> None:
-        """The same host goes on, and so does the running attempt."""
+        """The same host stays owner and the attempt keeps running."""
         zone, owner = owned_zone()
         zone.submit("job", HALF, 30_000)
         zone.run(2_000)
@@ -193,7 +193,7 @@
         self.assertEqual(before, zone.running())
 
     def test_leases_of_the_old_term_are_waited_for(self) -> None:
-        """What a silent worker runs under longer leases counts as running."""
+        """Tasks under the longer leases of the old term count as running."""
         zone, owner = owned_zone()
         old = owner.fold.claims()[-1]
         self.change_limits(zone)
--- a/tests/process/batch/test_ownership_model.py
+++ b/tests/process/batch/test_ownership_model.py
@@ -1,4 +1,4 @@
-"""Random faults against two owners of one zone, and what must always hold."""
+"""Invariants of zone ownership under random faults, with two hosts."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 @strategies.composite
 def _takeover(draw: strategies.DrawFn) -> list[Operation]:
-    """One host loses the log, the other one worker."""
+    """One host loses the log, the other one of the workers."""
     host = draw(_host)
     return [
         ("cut_log", host),
@@ -64,7 +64,7 @@
 
 @strategies.composite
 def _late_start(draw: strategies.DrawFn) -> list[Operation]:
-    """A start lies in a buffer while its sender goes away."""
+    """A start is delayed in a buffer while its sender stops or fails."""
     host = draw(_host)
     ends = strategies.sampled_from(["pause", "restart", "release", "cut_log"])
     cut = draw(strategies.booleans())
@@ -81,45 +81,47 @@
 
 
 def _scenarios(most: int) -> strategies.SearchStrategy[list[Operation]]:
-    """Scenarios of up to `most` parts."""
-    part = strategies.one_of(
+    """Scenarios of up to `most` segments."""
+    segment = strategies.one_of(
         _one_operation.map(lambda operation: [operation]),
         _one_operation.map(lambda operation: [operation]),
         _takeover(),
         _late_start(),
     )
-    parts = strategies.lists(part, min_size=1, max_size=most)
-    return parts.map(
-        lambda chosen: [operation for part in chosen for operation in part]
+    segments = strategies.lists(segment, min_size=1, max_size=most)
+    return segments.map(
+        lambda chosen: [
+            operation for segment in chosen for operation in segment
+        ]
     )
 
 
 class Model:
-    """Carries out operations and checks after each moment."""
+    """Carries out operations and checks the invariants after each tick."""
 
     def __init__(self) -> None:
         self.zone = fake_zone.FakeZone(worker_count=WORKERS, host_count=HOSTS)
         self.submitted = 0
-        self.places: dict[tuple[str, int], str] = {}
-        self.writer = fake_zone.FakeAppender(self.zone.stream, "desk")
+        self.workers_by_attempt: dict[tuple[str, int], str] = {}
+        self.writer = fake_zone.FakeAppender(self.zone.stream, "handler")
         self.submit(30_000)
         self.run(3_000)
 
     def play(self, operations: list[Operation]) -> None:
-        """Plays a scenario, heals everything and checks the outcome."""
+        """Runs a scenario, ends all faults and checks the outcome."""
         self.disturb(operations)
         self.heal()
         self.run(SETTLE_MS)
         self.check_outcome()
 
     def disturb(self, operations: list[Operation]) -> None:
-        """Carries out operations, and checks after each."""
+        """Carries out operations and checks the invariants after each."""
         for name, *arguments in operations:
             getattr(self, name)(*arguments)
             self.check()
 
     def submit(self, run_time_ms: int) -> None:
-        """Admits a job that takes over half of a worker."""
+        """Admits a job that needs more than half of a worker."""
         self.submitted += 1
         spec = job_records.JobSpec(
             id=f"job-{self.submitted}",
@@ -132,38 +134,38 @@
         self.writer.append([job_records.JobAdmitted(spec)], 0)
 
     def cancel(self, number: int) -> None:
-        """Cancels a job, known or not."""
+        """Cancels a job, which need not exist."""
         body = job_records.JobCancelled(f"job-{number}")
         self.writer.append([body], 0)
 
     def evict(self, number: int) -> None:
-        """Every host that thinks it is the owner evicts a job."""
+        """Lets every host that believes it is the owner evict a job."""
         for host in self.zone.hosts:
             host.owner.evict(f"job-{number}", "model")
 
     def run(self, elapsed_ms: int) -> None:
-        """Lets time pass."""
+        """Advances the clock, checking after each tick."""
         for _ in range(elapsed_ms // fake_zone.TICK_MS):
             self.zone.run(fake_zone.TICK_MS)
             self.check()
 
     def pause(self, host: int) -> None:
-        """Freezes a host, or wakes it."""
+        """Pauses a host or resumes it."""
         self.zone.hosts[host].paused ^= True
 
     def cut_log(self, host: int) -> None:
-        """Cuts a host from the log, or heals the cut."""
+        """Cuts a host from the log or reconnects it."""
         self.zone.stream.cut ^= {self.zone.hosts[host].name}
 
     def cut_worker(self, host: int, worker: int) -> None:
-        """Cuts a host from a worker, or heals the cut."""
+        """Cuts a host from a worker or reconnects it."""
         pair = (self.zone.hosts[host].name, f"w{worker}")
         self.zone.network.cut ^= {pair}
 
     def fault(
         self, host: int, worker: int, fault: fake_workers.ExchangeFault
     ) -> None:
-        """Spoils the next exchange."""
+        """Injects a fault into the next exchange of a host and a worker."""
         pair = (self.zone.hosts[host].name, f"w{worker}")
         self.zone.network.faults[pair] = fault
 
@@ -172,7 +174,7 @@
         self.zone.network.delay_start.add(self.zone.hosts[host].name)
 
     def cut_delayed(self, host: int) -> None:
-        """Cuts a host from the workers to which something is on its way."""
+        """Cuts a host from workers for which a delayed exchange is pending."""
         for worker, _ in self.zone.network.delayed:
             pair = (self.zone.hosts[host].name, worker)
             self.zone.network.cut.add(pair)
@@ -182,15 +184,15 @@
         self.zone.hosts[host].appender.lose_next = True
 
     def hold_append(self, host: int) -> None:
-        """Holds the next append back until the one after it."""
+        """Delays the next append until the one after it."""
         self.zone.hosts[host].appender.hold_next = True
 
     def restart(self, host: int) -> None:
-        """Kills a host and starts another in its place."""
+        """Kills a host and replaces it by a new one."""
         self.zone.hosts[host] = self.zone.new_host()
 
     def release(self, host: int) -> None:
-        """Stops a host as planned and starts another in its place."""
+        """Stops a host as planned and replaces it by a new one."""
         if not self.zone.hosts[host].paused:
             self.zone.hosts[host].release()
         self.zone.hosts[host] = self.zone.new_host()
@@ -200,7 +202,7 @@
         self.zone.fleet[f"w{worker}"].reboot()
 
     def deliver(self) -> None:
-        """Lets delayed exchanges arrive."""
+        """Delivers all delayed exchanges."""
         self.zone.network.deliver_delayed()
 
     def heal(self) -> None:
@@ -214,7 +216,7 @@
             host.paused = False
 
     def check(self) -> None:
-        """Nothing runs twice and no worker holds too much."""
+        """Checks that no job runs twice and no worker exceeds its capacity."""
         running = collections.Counter(
             task.start.job
             for worker in self.zone.fleet.values()
@@ -222,28 +224,32 @@
         )
         twice = [job for job, count in running.items() if count > 1]
         assert not twice, f"{twice} run in two places"
-        kept = set()
+        checkpoints = set()
         for worker in self.zone.fleet.values():
             used = worker.used()
             assert capacity.fits(used, worker.amount), f"{worker.name} {used}"
-            kept |= worker.kept
+            checkpoints |= worker.kept
         for name, worker in self.zone.fleet.items():
             for start in worker.started:
-                self._check_start(name, start, kept)
+                self._check_start(name, start, checkpoints)
 
     def _check_start(
         self,
         worker: str,
         start: workers.StartTask,
-        kept: set[tuple[str, int]],
+        checkpoints: set[tuple[str, int]],
     ) -> None:
-        place = self.places.setdefault((start.job, start.attempt), worker)
-        assert place == worker, f"{start} started on {place} and {worker}"
-        resumes = (start.job, start.checkpoint_ms) in kept
+        first_worker = self.workers_by_attempt.setdefault(
+            (start.job, start.attempt), worker
+        )
+        assert first_worker == worker, (
+            f"{start} started on {first_worker} and {worker}"
+        )
+        resumes = (start.job, start.checkpoint_ms) in checkpoints
         assert resumes or start.checkpoint_ms == 0, f"{start} not kept"
 
     def check_outcome(self) -> None:
-        """Every job has ended, once, and all hosts agree."""
+        """Checks that every job ended exactly once and all hosts agree."""
         fold = zone_fold.ZoneFold()
         ended: dict[str, job_state.JobState] = {}
         for offset, payload in enumerate(self.zone.stream.payloads):
@@ -262,12 +268,12 @@
 
 
 def play(operations: list[Operation]) -> None:
-    """Plays one scenario on a fresh zone."""
+    """Runs one scenario on a new zone."""
     Model().play(operations)
 
 
-def breaks(operations: list[Operation], without: str) -> bool:
-    """Whether a scenario breaks a promise with a guard taken out."""
+def violates_invariant(operations: list[Operation], without: str) -> bool:
+    """Whether a scenario violates an invariant with one safeguard removed."""
     model = Model()
     patches = []
     match without:
@@ -307,10 +313,10 @@
 
 
 class OwnershipModelTest(testtools.TestCase):
-    """Random scenarios, the same ones in each run."""
+    """Random scenarios, reproducible in each run."""
 
-    def test_promises_hold_under_random_faults(self) -> None:
-        """No scenario breaks a promise."""
+    def test_invariants_hold_under_random_faults(self) -> None:
+        """No scenario violates an invariant."""
 
         @_SETTINGS
         @hypothesis.given(_scenarios(most=16))
@@ -320,21 +326,21 @@
         check()
 
     def test_worker_without_term_check_is_found(self) -> None:
-        """Starts of an earlier owner are let in; the model notices."""
+        """The model detects workers that accept starts of an earlier owner."""
         self._assert_found("term")
 
     def test_worker_without_staleness_check_is_found(self) -> None:
-        """Starts that lay in a buffer are let in; the model notices."""
+        """The model detects workers that accept starts delayed in a buffer."""
         self._assert_found("staleness")
 
     def test_successor_without_wait_is_found(self) -> None:
-        """Work of an unreachable worker starts again; the model notices."""
+        """The model detects a successor that restarts work too early."""
         self._assert_found("wait")
 
     def _assert_found(self, without: str) -> None:
         operations = hypothesis.find(
             _scenarios(most=3),
-            lambda candidate: breaks(candidate, without),
+            lambda candidate: violates_invariant(candidate, without),
             settings=hypothesis.settings(
                 _SETTINGS,
                 max_examples=1_500,
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -1,4 +1,4 @@
-"""Tests of capacity, choice of worker, queue order and victims."""
+"""Tests of capacity, placement, queue order, evictions and learning."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     job_class: str = "stack",
     urgent: bool = False,
 ) -> job_state.JobState:
-    """A job that waits."""
+    """Returns a queued job."""
     spec = job_records.JobSpec(
         job, team, "bole", job_class, size, 1_000, urgent
     )
@@ -44,7 +44,7 @@
 
 
 def ledger_of(count: int) -> capacity.CapacityLedger:
-    """Equal workers, two to a rack."""
+    """Returns a ledger of equal workers, two to a rack."""
     ledger = capacity.CapacityLedger()
     for index in range(count):
         ledger.set_worker(
@@ -61,14 +61,14 @@
     ledger: capacity.CapacityLedger,
     mix: interference_cost.InterferenceCostModel,
 ) -> placement.Placement:
-    """A placement by predicted cost."""
+    """Returns a placement by predicted cost."""
     for account in ledger.accounts():
         mix.set_worker(account.name, account.total.processors_milli)
     return placement.Placement(ledger, mix)
 
 
 def empty_mix() -> interference_cost.InterferenceCostModel:
-    """Nothing learned, nothing running."""
+    """Returns a cost model without load and learned coefficients."""
     model = interference.InterferenceModel()
     return interference_cost.InterferenceCostModel(
         model, learned_sizes.LearnedSizes()
@@ -85,7 +85,7 @@
     def test_candidates_are_those_with_room(
         self, held: list[workers.Resources], size: workers.Resources
     ) -> None:
-        """The index finds exactly what a scan finds."""
+        """The index finds exactly the workers that a scan finds."""
         ledger = ledger_of(len(held))
         for index, amount in enumerate(held):
             ledger.reserve(f"job-{index}", f"w{index}", amount)
@@ -98,7 +98,7 @@
         self.assertEqual(expected, found)
 
     def test_endpoints_reserve_first(self) -> None:
-        """What services take is never free for batch work."""
+        """Capacity reserved by services is never free for batch work."""
         ledger = capacity.CapacityLedger()
         services = workers.Resources(3_500, 100)
         ledger.set_worker("w0", "", AMOUNT, services, True)
@@ -106,7 +106,7 @@
         self.assertEqual([], ledger.candidates(size, 1))
 
     def test_released_room_is_free_again(self) -> None:
-        """A job's room comes back once."""
+        """Releasing a job twice frees its capacity once."""
         ledger = ledger_of(1)
         ledger.reserve("job", "w0", AMOUNT)
         ledger.release("job")
@@ -114,31 +114,31 @@
         self.assertEqual(AMOUNT, ledger.account("w0").free)
 
     def test_nearest_worker_names_the_dimensions(self) -> None:
-        """Only what is short there is told."""
+        """Only the dimensions that are short there are named."""
         size = workers.Resources(1_000, 9_000, 1)
-        with_accelerator = workers.Resources(500, 500, 4)
-        memory = workers.Resources(4_000, 8_000, 1)
-        never = placement.never_fits(size, [with_accelerator, memory])
+        accelerators = workers.Resources(500, 500, 4)
+        much_memory = workers.Resources(4_000, 8_000, 1)
+        never = placement.never_fits(size, [accelerators, much_memory])
         self.assertEqual(("memory_mib",), never.dimensions)
 
 
 class ChoiceTest(testtools.TestCase):
-    """Which worker is chosen."""
+    """Choice of a worker."""
 
     def test_team_is_spread_over_racks(self) -> None:
-        """Two tasks of a team don't share a rack without need."""
+        """Jobs of a team don't share a rack if another one is free."""
         ledger = ledger_of(4)
-        chooser = placement_on(ledger, empty_mix())
+        placer = placement_on(ledger, empty_mix())
         racks = set()
         for number in range(2):
             state = queued(f"job-{number}")
-            worker = chooser.choose(state, state.spec.resources)
-            chooser.place(state, worker, state.spec.resources)
+            worker = placer.choose(state, state.spec.resources)
+            placer.place(state, worker, state.spec.resources)
             racks.add(ledger.account(worker).rack)
         self.assertEqual(2, len(racks))
 
     def test_harmful_class_is_not_piled_up(self) -> None:
-        """A class known to slow a service down runs once a worker."""
+        """A class known to slow a service down runs once per worker."""
         model = interference.InterferenceModel()
         mix = interference_cost.InterferenceCostModel(
             model, learned_sizes.LearnedSizes()
@@ -148,36 +148,36 @@
             sample = interference.Sample(loads, {"skyproc": 1.2}, 0.25)
             model.learn(sample)
         ledger = ledger_of(2)
-        chooser = placement_on(ledger, mix)
+        placer = placement_on(ledger, mix)
         for account in ledger.accounts():
             mix.set_services(account.name, ["skyproc"])
         placed = []
         for number in range(3):
             state = queued(f"job-{number}", job_class="noisy")
-            worker = chooser.choose(state, state.spec.resources)
+            worker = placer.choose(state, state.spec.resources)
             placed.append(worker)
             if worker is not None:
-                chooser.place(state, worker, state.spec.resources)
+                placer.place(state, worker, state.spec.resources)
         self.assertEqual({"w0", "w1"}, set(placed[:2]))
         self.assertIsNone(placed[2])
 
     def test_urgent_job_is_placed_all_the_same(self) -> None:
-        """It doesn't wait for a quieter worker."""
+        """An urgent job doesn't wait for a worker with less interference."""
         mix = empty_mix()
         ledger = ledger_of(1)
-        chooser = placement_on(ledger, mix)
+        placer = placement_on(ledger, mix)
         mix.set_services("w0", ["skyproc"])
         first = queued("first", size=workers.Resources(3_000, 100))
-        chooser.place(first, "w0", first.spec.resources)
+        placer.place(first, "w0", first.spec.resources)
         late = queued("late", urgent=True)
-        self.assertEqual("w0", chooser.choose(late, late.spec.resources))
+        self.assertEqual("w0", placer.choose(late, late.spec.resources))
 
 
 class QueueTest(testtools.TestCase):
-    """Whose job comes next."""
+    """Order of the job queue."""
 
     def test_smallest_share_comes_first(self) -> None:
-        """A team that uses less of its quota goes before."""
+        """A team that uses less of its quota goes first."""
         queue = job_queue.JobQueue()
         quota = objects.Team(workers.Resources(2_000, 2_000))
         queue.set_teams({"a": quota, "b": quota})
@@ -191,7 +191,7 @@
         self.assertEqual(["of-b", "of-a"], order)
 
     def test_evicted_job_goes_before_its_team(self) -> None:
-        """It has waited before."""
+        """A job that was started before goes to the front."""
         queue = job_queue.JobQueue()
         queue.add(queued("new"))
         evicted = job_state.JobState(queued("old").spec, order=0, attempt=1)
@@ -201,7 +201,7 @@
 
 
 class VictimTest(testtools.TestCase):
-    """Whom an urgent start costs its place."""
+    """Selection of jobs to evict."""
 
     def _attempt(self, job: str, lost_ms: int) -> attempt_module.Attempt:
         found = attempt_module.Attempt(queued(job), 0)
@@ -209,7 +209,7 @@
         return found
 
     def test_least_lost_work_goes_first(self) -> None:
-        """One victim is enough, and it is the youngest."""
+        """One victim suffices: the one with least unsaved work."""
         attempts = [self._attempt("old", 90_000), self._attempt("new", 10)]
         victims = eviction_planner.select_victims(
             workers.Resources(1_000, 100), capacity.NO_RESOURCES, attempts
@@ -217,7 +217,7 @@
         self.assertEqual(["new"], [victim.job for victim in victims])
 
     def test_no_victims_when_even_all_are_too_few(self) -> None:
-        """Nobody is stopped in vain."""
+        """No job is evicted if that can't free enough."""
         victims = eviction_planner.select_victims(
             workers.Resources(3_000, 100),
             capacity.NO_RESOURCES,
@@ -226,7 +226,7 @@
         self.assertIsNone(victims)
 
     def test_budget_is_for_one_hour(self) -> None:
-        """All of a request or none is granted."""
+        """A request is granted completely or not at all."""
         budget = eviction_planner.EvictionBudget()
         self.assertTrue(budget.try_spend(2, 3, 0))
         self.assertFalse(budget.try_spend(2, 3, 1_000))
@@ -234,10 +234,10 @@
 
 
 class LearningTest(testtools.TestCase):
-    """Sizes and interference."""
+    """Learning of sizes and interference."""
 
     def test_causes_beside_each_other_are_told_apart(self) -> None:
-        """Only one of two classes slows the service down."""
+        """The model finds which of two classes slows the service down."""
         model = interference.InterferenceModel()
         for step in range(200):
             noisy = 0.1 + 0.4 * (step % 5) / 4
@@ -258,7 +258,7 @@
         self.assertLess(known, model.coefficient("s", "b").variance)
 
     def test_class_that_declares_too_little_reserves_more(self) -> None:
-        """Most of its attempts fit, but never beyond a worker."""
+        """It reserves what most attempts use, at most a whole worker."""
         sizes = learned_sizes.LearnedSizes()
         declared = workers.Resources(1_000, 1_000)
         for number in range(10):
@@ -272,7 +272,7 @@
         self.assertEqual(2_000, sizes.size("stack", declared, small).memory_mib)
 
     def test_few_attempts_teach_nothing(self) -> None:
-        """The declared size holds until enough were seen."""
+        """The declared size is used until enough attempts were measured."""
         sizes = learned_sizes.LearnedSizes()
         declared = workers.Resources(1_000, 1_000)
         used = workers.TaskSlowdown("j", 1, 1_000, 500, 3_000)
--- a/tests/process/batch/test_service.py
+++ b/tests/process/batch/test_service.py
@@ -1,4 +1,4 @@
-"""Two services with threads, one log in memory and stand-in workers."""
+"""Tests of two threaded services with in-memory log and simulated workers."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 ZONE = "bole"
 AMOUNT = workers.Resources(4_000, 4_000)
 LIMITS = objects.Limits(lease_ms=2_500, claim_ms=1_500, drift_margin_ms=200)
-PATIENCE_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 
 
 class HostLink:
-    """One host's way to the log and to the workers, which tests cut."""
+    """A host's connections to log and workers, which tests can cut."""
 
     def __init__(self, log: fake_log.FakeLog) -> None:
         self._log = log
@@ -66,7 +66,7 @@
 
 
 class ServiceTest(testtools.TestCase):
-    """What workers saw, by their own records."""
+    """Invariants checked against the workers' own records."""
 
     def setUp(self) -> None:
         """Starts three workers and two services."""
@@ -151,24 +151,24 @@
             self.assertEqual({200}, set(replies))
 
     def _wait_until(self, condition: Any) -> None:
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
             self.assertLess(time.monotonic(), deadline, "time is up")
             for worker in self.fleet:
                 worker.advance()
             time.sleep(0.02)
 
-    def _holder(self) -> int:
-        holding = [
+    def _owner_index(self) -> int:
+        owners = [
             index
             for index, service in enumerate(self.services)
             if service.status().owner.holds
         ]
-        return holding[0] if holding else -1
+        return owners[0] if owners else -1
 
     def _wait_for_owner(self) -> int:
-        self._wait_until(lambda: self._holder() >= 0)
-        return self._holder()
+        self._wait_until(lambda: self._owner_index() >= 0)
+        return self._owner_index()
 
     def _wait_for_running(self, count: int) -> None:
         self._wait_until(lambda: self._count("start") >= count)
@@ -186,8 +186,8 @@
     def _count(self, kind: str) -> int:
         return sum(event.kind == kind for event in self._records())
 
-    def _assert_promises(self) -> None:
-        """Nothing ran twice at once, and no worker held too much."""
+    def _assert_invariants(self) -> None:
+        """Checks that no job ran twice and no worker exceeded its capacity."""
         running: collections.Counter[str] = collections.Counter()
         for event in sorted(self._records(), key=lambda event: event.at_ms):
             if event.kind == "start":
@@ -204,39 +204,39 @@
         self._wait_for_owner()
         self._submit(12, 300)
         self._wait_for_ends(self.services[0])
-        self._assert_promises()
+        self._assert_invariants()
         self.assertEqual(12, self._count("start"))
 
     def test_owner_cut_from_the_log_is_replaced(self) -> None:
-        """Its running work goes on under the successor, without a restart."""
+        """Running work continues under the successor without a restart."""
         first = self._wait_for_owner()
         self._submit(6, 6_000)
         self._wait_for_running(6)
         self.links[first].log_cut = True
-        self._wait_until(lambda: self._holder() == 1 - first)
+        self._wait_until(lambda: self._owner_index() == 1 - first)
         self._wait_for_ends(self.services[1 - first])
-        self._assert_promises()
+        self._assert_invariants()
         self.assertEqual(6, self._count("start"))
 
     def test_owner_cut_from_everything_is_replaced(self) -> None:
-        """Nothing runs twice, and everything ends."""
+        """No job runs twice and all jobs end."""
         first = self._wait_for_owner()
         self._submit(6, 4_000)
         self._wait_for_running(6)
         self.links[first].log_cut = True
         self.links[first].workers_cut = True
-        self._wait_until(lambda: self._holder() == 1 - first)
+        self._wait_until(lambda: self._owner_index() == 1 - first)
         self._wait_for_ends(self.services[1 - first])
-        self._assert_promises()
+        self._assert_invariants()
 
     def test_dead_worker_loses_only_its_own_work(self) -> None:
-        """Its attempts start again elsewhere after its lease."""
+        """Its attempts restart elsewhere after its lease has expired."""
         self._wait_for_owner()
         self._submit(9, 3_000)
         self._wait_for_running(9)
         self.fleet[0].change({"kill": True, "refuse": True})
         self._wait_for_ends(self.services[0])
-        self._assert_promises()
+        self._assert_invariants()
         elsewhere = [
             event
             for event in self._records()
@@ -246,11 +246,11 @@
         self.assertNotIn("w0", {event.worker for event in elsewhere})
 
     def test_planned_stop_hands_over_without_a_restart(self) -> None:
-        """Release comes after the last command."""
+        """The claim is released after the last command is sent."""
         first = self._wait_for_owner()
         self._submit(6, 4_000)
         self._wait_for_running(6)
         self.services[first].release()
         self._wait_for_ends(self.services[1 - first])
-        self._assert_promises()
+        self._assert_invariants()
         self.assertEqual(6, self._count("start"))
--- a/tests/process/batch/test_worker_session.py
+++ b/tests/process/batch/test_worker_session.py
@@ -1,4 +1,4 @@
-"""Tests of what a session counts as sent to its worker."""
+"""Tests of the time that a session notes as last sent to its worker."""
 
 from __future__ import annotations
 
--- a/tests/process/batch/test_zone_owner.py
+++ b/tests/process/batch/test_zone_owner.py
@@ -1,4 +1,4 @@
-"""Tests of the owner's loop against workers in memory."""
+"""Tests of the zone owner's loop with in-memory workers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class RunTest(testtools.TestCase):
-    """Jobs that nothing disturbs."""
+    """Jobs without failing workers, and planned or sudden owner changes."""
 
     def test_jobs_finish(self) -> None:
         """Every job runs once and is folded as finished."""
@@ -37,7 +37,7 @@
             self.assertEqual(1, state.attempt)
 
     def test_burst_of_cancellations_stops_everything(self) -> None:
-        """Cancelled jobs stop, started or not, in few appends."""
+        """Cancelled jobs stop, started or not, with few appends."""
         zone = started_zone()
         for number in range(40):
             zone.submit(f"job-{number}", HALF, 60_000)
@@ -53,7 +53,7 @@
         self.assertLess(len(zone.stream.payloads) - before, 12)
 
     def test_leaving_owner_hands_running_work_over(self) -> None:
-        """After a planned stop the successor goes on without a restart."""
+        """After a planned stop the successor continues without a restart."""
         zone = started_zone()
         zone.submit("job", HALF, 8_000)
         zone.run(2_000)
@@ -64,7 +64,7 @@
         self.assertEqual(1, state.attempt)
 
     def test_dead_owner_is_replaced_without_restart(self) -> None:
-        """By default a lease outlasts the claim: nothing is redone."""
+        """By default a lease outlasts the claim, so no work is repeated."""
         zone = started_zone(limits=objects.Limits())
         zone.submit("job", HALF, 20_000)
         zone.run(2_000)
@@ -75,7 +75,7 @@
         self.assertEqual(1, state.attempt)
 
     def test_running_work_is_checkpointed_now_and_then(self) -> None:
-        """A dead worker costs a minute of work, not all of it."""
+        """A dead worker loses at most about a minute of work."""
         zone = started_zone()
         zone.submit("job", HALF, 200_000)
         zone.run(150_000)
@@ -88,10 +88,10 @@
 
 
 class EndedAttemptTest(testtools.TestCase):
-    """An end that the cut-off owner could not record."""
+    """An attempt ends while its owner is cut from the log."""
 
     def test_no_command_makes_a_worker_forget_an_unrecorded_end(self) -> None:
-        """The successor still finds it, and the work isn't redone."""
+        """The successor still finds the end, so no work is repeated."""
         zone = started_zone()
         zone.submit("job", HALF, 3_000)
         zone.run(2_000)
@@ -105,7 +105,7 @@
         self.assertEqual(1, state.attempt)
 
     def test_cut_off_owner_sends_leases_only(self) -> None:
-        """What it could not record it doesn't ask for."""
+        """It sends no command whose outcome it could not record."""
         zone = started_zone()
         zone.submit("job", HALF, 60_000)
         zone.run(2_000)
@@ -122,7 +122,7 @@
     """Workers and jobs that fail."""
 
     def test_worker_that_fails_everything_is_quarantined(self) -> None:
-        """Its jobs end elsewhere, and none is parked for its sake."""
+        """Its jobs finish on other workers and none is parked."""
         zone = started_zone(worker_count=4)
         zone.fleet["w1"].fail_all = True
         for number in range(40):
@@ -134,7 +134,7 @@
         self.assertLess(len(zone.fleet["w1"].started), 10)
 
     def test_mended_worker_is_probed_back(self) -> None:
-        """One success ends its quarantine."""
+        """One successful probe ends its quarantine."""
         zone = started_zone(worker_count=4)
         zone.fleet["w1"].fail_all = True
         for number in range(40):
@@ -147,7 +147,7 @@
         self.assertEqual((), zone.owner().owner.status().quarantined)
 
     def test_job_that_fails_everywhere_is_parked(self) -> None:
-        """It is set aside after failures on different workers."""
+        """It is parked after failures on several workers."""
         zone = started_zone(worker_count=4)
         zone.submit("never-works", HALF)
         for number in range(12):
@@ -164,7 +164,7 @@
     """Urgent starts and quotas."""
 
     def test_urgent_job_starts_within_six_seconds(self) -> None:
-        """A full zone makes room by evicting after a checkpoint."""
+        """A full zone evicts jobs after a checkpoint to make room."""
         zone = started_zone()
         for number in range(6):
             zone.submit(f"job-{number}", HALF, 60_000)
@@ -180,7 +180,7 @@
             self.assertTrue(kept, f"{state} lost its work")
 
     def test_urgent_start_costs_no_more_evictions_than_needed(self) -> None:
-        """One half of one worker is enough for half a worker."""
+        """A job of half a worker's size evicts only one such job."""
         zone = started_zone()
         for number in range(6):
             zone.submit(f"job-{number}", HALF, 60_000)
@@ -191,7 +191,7 @@
         self.assertEqual(1, sum(evicted))
 
     def test_team_without_borrowing_stays_in_its_quota(self) -> None:
-        """Idle room is left alone."""
+        """It doesn't use idle capacity beyond its quota."""
         quota = workers.Resources(HALF, 10_000)
         team = objects.Team(quota, may_borrow=False)
         zone = started_zone(teams={"faculty": team})
@@ -201,7 +201,7 @@
         self.assertEqual(1, len(zone.running()))
 
     def test_borrowed_room_is_given_back(self) -> None:
-        """A team within its quota gets its room after a while."""
+        """A team within its quota reclaims capacity after a delay."""
         quota = workers.Resources(WHOLE, 10_000)
         team = objects.Team(quota)
         zone = started_zone(teams={"faculty": team, "school": team})
@@ -213,7 +213,7 @@
         self.assertEqual(job_state.JobPhase.FINISHED, zone.state("mine").phase)
 
     def test_spent_budget_stops_reclaims(self) -> None:
-        """Without an eviction left, the job waits."""
+        """Once the eviction budget is spent, the job stays queued."""
         quota = workers.Resources(WHOLE, 10_000)
         team = objects.Team(quota)
         zone = started_zone(
@@ -228,7 +228,7 @@
         self.assertEqual(job_state.JobPhase.QUEUED, zone.state("mine").phase)
 
     def test_reclaim_without_victims_spends_no_budget(self) -> None:
-        """Nobody borrows, so nobody is evicted and nothing is spent."""
+        """No team borrows, so no job is evicted and no budget spent."""
         quota = workers.Resources(100_000, 100_000)
         zone = started_zone(
             teams={"faculty": objects.Team(quota)},
@@ -244,7 +244,7 @@
 
 
 class InterferenceTest(testtools.TestCase):
-    """Steps against batch work that slows a service down."""
+    """Actions against batch work that slows a service down."""
 
     def _slow_down(self, zone: fake_zone.FakeZone, slowdown_milli: int) -> None:
         for worker in zone.fleet.values():
@@ -265,7 +265,7 @@
             )
 
     def test_lasting_slowdown_is_throttled_then_moved(self) -> None:
-        """Throttles come first, and moves after they did not help."""
+        """Jobs are throttled first, and moved if that did not help."""
         zone = started_zone(worker_count=1)
         zone.submit("noisy", HALF, 300_000)
         zone.run(2_000)
@@ -280,7 +280,7 @@
         self.assertGreater(zone.state("noisy").evictions, 0)
 
     def test_one_sample_changes_nothing(self) -> None:
-        """A single slow measurement is no reason to act."""
+        """A single slow measurement causes no action."""
         zone = started_zone(worker_count=1)
         zone.submit("quiet", HALF, 300_000)
         zone.run(4_000)
@@ -291,7 +291,7 @@
         self.assertEqual(1_000, zone.fleet["w0"].running()[0].share_milli)
 
     def test_baseline_never_acts(self) -> None:
-        """First fit runs without any control."""
+        """The first-fit policy takes no action against interference."""
         zone = started_zone(worker_count=1, policy=placement.Policy.FIRST_FIT)
         zone.submit("noisy", HALF, 300_000)
         for _ in range(40):
