--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -140,7 +140,7 @@
         for attempt in self.on_worker(event.worker):
             line = lines.pop((attempt.job, attempt.state.attempt), None)
             if line is None:
-                self._on_missing_from_report(attempt, event, bounds)
+                self._process_missing(attempt, event, bounds)
             else:
                 self._process_task_line(attempt, line, now_ms)
         commanded = {
@@ -148,7 +148,7 @@
         }
         for key, line in lines.items():
             if line.state is workers.TaskState.RUNNING or key not in commanded:
-                self._handle_stray(event.worker, line)
+                self._stop_stray(event.worker, line)
         self._schedule_poll(event.worker, now_ms)
 
     def _schedule_poll(self, worker: str, now_ms: int) -> None:
@@ -180,7 +180,7 @@
                 case _:
                     pass
 
-    def _on_missing_from_report(
+    def _process_missing(
         self,
         attempt: attempt_module.Attempt,
         event: worker_session.Reported,
@@ -192,12 +192,12 @@
             return
         # A start whose answer was lost may still arrive until the report that
         # it quotes is stale.
-        settled_ms = (
+        start_expiry_ms = (
             attempt.unanswered_start_ms
             + bounds.command_ttl_ms
             + bounds.drift_margin_ms
         )
-        if attempt.unanswered_start_ms >= 0 and event.sent_ms > settled_ms:
+        if attempt.unanswered_start_ms >= 0 and event.sent_ms > start_expiry_ms:
             attempt.unanswered_start_ms = -1
 
     def _process_task_line(
@@ -272,7 +272,7 @@
             case _:
                 pass
 
-    def _handle_stray(self, worker: str, line: workers.TaskStatus) -> None:
+    def _stop_stray(self, worker: str, line: workers.TaskStatus) -> None:
         """Stops a reported attempt that isn't assigned to this worker."""
         state = self._fold.job(line.job)
         if state is not None:
@@ -307,23 +307,25 @@
         silent = session is None or session.failures > 0
         if not silent:
             return
-        span_ms = (
+        lease_span_ms = (
             bounds.lease_ms + bounds.command_ttl_ms + bounds.drift_margin_ms
         )
-        gone_ms = sent_ms + span_ms if sent_ms >= 0 else 0
+        lease_end_ms = sent_ms + lease_span_ms if sent_ms >= 0 else 0
         for attempt in self.on_worker(worker):
             inherited = attempt.state.term < self._term
-            until_ms = (
-                max(gone_ms, predecessor_tasks_until_ms)
+            may_run_until_ms = (
+                max(lease_end_ms, predecessor_tasks_until_ms)
                 if inherited
-                else gone_ms
+                else lease_end_ms
             )
-            if not inherited and self._start_was_never_sent(attempt, now_ms):
-                until_ms = attempt.known_since_ms + UNSENT_START_TIMEOUT_MS
-            if now_ms >= until_ms:
+            if not inherited and self._abandon_unsent_start(attempt, now_ms):
+                may_run_until_ms = (
+                    attempt.known_since_ms + UNSENT_START_TIMEOUT_MS
+                )
+            if now_ms >= may_run_until_ms:
                 self._record_lost(attempt)
 
-    def _start_was_never_sent(
+    def _abandon_unsent_start(
         self, attempt: attempt_module.Attempt, now_ms: int
     ) -> bool:
         if attempt.confirmed or attempt.unanswered_start_ms >= 0:
--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -39,7 +39,7 @@
         self._metrics = metrics
 
     def with_worker_fault(self, body: Any) -> Any:
-        """Sets `worker_fault` in the record of a failed attempt."""
+        """Returns a record, with `worker_fault` set if an attempt failed."""
         if not isinstance(body, job_records.AttemptEnded):
             return body
         state = self._fold.job(body.job)
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -38,7 +38,7 @@
         self._budget = eviction_planner.EvictionBudget()
         self._waiting_since_ms: dict[str, int] = {}
 
-    def make_room(
+    def evict_for_waiting_jobs(
         self,
         scheduling: scheduling_state.SchedulingState,
         decisions: job_scheduler.RoundDecisions,
--- a/src/comfreylatch/_process/batch/interference.py
+++ b/src/comfreylatch/_process/batch/interference.py
@@ -123,10 +123,10 @@
 
     def coefficient(self, victim: str, aggressor: str) -> Coefficient:
         """Returns the estimate for a pair, or the prior if there is none."""
-        known = self._victims.get(victim)
-        if known is None:
+        estimates = self._victims.get(victim)
+        if estimates is None:
             return PRIOR_COEFFICIENT
-        return known.get(aggressor, PRIOR_COEFFICIENT)
+        return estimates.get(aggressor, PRIOR_COEFFICIENT)
 
     def estimates_for(self, victim: str) -> Mapping[str, Coefficient]:
         """Returns the estimates for a victim by aggressor."""
@@ -135,24 +135,28 @@
     def _update(
         self, victim: str, loads: Mapping[str, float], extra_slowdown: float
     ) -> None:
-        known = self._victims.setdefault(victim, collections.OrderedDict())
+        estimates = self._victims.setdefault(victim, collections.OrderedDict())
         self._victims.move_to_end(victim)
         if len(self._victims) > MAX_VICTIMS:
             self._victims.popitem(last=False)
-        pairs = [
-            (known.setdefault(job_class, Coefficient()), load)
+        weighted_coefficients = [
+            (estimates.setdefault(job_class, Coefficient()), load)
             for job_class, load in loads.items()
         ]
         for job_class in loads:
-            known.move_to_end(job_class)
-        while len(known) > MAX_AGGRESSORS:
-            known.popitem(last=False)
-        predicted = sum(pair.mean * load for pair, load in pairs)
+            estimates.move_to_end(job_class)
+        while len(estimates) > MAX_AGGRESSORS:
+            estimates.popitem(last=False)
+        predicted = sum(
+            coefficient.mean * load
+            for coefficient, load in weighted_coefficients
+        )
         innovation_variance = SAMPLE_VARIANCE + sum(
-            pair.variance * load * load for pair, load in pairs
+            coefficient.variance * load * load
+            for coefficient, load in weighted_coefficients
         )
         error = extra_slowdown - predicted
-        for pair, load in pairs:
-            gain = pair.variance * load / innovation_variance
-            variance_left = pair.variance * (1.0 - gain * load)
-            pair.update(pair.mean + gain * error, variance_left)
+        for coefficient, load in weighted_coefficients:
+            gain = coefficient.variance * load / innovation_variance
+            variance_left = coefficient.variance * (1.0 - gain * load)
+            coefficient.update(coefficient.mean + gain * error, variance_left)
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -146,7 +146,7 @@
         state = self._states.setdefault(worker, _WorkerState())
         if measured_ms < state.acted_ms + ACTION_SETTLE_MS:
             return None
-        state.worst_slowdowns.append(max(services, key=lambda pair: pair[1]))
+        state.worst_slowdowns.append(max(services, key=lambda item: item[1]))
         if len(state.worst_slowdowns) < MIN_SAMPLES:
             return None
         slowdowns = [slowdown for _, slowdown in state.worst_slowdowns]
@@ -168,7 +168,7 @@
         load_of: LoadOf,
     ) -> Action | None:
         service, slowdown = state.worst_slowdowns[-1]
-        ranked = self._ranked(service, attempts, load_of)
+        ranked = self._rank_by_contribution(service, attempts, load_of)
         if not ranked:
             return None
         state.step = Step(min(state.step + 1, Step.STOPPED))
@@ -203,11 +203,11 @@
         for attempt in ranked:
             if excess <= 0.0:
                 break
-            pair = self._model.coefficient(
+            coefficient = self._model.coefficient(
                 service, attempt.state.spec.job_class
             )
             part = attempt.share_milli / FULL_SHARE_MILLI
-            excess -= pair.mean * load_of(attempt) * part
+            excess -= coefficient.mean * load_of(attempt) * part
             chosen.append(attempt)
         return chosen
 
@@ -219,16 +219,18 @@
     ) -> Action | None:
         """Raises shares as far as no excess slowdown is predicted."""
         state.step = Step(max(state.step - 1, Step.NONE))
-        service, slowdown = max(state.worst_slowdowns, key=lambda pair: pair[1])
+        service, slowdown = max(state.worst_slowdowns, key=lambda item: item[1])
         slack = 1.0 + self.allowed_slowdown - slowdown
         shares = []
-        for attempt in reversed(self._ranked(service, attempts, load_of)):
+        for attempt in reversed(
+            self._rank_by_contribution(service, attempts, load_of)
+        ):
             if attempt.share_milli >= FULL_SHARE_MILLI:
                 continue
             spec = attempt.state.spec
-            pair = self._model.coefficient(service, spec.job_class)
+            coefficient = self._model.coefficient(service, spec.job_class)
             full_share_slowdown = max(
-                pair.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN
+                coefficient.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN
             )
             gain_milli = int(slack / full_share_slowdown * FULL_SHARE_MILLI)
             share = min(attempt.share_milli + gain_milli, FULL_SHARE_MILLI)
@@ -239,7 +241,7 @@
             shares.append(JobShare(attempt.job, share))
         return Throttle(tuple(shares), relaxes=True) if shares else None
 
-    def _ranked(
+    def _rank_by_contribution(
         self,
         service: str,
         attempts: Sequence[attempt_module.Attempt],
@@ -249,8 +251,8 @@
 
         def contribution(attempt: attempt_module.Attempt) -> float:
             spec = attempt.state.spec
-            pair = self._model.coefficient(service, spec.job_class)
-            return pair.mean * load_of(attempt) * attempt.share_milli
+            coefficient = self._model.coefficient(service, spec.job_class)
+            return coefficient.mean * load_of(attempt) * attempt.share_milli
 
         running = [
             attempt for attempt in attempts if attempt.stop_reason is None
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -95,17 +95,18 @@
         )
         budget = PLANNED_SLOWDOWN_FRACTION * self.allowed_slowdown
         for service in self._services.get(worker, ()):
-            known = self._model.estimates_for(service)
-            unknown = interference.PRIOR_COEFFICIENT
-            before = self._predicted_slowdown(known, worker)
-            more = known.get(job_class, unknown).mean * load
-            # Work with negligible effect may join a slow worker.
+            estimates = self._model.estimates_for(service)
+            prior = interference.PRIOR_COEFFICIENT
+            present = self._predicted_slowdown(estimates, worker)
+            added = estimates.get(job_class, prior).mean * load
+            # Work with negligible effect may join a slow worker, and any work
+            # a worker whose service is hardly slowed down.
             if (
-                more < NEGLIGIBLE_ADDED_SLOWDOWN
-                or before <= NEGLIGIBLE_TOTAL_SLOWDOWN
+                added < NEGLIGIBLE_ADDED_SLOWDOWN
+                or present <= NEGLIGIBLE_TOTAL_SLOWDOWN
             ):
                 continue
-            if before + more > budget:
+            if present + added > budget:
                 return True
         return False
 
@@ -121,26 +122,28 @@
         processors_milli = self._processors_milli.get(worker, 1)
         share = interference.UNIT_MILLI
         for service in self._services.get(worker, ()):
-            known = self._model.estimates_for(service)
-            unknown = interference.PRIOR_COEFFICIENT
-            everything = self._predicted_slowdown(known, worker)
-            own = known.get(job_class, unknown).mean * milli / processors_milli
-            left = self.allowed_slowdown - (everything - own)
-            if own > max(left, 0.0):
+            estimates = self._model.estimates_for(service)
+            prior = interference.PRIOR_COEFFICIENT
+            total = self._predicted_slowdown(estimates, worker)
+            own = (
+                estimates.get(job_class, prior).mean * milli / processors_milli
+            )
+            slack = self.allowed_slowdown - (total - own)
+            if own > max(slack, 0.0):
                 fitting_milli = int(
-                    max(left, 0.0) / own * interference.UNIT_MILLI
+                    max(slack, 0.0) / own * interference.UNIT_MILLI
                 )
                 share = min(share, fitting_milli)
         return max(share, MIN_SHARE_MILLI)
 
     def _predicted_slowdown(
-        self, known: Mapping[str, interference.Coefficient], worker: str
+        self, estimates: Mapping[str, interference.Coefficient], worker: str
     ) -> float:
         """Predicts the extra slowdown of a service on a worker."""
         processors_milli = self._processors_milli.get(worker, 1)
-        unknown = interference.PRIOR_COEFFICIENT
+        prior = interference.PRIOR_COEFFICIENT
         return sum(
-            known.get(other, unknown).mean * milli / processors_milli
+            estimates.get(other, prior).mean * milli / processors_milli
             for other, milli in self._load_milli.get(worker, {}).items()
         )
 
@@ -149,18 +152,18 @@
         processors_milli = self._processors_milli.get(worker, 1)
         cost = 0.0
         for service in self._services.get(worker, ()):
-            pair = self._model.coefficient(service, job_class)
-            cost += SERVICE_WEIGHT * pair.conservative
+            coefficient = self._model.coefficient(service, job_class)
+            cost += SERVICE_WEIGHT * coefficient.conservative
         suffered = self._model.estimates_for(job_class)
-        unknown = interference.PRIOR_COEFFICIENT
+        prior = interference.PRIOR_COEFFICIENT
         for other, milli in self._load_milli.get(worker, {}).items():
             caused = self._model.coefficient(other, job_class)
-            pair = suffered.get(other, unknown)
+            coefficient = suffered.get(other, prior)
             cost += (
-                (caused.conservative + pair.conservative)
+                (caused.conservative + coefficient.conservative)
                 * milli
                 / processors_milli
             )
-        found = int(cost * interference.UNIT_MILLI)
+        cost_milli = int(cost * interference.UNIT_MILLI)
         until_ms = self._avoid_until_ms.get((worker, job_class), 0)
-        return found + (AVOID_COST_MILLI if until_ms > self.now_ms else 0)
+        return cost_milli + (AVOID_COST_MILLI if until_ms > self.now_ms else 0)
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -252,9 +252,9 @@
     ) -> _Refusal | None:
         reason = reasons.RefusalReason.NEVER_FITS
         usable = zone_workers.usable_capacities(self._listed, configuration)
-        never = placement.never_fits(spec.resources, usable)
-        if never is not None:
-            detail = never.sentence(spec.resources)
+        never_fits = placement.never_fits(spec.resources, usable)
+        if never_fits is not None:
+            detail = never_fits.sentence(spec.resources)
             return _Refusal(422, reason, detail)
         team = configuration.teams[spec.team]
         short = capacity.insufficient_dimensions(spec.resources, quota)
--- a/src/comfreylatch/_process/batch/learned_sizes.py
+++ b/src/comfreylatch/_process/batch/learned_sizes.py
@@ -65,16 +65,16 @@
         if len(self._classes) > MAX_CLASSES:
             self._classes.popitem(last=False)
         key = (used.job, used.attempt)
-        before = sizes.attempts.get(key, SizeRatio(0, 0))
+        previous = sizes.attempts.get(key, SizeRatio(0, 0))
         ratio = SizeRatio(
             _ratio(used.processors_milli, declared.processors_milli),
             _ratio(used.memory_mib, declared.memory_mib),
         )
         highest = SizeRatio(
-            max(before.processors_milli, ratio.processors_milli),
-            max(before.memory_milli, ratio.memory_milli),
+            max(previous.processors_milli, ratio.processors_milli),
+            max(previous.memory_milli, ratio.memory_milli),
         )
-        if highest == before:
+        if highest == previous:
             return
         sizes.attempts[key] = highest
         sizes.cached = None
@@ -134,5 +134,5 @@
 
 
 def _scaled(declared: int, ratio_milli: int, largest: int) -> int:
-    wanted = declared * max(ratio_milli, DECLARED_RATIO_MILLI) // 1_000
-    return max(declared, min(wanted, largest))
+    scaled = declared * max(ratio_milli, DECLARED_RATIO_MILLI) // 1_000
+    return max(declared, min(scaled, largest))
--- a/src/comfreylatch/_process/batch/owner_status.py
+++ b/src/comfreylatch/_process/batch/owner_status.py
@@ -39,9 +39,9 @@
     """Builds the status from a fold."""
     claims = fold.claims()
     claim = claims[-1] if claims else None
-    owned = claim is not None and not claim.released
+    is_owned = claim is not None and not claim.released
     return OwnerStatus(
-        owner=claim.host if owned and claim else "",
+        owner=claim.host if is_owned and claim else "",
         term=claim.term if claim else 0,
         holds=holds,
         fold_offset=fold.offset(),
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -65,9 +65,10 @@
     Attributes:
         term: Term of its claim; 0 if it isn't the owner.
         bounds: Bounds of that claim; None if it isn't the owner.
-        command_until_ms: End of the time in which it may start work.
-        renew_until_ms: End of the time in which it may renew leases and send
-            what doesn't start work.
+        command_until_ms: End of the time in which it may start work and send
+            commands.
+        renew_until_ms: End of the time in which it may renew leases; after
+            `command_until_ms` it sends no commands with them.
     """
 
     term: int = 0
@@ -76,7 +77,7 @@
     renew_until_ms: int = 0
 
     def may_start(self, now_ms: int) -> bool:
-        """Whether work may be started: no other host can have claimed yet."""
+        """Whether it may start work: no other host can have claimed yet."""
         return self.term > 0 and now_ms < self.command_until_ms
 
     def may_renew(self, now_ms: int) -> bool:
@@ -90,12 +91,12 @@
 def max_task_lifetime_ms(claim: job_state.Claim) -> int:
     """Longest time for which tasks can run after a claim's last proof."""
     bounds = claim.bounds
-    tail_ms = (
+    lease_span_ms = (
         bounds.lease_ms + bounds.command_ttl_ms + 2 * bounds.drift_margin_ms
     )
     if claim.released:
-        return tail_ms
-    return max(bounds.autonomy_ms, bounds.claim_ms) + tail_ms
+        return lease_span_ms
+    return max(bounds.autonomy_ms, bounds.claim_ms) + lease_span_ms
 
 
 @final
@@ -235,21 +236,21 @@
                     self._predecessor_tasks_until_ms[claim.term] = (
                         now_ms + max_task_lifetime_ms(claim)
                     )
-            self._forget_old(claims, now_ms)
+            self._forget_expired(claims, now_ms)
             self._update_permissions(claims[-1] if claims else None)
 
-    def _forget_old(
+    def _forget_expired(
         self, claims: tuple[job_state.Claim, ...], now_ms: int
     ) -> None:
         known = {claim.term for claim in claims}
         for term in [term for term in self._seen_claims if term not in known]:
             del self._seen_claims[term]
-        passed = [
+        expired = [
             term
-            for term, until in self._predecessor_tasks_until_ms.items()
-            if until <= now_ms
+            for term, until_ms in self._predecessor_tasks_until_ms.items()
+            if until_ms <= now_ms
         ]
-        for term in passed:
+        for term in expired:
             del self._predecessor_tasks_until_ms[term]
 
     def _update_permissions(self, claim: job_state.Claim | None) -> None:
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -59,9 +59,9 @@
         """Describes for people what is too large."""
         parts = []
         for name in self.dimensions:
-            asked = getattr(size, name)
-            most = getattr(self.largest, name)
-            parts.append(f"{name} {asked} is above {most}")
+            requested = getattr(size, name)
+            available = getattr(self.largest, name)
+            parts.append(f"{name} {requested} is above {available}")
         return "no worker can hold it: " + ", ".join(parts)
 
 
@@ -115,21 +115,21 @@
         Workers on which the job has failed are chosen last.
         """
         if self._policy is Policy.FIRST_FIT:
-            found = self._ledger.candidates(size, MAX_CANDIDATES)
-            return _untried(state, found)[0].name if found else None
+            candidates = self._ledger.candidates(size, MAX_CANDIDATES)
+            return _untried(state, candidates)[0].name if candidates else None
         for limit in (MAX_CANDIDATES, MAX_CANDIDATES_WIDENED):
-            found = self._ledger.candidates(size, limit)
+            candidates = self._ledger.candidates(size, limit)
             acceptable = [
                 account
-                for account in found
+                for account in candidates
                 if not self._exceeds_slowdown(state, account)
             ]
             if acceptable:
                 return self._cheapest(state, size, acceptable)
-            if len(found) < limit:
+            if len(candidates) < limit:
                 break
-        if found and state.spec.urgent:
-            return self._cheapest(state, size, found)
+        if candidates and state.spec.urgent:
+            return self._cheapest(state, size, candidates)
         return None
 
     def _exceeds_slowdown(
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -31,7 +31,7 @@
     failed: int = 0
     failed_jobs: dict[str, None] = attrs.field(factory=dict)
     health_state: HealthState = HealthState.GOOD
-    until_ms: int = 0
+    quarantined_until_ms: int = 0
     quarantine_ms: int = FIRST_QUARANTINE_MS
 
     def halve(self) -> None:
@@ -107,8 +107,8 @@
             return False
         if history.health_state is not HealthState.GOOD:
             return True
-        many = len(history.failed_jobs) >= SUSPECT_FAILED_JOBS
-        return many and self._worse_than_peers(history)
+        failed_often = len(history.failed_jobs) >= SUSPECT_FAILED_JOBS
+        return failed_often and self._worse_than_peers(history)
 
     def health_state(self, worker: str, now_ms: int) -> HealthState:
         """Returns a worker's state; an expired quarantine becomes a probe."""
@@ -116,7 +116,7 @@
         if history is None:
             return HealthState.GOOD
         waiting = history.health_state is HealthState.QUARANTINED
-        if waiting and now_ms >= history.until_ms:
+        if waiting and now_ms >= history.quarantined_until_ms:
             history.health_state = HealthState.PROBED
         return history.health_state
 
@@ -155,10 +155,10 @@
         return failed * 100 <= MAX_PEER_FAILED_PERCENT * ends
 
     def _may_quarantine(self, worker_count: int) -> bool:
-        most = max(1, worker_count * MAX_QUARANTINED_PERCENT // 100)
-        return len(self.quarantined()) < most
+        limit = max(1, worker_count * MAX_QUARANTINED_PERCENT // 100)
+        return len(self.quarantined()) < limit
 
     def _quarantine(self, history: _History, now_ms: int) -> None:
         history.health_state = HealthState.QUARANTINED
-        history.until_ms = now_ms + history.quarantine_ms
+        history.quarantined_until_ms = now_ms + history.quarantine_ms
         history.failed_jobs.clear()
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -85,8 +85,8 @@
         self._term = 0
         self._host_list: hosts.HostList | None = None
         self._applied_host_list: hosts.HostList | None = None
-        self._checked_ms = -WORKER_CHECK_INTERVAL_MS
-        self._append_after_ms = 0
+        self._workers_checked_ms = -WORKER_CHECK_INTERVAL_MS
+        self._append_retry_ms = 0
         self._next_round_ms = 0
         self._unconfirmed: dict[str, job_records.AttemptAssigned] = {}
         self._health = worker_health.WorkerHealth()
@@ -174,8 +174,8 @@
         now_ms = self._clock.monotonic_ms()
         self._sync_fold(now_ms)
         self._process_link_events(permissions.bounds, now_ms)
-        if now_ms - self._checked_ms >= WORKER_CHECK_INTERVAL_MS:
-            self._checked_ms = now_ms
+        if now_ms - self._workers_checked_ms >= WORKER_CHECK_INTERVAL_MS:
+            self._workers_checked_ms = now_ms
             self._refresh_workers(now_ms)
             self._record_lost_attempts(permissions.bounds, now_ms)
         self._append_pending(now_ms)
@@ -194,7 +194,7 @@
         self._term = term
         self._pool.clear_commands()
         self._unconfirmed.clear()
-        self._checked_ms = -WORKER_CHECK_INTERVAL_MS
+        self._workers_checked_ms = -WORKER_CHECK_INTERVAL_MS
         self._scheduling = self._new_scheduling_state()
         if term == 0:
             self._pool.stop_all()
@@ -307,7 +307,7 @@
             # outcome is either folded too or never will be.
             host = self._ownership.host_id
             pending = [job_records.OwnerRenewed(self._term, host)]
-        if not pending or now_ms < self._append_after_ms:
+        if not pending or now_ms < self._append_retry_ms:
             return
         bodies = [
             self._reporter.with_worker_fault(body)
@@ -333,7 +333,7 @@
                 return folded
             case result.Err(streams.NotAccepted(_, retry_after_ms)):
                 now_ms = self._clock.monotonic_ms()
-                self._append_after_ms = now_ms + retry_after_ms
+                self._append_retry_ms = now_ms + retry_after_ms
                 self._revert(bodies)
                 return False
             case result.Err(streams.AppendUnknown()):
@@ -359,7 +359,7 @@
     def _run_scheduling_round(self) -> None:
         now_ms = self._clock.monotonic_ms()
         scheduling = self._scheduling
-        if scheduling.scheduler.queued == 0 or now_ms < self._append_after_ms:
+        if scheduling.scheduler.queued == 0 or now_ms < self._append_retry_ms:
             return
         if (
             not scheduling.scheduler.consume_changed()
@@ -374,7 +374,7 @@
             limits.max_attempts,
             lambda job: scheduling.planner.plan_for(job) is not None,
         )
-        self._evictor.make_room(
+        self._evictor.evict_for_waiting_jobs(
             scheduling, decisions, limits.evictions_per_hour, now_ms
         )
         assigned = [*planned, *decisions.assigned]
