--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -95,10 +95,10 @@
         )
         budget = PLANNED_SLOWDOWN_FRACTION * self.allowed_slowdown
         for service in self._services.get(worker, ()):
-            estimates = self._model.estimates_for(service)
-            prior = interference.PRIOR_COEFFICIENT
-            present = self._predicted_slowdown(estimates, worker)
-            added = estimates.get(job_class, prior).mean * load
+            known = self._model.estimates_for(service)
+            unknown = interference.PRIOR_COEFFICIENT
+            present = self._predicted_slowdown(known, worker)
+            added = known.get(job_class, unknown).mean * load
             # Work with negligible effect may join a slow worker, and any work
             # a worker whose service is hardly slowed down.
             if (
@@ -122,12 +122,10 @@
         processors_milli = self._processors_milli.get(worker, 1)
         share = interference.UNIT_MILLI
         for service in self._services.get(worker, ()):
-            estimates = self._model.estimates_for(service)
-            prior = interference.PRIOR_COEFFICIENT
-            total = self._predicted_slowdown(estimates, worker)
-            own = (
-                estimates.get(job_class, prior).mean * milli / processors_milli
-            )
+            known = self._model.estimates_for(service)
+            unknown = interference.PRIOR_COEFFICIENT
+            total = self._predicted_slowdown(known, worker)
+            own = known.get(job_class, unknown).mean * milli / processors_milli
             slack = self.allowed_slowdown - (total - own)
             if own > max(slack, 0.0):
                 fitting_milli = int(
@@ -137,13 +135,13 @@
         return max(share, MIN_SHARE_MILLI)
 
     def _predicted_slowdown(
-        self, estimates: Mapping[str, interference.Coefficient], worker: str
+        self, known: Mapping[str, interference.Coefficient], worker: str
     ) -> float:
         """Predicts the extra slowdown of a service on a worker."""
         processors_milli = self._processors_milli.get(worker, 1)
-        prior = interference.PRIOR_COEFFICIENT
+        unknown = interference.PRIOR_COEFFICIENT
         return sum(
-            estimates.get(other, prior).mean * milli / processors_milli
+            known.get(other, unknown).mean * milli / processors_milli
             for other, milli in self._load_milli.get(worker, {}).items()
         )
 
@@ -155,10 +153,10 @@
             coefficient = self._model.coefficient(service, job_class)
             cost += SERVICE_WEIGHT * coefficient.conservative
         suffered = self._model.estimates_for(job_class)
-        prior = interference.PRIOR_COEFFICIENT
+        unknown = interference.PRIOR_COEFFICIENT
         for other, milli in self._load_milli.get(worker, {}).items():
             caused = self._model.coefficient(other, job_class)
-            coefficient = suffered.get(other, prior)
+            coefficient = suffered.get(other, unknown)
             cost += (
                 (caused.conservative + coefficient.conservative)
                 * milli
