--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -17,7 +17,7 @@
 NEGLIGIBLE_ADDED_SLOWDOWN = 0.004
 MIN_SHARE_MILLI = 100
 AVOID_COST_MILLI = 5_000
-AVOID_DURATION_MS = 60_000
+AVOID_MS = 60_000
 
 
 @final
@@ -26,7 +26,7 @@
 
     Attributes:
         now_ms: Monotonic time, set by the owner's loop.
-        allowed_slowdown: Allowed extra slowdown of a service, as a fraction.
+        allowed_slowdown: How much slower a service may get, as a fraction.
     """
 
     def __init__(
@@ -73,10 +73,8 @@
             del self._load_milli[worker]
 
     def avoid(self, worker: str, job_class: str) -> None:
-        """Raises the cost of a class on a worker for `AVOID_DURATION_MS`."""
-        self._avoid_until_ms[worker, job_class] = (
-            self.now_ms + AVOID_DURATION_MS
-        )
+        """Raises the cost of a class on a worker for `AVOID_MS`."""
+        self._avoid_until_ms[worker, job_class] = self.now_ms + AVOID_MS
         expired = [
             key
             for key, until_ms in self._avoid_until_ms.items()
@@ -97,16 +95,16 @@
         for service in self._services.get(worker, ()):
             known = self._model.estimates_for(service)
             unknown = interference.PRIOR_COEFFICIENT
-            present = self._predicted_slowdown(known, worker)
+            before = self._predicted_slowdown(known, worker)
             added = known.get(job_class, unknown).mean * load
             # Work with negligible effect may join a slow worker, and any work
             # a worker whose service is hardly slowed down.
             if (
                 added < NEGLIGIBLE_ADDED_SLOWDOWN
-                or present <= NEGLIGIBLE_TOTAL_SLOWDOWN
+                or before <= NEGLIGIBLE_TOTAL_SLOWDOWN
             ):
                 continue
-            if present + added > budget:
+            if before + added > budget:
                 return True
         return False
 
