--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -195,10 +195,11 @@
     def candidates(
         self, size: workers.Resources, limit: int
     ) -> list[WorkerAccount]:
-        """Up to `limit` schedulable workers with room, fullest buckets first.
+        """Finds up to `limit` schedulable workers with enough free capacity.
 
-        Examines at most `MAX_WORKERS_EXAMINED` workers. Those without room
-        move to the end of their bucket, so that later searches see others.
+        Starts with the buckets that have least free and examines at most
+        `MAX_WORKERS_EXAMINED` workers. Those with too little move to the end
+        of their bucket, so that later searches see others.
         """
         min_bucket = _bucket_of(size)
         reachable = sorted(
--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -1,4 +1,4 @@
-"""Plans evictions that make room for urgent jobs or reclaim borrowed quota."""
+"""Plans evictions for urgent jobs and to reclaim borrowed quota."""
 
 from __future__ import annotations
 
@@ -155,7 +155,7 @@
         return best
 
     def ready_plans(self, now_ms: int) -> list[EvictionPlan]:
-        """Returns plans whose worker has room now; cancels overdue ones."""
+        """Returns plans whose victims have ended; cancels overdue plans."""
         found = []
         for plan in tuple(self._plans.values()):
             account = self._ledger.account(plan.worker)
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -42,6 +42,7 @@
     """An exchange got no answer.
 
     Attributes:
+        sent_ms: Monotonic time right before the exchange was sent.
         was_sent: False if certainly no byte reached the worker.
     """
 
--- a/tests/process/batch/test_evictions.py
+++ b/tests/process/batch/test_evictions.py
@@ -83,7 +83,7 @@
         self.zone.stream.cut.add(self.owner.name)
         self.check_finished(1)
 
-    def test_log_away_leaves_the_attempt_running(self) -> None:
+    def test_log_outage_keeps_the_attempt_running(self) -> None:
         self.evict()
         self.zone.stream.cut.update(host.name for host in self.zone.hosts)
         self.zone.run(5_000)
@@ -92,7 +92,7 @@
         self.zone.stream.cut.clear()
         self.check_finished(1)
 
-    def test_stop_that_could_not_go_out_is_dropped(self) -> None:
+    def test_stop_that_could_not_be_sent_is_dropped(self) -> None:
         # No other host claims, so the owner keeps its term.
         self.zone.hosts = [self.owner]
         self.evict()
--- a/tests/process/batch/test_job_handler.py
+++ b/tests/process/batch/test_job_handler.py
@@ -92,7 +92,7 @@
         self.assertEqual(200, self._post().status)
         self.assertEqual(1, len(self.zone.stream.payloads))
 
-    def test_too_large_job_is_told_by_dimension(self) -> None:
+    def test_too_large_job_names_its_dimensions(self) -> None:
         """A job that fits no worker is refused at once."""
         size = {"processors_milli": 1_000, "memory_mib": 9_000}
         reply = self._post(resources=size)
@@ -105,7 +105,7 @@
         reply = self._post(team="small")
         self.assertEqual("never-fits", reply.headers["X-Reason"])
 
-    def test_refusals_name_what_is_wrong(self) -> None:
+    def test_refusals_have_specific_reasons(self) -> None:
         """Each kind of invalid job has its own reason."""
         expected = {
             "unknown-team": {"team": "nobody"},
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -53,7 +53,7 @@
         self.assertIsNotNone(zone.owner())
 
     def test_silent_owner_is_replaced_after_the_lapse(self) -> None:
-        """Not before its claim has lapsed, and soon after."""
+        """It is replaced soon after its claim has lapsed, but not before."""
         zone, owner = owned_zone()
         owner.paused = True
         zone.run(CLAIM_MS - 2_500)
@@ -61,7 +61,7 @@
         zone.run(4_500)
         self.assertNotEqual(owner.name, zone.owner().name)
 
-    def test_woken_owner_does_nothing_more(self) -> None:
+    def test_resumed_owner_has_no_permissions(self) -> None:
         """Its permissions have expired by its own monotonic clock."""
         zone, owner = owned_zone()
         permissions = owner.ownership.permissions()
@@ -93,7 +93,7 @@
 class AutonomyTest(testtools.TestCase):
     """Behaviour of an owner that is cut from the log."""
 
-    def test_running_work_goes_on_for_the_bound(self) -> None:
+    def test_running_work_continues_up_to_the_bound(self) -> None:
         """Leases are renewed beyond the claim, up to the autonomy bound."""
         zone, owner = owned_zone(host_count=1)
         zone.submit("job", HALF, 60_000)
@@ -119,7 +119,7 @@
         zone.run(5_000)
         self.assertEqual({}, zone.running())
 
-    def test_owner_goes_on_when_the_log_is_back(self) -> None:
+    def test_owner_continues_when_the_log_is_back(self) -> None:
         """No other host has claimed: term and attempts stay the same."""
         zone, owner = owned_zone(host_count=1)
         zone.submit("job", HALF, 20_000)
@@ -177,7 +177,7 @@
         limits = objects.Limits(lease_ms=3_000, claim_ms=3_000)
         zone.source.given = attrs.evolve(zone.source.given, limits=limits)
 
-    def test_owner_takes_them_into_force_by_a_new_term(self) -> None:
+    def test_owner_applies_them_in_a_new_term(self) -> None:
         """The same host stays owner and the attempt keeps running."""
         zone, owner = owned_zone()
         zone.submit("job", HALF, 30_000)
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -82,7 +82,7 @@
     @hypothesis.given(
         strategies.lists(_amounts, min_size=1, max_size=20), _amounts
     )
-    def test_candidates_are_those_with_room(
+    def test_candidates_are_workers_with_enough_capacity(
         self, held: list[workers.Resources], size: workers.Resources
     ) -> None:
         """The index finds exactly the workers that a scan finds."""
@@ -97,7 +97,7 @@
         found = {account.name for account in ledger.candidates(size, 100)}
         self.assertEqual(expected, found)
 
-    def test_endpoints_reserve_first(self) -> None:
+    def test_services_reserve_first(self) -> None:
         """Capacity reserved by services is never free for batch work."""
         ledger = capacity.CapacityLedger()
         services = workers.Resources(3_500, 100)
@@ -105,7 +105,7 @@
         size = workers.Resources(1_000, 100)
         self.assertEqual([], ledger.candidates(size, 1))
 
-    def test_released_room_is_free_again(self) -> None:
+    def test_released_capacity_is_free_again(self) -> None:
         """Releasing a job twice frees its capacity once."""
         ledger = ledger_of(1)
         ledger.reserve("job", "w0", AMOUNT)
@@ -114,7 +114,7 @@
         self.assertEqual(AMOUNT, ledger.account("w0").free)
 
     def test_nearest_worker_names_the_dimensions(self) -> None:
-        """Only the dimensions that are short there are named."""
+        """Only dimensions that the nearest worker lacks are named."""
         size = workers.Resources(1_000, 9_000, 1)
         accelerators = workers.Resources(500, 500, 4)
         much_memory = workers.Resources(4_000, 8_000, 1)
@@ -137,7 +137,7 @@
             racks.add(ledger.account(worker).rack)
         self.assertEqual(2, len(racks))
 
-    def test_harmful_class_is_not_piled_up(self) -> None:
+    def test_harmful_class_runs_once_per_worker(self) -> None:
         """A class known to slow a service down runs once per worker."""
         model = interference.InterferenceModel()
         mix = interference_cost.InterferenceCostModel(
@@ -161,7 +161,7 @@
         self.assertEqual({"w0", "w1"}, set(placed[:2]))
         self.assertIsNone(placed[2])
 
-    def test_urgent_job_is_placed_all_the_same(self) -> None:
+    def test_urgent_job_ignores_interference(self) -> None:
         """An urgent job doesn't wait for a worker with less interference."""
         mix = empty_mix()
         ledger = ledger_of(1)
@@ -208,7 +208,7 @@
         found.progress_ms = lost_ms
         return found
 
-    def test_least_lost_work_goes_first(self) -> None:
+    def test_least_unsaved_work_is_evicted_first(self) -> None:
         """One victim suffices: the one with least unsaved work."""
         attempts = [self._attempt("old", 90_000), self._attempt("new", 10)]
         victims = eviction_planner.select_victims(
@@ -216,7 +216,7 @@
         )
         self.assertEqual(["new"], [victim.job for victim in victims])
 
-    def test_no_victims_when_even_all_are_too_few(self) -> None:
+    def test_no_victims_when_all_are_too_few(self) -> None:
         """No job is evicted if that can't free enough."""
         victims = eviction_planner.select_victims(
             workers.Resources(3_000, 100),
@@ -236,7 +236,7 @@
 class LearningTest(testtools.TestCase):
     """Learning of sizes and interference."""
 
-    def test_causes_beside_each_other_are_told_apart(self) -> None:
+    def test_concurrent_causes_are_distinguished(self) -> None:
         """The model finds which of two classes slows the service down."""
         model = interference.InterferenceModel()
         for step in range(200):
@@ -271,7 +271,7 @@
         small = workers.Resources(4_000, 2_000)
         self.assertEqual(2_000, sizes.size("stack", declared, small).memory_mib)
 
-    def test_few_attempts_teach_nothing(self) -> None:
+    def test_few_attempts_keep_the_declared_size(self) -> None:
         """The declared size is used until enough attempts were measured."""
         sizes = learned_sizes.LearnedSizes()
         declared = workers.Resources(1_000, 1_000)
--- a/tests/process/batch/test_worker_session.py
+++ b/tests/process/batch/test_worker_session.py
@@ -1,4 +1,4 @@
-"""Tests of the time that a session notes as last sent to its worker."""
+"""Tests of the time at which a session last sent a lease to its worker."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
         super().setUp()
         self.session = worker_session.WorkerSession("wk-1", "a:1", "host")
 
-    def test_lease_moves_it(self) -> None:
+    def test_lease_updates_last_sent(self) -> None:
         lease = workers.Exchange("host", 1, quoted_report=7, lease_ms=2_000)
         self.session.mark_sent(lease, 1_000)
         self.assertEqual(1_000, self.session.last_sent_ms)
 
-    def test_question_to_a_silent_worker_does_not_move_it(self) -> None:
+    def test_exchange_without_lease_keeps_last_sent(self) -> None:
         lease = workers.Exchange("host", 1, quoted_report=7, lease_ms=2_000)
         self.session.mark_sent(lease, 1_000)
         question = workers.Exchange("host", 1, quoted_report=0, lease_ms=0)
--- a/tests/process/batch/test_zone_owner.py
+++ b/tests/process/batch/test_zone_owner.py
@@ -16,7 +16,7 @@
 
 
 def started_zone(**given: object) -> fake_zone.FakeZone:
-    """A zone whose owner has reached every worker."""
+    """Returns a zone whose owner has reached every worker."""
     zone = fake_zone.FakeZone(**given)
     zone.run(3_000)
     return zone
@@ -52,7 +52,7 @@
         )
         self.assertLess(len(zone.stream.payloads) - before, 12)
 
-    def test_leaving_owner_hands_running_work_over(self) -> None:
+    def test_planned_stop_keeps_work_running(self) -> None:
         """After a planned stop the successor continues without a restart."""
         zone = started_zone()
         zone.submit("job", HALF, 8_000)
@@ -74,7 +74,7 @@
         self.assertEqual(job_state.JobPhase.FINISHED, state.phase)
         self.assertEqual(1, state.attempt)
 
-    def test_running_work_is_checkpointed_now_and_then(self) -> None:
+    def test_running_work_is_checkpointed_periodically(self) -> None:
         """A dead worker loses at most about a minute of work."""
         zone = started_zone()
         zone.submit("job", HALF, 200_000)
@@ -133,7 +133,7 @@
         self.assertEqual(("w1",), zone.owner().owner.status().quarantined)
         self.assertLess(len(zone.fleet["w1"].started), 10)
 
-    def test_mended_worker_is_probed_back(self) -> None:
+    def test_repaired_worker_leaves_quarantine(self) -> None:
         """One successful probe ends its quarantine."""
         zone = started_zone(worker_count=4)
         zone.fleet["w1"].fail_all = True
@@ -200,7 +200,7 @@
         zone.run(3_000)
         self.assertEqual(1, len(zone.running()))
 
-    def test_borrowed_room_is_given_back(self) -> None:
+    def test_borrowed_capacity_is_reclaimed(self) -> None:
         """A team within its quota reclaims capacity after a delay."""
         quota = workers.Resources(WHOLE, 10_000)
         team = objects.Team(quota)
@@ -290,7 +290,7 @@
         zone.run(10_000)
         self.assertEqual(1_000, zone.fleet["w0"].running()[0].share_milli)
 
-    def test_baseline_never_acts(self) -> None:
+    def test_first_fit_never_acts(self) -> None:
         """The first-fit policy takes no action against interference."""
         zone = started_zone(worker_count=1, policy=placement.Policy.FIRST_FIT)
         zone.submit("noisy", HALF, 300_000)
