--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -33,7 +33,7 @@
 MAX_MOVED_PER_STEP = 2
 
 
-class Step(enum.IntEnum):
+class EscalationStep(enum.IntEnum):
     """Escalation step reached on a worker."""
 
     NONE = 0
@@ -79,7 +79,7 @@
 
 @attrs.define(eq=False)
 class _WorkerState:
-    step: Step = Step.NONE
+    step: EscalationStep = EscalationStep.NONE
     acted_ms: int = -ACTION_SETTLE_MS
     worst_slowdowns: collections.deque[tuple[str, float]] = attrs.field(
         factory=lambda: collections.deque(maxlen=MIN_SAMPLES)
@@ -99,10 +99,10 @@
         self._states: dict[str, _WorkerState] = {}
         self.allowed_slowdown = 0.1
 
-    def current_step(self, worker: str) -> Step:
+    def current_step(self, worker: str) -> EscalationStep:
         """Returns the escalation step reached on a worker."""
         state = self._states.get(worker)
-        return Step.NONE if state is None else state.step
+        return EscalationStep.NONE if state is None else state.step
 
     def needs_frequent_reports(self, worker: str) -> bool:
         """Whether reports are needed more often than lease renewals bring."""
@@ -113,7 +113,7 @@
         slow = (
             bool(state.worst_slowdowns) and state.worst_slowdowns[-1][1] > low
         )
-        return slow or state.step is not Step.NONE
+        return slow or state.step is not EscalationStep.NONE
 
     def forget(self, worker: str) -> None:
         """Drops a worker that is gone."""
@@ -171,23 +171,23 @@
         ranked = self._rank_by_contribution(service, attempts, load_of)
         if not ranked:
             return None
-        state.step = Step(min(state.step + 1, Step.STOPPED))
+        state.step = EscalationStep(min(state.step + 1, EscalationStep.STOPPED))
         match state.step:
-            case Step.THROTTLED:
+            case EscalationStep.THROTTLED:
                 chosen = self._select_contributors(
                     service, slowdown, ranked, load_of
                 )
                 return _throttle(chosen, FIRST_THROTTLE_SHARE_MILLI)
-            case Step.THROTTLED_MORE:
+            case EscalationStep.THROTTLED_MORE:
                 chosen = self._select_contributors(
                     service, slowdown, ranked, load_of
                 )
                 return _throttle(chosen, SECOND_THROTTLE_SHARE_MILLI)
-            case Step.MOVED:
+            case EscalationStep.MOVED:
                 return Move(_least_unsaved(ranked))
             case _:
                 # The next escalation moves attempts again.
-                state.step = Step.THROTTLED_MORE
+                state.step = EscalationStep.THROTTLED_MORE
                 return Stop(_least_unsaved(ranked))
 
     def _select_contributors(
@@ -218,7 +218,7 @@
         load_of: LoadOf,
     ) -> Action | None:
         """Raises shares as far as no excess slowdown is predicted."""
-        state.step = Step(max(state.step - 1, Step.NONE))
+        state.step = EscalationStep(max(state.step - 1, EscalationStep.NONE))
         service, slowdown = max(state.worst_slowdowns, key=lambda item: item[1])
         slack = 1.0 + self.allowed_slowdown - slowdown
         shares = []
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -254,7 +254,7 @@
         usable = zone_workers.usable_capacities(self._listed, configuration)
         never_fits = placement.never_fits(spec.resources, usable)
         if never_fits is not None:
-            detail = never_fits.sentence(spec.resources)
+            detail = never_fits.describe(spec.resources)
             return _Refusal(422, reason, detail)
         team = configuration.teams[spec.team]
         short = capacity.insufficient_dimensions(spec.resources, quota)
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -55,7 +55,7 @@
     dimensions: tuple[str, ...]
     largest: workers.Resources
 
-    def sentence(self, size: workers.Resources) -> str:
+    def describe(self, size: workers.Resources) -> str:
         """Describes for people what is too large."""
         parts = []
         for name in self.dimensions:
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -59,15 +59,15 @@
 
 def placement_on(
     ledger: capacity.CapacityLedger,
-    mix: interference_cost.InterferenceCostModel,
+    cost_model: interference_cost.InterferenceCostModel,
 ) -> placement.Placement:
     """Returns a placement by predicted cost."""
     for account in ledger.accounts():
-        mix.set_worker(account.name, account.total.processors_milli)
-    return placement.Placement(ledger, mix)
+        cost_model.set_worker(account.name, account.total.processors_milli)
+    return placement.Placement(ledger, cost_model)
 
 
-def empty_mix() -> interference_cost.InterferenceCostModel:
+def empty_cost_model() -> interference_cost.InterferenceCostModel:
     """Returns a cost model without load and learned coefficients."""
     model = interference.InterferenceModel()
     return interference_cost.InterferenceCostModel(
@@ -128,7 +128,7 @@
     def test_team_is_spread_over_racks(self) -> None:
         """Jobs of a team don't share a rack if another one is free."""
         ledger = ledger_of(4)
-        placer = placement_on(ledger, empty_mix())
+        placer = placement_on(ledger, empty_cost_model())
         racks = set()
         for number in range(2):
             state = queued(f"job-{number}")
@@ -140,7 +140,7 @@
     def test_harmful_class_runs_once_per_worker(self) -> None:
         """A class known to slow a service down runs once per worker."""
         model = interference.InterferenceModel()
-        mix = interference_cost.InterferenceCostModel(
+        cost_model = interference_cost.InterferenceCostModel(
             model, learned_sizes.LearnedSizes()
         )
         for _ in range(50):
@@ -148,9 +148,9 @@
             sample = interference.Sample(loads, {"skyproc": 1.2}, 0.25)
             model.learn(sample)
         ledger = ledger_of(2)
-        placer = placement_on(ledger, mix)
+        placer = placement_on(ledger, cost_model)
         for account in ledger.accounts():
-            mix.set_services(account.name, ["skyproc"])
+            cost_model.set_services(account.name, ["skyproc"])
         placed = []
         for number in range(3):
             state = queued(f"job-{number}", job_class="noisy")
@@ -163,10 +163,10 @@
 
     def test_urgent_job_ignores_interference(self) -> None:
         """An urgent job doesn't wait for a worker with less interference."""
-        mix = empty_mix()
+        cost_model = empty_cost_model()
         ledger = ledger_of(1)
-        placer = placement_on(ledger, mix)
-        mix.set_services("w0", ["skyproc"])
+        placer = placement_on(ledger, cost_model)
+        cost_model.set_services("w0", ["skyproc"])
         first = queued("first", size=workers.Resources(3_000, 100))
         placer.place(first, "w0", first.spec.resources)
         late = queued("late", urgent=True)
