--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -124,31 +124,35 @@
         """Handles a worker's answer to an exchange of the current term."""
         # A worker that restarted after fencing knows no term and ran nothing.
         if event.report.highest_term == self._term:
-            self._process_task_lines(event, bounds, now_ms)
+            self._process_tasks(event, bounds, now_ms)
         for command, status in zip(
             event.commands, event.report.statuses, strict=True
         ):
-            self._process_status(command, status, now_ms)
+            self._process_command_status(command, status, now_ms)
 
-    def _process_task_lines(
+    def _process_tasks(
         self,
         event: worker_session.Reported,
         bounds: job_records.ClaimBounds,
         now_ms: int,
     ) -> None:
-        lines = {(line.job, line.attempt): line for line in event.report.tasks}
+        tasks_by_attempt = {
+            (task.job, task.attempt): task for task in event.report.tasks
+        }
         for attempt in self.on_worker(event.worker):
-            line = lines.pop((attempt.job, attempt.state.attempt), None)
-            if line is None:
+            task = tasks_by_attempt.pop(
+                (attempt.job, attempt.state.attempt), None
+            )
+            if task is None:
                 self._process_missing(attempt, event, bounds)
             else:
-                self._process_task_line(attempt, line, now_ms)
+                self._process_task(attempt, task, now_ms)
         commanded = {
             (command.job, command.attempt) for command in event.commands
         }
-        for key, line in lines.items():
-            if line.state is workers.TaskState.RUNNING or key not in commanded:
-                self._stop_stray(event.worker, line)
+        for key, task in tasks_by_attempt.items():
+            if task.state is workers.TaskState.RUNNING or key not in commanded:
+                self._stop_stray(event.worker, task)
         self._schedule_poll(event.worker, now_ms)
 
     def _schedule_poll(self, worker: str, now_ms: int) -> None:
@@ -200,18 +204,18 @@
         if attempt.unanswered_start_ms >= 0 and event.sent_ms > start_expiry_ms:
             attempt.unanswered_start_ms = -1
 
-    def _process_task_line(
+    def _process_task(
         self,
         attempt: attempt_module.Attempt,
-        line: workers.TaskStatus,
+        task: workers.TaskStatus,
         now_ms: int,
     ) -> None:
         attempt.confirmed = True
         attempt.unanswered_start_ms = -1
-        attempt.progress_ms = line.progress_ms
-        attempt.checkpoint_ms = max(attempt.checkpoint_ms, line.checkpoint_ms)
-        attempt.share_milli = line.share_milli
-        match line.state:
+        attempt.progress_ms = task.progress_ms
+        attempt.checkpoint_ms = max(attempt.checkpoint_ms, task.checkpoint_ms)
+        attempt.share_milli = task.share_milli
+        match task.state:
             case workers.TaskState.RUNNING:
                 self._pending.checkpoint(attempt, now_ms)
                 self._request_checkpoint(attempt, now_ms)
@@ -236,7 +240,7 @@
         command = attempt.checkpoint_command()
         self._sink.request(attempt.state.worker, command, at_once=False)
 
-    def _process_status(
+    def _process_command_status(
         self,
         command: workers.Command,
         status: workers.CommandStatus,
@@ -272,19 +276,19 @@
             case _:
                 pass
 
-    def _stop_stray(self, worker: str, line: workers.TaskStatus) -> None:
+    def _stop_stray(self, worker: str, task: workers.TaskStatus) -> None:
         """Stops a reported attempt that isn't assigned to this worker."""
-        state = self._fold.job(line.job)
+        state = self._fold.job(task.job)
         if state is not None:
             assigned = state.phase is job_state.JobPhase.ASSIGNED
-            if assigned and state.attempt == line.attempt:
+            if assigned and state.attempt == task.attempt:
                 return
-        if line.state is workers.TaskState.RUNNING:
+        if task.state is workers.TaskState.RUNNING:
             self._metrics.count(
                 metrics_module.Counter.JOB_EVENTS, "stray-attempt"
             )
-        running = line.state is workers.TaskState.RUNNING
-        command = workers.StopTask(line.job, line.attempt)
+        running = task.state is workers.TaskState.RUNNING
+        command = workers.StopTask(task.job, task.attempt)
         self._sink.request(worker, command, at_once=running)
 
     def _record_lost(self, attempt: attempt_module.Attempt) -> None:
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -202,10 +202,10 @@
         if state is not None:
             same = state.spec == spec
             return JobLookup.SAME if same else JobLookup.TAKEN
-        content = self._fold.retired_spec_hash(spec.id)
-        if content is None:
+        known_hash = self._fold.retired_spec_hash(spec.id)
+        if known_hash is None:
             return JobLookup.NEW
-        same = content == job_state.spec_hash(spec)
+        same = known_hash == job_state.spec_hash(spec)
         return JobLookup.SAME if same else JobLookup.TAKEN
 
     def _reply_known(
