--- a/src/comfreylatch/_ports/store.py
+++ b/src/comfreylatch/_ports/store.py
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen
-class WrongEnd:
+class EndOffsetMismatch:
     """The partition does not end where the append demanded."""
 
     end_offset: int
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen
-class SequenceExpected:
+class SequenceMismatch:
     """The producer's sequence does not follow the last one; this one would."""
 
     sequence: int
@@ -104,9 +104,9 @@
 AppendError = (
     StoreUnavailable
     | StoreAnswerLost
-    | WrongEnd
+    | EndOffsetMismatch
     | ProducerFenced
-    | SequenceExpected
+    | SequenceMismatch
 )
 ReadError = StoreUnavailable | RecordsExpired
 
--- a/src/comfreylatch/_process/append_batch.py
+++ b/src/comfreylatch/_process/append_batch.py
@@ -1,4 +1,4 @@
-"""Records on their way to the log, and what their callers are told."""
+"""Queued and sent appends to the log, with the outcome for each caller."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from comfreylatch._ports import streams
 
-Outcome = result.Result[streams.Appended, streams.AppendRefusal]
+AppendOutcome = result.Result[streams.Appended, streams.AppendRefusal]
 
 
 @attrs.define(eq=False)
 class PendingAppend:
-    """One caller's records on their way to the log."""
+    """Records of one `append` call that wait for their outcome."""
 
     payloads: tuple[bytes, ...]
     first_sequence: int
     done: threading.Event = attrs.field(factory=threading.Event)
-    outcome: Outcome | None = None
+    outcome: AppendOutcome | None = None
 
-    def settle(self, outcome: Outcome) -> None:
-        """Sets the outcome, once."""
+    def settle(self, outcome: AppendOutcome) -> None:
+        """Sets the outcome; later calls have no effect."""
         if self.outcome is None:
             self.outcome = outcome
             self.done.set()
@@ -30,16 +30,17 @@
 
 @attrs.define(eq=False)
 class AppendBatch:
-    """Records that go into one append, and what is known of it.
+    """Records of several callers that are sent to the log in one append.
 
     Attributes:
-        calls: Whose records they are, in order.
+        appends: The callers' appends, in the order of their records.
         payloads: All records, encoded.
-        maybe_appended: Whether an answer to sending it was ever lost.
-        settled: Whether the callers have been told.
+        maybe_appended: Whether the log may already hold the records, because
+            an answer was lost or an unexpected error occurred.
+        settled: Whether every caller's outcome is set.
     """
 
-    calls: tuple[PendingAppend, ...]
+    appends: tuple[PendingAppend, ...]
     payloads: tuple[bytes, ...]
     maybe_appended: bool = False
     settled: bool = False
@@ -47,24 +48,24 @@
     @property
     def first_sequence(self) -> int:
         """Sequence of the first record."""
-        return self.calls[0].first_sequence
+        return self.appends[0].first_sequence
 
     @property
     def last_sequence(self) -> int:
         """Sequence of the last record."""
-        last = self.calls[-1]
+        last = self.appends[-1]
         return last.first_sequence + len(last.payloads) - 1
 
     def settle_appended(self, first_offset: int) -> None:
-        """Tells the callers that all records are on the stream."""
+        """Settles every append as appended, the first at `first_offset`."""
         offset = first_offset
-        for call in self.calls:
-            call.settle(result.Ok(streams.Appended(offset)))
-            offset += len(call.payloads)
+        for pending in self.appends:
+            pending.settle(result.Ok(streams.Appended(offset)))
+            offset += len(pending.payloads)
         self.settled = True
 
     def settle_refused(self, refusal: streams.AppendRefusal) -> None:
-        """Tells the callers why their records are not, or not known to be."""
-        for call in self.calls:
-            call.settle(result.Err(refusal))
+        """Settles every append with the same refusal."""
+        for pending in self.appends:
+            pending.settle(result.Err(refusal))
         self.settled = True
--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -28,11 +28,12 @@
 MAX_BATCH_BYTES = 512 * 1_024
 MAX_QUEUED_RECORDS = 4_096
 MIN_RETRY_AFTER_MS = 500
-# One batch may find its answer lost by chance; twice in a row is an outage.
-LOST_ANSWERS_OF_OUTAGE = 2
-DEFAULT_SPACING_MS = 50
-# Without word from the log for so long, a read goes before the next append.
-SILENCE_MS = 1_000
+# A single lost answer may be chance; two in a row count as an outage.
+LOST_ANSWERS_BEFORE_OUTAGE = 2
+DEFAULT_MIN_APPEND_INTERVAL_MS = 50
+# After this time without an answer from the log, a read probes it before the
+# next append is sent.
+PROBE_AFTER_IDLE_MS = 1_000
 
 _events = logbook.Logger(__name__)
 
@@ -41,14 +42,14 @@
 class StreamAppender:
     """Implements `RecordAppender` with one thread for the stream.
 
-    One append is under way at a time. As long as its outcome is unknown the
-    same payloads are sent again, and nothing else, so that a writer's
-    sequences reach the stream in rising order. While the log is down, new
-    records are refused at once. After a silence a read goes first, so that a
-    cut is found by a call which leaves nothing unknown.
+    At most one append is in flight. While its outcome is unknown, only the
+    same payloads are sent again, so that a writer's sequences reach the
+    stream in ascending order. While the log is down, new records are refused
+    at once. After an idle period a read probes the log first, because a
+    failed read, unlike a failed append, leaves no outcome unknown.
 
-    `spacing_ms` is the least time between two appends: the stream's share of
-    what the log takes.
+    `min_append_interval_ms` is the minimum time between two appends; it
+    limits the stream to its share of the log's append rate.
     """
 
     def __init__(
@@ -59,19 +60,19 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         *,
-        spacing_ms: int = DEFAULT_SPACING_MS,
+        min_append_interval_ms: int = DEFAULT_MIN_APPEND_INTERVAL_MS,
         retry: backoff.Backoff | None = None,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._log = log
         self._stream = stream
         self._writer = writer
         self._metrics = metrics
         self._clock = clock
-        self._spacing_ms = spacing_ms
+        self._min_append_interval_ms = min_append_interval_ms
         self._retry = retry or backoff.Backoff()
-        self._source = source or random.Random()
-        self._wake = threading.Condition()
+        self._rng = rng or random.Random()
+        self._condition = threading.Condition()
         self._queue: collections.deque[append_batch.PendingAppend] = (
             collections.deque()
         )
@@ -81,7 +82,7 @@
         self._failures = 0
         self._down = False
         self._next_try_ms = 0
-        self._heard_ms = -SILENCE_MS
+        self._last_contact_ms = -PROBE_AFTER_IDLE_MS
         self._closing = False
         self._thread = threading.Thread(
             target=self._run, name=f"append-{stream}", daemon=True
@@ -97,13 +98,13 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        """Ends the thread; what was sent without an answer stays unknown."""
-        with self._wake:
+        """Stops the thread; an unanswered append ends as unknown."""
+        with self._condition:
             self._closing = True
             self._refuse_queue("this host is stopping")
-            self._wake.notify_all()
+            self._condition.notify_all()
         self._thread.join()
-        with self._wake:
+        with self._condition:
             if self._batch is not None and not self._batch.settled:
                 self._batch.settle_refused(
                     streams.AppendUnknown("this host stopped")
@@ -116,33 +117,33 @@
 
     @property
     def down(self) -> bool:
-        """Whether the log is known not to take records now."""
+        """Whether the log counts as down, so that new records are refused."""
         return self._down
 
     @property
     def busy(self) -> bool:
-        """Whether records wait for the log or for its answer."""
-        with self._wake:
+        """Whether records are queued or in flight."""
+        with self._condition:
             self._drop_settled()
             return self._batch is not None or bool(self._queue)
 
     def append(
         self, bodies: Sequence[Any], timeout_ms: int
-    ) -> append_batch.Outcome:
+    ) -> append_batch.AppendOutcome:
         """See `RecordAppender.append`.
 
-        Records not yet sent when the time is up are taken back, and
-        `NotAccepted` is true of them.
+        Records not yet sent at the timeout are removed from the queue and
+        reported as `NotAccepted`.
         """
         pending = self.submit(bodies)
         if not pending.done.wait(timeout_ms / 1_000):
-            self.give_up(pending)
+            self.abandon(pending)
         assert pending.outcome is not None
         return pending.outcome
 
     def submit(self, bodies: Sequence[Any]) -> append_batch.PendingAppend:
-        """Queues records, or refuses them at once; does not wait."""
-        with self._wake:
+        """Queues records, or refuses them at once, without blocking."""
+        with self._condition:
             pending = self._encode(bodies)
             refusal = self._refusal(len(bodies))
             if refusal is not None:
@@ -150,18 +151,20 @@
                 return pending
             self._queue.append(pending)
             self._queued_records += len(pending.payloads)
-            self._wake.notify_all()
+            self._condition.notify_all()
             return pending
 
-    def give_up(self, pending: append_batch.PendingAppend) -> None:
-        """Ends the wait for records; those not yet sent are taken back."""
-        with self._wake:
+    def abandon(self, pending: append_batch.PendingAppend) -> None:
+        """Settles an append at its timeout, and dequeues it if not yet sent."""
+        with self._condition:
             if pending.outcome is not None:
                 return
             if pending in self._queue:
                 self._queue.remove(pending)
                 self._queued_records -= len(pending.payloads)
-                refusal = self._not_accepted("the log is slow")
+                refusal = self._not_accepted(
+                    "the log did not take the records in time"
+                )
                 pending.settle(result.Err(refusal))
                 return
             pending.settle(
@@ -169,25 +172,25 @@
             )
 
     def resolve(self, seen_sequence: int, offset: int) -> None:
-        """Tells that a record of this writer was read back from the stream.
+        """Settles the batch in flight if a record of it was read back.
 
         Args:
-            seen_sequence: Its sequence.
-            offset: Its offset, of the first copy on the stream.
+            seen_sequence: Sequence of the record read back.
+            offset: Offset of the first copy of that record.
         """
-        with self._wake:
+        with self._condition:
             batch = self._batch
             if batch is None or batch.settled:
                 return
             if batch.first_sequence <= seen_sequence <= batch.last_sequence:
                 first = offset - (seen_sequence - batch.first_sequence)
                 batch.settle_appended(first)
-                self._heard()
-                self._wake.notify_all()
+                self._mark_reachable()
+                self._condition.notify_all()
 
     def observe(self, applied: stream_state.Applied) -> None:
-        """Resolves unknown appends by what a follower has read back."""
-        line = applied.seen.get(self._writer)
+        """Resolves an unknown append from the entries a follower applied."""
+        line = applied.last_records.get(self._writer)
         if line is not None:
             self.resolve(line.sequence, line.offset)
 
@@ -197,19 +200,19 @@
         Returns:
             Milliseconds to wait before the next step; 0 for none.
         """
-        with self._wake:
+        with self._condition:
             wait_ms = self._next_try_ms - self._clock.monotonic_ms()
             self._drop_settled()
             if wait_ms > 0 and self._has_work():
                 return wait_ms
-            ask_first = self._batch is None and self._must_ask()
-        if ask_first:
-            self._ask()
-        with self._wake:
-            batch = self._batch or self._take()
+            probe_first = self._batch is None and self._needs_probe()
+        if probe_first:
+            self._probe()
+        with self._condition:
+            batch = self._batch or self._start_batch()
         if batch is not None:
             self._send(batch)
-        with self._wake:
+        with self._condition:
             self._drop_settled()
             if not self._has_work():
                 return 0
@@ -230,24 +233,26 @@
         if self._down:
             return self._not_accepted("the log is down")
         if self._queued_records + count > MAX_QUEUED_RECORDS:
-            return self._not_accepted("too many records wait for the log")
+            return self._not_accepted("too many records are queued for the log")
         return None
 
     def _not_accepted(self, detail: str) -> streams.NotAccepted:
-        left_ms = self._next_try_ms - self._clock.monotonic_ms()
-        retry_after_ms = max(MIN_RETRY_AFTER_MS, left_ms)
+        remaining_ms = self._next_try_ms - self._clock.monotonic_ms()
+        retry_after_ms = max(MIN_RETRY_AFTER_MS, remaining_ms)
         return streams.NotAccepted(detail, retry_after_ms)
 
     def _has_work(self) -> bool:
         return self._batch is not None or bool(self._queue) or self._down
 
-    def _must_ask(self) -> bool:
-        """Whether the log is to be asked for before anything new is sent."""
-        silent_ms = self._clock.monotonic_ms() - self._heard_ms
-        return self._down or (bool(self._queue) and silent_ms >= SILENCE_MS)
+    def _needs_probe(self) -> bool:
+        """Whether a read has to probe the log before the next new batch."""
+        idle_ms = self._clock.monotonic_ms() - self._last_contact_ms
+        return self._down or (
+            bool(self._queue) and idle_ms >= PROBE_AFTER_IDLE_MS
+        )
 
-    def _heard(self) -> None:
-        self._heard_ms = self._clock.monotonic_ms()
+    def _mark_reachable(self) -> None:
+        self._last_contact_ms = self._clock.monotonic_ms()
         self._failures = 0
         self._down = False
 
@@ -255,26 +260,26 @@
         if self._batch is not None and self._batch.settled:
             self._batch = None
 
-    def _take(self) -> append_batch.AppendBatch | None:
-        """Moves calls from the queue into a new batch."""
-        calls: list[append_batch.PendingAppend] = []
+    def _start_batch(self) -> append_batch.AppendBatch | None:
+        """Moves appends from the queue into a new batch."""
+        appends: list[append_batch.PendingAppend] = []
         payloads: list[bytes] = []
         size_bytes = 0
         while self._queue:
-            call = self._queue[0]
-            call_bytes = sum(map(len, call.payloads))
-            too_many = len(payloads) + len(call.payloads) > MAX_BATCH_RECORDS
-            too_long = size_bytes + call_bytes > MAX_BATCH_BYTES
-            if calls and (too_many or too_long):
+            pending = self._queue[0]
+            pending_bytes = sum(map(len, pending.payloads))
+            too_many = len(payloads) + len(pending.payloads) > MAX_BATCH_RECORDS
+            too_long = size_bytes + pending_bytes > MAX_BATCH_BYTES
+            if appends and (too_many or too_long):
                 break
             self._queue.popleft()
-            self._queued_records -= len(call.payloads)
-            calls.append(call)
-            payloads.extend(call.payloads)
-            size_bytes += call_bytes
-        if not calls:
+            self._queued_records -= len(pending.payloads)
+            appends.append(pending)
+            payloads.extend(pending.payloads)
+            size_bytes += pending_bytes
+        if not appends:
             return None
-        self._batch = append_batch.AppendBatch(tuple(calls), tuple(payloads))
+        self._batch = append_batch.AppendBatch(tuple(appends), tuple(payloads))
         return self._batch
 
     def _send(self, batch: append_batch.AppendBatch) -> None:
@@ -285,22 +290,24 @@
         self._metrics.observe(
             metrics_module.Latency.LOG_APPEND, elapsed_ms * 1_000, self._stream
         )
-        with self._wake:
-            self._next_try_ms = started_ms + self._spacing_ms
+        with self._condition:
+            self._next_try_ms = started_ms + self._min_append_interval_ms
             match answer:
                 case result.Ok(first_offset):
-                    self._appended(batch, first_offset)
-                case result.Err(log_port.LogDown(detail)):
-                    self._failed(reasons.RetryReason.LOG_DOWN, detail)
+                    self._record_success(batch, first_offset)
+                case result.Err(log_port.LogUnavailable(detail)):
+                    self._record_failure(reasons.RetryReason.LOG_DOWN, detail)
                     self._refuse_unless_sent(batch, detail)
                 case result.Err(log_port.LogAnswerLost(detail)):
                     batch.maybe_appended = True
-                    self._failed(reasons.RetryReason.LOG_ANSWER_LOST, detail)
+                    self._record_failure(
+                        reasons.RetryReason.LOG_ANSWER_LOST, detail
+                    )
 
-    def _appended(
+    def _record_success(
         self, batch: append_batch.AppendBatch, first_offset: int
     ) -> None:
-        self._heard()
+        self._mark_reachable()
         self._metrics.count(
             metrics_module.Counter.LOG_RECORDS,
             self._stream,
@@ -312,16 +319,18 @@
     def _refuse_unless_sent(
         self, batch: append_batch.AppendBatch, detail: str
     ) -> None:
-        """Refuses a batch of which the log certainly holds nothing."""
+        """Refuses a batch that is certainly not on the stream."""
         if not batch.maybe_appended and not batch.settled:
             batch.settle_refused(
-                self._not_accepted(f"the log did not take it: {detail}")
+                self._not_accepted(
+                    f"the log did not take the records: {detail}"
+                )
             )
 
-    def _failed(self, reason: reasons.RetryReason, detail: str) -> None:
+    def _record_failure(self, reason: reasons.RetryReason, detail: str) -> None:
         self._failures += 1
         self._metrics.count(metrics_module.Counter.RETRIES, reason)
-        delay_ms = self._retry.delay_ms(self._failures, self._source)
+        delay_ms = self._retry.delay_ms(self._failures, self._rng)
         self._next_try_ms = max(
             self._next_try_ms, self._clock.monotonic_ms() + delay_ms
         )
@@ -333,8 +342,8 @@
             failures=self._failures,
             detail=detail,
         )
-        lost = reason is reasons.RetryReason.LOG_ANSWER_LOST
-        if not lost or self._failures >= LOST_ANSWERS_OF_OUTAGE:
+        answer_lost = reason is reasons.RetryReason.LOG_ANSWER_LOST
+        if not answer_lost or self._failures >= LOST_ANSWERS_BEFORE_OUTAGE:
             self._down = True
             self._refuse_queue("the log is down")
 
@@ -344,39 +353,41 @@
             pending.settle(result.Err(self._not_accepted(detail)))
         self._queued_records = 0
 
-    def _ask(self) -> None:
-        """Finds out by a read, which changes nothing, whether the log is up."""
+    def _probe(self) -> None:
+        """Checks by a read, which has no side effect, whether the log is up."""
         answer = self._log.read(self._stream, 0, 1, 0)
-        with self._wake:
+        with self._condition:
             match answer:
-                case result.Err(log_port.LogDown(detail)):
-                    self._failed(reasons.RetryReason.LOG_DOWN, detail)
+                case result.Err(log_port.LogUnavailable(detail)):
+                    self._record_failure(reasons.RetryReason.LOG_DOWN, detail)
                 case _:
-                    self._heard()
+                    self._mark_reachable()
 
     def _run(self) -> None:
         while not self._closing:
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "append-step-failed", stream=self._stream)
+                logs.exception(
+                    _events, "append-step-failed", stream=self._stream
+                )
                 delay_ms = self._retry.max_ms
-                self._suspect_sent()
-            with self._wake:
+                self._mark_maybe_appended()
+            with self._condition:
                 self._wait(delay_ms)
 
-    def _suspect_sent(self) -> None:
-        """After an unexpected error the batch may be on the stream."""
-        with self._wake:
+    def _mark_maybe_appended(self) -> None:
+        """Treats the batch as possibly appended after an unexpected error."""
+        with self._condition:
             if self._batch is not None:
                 self._batch.maybe_appended = True
 
     def _wait(self, delay_ms: int) -> None:
         if delay_ms > 0:
-            self._wake.wait_for(self._interrupted, delay_ms / 1_000)
+            self._condition.wait_for(self._should_wake, delay_ms / 1_000)
         else:
-            self._wake.wait_for(lambda: self._closing or self._has_work())
+            self._condition.wait_for(lambda: self._closing or self._has_work())
 
-    def _interrupted(self) -> bool:
+    def _should_wake(self) -> bool:
         settled = self._batch is not None and self._batch.settled
         return self._closing or settled
--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -1,4 +1,4 @@
-"""What is free on each worker, in whole units, indexed for placement."""
+"""Ledger of free capacity by worker, indexed for placement."""
 
 from __future__ import annotations
 
@@ -10,14 +10,12 @@
 
 from comfreylatch._ports import workers
 
-MAX_LOOKS = 96
-NOTHING = workers.Resources(0, 0, 0)
+MAX_WORKERS_EXAMINED = 96
+NO_RESOURCES = workers.Resources(0, 0, 0)
 
 
-def plus(
-    left: workers.Resources, right: workers.Resources
-) -> workers.Resources:
-    """Sum by dimension."""
+def add(left: workers.Resources, right: workers.Resources) -> workers.Resources:
+    """Adds two amounts by dimension."""
     return workers.Resources(
         left.processors_milli + right.processors_milli,
         left.memory_mib + right.memory_mib,
@@ -25,10 +23,10 @@
     )
 
 
-def minus(
+def subtract(
     left: workers.Resources, right: workers.Resources
 ) -> workers.Resources:
-    """Difference by dimension; may be negative."""
+    """Subtracts by dimension; the result may be negative."""
     return workers.Resources(
         left.processors_milli - right.processors_milli,
         left.memory_mib - right.memory_mib,
@@ -36,10 +34,10 @@
     )
 
 
-def least(
+def minimum(
     left: workers.Resources, right: workers.Resources
 ) -> workers.Resources:
-    """Smaller amount by dimension."""
+    """Returns the smaller amount by dimension."""
     return workers.Resources(
         min(left.processors_milli, right.processors_milli),
         min(left.memory_mib, right.memory_mib),
@@ -56,10 +54,10 @@
     )
 
 
-def short_dimensions(
+def insufficient_dimensions(
     size: workers.Resources, free: workers.Resources
 ) -> tuple[str, ...]:
-    """Names of the dimensions in which `size` is more than `free`."""
+    """Names of the dimensions in which `size` exceeds `free`."""
     return tuple(
         name
         for name in ("processors_milli", "memory_mib", "accelerators")
@@ -69,39 +67,40 @@
 
 @attrs.define(eq=False)
 class WorkerAccount:
-    """One worker's ledger.
+    """Capacity and reservations of one worker.
 
     Attributes:
-        name: Worker.
+        name: Name of the worker.
         rack: Its rack.
-        total: What it has.
-        services: What endpoints on it reserve.
-        open: Whether new work may be placed on it.
+        total: Its total resources.
+        services: Resources reserved by endpoints on it.
+        schedulable: Whether new work may be placed on it.
         reserved: Sum of all attempts' reservations.
         by_job: Reservation of each attempt, by job.
+        bucket: Bucket of the index that holds it; None if not schedulable.
     """
 
     name: str
     rack: str = ""
-    total: workers.Resources = NOTHING
-    services: workers.Resources = NOTHING
-    open: bool = False
-    reserved: workers.Resources = NOTHING
+    total: workers.Resources = NO_RESOURCES
+    services: workers.Resources = NO_RESOURCES
+    schedulable: bool = False
+    reserved: workers.Resources = NO_RESOURCES
     by_job: dict[str, workers.Resources] = attrs.field(factory=dict)
-    cell: tuple[int, int, int] | None = None
+    bucket: tuple[int, int, int] | None = None
 
     @property
     def free(self) -> workers.Resources:
-        """What is left; negative while over-committed by a shrink."""
-        return minus(minus(self.total, self.services), self.reserved)
+        """Free resources; negative if its total fell below reservations."""
+        return subtract(subtract(self.total, self.services), self.reserved)
 
     @property
     def usable(self) -> workers.Resources:
-        """What batch work may ever use of it."""
-        return minus(self.total, self.services)
+        """Resources that batch work may use when nothing is reserved."""
+        return subtract(self.total, self.services)
 
 
-def _cell_of(free: workers.Resources) -> tuple[int, int, int]:
+def _bucket_of(free: workers.Resources) -> tuple[int, int, int]:
     return (
         max(free.processors_milli, 0).bit_length(),
         max(free.memory_mib, 0).bit_length(),
@@ -111,24 +110,24 @@
 
 @final
 class CapacityLedger:
-    """Accounts of all workers of a zone. Used by one thread.
+    """Accounts of all workers of a zone. Not thread-safe.
 
-    Workers with room stand in cells by the binary order of magnitude of what
-    they have free. A search visits cells, of which there are a fixed number,
-    and then a few workers of the cells that can hold the size.
+    Schedulable workers are indexed in buckets by the binary order of magnitude
+    of their free resources. A search visits buckets, whose number is fixed,
+    and then a few workers of those buckets that can hold the size.
     """
 
     def __init__(self) -> None:
         self._accounts: dict[str, WorkerAccount] = {}
         self._worker_by_job: dict[str, str] = {}
-        self._cells: dict[tuple[int, int, int], dict[str, None]] = {}
+        self._buckets: dict[tuple[int, int, int], dict[str, None]] = {}
 
     def account(self, worker: str) -> WorkerAccount | None:
-        """One worker's account, else None."""
+        """Returns a worker's account, or None."""
         return self._accounts.get(worker)
 
     def accounts(self) -> Iterator[WorkerAccount]:
-        """All accounts."""
+        """Iterates over all accounts."""
         return iter(self._accounts.values())
 
     def set_worker(
@@ -137,9 +136,9 @@
         rack: str,
         total: workers.Resources,
         services: workers.Resources,
-        is_open: bool,
+        is_schedulable: bool,
     ) -> None:
-        """Declares a worker, or changes what it has."""
+        """Adds a worker or updates its resources."""
         account = self._accounts.get(worker)
         if account is None:
             account = WorkerAccount(worker)
@@ -147,77 +146,78 @@
         account.rack = rack
         account.total = total
         account.services = services
-        account.open = is_open
+        account.schedulable = is_schedulable
         self._index(account)
 
-    def set_open(self, worker: str, is_open: bool) -> None:
-        """Opens a worker for placement, or closes it."""
+    def set_schedulable(self, worker: str, is_schedulable: bool) -> None:
+        """Sets whether new work may be placed on a worker."""
         account = self._accounts.get(worker)
-        if account is not None and account.open != is_open:
-            account.open = is_open
+        if account is not None and account.schedulable != is_schedulable:
+            account.schedulable = is_schedulable
             self._index(account)
 
     def remove_worker(self, worker: str) -> None:
-        """Forgets a worker that has no reservations."""
+        """Removes a worker that has no reservations."""
         account = self._accounts.get(worker)
         if account is None or account.by_job:
             return
-        account.open = False
+        account.schedulable = False
         self._index(account)
         del self._accounts[worker]
 
     def reserve(self, job: str, worker: str, size: workers.Resources) -> None:
-        """Reserves for a job's attempt; replaces its earlier reservation."""
+        """Reserves resources for a job, replacing its earlier reservation."""
         self.release(job)
         account = self._accounts.get(worker)
         if account is None:
             account = WorkerAccount(worker)
             self._accounts[worker] = account
         account.by_job[job] = size
-        account.reserved = plus(account.reserved, size)
+        account.reserved = add(account.reserved, size)
         self._worker_by_job[job] = worker
         self._index(account)
 
     def release(self, job: str) -> str | None:
-        """Frees a job's reservation; returns the worker it was on."""
+        """Releases a job's reservation; returns the worker it was on."""
         worker = self._worker_by_job.pop(job, None)
         if worker is None:
             return None
         account = self._accounts[worker]
         size = account.by_job.pop(job)
-        account.reserved = minus(account.reserved, size)
+        account.reserved = subtract(account.reserved, size)
         self._index(account)
         return worker
 
     def worker_of(self, job: str) -> str | None:
-        """Worker on which a job holds a reservation."""
+        """Returns the worker on which a job has a reservation, or None."""
         return self._worker_by_job.get(job)
 
     def candidates(
         self, size: workers.Resources, limit: int
     ) -> list[WorkerAccount]:
-        """Up to `limit` open workers with room, tightest cells first.
+        """Finds up to `limit` schedulable workers with enough free capacity.
 
-        At most `MAX_LOOKS` workers are looked at; those found too full go to
-        the end of their cell, so that later searches see the others.
+        Starts with the buckets that have least free and examines at most
+        `MAX_WORKERS_EXAMINED` workers. Those with too little move to the end
+        of their bucket, so that later searches see others.
         """
-        least_cell = _cell_of(size)
+        min_bucket = _bucket_of(size)
         reachable = sorted(
-            cell
-            for cell in self._cells
-            if cell[0] >= least_cell[0]
-            and cell[1] >= least_cell[1]
-            and cell[2] >= least_cell[2]
+            bucket
+            for bucket in self._buckets
+            if bucket[0] >= min_bucket[0]
+            and bucket[1] >= min_bucket[1]
+            and bucket[2] >= min_bucket[2]
         )
         found: list[WorkerAccount] = []
-        looks_left = MAX_LOOKS
-        for cell in reachable:
-            names = self._cells[cell]
-            for name in list(itertools.islice(names, looks_left)):
-                looks_left -= 1
+        examinations_left = MAX_WORKERS_EXAMINED
+        for bucket in reachable:
+            names = self._buckets[bucket]
+            for name in list(itertools.islice(names, examinations_left)):
+                examinations_left -= 1
                 account = self._accounts[name]
                 if not fits(size, account.free):
-                    # The next search starts with others of this cell.
+                    # The next search starts with others of this bucket.
                     del names[name]
                     names[name] = None
                     continue
@@ -227,14 +227,14 @@
         return found
 
     def _index(self, account: WorkerAccount) -> None:
-        cell = _cell_of(account.free) if account.open else None
-        if cell == account.cell:
+        bucket = _bucket_of(account.free) if account.schedulable else None
+        if bucket == account.bucket:
             return
-        if account.cell is not None:
-            names = self._cells[account.cell]
+        if account.bucket is not None:
+            names = self._buckets[account.bucket]
             del names[account.name]
             if not names:
-                del self._cells[account.cell]
-        if cell is not None:
-            self._cells.setdefault(cell, {})[account.name] = None
-        account.cell = cell
+                del self._buckets[account.bucket]
+        if bucket is not None:
+            self._buckets.setdefault(bucket, {})[account.name] = None
+        account.bucket = bucket
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -1,4 +1,4 @@
-"""Carries out evictions: urgent starts, quotas and interference."""
+"""Carries out evictions for urgent jobs, quotas and interference."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import dispatcher as dispatcher_module
-from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference_control
 from comfreylatch._process.batch import job_queue
-from comfreylatch._process.batch import zone_books
+from comfreylatch._process.batch import job_scheduler
+from comfreylatch._process.batch import scheduling_state
 from comfreylatch._version import job_state
 
 MAX_PLANS_PER_ROUND = 8
-RECLAIM_AFTER_MS = 30_000
-MAX_WAITING_KEPT = 1_024
+RECLAIM_DELAY_MS = 30_000
+MAX_TRACKED_WAITING_JOBS = 1_024
 
 _events = logbook.Logger(__name__)
 
@@ -28,116 +28,123 @@
 
 @final
 class Evictor:
-    """Used by the owner's thread; the budget outlives a term."""
+    """Starts evictions and throttles; its budget spans terms.
+
+    Not thread-safe.
+    """
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
-        self._budget = eviction.EvictionBudget()
+        self._budget = eviction_planner.EvictionBudget()
         self._waiting_since_ms: dict[str, int] = {}
 
-    def make_room(
+    def evict_for_waiting_jobs(
         self,
-        books: zone_books.ZoneBooks,
-        made: dispatcher_module.Round,
+        scheduling: scheduling_state.SchedulingState,
+        decisions: job_scheduler.RoundDecisions,
         per_hour: int,
         now_ms: int,
     ) -> None:
-        """Plans evictions for jobs that found no room in a round."""
-        for state in made.waiting_urgent[:MAX_PLANS_PER_ROUND]:
-            self._plan(books, state, _not_urgent, now_ms)
-        due = self._due(made.waiting_entitled, now_ms)
+        """Starts evictions for jobs that a round could not place."""
+        for state in decisions.waiting_urgent[:MAX_PLANS_PER_ROUND]:
+            self._start_eviction(scheduling, state, _not_urgent, now_ms)
+        due = self._overdue_for_reclaim(decisions.waiting_within_quota, now_ms)
         for state in due[:MAX_PLANS_PER_ROUND]:
-            self._reclaim(books, state, per_hour, now_ms)
+            self._reclaim(scheduling, state, per_hour, now_ms)
 
-    def act(
+    def apply(
         self,
-        books: zone_books.ZoneBooks,
+        scheduling: scheduling_state.SchedulingState,
         worker: str,
         action: interference_control.Action,
         per_hour: int,
         now_ms: int,
     ) -> None:
-        """Carries out a step against interference."""
+        """Carries out an action against interference."""
         match action:
             case interference_control.Throttle(shares, relaxes):
                 self._count("relaxed" if relaxes else "throttled")
                 for share in shares:
-                    books.table.throttle(share.job, share.share_milli)
+                    scheduling.attempts.throttle(share.job, share.share_milli)
             case interference_control.Move(jobs):
-                self._evict(books, worker, jobs, True, per_hour, now_ms)
+                self._evict(scheduling, worker, jobs, True, per_hour, now_ms)
             case interference_control.Stop(jobs):
-                self._evict(books, worker, jobs, False, per_hour, now_ms)
+                self._evict(scheduling, worker, jobs, False, per_hour, now_ms)
 
     def _evict(
         self,
-        books: zone_books.ZoneBooks,
+        scheduling: scheduling_state.SchedulingState,
         worker: str,
         jobs: tuple[str, ...],
-        keep_first: bool,
+        checkpoint_first: bool,
         per_hour: int,
         now_ms: int,
     ) -> None:
-        if not self._budget.take(len(jobs), per_hour, now_ms):
+        if not self._budget.try_spend(len(jobs), per_hour, now_ms):
             self._count("eviction-budget-spent")
             return
         for job in jobs:
-            attempt = books.table.attempt(job)
+            attempt = scheduling.attempts.attempt(job)
             if attempt is not None:
-                books.mix.avoid(worker, attempt.state.spec.job_class)
-            books.table.evict(job, now_ms, keep_first)
+                scheduling.cost_model.avoid(
+                    worker, attempt.state.spec.job_class
+                )
+            scheduling.attempts.evict(job, now_ms, checkpoint_first)
             logs.event(_events, "evict", job=job, worker=worker, cause="slow")
 
-    def _plan(
+    def _start_eviction(
         self,
-        books: zone_books.ZoneBooks,
+        scheduling: scheduling_state.SchedulingState,
         state: job_state.JobState,
         may_evict: _MayEvict,
         now_ms: int,
-    ) -> eviction.EvictionPlan | None:
+    ) -> eviction_planner.EvictionPlan | None:
         job = state.spec.id
         size = state.spec.resources
-        plan = books.planner.make(job, size, may_evict, now_ms)
+        plan = scheduling.planner.plan(job, size, may_evict, now_ms)
         if plan is None:
             return None
         for victim in plan.victims:
-            books.table.evict(victim, now_ms)
+            scheduling.attempts.evict(victim, now_ms)
         logs.event(
             _events,
             "evict",
             jobs=",".join(plan.victims),
             worker=plan.worker,
             for_job=job,
-            lost_ms=plan.lost_ms,
+            lost_ms=plan.unsaved_work_ms,
         )
         return plan
 
     def _reclaim(
         self,
-        books: zone_books.ZoneBooks,
+        scheduling: scheduling_state.SchedulingState,
         state: job_state.JobState,
         per_hour: int,
         now_ms: int,
     ) -> None:
-        """Takes borrowed room back, from teams above their quotas only."""
-        if not self._budget.has(1, per_hour, now_ms):
+        """Reclaims capacity for a job, only from teams above their quotas."""
+        if not self._budget.allows(1, per_hour, now_ms):
             self._count("eviction-budget-spent")
             return
 
-        def borrows(attempt: attempt_module.Attempt) -> bool:
-            share_milli = books.queue.share_of(attempt.state.spec.team)
+        def is_borrowing(attempt: attempt_module.Attempt) -> bool:
+            share_milli = scheduling.queue.quota_share_milli(
+                attempt.state.spec.team
+            )
             over = share_milli > job_queue.FULL_SHARE_MILLI
             return over and _not_urgent(attempt)
 
-        plan = self._plan(books, state, borrows, now_ms)
+        plan = self._start_eviction(scheduling, state, is_borrowing, now_ms)
         if plan is not None:
-            # A plan may take more than is left; the next one then waits.
+            # A plan may exceed the budget; the next plan then waits.
             self._budget.spend(len(plan.victims), now_ms)
             self._count("quota-reclaimed")
 
-    def _due(
+    def _overdue_for_reclaim(
         self, waiting: tuple[job_state.JobState, ...], now_ms: int
     ) -> list[job_state.JobState]:
-        """Jobs that have been waiting for long within their quota."""
+        """Jobs that have waited `RECLAIM_DELAY_MS` within their quota."""
         names = {state.spec.id for state in waiting}
         self._waiting_since_ms = {
             job: since_ms
@@ -145,13 +152,13 @@
             if job in names
         }
         for job in names:
-            if len(self._waiting_since_ms) < MAX_WAITING_KEPT:
+            if len(self._waiting_since_ms) < MAX_TRACKED_WAITING_JOBS:
                 self._waiting_since_ms.setdefault(job, now_ms)
         return [
             state
             for state in waiting
             if now_ms - self._waiting_since_ms.get(state.spec.id, now_ms)
-            >= RECLAIM_AFTER_MS
+            >= RECLAIM_DELAY_MS
         ]
 
     def _count(self, label: str) -> None:
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -1,8 +1,9 @@
-"""Steps against batch work that slows a service down on one worker.
+"""Escalation against batch work that slows down services on a worker.
 
-Throttle, throttle more, checkpoint and move, stop: each step only on several
-measurements in a row, all made after the step before it had time to act, and
-taken back only well below the mark that led to it.
+The steps are: throttle, throttle more, checkpoint and move, stop. Each step
+needs several consecutive measurements, all made after the previous step had
+time to take effect. Hysteresis: a step is relaxed only well below the
+threshold that led to it.
 """
 
 from __future__ import annotations
@@ -16,24 +17,24 @@
 import attrs
 
 from comfreylatch._process.batch import attempt as attempt_module
-from comfreylatch._process.batch import eviction
+from comfreylatch._process.batch import eviction_planner
 from comfreylatch._process.batch import interference
 
-HIGH_MARGIN = 0.05
-LOW_MARGIN = -0.04
+ESCALATION_MARGIN = 0.05
+RELAXATION_MARGIN = -0.04
 MIN_SAMPLES = 3
-SETTLE_MS = 1_500
+ACTION_SETTLE_MS = 1_500
 FULL_SHARE_MILLI = 1_000
-FIRST_SHARE_MILLI = 500
-SECOND_SHARE_MILLI = 250
+FIRST_THROTTLE_SHARE_MILLI = 500
+SECOND_THROTTLE_SHARE_MILLI = 250
 MAX_THROTTLED_PER_STEP = 8
-LEAST_GAIN_MILLI = 100
-TINY_HARM = 0.001
+MIN_SHARE_GAIN_MILLI = 100
+MIN_FULL_SHARE_SLOWDOWN = 0.001
 MAX_MOVED_PER_STEP = 2
 
 
-class Step(enum.IntEnum):
-    """How far the control of a worker has gone."""
+class EscalationStep(enum.IntEnum):
+    """Escalation step reached on a worker."""
 
     NONE = 0
     THROTTLED = 1
@@ -44,7 +45,7 @@
 
 @attrs.frozen
 class JobShare:
-    """A share of its processors for a job's attempt, in thousandths."""
+    """Share of its processors, in thousandths, that a job's attempt gets."""
 
     job: str
     share_milli: int
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class Throttle:
-    """Limit attempts to shares; `relaxes` if they get more than before."""
+    """Limit attempts to shares; `relaxes` if the shares are raised."""
 
     shares: tuple[JobShare, ...]
     relaxes: bool = False
@@ -78,19 +79,19 @@
 
 @attrs.define(eq=False)
 class _WorkerState:
-    step: Step = Step.NONE
-    acted_ms: int = -SETTLE_MS
-    worst: collections.deque[tuple[str, float]] = attrs.field(
+    step: EscalationStep = EscalationStep.NONE
+    acted_ms: int = -ACTION_SETTLE_MS
+    worst_slowdowns: collections.deque[tuple[str, float]] = attrs.field(
         factory=lambda: collections.deque(maxlen=MIN_SAMPLES)
     )
 
 
 @final
 class InterferenceControl:
-    """Decides the steps for every worker. Used by one thread.
+    """Decides the escalation steps of every worker. Not thread-safe.
 
     Attributes:
-        allowed_slowdown: How much slower a service may get, as a fraction.
+        allowed_slowdown: Allowed extra slowdown of a service, as a fraction.
     """
 
     def __init__(self, model: interference.InterferenceModel) -> None:
@@ -98,19 +99,21 @@
         self._states: dict[str, _WorkerState] = {}
         self.allowed_slowdown = 0.1
 
-    def step_of(self, worker: str) -> Step:
-        """How far the control of a worker has gone."""
+    def current_step(self, worker: str) -> EscalationStep:
+        """Returns the escalation step reached on a worker."""
         state = self._states.get(worker)
-        return Step.NONE if state is None else state.step
+        return EscalationStep.NONE if state is None else state.step
 
-    def is_slow(self, worker: str) -> bool:
-        """Whether more measurements are wanted than renewals bring."""
+    def needs_frequent_reports(self, worker: str) -> bool:
+        """Whether reports are needed more often than lease renewals bring."""
         state = self._states.get(worker)
         if state is None:
             return False
-        low = 1.0 + self.allowed_slowdown + LOW_MARGIN
-        slow = bool(state.worst) and state.worst[-1][1] > low
-        return slow or state.step is not Step.NONE
+        low = 1.0 + self.allowed_slowdown + RELAXATION_MARGIN
+        slow = (
+            bool(state.worst_slowdowns) and state.worst_slowdowns[-1][1] > low
+        )
+        return slow or state.step is not EscalationStep.NONE
 
     def forget(self, worker: str) -> None:
         """Drops a worker that is gone."""
@@ -125,34 +128,37 @@
         load_of: LoadOf,
         now_ms: int,
     ) -> Action | None:
-        """Takes one measurement of a worker's services.
+        """Evaluates one measurement of a worker's services.
 
         Args:
             worker: Name of the worker.
             services: Services there and their slowdown, 1 if none.
-            measured_ms: When it was measured, on this host's clock.
-            attempts: Attempts that run there now.
-            load_of: Part of the host an attempt would use unthrottled.
+            measured_ms: Time of the measurement on this host's clock.
+            attempts: Attempts assigned to the worker now.
+            load_of: Share of the host that an attempt would use unthrottled.
             now_ms: Monotonic time.
+
+        Returns:
+            The action to carry out, or None.
         """
         if not services:
             return None
         state = self._states.setdefault(worker, _WorkerState())
-        if measured_ms < state.acted_ms + SETTLE_MS:
+        if measured_ms < state.acted_ms + ACTION_SETTLE_MS:
             return None
-        state.worst.append(max(services, key=lambda pair: pair[1]))
-        if len(state.worst) < MIN_SAMPLES:
+        state.worst_slowdowns.append(max(services, key=lambda item: item[1]))
+        if len(state.worst_slowdowns) < MIN_SAMPLES:
             return None
-        slowdowns = [slowdown for _, slowdown in state.worst]
+        slowdowns = [slowdown for _, slowdown in state.worst_slowdowns]
         action: Action | None = None
         allowed = 1.0 + self.allowed_slowdown
-        if min(slowdowns) > allowed + HIGH_MARGIN:
+        if min(slowdowns) > allowed + ESCALATION_MARGIN:
             action = self._escalate(state, attempts, load_of)
-        elif max(slowdowns) < allowed + LOW_MARGIN:
+        elif max(slowdowns) < allowed + RELAXATION_MARGIN:
             action = self._relax(state, attempts, load_of)
         if action is not None:
             state.acted_ms = now_ms
-            state.worst.clear()
+            state.worst_slowdowns.clear()
         return action
 
     def _escalate(
@@ -161,43 +167,47 @@
         attempts: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> Action | None:
-        service, slowdown = state.worst[-1]
-        ranked = self._ranked(service, attempts, load_of)
+        service, slowdown = state.worst_slowdowns[-1]
+        ranked = self._rank_by_contribution(service, attempts, load_of)
         if not ranked:
             return None
-        state.step = Step(min(state.step + 1, Step.STOPPED))
+        state.step = EscalationStep(min(state.step + 1, EscalationStep.STOPPED))
         match state.step:
-            case Step.THROTTLED:
-                chosen = self._enough(service, slowdown, ranked, load_of)
-                return _throttle(chosen, FIRST_SHARE_MILLI)
-            case Step.THROTTLED_MORE:
-                chosen = self._enough(service, slowdown, ranked, load_of)
-                return _throttle(chosen, SECOND_SHARE_MILLI)
-            case Step.MOVED:
-                return Move(_least_lost(ranked))
+            case EscalationStep.THROTTLED:
+                chosen = self._select_contributors(
+                    service, slowdown, ranked, load_of
+                )
+                return _throttle(chosen, FIRST_THROTTLE_SHARE_MILLI)
+            case EscalationStep.THROTTLED_MORE:
+                chosen = self._select_contributors(
+                    service, slowdown, ranked, load_of
+                )
+                return _throttle(chosen, SECOND_THROTTLE_SHARE_MILLI)
+            case EscalationStep.MOVED:
+                return Move(_least_unsaved(ranked))
             case _:
-                # The next one starts with moving again.
-                state.step = Step.THROTTLED_MORE
-                return Stop(_least_lost(ranked))
+                # The next escalation moves attempts again.
+                state.step = EscalationStep.THROTTLED_MORE
+                return Stop(_least_unsaved(ranked))
 
-    def _enough(
+    def _select_contributors(
         self,
         service: str,
         slowdown: float,
         ranked: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> list[attempt_module.Attempt]:
-        """Attempts that together are predicted to cause the excess."""
+        """Selects attempts that are predicted to cause the excess together."""
         excess = slowdown - 1.0 - self.allowed_slowdown
         chosen = []
         for attempt in ranked:
             if excess <= 0.0:
                 break
-            pair = self._model.coefficient(
+            coefficient = self._model.coefficient(
                 service, attempt.state.spec.job_class
             )
             part = attempt.share_milli / FULL_SHARE_MILLI
-            excess -= pair.mean * load_of(attempt) * part
+            excess -= coefficient.mean * load_of(attempt) * part
             chosen.append(attempt)
         return chosen
 
@@ -207,38 +217,42 @@
         attempts: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> Action | None:
-        """Gives back what is not predicted to bring the slowness back."""
-        state.step = Step(max(state.step - 1, Step.NONE))
-        service, slowdown = max(state.worst, key=lambda pair: pair[1])
-        left = 1.0 + self.allowed_slowdown - slowdown
+        """Raises shares as far as no excess slowdown is predicted."""
+        state.step = EscalationStep(max(state.step - 1, EscalationStep.NONE))
+        service, slowdown = max(state.worst_slowdowns, key=lambda item: item[1])
+        slack = 1.0 + self.allowed_slowdown - slowdown
         shares = []
-        for attempt in reversed(self._ranked(service, attempts, load_of)):
+        for attempt in reversed(
+            self._rank_by_contribution(service, attempts, load_of)
+        ):
             if attempt.share_milli >= FULL_SHARE_MILLI:
                 continue
             spec = attempt.state.spec
-            pair = self._model.coefficient(service, spec.job_class)
-            whole = max(pair.mean * load_of(attempt), TINY_HARM)
-            gain_milli = int(left / whole * FULL_SHARE_MILLI)
+            coefficient = self._model.coefficient(service, spec.job_class)
+            full_share_slowdown = max(
+                coefficient.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN
+            )
+            gain_milli = int(slack / full_share_slowdown * FULL_SHARE_MILLI)
             share = min(attempt.share_milli + gain_milli, FULL_SHARE_MILLI)
-            if share - attempt.share_milli < LEAST_GAIN_MILLI:
+            if share - attempt.share_milli < MIN_SHARE_GAIN_MILLI:
                 continue
             gained_milli = share - attempt.share_milli
-            left -= whole * gained_milli / FULL_SHARE_MILLI
+            slack -= full_share_slowdown * gained_milli / FULL_SHARE_MILLI
             shares.append(JobShare(attempt.job, share))
         return Throttle(tuple(shares), relaxes=True) if shares else None
 
-    def _ranked(
+    def _rank_by_contribution(
         self,
         service: str,
         attempts: Sequence[attempt_module.Attempt],
         load_of: LoadOf,
     ) -> list[attempt_module.Attempt]:
-        """Attempts that still run, the largest contribution first."""
+        """Attempts not being stopped, the largest contribution first."""
 
         def contribution(attempt: attempt_module.Attempt) -> float:
             spec = attempt.state.spec
-            pair = self._model.coefficient(service, spec.job_class)
-            return pair.mean * load_of(attempt) * attempt.share_milli
+            coefficient = self._model.coefficient(service, spec.job_class)
+            return coefficient.mean * load_of(attempt) * attempt.share_milli
 
         running = [
             attempt for attempt in attempts if attempt.stop_reason is None
@@ -257,10 +271,10 @@
     return Throttle(shares[:MAX_THROTTLED_PER_STEP])
 
 
-def _least_lost(
+def _least_unsaved(
     ranked: Sequence[attempt_module.Attempt],
 ) -> tuple[str, ...]:
-    """Of the upper half by contribution, those that lose least work."""
+    """Jobs with least unsaved work in the upper half by contribution."""
     upper = ranked[: max(1, (len(ranked) + 1) // 2)]
-    ordered = sorted(upper, key=eviction.lost_ms)
+    ordered = sorted(upper, key=eviction_planner.unsaved_work_ms)
     return tuple(attempt.job for attempt in ordered[:MAX_MOVED_PER_STEP])
--- a/src/comfreylatch/_process/batch/job_desk.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -1,6 +1,6 @@
-"""Submitting, showing and cancelling jobs over HTTP.
+"""HTTP handler that submits, shows and cancels jobs.
 
-Nothing is acknowledged before its record is known to stand on the stream. A
+A request is acknowledged only after its record is on the stream and folded. A
 submission repeated with the same id and content is answered like the first.
 """
 
@@ -36,13 +36,13 @@
 MAX_NAME_LENGTH = 128
 MAX_BODY_BYTES = 65_536
 MAX_AMOUNT = 1_000_000_000
-MAX_LISTED = 1_000
+MAX_LISTED_JOBS = 1_000
 JOBS_PATH = "/jobs"
 
 
 @attrs.frozen
 class _Submission:
-    """A job as callers write it; `zone` may be empty."""
+    """Body of a job submission; an empty `zone` means this host's zone."""
 
     id: str
     team: str
@@ -61,7 +61,7 @@
 
 
 class JobLookup(enum.StrEnum):
-    """What a repeated submission turns out to be."""
+    """Relation of a submission to the jobs known under its id."""
 
     NEW = "new"
     SAME = "same"
@@ -72,7 +72,7 @@
 
 
 def job_page(state: job_state.JobState) -> dict[str, Any]:
-    """One job as shown to people."""
+    """Returns one job as a JSON object for replies."""
     return {
         "id": state.spec.id,
         "team": state.spec.team,
@@ -95,7 +95,7 @@
 
 
 @final
-class JobDesk:
+class JobHandler:
     """Handles `/jobs` and `/jobs/ID`. Thread-safe."""
 
     def __init__(
@@ -118,12 +118,12 @@
         self._listed: dict[str, hosts.ListedHost] = {}
         self._stopping = False
 
-    def update_listed(self, host_list: hosts.HostList) -> None:
-        """Takes a new list of hosts."""
+    def update_host_list(self, host_list: hosts.HostList) -> None:
+        """Sets the list of hosts against which job sizes are checked."""
         self._listed = zone_workers.zone_workers(host_list, self._zone)
 
-    def stop_taking(self) -> None:
-        """Refuses new jobs from now on, as during a planned stop."""
+    def stop_accepting(self) -> None:
+        """Refuses new jobs from now on, as in a planned stop."""
         self._stopping = True
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
@@ -139,33 +139,37 @@
             case "DELETE", True:
                 return self._cancel(job)
             case _:
-                detail = f"{request.method} is not known here"
+                detail = f"method {request.method} is not supported here"
                 reason = reasons.RefusalReason.BAD_REQUEST
-                return self._refuse(_Refusal(405, reason, detail))
+                return self._reply_refused(_Refusal(405, reason, detail))
 
     # Submitting.
 
     def _submit(self, request: http.HttpRequest) -> http.HttpReply:
         parsed = self._parse(request.body)
         if isinstance(parsed, result.Err):
-            return self._refuse(parsed.err_value)
+            return self._reply_refused(parsed.err_value)
         spec = parsed.ok_value
         lookup = self._look_up(spec)
         if lookup is not JobLookup.NEW:
-            return self._known(spec, lookup)
-        refusal = self._check(spec)
+            return self._reply_known(spec, lookup)
+        refusal = self._check_admission(spec)
         if refusal is not None:
-            self._note(spec.id, refusal.reason, refusal.detail, -1)
-            return self._refuse(refusal)
+            self._journal_event(spec.id, refusal.reason, refusal.detail, -1)
+            return self._reply_refused(refusal)
         body = job_records.JobAdmitted(spec)
         appended = self._append(spec.id, body)
         if isinstance(appended, http.HttpReply):
             return appended
         lookup = self._look_up(spec)
         if lookup is JobLookup.NEW:
-            return self._unknown("the record stands but is not folded yet")
-        self._note(spec.id, "admitted", "the record stands", appended)
-        return self._known(spec, lookup)
+            return self._reply_unknown(
+                "the record is appended but not folded yet"
+            )
+        self._journal_event(
+            spec.id, "admitted", "the record is appended", appended
+        )
+        return self._reply_known(spec, lookup)
 
     def _parse(
         self, body: bytes
@@ -176,21 +180,21 @@
             detail = f"a job is at most {MAX_BODY_BYTES} bytes"
             return result.Err(_Refusal(413, too_long, detail))
         try:
-            given = _decoder.decode(body)
+            submission = _decoder.decode(body)
         except (msgspec.MsgspecError, UnicodeError, RecursionError) as error:
             return result.Err(_Refusal(400, reason, str(error)))
         spec = job_records.JobSpec(
-            id=given.id,
-            team=given.team,
-            zone=given.zone or self._zone,
-            job_class=given.job_class,
-            resources=given.resources,
-            run_time_ms=given.run_time_ms,
-            urgent=given.urgent,
+            id=submission.id,
+            team=submission.team,
+            zone=submission.zone or self._zone,
+            job_class=submission.job_class,
+            resources=submission.resources,
+            run_time_ms=submission.run_time_ms,
+            urgent=submission.urgent,
         )
-        wrong = _wrong_field(spec)
-        if wrong:
-            return result.Err(_Refusal(400, reason, wrong))
+        invalid = _describe_invalid_field(spec)
+        if invalid:
+            return result.Err(_Refusal(400, reason, invalid))
         return result.Ok(spec)
 
     def _look_up(self, spec: job_records.JobSpec) -> JobLookup:
@@ -198,26 +202,26 @@
         if state is not None:
             same = state.spec == spec
             return JobLookup.SAME if same else JobLookup.TAKEN
-        content = self._fold.retired_content(spec.id)
-        if content is None:
+        known_hash = self._fold.retired_spec_hash(spec.id)
+        if known_hash is None:
             return JobLookup.NEW
-        same = content == job_state.spec_hash(spec)
+        same = known_hash == job_state.spec_hash(spec)
         return JobLookup.SAME if same else JobLookup.TAKEN
 
-    def _known(
+    def _reply_known(
         self, spec: job_records.JobSpec, lookup: JobLookup
     ) -> http.HttpReply:
         if lookup is JobLookup.TAKEN:
             reason = reasons.RefusalReason.JOB_ID_TAKEN
-            detail = f"job {spec.id} exists with other content"
-            return self._refuse(_Refusal(409, reason, detail))
+            detail = f"job {spec.id} already exists with different content"
+            return self._reply_refused(_Refusal(409, reason, detail))
         state = self._fold.job(spec.id)
         if state is None:
             page = {"id": spec.id, "phase": "ended", "detail": "ended earlier"}
             return http.json_reply(200, page)
         return http.json_reply(200, job_page(state))
 
-    def _check(self, spec: job_records.JobSpec) -> _Refusal | None:
+    def _check_admission(self, spec: job_records.JobSpec) -> _Refusal | None:
         if self._stopping:
             reason = reasons.RefusalReason.STOPPING
             return _Refusal(503, reason, "this host is stopping")
@@ -247,13 +251,13 @@
         quota: workers.Resources,
     ) -> _Refusal | None:
         reason = reasons.RefusalReason.NEVER_FITS
-        usable = zone_workers.usable_amounts(self._listed, configuration)
-        never = placement.never_fits(spec.resources, usable)
-        if never is not None:
-            detail = never.sentence(spec.resources)
+        usable = zone_workers.usable_capacities(self._listed, configuration)
+        never_fits = placement.never_fits(spec.resources, usable)
+        if never_fits is not None:
+            detail = never_fits.describe(spec.resources)
             return _Refusal(422, reason, detail)
         team = configuration.teams[spec.team]
-        short = capacity.short_dimensions(spec.resources, quota)
+        short = capacity.insufficient_dimensions(spec.resources, quota)
         if short and not team.may_borrow:
             names = ", ".join(short)
             detail = f"above the quota of team {spec.team}: {names}"
@@ -275,7 +279,7 @@
             "offset": self._fold.offset(),
             "age_ms": self._follower.age_ms(),
             "count": len(states),
-            "jobs": [job_page(state) for state in states[:MAX_LISTED]],
+            "jobs": [job_page(state) for state in states[:MAX_LISTED_JOBS]],
         }
         return http.json_reply(200, page)
 
@@ -283,10 +287,10 @@
         state = self._fold.job(job)
         if state is not None:
             return http.json_reply(200, job_page(state))
-        if self._fold.retired_content(job) is not None:
+        if self._fold.retired_spec_hash(job) is not None:
             page = {"id": job, "phase": "ended", "detail": "ended earlier"}
             return http.json_reply(200, page)
-        return self._refuse(_unknown_job(job, self._zone))
+        return self._reply_refused(_unknown_job(job, self._zone))
 
     def _cancel(self, job: str) -> http.HttpReply:
         state = self._fold.job(job)
@@ -295,10 +299,12 @@
         appended = self._append(job, job_records.JobCancelled(job))
         if isinstance(appended, http.HttpReply):
             return appended
-        self._note(job, "cancelled", "asked for by its submitter", appended)
+        self._journal_event(
+            job, "cancelled", "requested by its submitter", appended
+        )
         return self._show(job)
 
-    # Common to both.
+    # Helpers.
 
     def _append(
         self,
@@ -311,24 +317,24 @@
                 if not self._follower.wait_for(
                     appended.offset, FOLD_TIMEOUT_MS
                 ):
-                    return self._unknown("the record is not folded yet")
+                    return self._reply_unknown("the record is not folded yet")
                 return appended.offset
             case result.Err(streams.NotAccepted(detail, retry_after_ms)):
                 reason = reasons.RefusalReason.LOG_DOWN
                 refusal = _Refusal(503, reason, f"not accepted: {detail}")
-                self._note(job, reason, detail, -1)
-                return self._refuse(refusal, retry_after_ms)
+                self._journal_event(job, reason, detail, -1)
+                return self._reply_refused(refusal, retry_after_ms)
             case result.Err(streams.AppendUnknown(detail)):
-                return self._unknown(detail)
+                return self._reply_unknown(detail)
 
-    def _unknown(self, detail: str) -> http.HttpReply:
+    def _reply_unknown(self, detail: str) -> http.HttpReply:
         self._metrics.count(
             metrics_module.Counter.OUTCOMES, reasons.Outcome.UNKNOWN
         )
-        advice = f"{detail}; ask for the job, or send the same again"
+        advice = f"{detail}; query the job or repeat the same request"
         return http.error_reply(504, reasons.Outcome.UNKNOWN, advice)
 
-    def _refuse(
+    def _reply_refused(
         self, refusal: _Refusal, retry_after_ms: int = 0
     ) -> http.HttpReply:
         self._metrics.count(metrics_module.Counter.REFUSALS, refusal.reason)
@@ -336,28 +342,30 @@
             refusal.status, refusal.reason, refusal.detail, retry_after_ms
         )
 
-    def _note(self, job: str, reason: str, sentence: str, offset: int) -> None:
-        self._journal.note(reasons.Subject.JOB, job, reason, sentence, offset)
+    def _journal_event(
+        self, job: str, reason: str, sentence: str, offset: int
+    ) -> None:
+        self._journal.record(reasons.Subject.JOB, job, reason, sentence, offset)
 
 
 def _unknown_job(job: str, zone: str) -> _Refusal:
     reason = reasons.RefusalReason.UNKNOWN_JOB
-    # A path may decode to text that no JSON reply can carry.
+    # A path may decode to text that can't be encoded in a JSON reply.
     shown = ascii(job[:MAX_NAME_LENGTH])
     detail = f"job {shown} is not known in zone {zone}"
     return _Refusal(404, reason, detail)
 
 
-def _is_name(text: str) -> bool:
+def _is_valid_name(text: str) -> bool:
     if not 0 < len(text) <= MAX_NAME_LENGTH or "/" in text:
         return False
     return text.isascii() and text.isprintable() and " " not in text
 
 
-def _wrong_field(spec: job_records.JobSpec) -> str:
-    """What is wrong with a job's fields; empty if nothing is."""
+def _describe_invalid_field(spec: job_records.JobSpec) -> str:
+    """Describes the first invalid field of a job; empty if all are valid."""
     for name in ("id", "team", "zone", "job_class"):
-        if not _is_name(getattr(spec, name)):
+        if not _is_valid_name(getattr(spec, name)):
             return (
                 f"{name} must be 1 to {MAX_NAME_LENGTH} printable ASCII "
                 "characters without spaces and slashes"
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -1,4 +1,4 @@
-"""Queued jobs by team, taken in the order of the teams' shares."""
+"""Queue of jobs by team, in the order of the teams' dominant shares."""
 
 from __future__ import annotations
 
@@ -15,23 +15,26 @@
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
 
-# Jobs of one team looked at behind one that finds no room.
+# Jobs of one team that a round skips for lack of capacity before it leaves the
+# team.
 BACKFILL_DEPTH = 32
 FULL_SHARE_MILLI = 1_000
 NO_QUOTA_SHARE_MILLI = 1_000_000
 
 
-def share_milli(used: workers.Resources, quota: workers.Resources) -> int:
-    """Largest used part of a quota over its dimensions, in thousandths."""
+def dominant_share_milli(
+    used: workers.Resources, quota: workers.Resources
+) -> int:
+    """Largest used share of a quota over all dimensions, in thousandths."""
     parts = [
-        _part(used.processors_milli, quota.processors_milli),
-        _part(used.memory_mib, quota.memory_mib),
-        _part(used.accelerators, quota.accelerators),
+        _share_milli(used.processors_milli, quota.processors_milli),
+        _share_milli(used.memory_mib, quota.memory_mib),
+        _share_milli(used.accelerators, quota.accelerators),
     ]
     return max(parts)
 
 
-def _part(used: int, quota: int) -> int:
+def _share_milli(used: int, quota: int) -> int:
     if used <= 0:
         return 0
     if quota <= 0:
@@ -51,10 +54,10 @@
 
 @final
 class JobQueue:
-    """Queued jobs and what each team uses. Used by one thread.
+    """Queued jobs and the resources that each team uses. Not thread-safe.
 
     Urgent jobs come first. Among the rest the team that uses the smallest
-    part of its quota comes first; a team above its quota may only borrow
+    share of its quota comes first; a team above its quota may only borrow
     what no team within its quota asks for.
     """
 
@@ -62,29 +65,29 @@
         self._teams: dict[str, _TeamQueue] = {}
         self._team_by_job: dict[str, str] = {}
         self._used: dict[str, workers.Resources] = {}
-        self._held: dict[str, tuple[str, workers.Resources]] = {}
+        self._usage_by_job: dict[str, tuple[str, workers.Resources]] = {}
         self._quotas: Mapping[str, objects.Team] = {}
 
     def __len__(self) -> int:
         return len(self._team_by_job)
 
     def set_teams(self, teams: Mapping[str, objects.Team]) -> None:
-        """Puts other quotas in force."""
+        """Replaces the teams and their quotas."""
         self._quotas = teams
 
     def add(self, state: job_state.JobState) -> None:
-        """Queues a job; a requeued one takes its old place again."""
+        """Queues a job; one that was started before goes to the front."""
         job = state.spec.id
         self.discard(job)
         team = self._teams.setdefault(state.spec.team, _TeamQueue())
-        lane = team.urgent if state.spec.urgent else team.normal
-        lane[job] = state
+        queue = team.urgent if state.spec.urgent else team.normal
+        queue[job] = state
         if state.attempt > 0:
-            lane.move_to_end(job, last=False)
+            queue.move_to_end(job, last=False)
         self._team_by_job[job] = state.spec.team
 
     def discard(self, job: str) -> None:
-        """Takes a job out of the queue, if it is there."""
+        """Removes a job from the queue, if present."""
         name = self._team_by_job.pop(job, None)
         if name is None:
             return
@@ -94,61 +97,65 @@
         if not team.urgent and not team.normal:
             del self._teams[name]
 
-    def hold(self, job: str, team: str, size: workers.Resources) -> None:
-        """Counts a placed job against its team."""
-        self.free(job)
-        self._held[job] = (team, size)
-        used = self._used.get(team, capacity.NOTHING)
-        self._used[team] = capacity.plus(used, size)
-
-    def free(self, job: str) -> None:
-        """Stops counting a job against its team."""
-        held = self._held.pop(job, None)
-        if held is None:
+    def add_usage(self, job: str, team: str, size: workers.Resources) -> None:
+        """Counts the resources of a placed job as used by its team."""
+        self.remove_usage(job)
+        self._usage_by_job[job] = (team, size)
+        used = self._used.get(team, capacity.NO_RESOURCES)
+        self._used[team] = capacity.add(used, size)
+
+    def remove_usage(self, job: str) -> None:
+        """Stops counting the resources of a job as used by its team."""
+        usage = self._usage_by_job.pop(job, None)
+        if usage is None:
             return
-        team, size = held
-        self._used[team] = capacity.minus(self._used[team], size)
-        if self._used[team] == capacity.NOTHING:
+        team, size = usage
+        self._used[team] = capacity.subtract(self._used[team], size)
+        if self._used[team] == capacity.NO_RESOURCES:
             del self._used[team]
 
-    def share_of(self, team: str) -> int:
-        """Part of its quota that a team uses, in thousandths."""
-        used = self._used.get(team, capacity.NOTHING)
+    def quota_share_milli(self, team: str) -> int:
+        """Share of its quota that a team uses, in thousandths."""
+        used = self._used.get(team, capacity.NO_RESOURCES)
         quota = self._quotas.get(team)
-        return share_milli(used, quota.quota if quota else capacity.NOTHING)
+        return dominant_share_milli(
+            used, quota.quota if quota else capacity.NO_RESOURCES
+        )
 
-    def share_with(self, team: str, size: workers.Resources) -> int:
-        """Part of its quota that a team would use with one more job."""
-        used = capacity.plus(self._used.get(team, capacity.NOTHING), size)
+    def quota_share_milli_with(self, team: str, size: workers.Resources) -> int:
+        """Share of its quota that a team would use with one more job."""
+        used = capacity.add(self._used.get(team, capacity.NO_RESOURCES), size)
         quota = self._quotas.get(team)
-        return share_milli(used, quota.quota if quota else capacity.NOTHING)
+        return dominant_share_milli(
+            used, quota.quota if quota else capacity.NO_RESOURCES
+        )
 
     def may_borrow(self, team: str) -> bool:
-        """Whether a team may go above its quota."""
+        """Whether a team may exceed its quota."""
         quota = self._quotas.get(team)
         return quota is None or quota.may_borrow
 
     def urgent(self) -> Iterator[job_state.JobState]:
-        """Urgent jobs, each team's in its order."""
+        """Iterates over urgent jobs, those of each team in queue order."""
         for name in list(self._teams):
             team = self._teams.get(name)
             if team is not None and team.urgent:
                 yield from list(team.urgent.values())
 
     def fair_order(self) -> Iterator[job_state.JobState]:
-        """Other jobs, the team with the smallest share first.
+        """Iterates over other jobs, the team with the smallest share first.
 
-        The consumer places or skips each job before it asks for the next;
-        shares are read again after each. At most `BACKFILL_DEPTH` jobs of a
-        team are skipped in a row before the team is left for this round.
+        The consumer places or skips each job before it requests the next;
+        shares are recomputed after each. A team of which `BACKFILL_DEPTH` jobs
+        have been skipped is left out for the rest of the round.
         """
-        heap = [(self.share_of(name), name) for name in self._teams]
+        heap = [(self.quota_share_milli(name), name) for name in self._teams]
         heapq.heapify(heap)
-        seen: dict[str, set[str]] = {}
+        skipped_by_team: dict[str, set[str]] = {}
         while heap:
             _, name = heapq.heappop(heap)
-            skipped = seen.setdefault(name, set())
-            state = self._next_of(name, skipped)
+            skipped = skipped_by_team.setdefault(name, set())
+            state = self._next_job(name, skipped)
             if state is None:
                 continue
             yield state
@@ -156,9 +163,9 @@
                 skipped.add(state.spec.id)
                 if len(skipped) >= BACKFILL_DEPTH:
                     continue
-            heapq.heappush(heap, (self.share_of(name), name))
+            heapq.heappush(heap, (self.quota_share_milli(name), name))
 
-    def _next_of(
+    def _next_job(
         self, name: str, skipped: set[str]
     ) -> job_state.JobState | None:
         team = self._teams.get(name)
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -1,12 +1,12 @@
-"""Holding a zone's workers: claims, renewals, lapses and waits.
-
-A host holds the zone by a claim on the zone's stream. What it may do follows
-from its last proof: a renewal known to stand on the stream under its own term,
-dated from before that renewal was sent. Until `claim_ms` after the proof
-nobody else claims, and everything is allowed. Until `autonomy_ms` after it the
-host goes on renewing the leases of workers that no later term has fenced, and
-starts nothing. A successor counts the tasks of workers it has not fenced as
-running until the predecessor's bounds have passed.
+"""Leader election for a zone, by claims on the zone's stream.
+
+A host owns the zone by a claim record. What it may do follows from its last
+proof: a claim or renewal known to be on the stream under its own term, dated
+from before that record was sent. Until `claim_ms` after the proof no other
+host claims the zone, and everything is allowed. Until `autonomy_ms` after it
+the host still renews the leases of workers that no later term has fenced, but
+starts nothing. A successor treats tasks of workers that it has not fenced as
+running until the bounds of the predecessor's claim have passed.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 from comfreylatch._version import zone_fold
 
 APPEND_TIMEOUT_MS = 1_500
-STEP_MS = 100
+STEP_INTERVAL_MS = 100
 RENEWALS_PER_CLAIM = 3
-MAX_JITTER_MS = 1_000
-# What a claim without a configured zone uses.
+MAX_CLAIM_JITTER_MS = 1_000
+# Autonomy in a claim's bounds when the zone is not configured.
 DEFAULT_AUTONOMY_MS = 60_000
 
 _events = logbook.Logger(__name__)
@@ -50,7 +50,7 @@
         ...
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
-        """Waits until a record is folded; False when the time was up."""
+        """Waits until a record is folded; False on a timeout."""
         ...
 
     def age_ms(self) -> int:
@@ -59,23 +59,25 @@
 
 
 @attrs.frozen
-class Hold:
-    """What this host may do as owner, on its monotonic clock.
+class OwnerPermissions:
+    """What this host may do as owner; times are on its monotonic clock.
 
     Attributes:
-        term: Term of its claim; 0 when it isn't the owner.
-        bounds: Bounds of that claim; None when it isn't the owner.
-        command_until_ms: Until when it may start work.
-        renew_until_ms: Until when it may renew leases and send the rest.
+        term: Term of its claim; 0 if it isn't the owner.
+        bounds: Bounds of that claim; None if it isn't the owner.
+        command_until_ms: End of the time in which it may start work and send
+            commands.
+        renew_until_ms: End of the time in which it may renew leases; after
+            `command_until_ms` it sends no commands with them.
     """
 
     term: int = 0
-    bounds: job_records.HoldBounds | None = None
+    bounds: job_records.ClaimBounds | None = None
     command_until_ms: int = 0
     renew_until_ms: int = 0
 
     def may_start(self, now_ms: int) -> bool:
-        """Whether nobody else can have claimed the zone yet."""
+        """Whether it may start work: no other host can have claimed yet."""
         return self.term > 0 and now_ms < self.command_until_ms
 
     def may_renew(self, now_ms: int) -> bool:
@@ -83,25 +85,25 @@
         return self.term > 0 and now_ms < self.renew_until_ms
 
 
-NO_HOLD = Hold()
+NO_PERMISSIONS = OwnerPermissions()
 
 
-def hold_span_ms(claim: job_state.Claim) -> int:
-    """Longest time after its last proof in which a claim's tasks can run."""
+def max_task_lifetime_ms(claim: job_state.Claim) -> int:
+    """Longest time for which tasks can run after a claim's last proof."""
     bounds = claim.bounds
-    tail_ms = (
+    lease_span_ms = (
         bounds.lease_ms + bounds.command_ttl_ms + 2 * bounds.drift_margin_ms
     )
     if claim.released:
-        return tail_ms
-    return max(bounds.autonomy_ms, bounds.claim_ms) + tail_ms
+        return lease_span_ms
+    return max(bounds.autonomy_ms, bounds.claim_ms) + lease_span_ms
 
 
 @final
 class Ownership:
-    """This host's part in who owns the zone's workers. Thread-safe.
+    """Claims the zone for this host and renews the claim. Thread-safe.
 
-    As a context manager it runs `step` on a thread of its own.
+    As a context manager it calls `step` in a loop on its own thread.
     """
 
     def __init__(
@@ -125,16 +127,16 @@
         self._journal = journal
         self._metrics = metrics
         self._clock = clock
-        self._jitter_ms = random.Random(host_id).randrange(MAX_JITTER_MS)
+        self._jitter_ms = random.Random(host_id).randrange(MAX_CLAIM_JITTER_MS)
         self._lock = threading.Lock()
-        self._hold = NO_HOLD
-        self._proved_ms = -1
+        self._permissions = NO_PERMISSIONS
+        self._proof_ms = -1
         self._renewal_sent_ms: int | None = None
-        self._unresolved_ms: int | None = None
+        self._unconfirmed_sent_ms: int | None = None
         self._own_touched_offset = -1
-        self._seen: dict[int, tuple[int, bool, bool]] = {}
-        self._guards_ms: dict[int, int] = {}
-        self._changed_ms = clock.monotonic_ms()
+        self._seen_claims: dict[int, tuple[int, bool, bool]] = {}
+        self._predecessor_tasks_until_ms: dict[int, int] = {}
+        self._claim_changed_ms = clock.monotonic_ms()
         self._fenced_term = 0
         self._claiming = False
         self._stopping = threading.Event()
@@ -160,30 +162,31 @@
         """Id of this host, as in its claims."""
         return self._host_id
 
-    def hold(self) -> Hold:
-        """What this host may do now; check it right before each exchange."""
+    def permissions(self) -> OwnerPermissions:
+        """Returns what this host may do; check right before each exchange."""
         with self._lock:
-            if self._fenced_term > self._hold.term:
-                return NO_HOLD
-            return self._hold
+            if self._fenced_term > self._permissions.term:
+                return NO_PERMISSIONS
+            return self._permissions
 
-    def guard_until_ms(self) -> int:
-        """Until when unfenced workers may run what other hosts started."""
+    def predecessor_tasks_until_ms(self) -> int:
+        """Time until which unfenced workers may run tasks of earlier terms."""
         with self._lock:
-            return max(self._guards_ms.values(), default=0)
+            return max(self._predecessor_tasks_until_ms.values(), default=0)
 
-    def fenced(self, term: int) -> None:
-        """Tells that a worker has seen a higher term than this host's."""
+    def report_fenced(self, term: int) -> None:
+        """Notes that a worker has seen a term higher than this host's."""
         with self._lock:
             self._fenced_term = max(self._fenced_term, term)
 
     def step(self) -> int:
-        """Looks at the stream, then claims or renews if it is time.
+        """Checks the folded claims, then claims or renews when due.
 
         Returns:
             Milliseconds until the next step is due.
         """
-        # Read before the fold, so that no renewal can slip in between.
+        # Read before the claims: a renewal that is folded in between can only
+        # make the claims newer than this age says.
         age_ms = self._follower.age_ms()
         self._observe()
         claims = self._fold.claims()
@@ -193,23 +196,23 @@
             self._renew_if_due(claim, now_ms)
         elif self._may_claim(claim, age_ms, now_ms):
             self._claim(0 if claim is None else claim.term)
-        return STEP_MS
+        return STEP_INTERVAL_MS
 
     def release(self) -> None:
-        """Gives the claim up; nothing may be sent to workers any more."""
+        """Releases the claim; nothing may be sent to workers afterwards."""
         self._stopping.set()
         with self._lock:
-            hold = self._hold
-            self._hold = NO_HOLD
-        if hold.term == 0:
+            permissions = self._permissions
+            self._permissions = NO_PERMISSIONS
+        if permissions.term == 0:
             return
-        body = job_records.OwnerReleased(hold.term, self._host_id)
+        body = job_records.OwnerReleased(permissions.term, self._host_id)
         outcome = self._appender.append([body], APPEND_TIMEOUT_MS)
         logs.event(
             _events,
             "released",
             zone=self._zone,
-            term=hold.term,
+            term=permissions.term,
             known=outcome.is_ok(),
         )
 
@@ -217,80 +220,86 @@
         return claim.host == self._host_id and not claim.released
 
     def _observe(self) -> None:
-        """Notes new claims and renewals, with the time they were seen."""
+        """Notes new claims and renewals and the time they were first seen."""
         now_ms = self._clock.monotonic_ms()
         claims = self._fold.claims()
         with self._lock:
             for claim in claims:
                 own = claim.host == self._host_id
                 superseded = own and claim is not claims[-1]
-                mark = (claim.touched_offset, claim.released, superseded)
-                if self._seen.get(claim.term) == mark:
+                seen = (claim.touched_offset, claim.released, superseded)
+                if self._seen_claims.get(claim.term) == seen:
                     continue
-                self._seen[claim.term] = mark
-                self._changed_ms = now_ms
+                self._seen_claims[claim.term] = seen
+                self._claim_changed_ms = now_ms
                 if superseded or not own:
-                    self._guards_ms[claim.term] = now_ms + hold_span_ms(claim)
-            self._forget_old(claims, now_ms)
-            self._update_hold(claims[-1] if claims else None)
+                    self._predecessor_tasks_until_ms[claim.term] = (
+                        now_ms + max_task_lifetime_ms(claim)
+                    )
+            self._forget_expired(claims, now_ms)
+            self._update_permissions(claims[-1] if claims else None)
 
-    def _forget_old(
+    def _forget_expired(
         self, claims: tuple[job_state.Claim, ...], now_ms: int
     ) -> None:
         known = {claim.term for claim in claims}
-        for term in [term for term in self._seen if term not in known]:
-            del self._seen[term]
-        passed = [
-            term for term, until in self._guards_ms.items() if until <= now_ms
+        for term in [term for term in self._seen_claims if term not in known]:
+            del self._seen_claims[term]
+        expired = [
+            term
+            for term, until_ms in self._predecessor_tasks_until_ms.items()
+            if until_ms <= now_ms
         ]
-        for term in passed:
-            del self._guards_ms[term]
+        for term in expired:
+            del self._predecessor_tasks_until_ms[term]
 
-    def _update_hold(self, claim: job_state.Claim | None) -> None:
+    def _update_permissions(self, claim: job_state.Claim | None) -> None:
         if claim is None or not self._is_own(claim) or self._stopping.is_set():
-            self._hold = NO_HOLD
+            self._permissions = NO_PERMISSIONS
             return
         if claim.touched_offset > self._own_touched_offset:
             self._own_touched_offset = claim.touched_offset
-            if self._unresolved_ms is not None:
-                self._proved_ms = max(self._proved_ms, self._unresolved_ms)
-                self._unresolved_ms = None
+            if self._unconfirmed_sent_ms is not None:
+                self._proof_ms = max(self._proof_ms, self._unconfirmed_sent_ms)
+                self._unconfirmed_sent_ms = None
         bounds = claim.bounds
         renew_ms = max(bounds.autonomy_ms, bounds.claim_ms)
-        gained = self._hold.term != claim.term
-        self._hold = Hold(
+        gained = self._permissions.term != claim.term
+        self._permissions = OwnerPermissions(
             term=claim.term,
             bounds=bounds,
-            command_until_ms=self._proved_ms + bounds.claim_ms,
-            renew_until_ms=self._proved_ms + renew_ms,
+            command_until_ms=self._proof_ms + bounds.claim_ms,
+            renew_until_ms=self._proof_ms + renew_ms,
         )
         if gained:
-            self._note("owner-gained", f"claim {claim.term} won", claim.offset)
+            self._journal_event(
+                "owner-gained", f"claim {claim.term} won", claim.offset
+            )
 
     def _may_claim(
         self, claim: job_state.Claim | None, age_ms: int, now_ms: int
     ) -> bool:
         if self._stopping.is_set():
             return False
-        # Bounds of a claim made before the zone's limits are known would
-        # have to be waited out by the first successor.
+        # The first successor would have to wait out the default bounds of a
+        # claim made before the zone's limits are known.
         if self._zone not in self._source.current().zones:
             return False
         bounds = self._configured_bounds()
         if age_ms > bounds.claim_ms // 2:
             return False
-        waited_ms = now_ms - self._changed_ms - self._jitter_ms
+        waited_ms = now_ms - self._claim_changed_ms - self._jitter_ms
         if claim is None or claim.released or claim.host == self._host_id:
             return waited_ms >= 0
         lapse_ms = claim.bounds.claim_ms + claim.bounds.drift_margin_ms
         return waited_ms >= lapse_ms
 
-    def _configured_bounds(self) -> job_records.HoldBounds:
+    def _configured_bounds(self) -> job_records.ClaimBounds:
         configuration = self._source.current()
         limits = configuration.limits
         zone = configuration.zones.get(self._zone)
         autonomy_ms = zone.autonomy_ms if zone else DEFAULT_AUTONOMY_MS
-        return job_records.HoldBounds(
+        return job_records.ClaimBounds(
             claim_ms=limits.claim_ms,
             lease_ms=limits.lease_ms,
             autonomy_ms=autonomy_ms,
@@ -307,9 +316,9 @@
         )
         self._append(body)
         with self._lock:
-            # A claim that lost the race waits for the winner's lapse.
-            self._changed_ms = self._clock.monotonic_ms()
-            lost = self._hold.term != body.term
+            # After a lost race, wait until the winner's claim lapses.
+            self._claim_changed_ms = self._clock.monotonic_ms()
+            lost = self._permissions.term != body.term
         if lost:
             self._metrics.count(
                 metrics_module.Counter.JOB_EVENTS, "claim-not-won"
@@ -323,7 +332,7 @@
         if self._stopping.is_set():
             return
         if claim.bounds != self._configured_bounds():
-            # A term keeps its bounds to its end; new ones need a new term.
+            # The bounds of a term never change; new bounds need a new term.
             self._claim(claim.term)
             return
         self._append(job_records.OwnerRenewed(claim.term, self._host_id))
@@ -331,7 +340,7 @@
     def _append(
         self, body: job_records.OwnerClaimed | job_records.OwnerRenewed
     ) -> None:
-        """Appends and, if it is known to stand, counts it as a proof."""
+        """Appends a record; once folded, it proves the claim."""
         sent_ms = self._clock.monotonic_ms()
         self._renewal_sent_ms = sent_ms
         outcome = self._appender.append([body], APPEND_TIMEOUT_MS)
@@ -340,32 +349,32 @@
                 folded = self._follower.wait_for(
                     appended.offset, APPEND_TIMEOUT_MS
                 )
-                self._record_sent(sent_ms, folded, appended.offset)
+                self._record_outcome(sent_ms, folded, appended.offset)
             case result.Err(streams.AppendUnknown()):
-                self._record_sent(sent_ms, False, -1)
+                self._record_outcome(sent_ms, False, -1)
             case result.Err(streams.NotAccepted(detail)):
                 logs.warning(
                     _events, "claim-not-kept", zone=self._zone, detail=detail
                 )
         self._observe()
 
-    def _record_sent(self, sent_ms: int, folded: bool, offset: int) -> None:
+    def _record_outcome(self, sent_ms: int, folded: bool, offset: int) -> None:
         claims = self._fold.claims()
         with self._lock:
             if not folded:
-                if self._unresolved_ms is None:
-                    self._unresolved_ms = sent_ms
+                if self._unconfirmed_sent_ms is None:
+                    self._unconfirmed_sent_ms = sent_ms
                 return
-            stands = claims and claims[-1].touched_offset >= offset
-            if stands and self._is_own(claims[-1]):
-                self._proved_ms = max(self._proved_ms, sent_ms)
+            is_folded = claims and claims[-1].touched_offset >= offset
+            if is_folded and self._is_own(claims[-1]):
+                self._proof_ms = max(self._proof_ms, sent_ms)
                 self._own_touched_offset = claims[-1].touched_offset
-                self._unresolved_ms = None
+                self._unconfirmed_sent_ms = None
 
-    def _note(self, reason: str, sentence: str, offset: int) -> None:
+    def _journal_event(self, reason: str, sentence: str, offset: int) -> None:
         logs.event(_events, reason, zone=self._zone, detail=sentence)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
-        self._journal.note(
+        self._journal.record(
             reasons.Subject.WORKER, self._zone, reason, sentence, offset
         )
 
@@ -374,6 +383,8 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "ownership-step-failed", zone=self._zone)
-                delay_ms = STEP_MS
+                logs.exception(
+                    _events, "ownership-step-failed", zone=self._zone
+                )
+                delay_ms = STEP_INTERVAL_MS
             self._stopping.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -1,4 +1,4 @@
-"""Which worker takes the next attempt, and which jobs can never run."""
+"""Choice of a worker for an attempt, and detection of jobs that never fit."""
 
 from __future__ import annotations
 
@@ -15,67 +15,72 @@
 from comfreylatch._version import job_state
 
 MAX_CANDIDATES = 12
-MORE_CANDIDATES = 48
-RACK_COST_MILLI = 20
-LEFTOVER_COST_MILLI = 100
+MAX_CANDIDATES_WIDENED = 48
+SAME_RACK_COST_MILLI = 20
+UNUSED_CAPACITY_COST_MILLI = 100
 
 
 class Policy(enum.StrEnum):
-    """How a worker is chosen."""
+    """Rule by which a worker is chosen."""
 
     PREDICTED_COST = "predicted-cost"
     FIRST_FIT = "first-fit"
 
 
 class CostModel(Protocol):
-    """Predicts what an attempt would cost the work beside it."""
+    """Predicts the slowdown between an attempt and its neighbours."""
 
     def place(self, job: str, worker: str, job_class: str, milli: int) -> None:
-        """Counts an attempt, which uses that much of the processors."""
+        """Adds an attempt that uses `milli` thousandths of a processor."""
         ...
 
     def remove(self, job: str) -> None:
-        """Stops counting an attempt."""
+        """Removes a job's attempt."""
         ...
 
     def cost_milli(self, job_class: str, worker: str) -> int:
-        """Predicted slowdown caused and suffered, in thousandths."""
+        """Predicts the slowdown caused and suffered, in thousandths."""
         ...
 
 
 @attrs.frozen
 class NeverFits:
-    """No worker can hold the size, now or ever.
+    """No worker can hold the requested resources, even when idle.
 
     Attributes:
-        dimensions: Those in which it exceeds the nearest worker.
-        largest: What the nearest worker could give.
+        dimensions: Those in which the request exceeds the nearest worker.
+        largest: Resources that the nearest worker has for batch work.
     """
 
     dimensions: tuple[str, ...]
     largest: workers.Resources
 
-    def sentence(self, size: workers.Resources) -> str:
-        """What is too large, for a person."""
+    def describe(self, size: workers.Resources) -> str:
+        """Describes for people what is too large."""
         parts = []
         for name in self.dimensions:
-            asked = getattr(size, name)
-            most = getattr(self.largest, name)
-            parts.append(f"{name} {asked} is above {most}")
+            requested = getattr(size, name)
+            available = getattr(self.largest, name)
+            parts.append(f"{name} {requested} is above {available}")
         return "no worker can hold it: " + ", ".join(parts)
 
 
 def never_fits(
     size: workers.Resources, usable: Iterable[workers.Resources]
 ) -> NeverFits | None:
-    """Compares a size with what each kind of worker can give to batch work.
+    """Checks whether any worker could hold the requested resources.
 
-    None is returned if one can hold it, or if no worker is known. The answer
-    names the worker that falls short in the fewest dimensions.
+    Args:
+        size: Requested resources.
+        usable: Resources that each kind of worker has for batch work.
+
+    Returns:
+        The worker that falls short in the fewest dimensions; None if one can
+        hold the request or if no worker is known.
     """
     nearest: NeverFits | None = None
     for amount in set(usable):
-        short = capacity.short_dimensions(size, amount)
+        short = capacity.insufficient_dimensions(size, amount)
         if not short:
             return None
         closer = nearest is None or len(short) < len(nearest.dimensions)
@@ -86,7 +91,7 @@
 
 @final
 class Placement:
-    """Chooses workers. Used by one thread."""
+    """Chooses workers and reserves their capacity. Not thread-safe."""
 
     def __init__(
         self,
@@ -105,32 +110,34 @@
     def choose(
         self, state: job_state.JobState, size: workers.Resources
     ) -> str | None:
-        """The worker for a job's next attempt, or None if none has room.
+        """Chooses a worker for a job's next attempt; None if none has room.
 
-        Workers on which the job has failed come last.
+        Workers on which the job has failed are chosen last.
         """
         if self._policy is Policy.FIRST_FIT:
-            found = self._ledger.candidates(size, MAX_CANDIDATES)
-            return _untried(state, found)[0].name if found else None
-        for limit in (MAX_CANDIDATES, MORE_CANDIDATES):
-            found = self._ledger.candidates(size, limit)
-            harmless = [
-                account for account in found if not self._harms(state, account)
+            candidates = self._ledger.candidates(size, MAX_CANDIDATES)
+            return _untried(state, candidates)[0].name if candidates else None
+        for limit in (MAX_CANDIDATES, MAX_CANDIDATES_WIDENED):
+            candidates = self._ledger.candidates(size, limit)
+            acceptable = [
+                account
+                for account in candidates
+                if not self._exceeds_slowdown(state, account)
             ]
-            if harmless:
-                return self._cheapest(state, size, harmless)
-            if len(found) < limit:
+            if acceptable:
+                return self._cheapest(state, size, acceptable)
+            if len(candidates) < limit:
                 break
-        if found and state.spec.urgent:
-            return self._cheapest(state, size, found)
+        if candidates and state.spec.urgent:
+            return self._cheapest(state, size, candidates)
         return None
 
-    def _harms(
+    def _exceeds_slowdown(
         self, state: job_state.JobState, account: capacity.WorkerAccount
     ) -> bool:
         spec = state.spec
         milli = spec.resources.processors_milli
-        return self._model.harms(spec.job_class, milli, account.name)
+        return self._model.exceeds_slowdown(spec.job_class, milli, account.name)
 
     def _cheapest(
         self,
@@ -150,7 +157,7 @@
         worker: str,
         size: workers.Resources,
     ) -> None:
-        """Reserves for a job's attempt."""
+        """Reserves capacity for a job's attempt on a worker."""
         self.remove(state.spec.id)
         self._ledger.reserve(state.spec.id, worker, size)
         self._model.place(
@@ -166,7 +173,7 @@
         self._team_on_rack[key] += 1
 
     def remove(self, job: str) -> str | None:
-        """Frees what a job holds; returns the worker it was on."""
+        """Releases a job's reservation; returns the worker it was on."""
         self._model.remove(job)
         key = self._placed.pop(job, None)
         if key is not None:
@@ -182,12 +189,12 @@
         account: capacity.WorkerAccount,
     ) -> tuple[int, str]:
         on_rack = self._team_on_rack[state.spec.team, account.rack]
-        left = account.free.processors_milli - size.processors_milli
-        whole = max(1, account.total.processors_milli)
+        free_after_milli = account.free.processors_milli - size.processors_milli
+        total_milli = max(1, account.total.processors_milli)
         cost_milli = (
             self._model.cost_milli(state.spec.job_class, account.name)
-            + RACK_COST_MILLI * on_rack
-            + LEFTOVER_COST_MILLI * left // whole
+            + SAME_RACK_COST_MILLI * on_rack
+            + UNUSED_CAPACITY_COST_MILLI * free_after_milli // total_milli
         )
         return cost_milli, account.name
 
@@ -195,7 +202,7 @@
 def _untried(
     state: job_state.JobState, accounts: list[capacity.WorkerAccount]
 ) -> list[capacity.WorkerAccount]:
-    """Workers on which the job has not failed; all if it has on each."""
+    """Workers on which the job has not failed; all if it failed on each."""
     untried = [
         account
         for account in accounts
--- a/src/comfreylatch/_process/batch/usage_intake.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -1,4 +1,4 @@
-"""What late usage reports teach, and the steps they lead to."""
+"""Analysis of usage reports: learned sizes, interference and actions."""
 
 from __future__ import annotations
 
@@ -14,37 +14,44 @@
 
 
 @final
-class UsageIntake:
-    """Learns sizes and interference. Used by one thread."""
+class UsageAnalyzer:
+    """Learns sizes and interference. Not thread-safe."""
 
     def __init__(self) -> None:
         self.sizes = learned_sizes.LearnedSizes()
         self.model = interference.InterferenceModel()
         self.control = interference_control.InterferenceControl(self.model)
 
-    def take(
+    def process(
         self,
         report: workers.WorkerReport,
         job_of: Callable[[str], job_state.JobState | None],
         attempts: tuple[attempt_module.Attempt, ...],
         now_ms: int,
     ) -> interference_control.Action | None:
-        """Takes the measurements of one report, oldest first."""
-        whole = max(1, report.capacity.processors_milli)
+        """Processes the measurements of a report in the given order.
+
+        Returns:
+            The last action decided against interference, or None.
+        """
+        host_milli = max(1, report.capacity.processors_milli)
 
         def load_of(attempt: attempt_module.Attempt) -> float:
             spec = attempt.state.spec
             milli = self.sizes.used_milli(
                 spec.job_class, spec.resources.processors_milli
             )
-            return milli / whole
+            return milli / host_milli
 
         action: interference_control.Action | None = None
         for usage in report.usage:
             self._learn(usage, report.capacity, job_of)
             services = [
-                (one.service, one.slowdown_milli / interference.FULL_MILLI)
-                for one in usage.services
+                (
+                    service.service,
+                    service.slowdown_milli / interference.UNIT_MILLI,
+                )
+                for service in usage.services
             ]
             decided = self.control.decide(
                 report.worker,
@@ -70,8 +77,8 @@
                 continue
             spec = state.spec
             class_by_job[used.job] = spec.job_class
-            self.sizes.note(spec.job_class, spec.resources, used)
-        sample = interference.sample_of(
+            self.sizes.record(spec.job_class, spec.resources, used)
+        sample = interference.build_sample(
             usage, class_by_job, amount.processors_milli
         )
         self.model.learn(sample)
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -1,4 +1,4 @@
-"""One thread a worker: renews its lease and carries commands to it."""
+"""Thread that renews a worker's lease and sends commands to it."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 from comfreylatch._process.batch import worker_session
 
 EXCHANGE_TIMEOUT_MS = 1_000
-IDLE_MS = 200
-MIN_RETRY_MS = 100
-MAX_RETRY_MS = 2_000
+IDLE_DELAY_MS = 200
+MIN_RETRY_DELAY_MS = 100
+MAX_RETRY_DELAY_MS = 2_000
 
 _events = logbook.Logger(__name__)
 
@@ -29,43 +29,43 @@
 def exchange_once(
     session: worker_session.WorkerSession,
     port: workers.WorkerPort,
-    holder: ownership.Ownership,
+    zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
-    """Makes one exchange if the hold allows it; checked right before it."""
+    """Makes one exchange if permitted; checked right before it is sent."""
     now_ms = clock.monotonic_ms()
-    exchange = session.next_exchange(holder.hold(), now_ms)
+    exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
         return None
-    before_ms = session.sending(exchange, now_ms)
+    before_ms = session.mark_sent(exchange, now_ms)
     answer = port.exchange(session.address, exchange, EXCHANGE_TIMEOUT_MS)
     match answer:
         case result.Ok(report):
             if report.highest_term > exchange.term:
-                holder.fenced(report.highest_term)
-            return session.answered(
+                zone_ownership.report_fenced(report.highest_term)
+            return session.on_answer(
                 exchange, report, now_ms, clock.monotonic_ms()
             )
         case result.Err(error):
-            return session.unanswered(exchange, error, now_ms, before_ms)
+            return session.on_no_answer(exchange, error, now_ms, before_ms)
 
 
 @final
 class WorkerLink:
-    """Runs one worker's session on a thread of its own."""
+    """Runs a worker's session on its own thread."""
 
     def __init__(
         self,
         session: worker_session.WorkerSession,
         port: workers.WorkerPort,
-        holder: ownership.Ownership,
+        zone_ownership: ownership.Ownership,
         deliver: Callable[[worker_session.LinkEvent], None],
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self.session = session
         self._port = port
-        self._holder = holder
+        self._ownership = zone_ownership
         self._deliver = deliver
         self._metrics = metrics
         self._clock = clock
@@ -89,12 +89,12 @@
         self._thread.join()
 
     def stop(self) -> None:
-        """Asks the thread to end, without waiting for it."""
+        """Signals the thread to stop without waiting for it."""
         self._stopping = True
         self._wake.set()
 
     def wake(self) -> None:
-        """Makes queued commands go out at once."""
+        """Wakes the thread so that it sends queued commands now."""
         self._wake.set()
 
     def _run(self) -> None:
@@ -102,26 +102,26 @@
             try:
                 delay_ms = self._step()
             except Exception:
-                logs.failure(
+                logs.exception(
                     _events, "exchange-failed", worker=self.session.worker
                 )
-                delay_ms = MAX_RETRY_MS
+                delay_ms = MAX_RETRY_DELAY_MS
             self._wake.wait(delay_ms / 1_000)
             self._wake.clear()
 
     def _step(self) -> int:
         now_ms = self._clock.monotonic_ms()
-        hold = self._holder.hold()
-        if not hold.may_renew(now_ms):
-            return IDLE_MS
-        due_ms = self.session.due_in_ms(hold, now_ms)
+        permissions = self._ownership.permissions()
+        if not permissions.may_renew(now_ms):
+            return IDLE_DELAY_MS
+        due_ms = self.session.due_in_ms(permissions, now_ms)
         if due_ms > 0:
             return due_ms
         event = exchange_once(
-            self.session, self._port, self._holder, self._clock
+            self.session, self._port, self._ownership, self._clock
         )
         if event is None:
-            return IDLE_MS
+            return IDLE_DELAY_MS
         self._deliver(event)
         if isinstance(event, worker_session.Unanswered):
             self._metrics.count(
@@ -129,5 +129,5 @@
                 reasons.RetryReason.WORKER_UNREACHABLE,
             )
             shift = min(self.session.failures - 1, 5)
-            return min(MIN_RETRY_MS << shift, MAX_RETRY_MS)
-        return MIN_RETRY_MS if event.renewal_refused else 0
+            return min(MIN_RETRY_DELAY_MS << shift, MAX_RETRY_DELAY_MS)
+        return MIN_RETRY_DELAY_MS if event.renewal_refused else 0
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -1,4 +1,4 @@
-"""What one worker was told and has answered, apart from the thread."""
+"""State of the exchanges with one worker, without the thread that runs them."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 
     Attributes:
         term: Term of the exchange.
+        report: Report in the answer.
         commands: Commands of the exchange; the report has a status for each.
-        sent_ms: Monotonic time before it was sent.
-        fresh_boot: Whether the worker has restarted since its last report.
-        renewal_refused: Whether a lease was asked for and not granted.
+        sent_ms: Monotonic time right before the exchange was sent.
+        restarted: Whether the worker has restarted since its last report.
+        renewal_refused: Whether a lease was requested and not granted.
     """
 
     worker: str
@@ -32,7 +33,7 @@
     report: workers.WorkerReport
     commands: tuple[workers.Command, ...]
     sent_ms: int
-    fresh_boot: bool
+    restarted: bool
     renewal_refused: bool = False
 
 
@@ -41,6 +42,7 @@
     """An exchange got no answer.
 
     Attributes:
+        sent_ms: Monotonic time right before the exchange was sent.
         was_sent: False if certainly no byte reached the worker.
     """
 
@@ -65,50 +67,53 @@
         self._host_id = host_id
         self._lock = threading.Lock()
         self._commands: list[workers.Command] = []
-        self._later: list[workers.Command] = []
+        self._deferred_commands: list[workers.Command] = []
         self._boot = ""
-        self._report = 0
-        self._report_sent_ms = 0
+        self._last_report = 0
+        self._last_report_sent_ms = 0
         self._fenced_term = 0
         self._lease_sent_ms = -1
         self._last_sent_ms = -1
         self._answered_ms = -1
-        self._poll_ms = NEVER_MS
+        self._poll_due_ms = NEVER_MS
         self._failures = 0
 
     @property
     def fenced_term(self) -> int:
-        """Highest own term under which the worker has answered."""
+        """Highest term of this host under which the worker has answered."""
         return self._fenced_term
 
     @property
     def last_sent_ms(self) -> int:
-        """Before the last lease that may have been received; -1: none."""
+        """Time right before sending the last lease that may have arrived.
+
+        It is -1 if there is none.
+        """
         return self._last_sent_ms
 
     @property
     def answered_ms(self) -> int:
-        """When the last answer came; -1 before the first."""
+        """Time of the last answer; -1 before the first."""
         return self._answered_ms
 
     @property
     def failures(self) -> int:
-        """Exchanges without an answer since the last answer."""
+        """Number of unanswered exchanges since the last answer."""
         return self._failures
 
     def request(self, command: workers.Command, at_once: bool = True) -> None:
         """Queues a command; unless `at_once`, for the next renewal."""
         with self._lock:
-            queue = self._commands if at_once else self._later
+            queue = self._commands if at_once else self._deferred_commands
             if command not in queue and len(queue) < MAX_QUEUED_COMMANDS:
                 queue.append(command)
 
     def poll_by(self, due_ms: int) -> None:
-        """Asks for an exchange by a time, as when an attempt should end."""
-        self._poll_ms = min(self._poll_ms, due_ms)
+        """Requests an exchange by `due_ms`, as when an attempt should end."""
+        self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
     def withdraw(self, command: workers.Command) -> bool:
-        """Takes a queued command back; False if it may be on its way."""
+        """Removes a queued command; False if it may have been sent."""
         with self._lock:
             if command not in self._commands:
                 return False
@@ -116,75 +121,77 @@
             return True
 
     def clear(self) -> None:
-        """Drops all queued commands, as when the claim was lost."""
+        """Drops all queued commands, as when the claim is lost."""
         with self._lock:
             self._commands.clear()
-            self._later.clear()
+            self._deferred_commands.clear()
 
-    def due_in_ms(self, hold: ownership.Hold, now_ms: int) -> int:
-        """Time until the next exchange is due; 0 when it is."""
-        if hold.bounds is None or self._fenced_term < hold.term:
+    def due_in_ms(
+        self, permissions: ownership.OwnerPermissions, now_ms: int
+    ) -> int:
+        """Milliseconds until the next exchange is due; 0 if it is due now."""
+        if permissions.bounds is None or self._fenced_term < permissions.term:
             return 0
         with self._lock:
-            if self._commands and hold.may_start(now_ms):
+            if self._commands and permissions.may_start(now_ms):
                 return 0
-        interval_ms = hold.bounds.lease_ms // 3
-        due_ms = min(self._lease_sent_ms + interval_ms, self._poll_ms)
+        interval_ms = permissions.bounds.lease_ms // 3
+        due_ms = min(self._lease_sent_ms + interval_ms, self._poll_due_ms)
         return max(0, due_ms - now_ms)
 
     def next_exchange(
-        self, hold: ownership.Hold, now_ms: int
+        self, permissions: ownership.OwnerPermissions, now_ms: int
     ) -> workers.Exchange | None:
-        """The exchange to send now, or None when none may be sent.
+        """Returns the exchange to send now, or None if none is permitted.
 
-        A report that would be stale on arrival is renewed first, by an
-        exchange that carries nothing.
+        If the last report would be stale on arrival, the exchange carries
+        neither lease nor commands and only fetches a new report.
         """
-        if not hold.may_renew(now_ms) or hold.bounds is None:
+        if not permissions.may_renew(now_ms) or permissions.bounds is None:
             return None
-        ttl_ms = hold.bounds.command_ttl_ms
+        ttl_ms = permissions.bounds.command_ttl_ms
         with self._lock:
-            age_ms = now_ms - self._report_sent_ms
-            fenced = self._fenced_term == hold.term
-            if not fenced or self._report == 0 or age_ms > ttl_ms // 2:
-                return workers.Exchange(self._host_id, hold.term, 0, 0)
+            age_ms = now_ms - self._last_report_sent_ms
+            fenced = self._fenced_term == permissions.term
+            if not fenced or self._last_report == 0 or age_ms > ttl_ms // 2:
+                return workers.Exchange(self._host_id, permissions.term, 0, 0)
             return workers.Exchange(
                 owner=self._host_id,
-                term=hold.term,
-                quoted_report=self._report,
-                lease_ms=hold.bounds.lease_ms,
-                commands=self._take(hold.may_start(now_ms)),
+                term=permissions.term,
+                quoted_report=self._last_report,
+                lease_ms=permissions.bounds.lease_ms,
+                commands=self._dequeue_commands(permissions.may_start(now_ms)),
             )
 
-    def sending(self, exchange: workers.Exchange, now_ms: int) -> int:
-        """Notes that an exchange is about to go out.
+    def mark_sent(self, exchange: workers.Exchange, now_ms: int) -> int:
+        """Notes that an exchange is about to be sent.
 
         Returns:
-            The earlier `last_sent_ms`, to be given back to `unanswered`.
+            The previous `last_sent_ms`, to be passed to `on_no_answer`.
         """
         with self._lock:
             before_ms = self._last_sent_ms
-            # One that only asks can't keep a task running.
+            # An exchange without a lease can't keep a task running.
             if exchange.lease_ms > 0:
                 self._last_sent_ms = now_ms
                 self._lease_sent_ms = now_ms
             return before_ms
 
-    def answered(
+    def on_answer(
         self,
         exchange: workers.Exchange,
         report: workers.WorkerReport,
         sent_ms: int,
         now_ms: int,
     ) -> Reported:
-        """Takes the worker's answer."""
+        """Handles the worker's answer."""
         with self._lock:
-            fresh_boot = self._boot not in ("", report.boot)
+            restarted = self._boot not in ("", report.boot)
             self._boot = report.boot
-            self._report = report.report
-            self._report_sent_ms = sent_ms
+            self._last_report = report.report
+            self._last_report_sent_ms = sent_ms
             self._answered_ms = now_ms
-            self._poll_ms = NEVER_MS
+            self._poll_due_ms = NEVER_MS
             self._failures = 0
             if report.highest_term == exchange.term:
                 self._fenced_term = max(self._fenced_term, exchange.term)
@@ -197,22 +204,22 @@
             report=report,
             commands=exchange.commands,
             sent_ms=sent_ms,
-            fresh_boot=fresh_boot,
+            restarted=restarted,
             renewal_refused=refused,
         )
 
-    def unanswered(
+    def on_no_answer(
         self,
         exchange: workers.Exchange,
         error: workers.WorkerError,
         sent_ms: int,
         before_ms: int,
     ) -> Unanswered:
-        """Takes the lack of an answer."""
+        """Handles an exchange without an answer."""
         was_sent = isinstance(error, workers.WorkerAnswerLost)
         with self._lock:
             self._failures += 1
-            self._report = 0
+            self._last_report = 0
             self._lease_sent_ms = -1
             if not was_sent:
                 self._last_sent_ms = before_ms
@@ -225,17 +232,17 @@
             detail=error.detail,
         )
 
-    def _take(self, may_start: bool) -> tuple[workers.Command, ...]:
-        """Takes queued commands, none while their outcome can't be recorded.
+    def _dequeue_commands(self, may_start: bool) -> tuple[workers.Command, ...]:
+        """Dequeues commands; none while their outcome can't be recorded.
 
         A worker forgets an ended attempt once it gets a command for it; the
         end would be lost if this host could not record it.
         """
         if not may_start:
             return ()
-        taken: list[workers.Command] = []
-        for queue in (self._commands, self._later):
-            room = MAX_COMMANDS_PER_EXCHANGE - len(taken)
-            taken.extend(queue[:room])
-            del queue[:room]
-        return tuple(taken)
+        dequeued: list[workers.Command] = []
+        for queue in (self._commands, self._deferred_commands):
+            remaining = MAX_COMMANDS_PER_EXCHANGE - len(dequeued)
+            dequeued.extend(queue[:remaining])
+            del queue[:remaining]
+        return tuple(dequeued)
--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -1,9 +1,9 @@
-"""Which workers to ask advice about for a step, and what came of it.
+"""Plans the calls to the advice service and applies its answers.
 
-A step of a queue with a policy may start only where a ticket allows it. What
-the policy says of a worker and a step does not change, while a ticket expires;
-so workers that were refused are not named again, and allowed ones are named
-alone when their tickets have to be renewed.
+A step of a queue with a policy may start only where a ticket allows it. The
+policy's decision on a worker and a step does not change, but tickets expire.
+So refused workers are not named again, and renewals name only the workers that
+were allowed.
 """
 
 from __future__ import annotations
@@ -24,162 +24,169 @@
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_view
 
-# Workers named in a call at most; the platform takes 100, and objectives
-# allow for one call on 30.
-MOST_NAMED = 30
-LEAST_NAMED = 4
-# Room that is asked for, as a multiple of what the step's tasks need: other
-# steps take some of it before the answer is there.
-ROOM_FACTOR = 2.0
-# Share of the workers that a policy allows, until answers have shown it.
-UNKNOWN_ALLOWED_SHARE = 0.5
-# Answers that the guess above counts for.
-GUESS_WEIGHT = 4.0
-# A ticket is not used in its last moments, as a start takes a while.
+# Workers named in one call. The platform accepts 100; objectives allow for one
+# call on 30.
+MAX_WORKERS_PER_CALL = 30
+MIN_WORKERS_PER_CALL = 4
+# Capacity of the workers named, as a multiple of what the step's tasks need:
+# other steps use some of it before the answer arrives.
+CAPACITY_FACTOR = 2.0
+# Assumed share of workers that a policy allows, until answers show it.
+PRIOR_ALLOWED_SHARE = 0.5
+# Number of answers that the prior share counts for.
+PRIOR_WEIGHT = 4.0
+# A ticket is not used this close to its expiry, as a start takes a while.
 TICKET_MARGIN_MS = 250
 RETRY_PAUSE_MS = 200
-# For a service that doesn't say how long its tickets are good.
-USUAL_VALID_MS = 3_000
+# Validity of tickets of a service that does not state it.
+DEFAULT_VALIDITY_MS = 3_000
 
 _logger = logbook.Logger(__name__)
 
 
 @attrs.frozen
 class AdviceRequest:
-    """A call to be made.
+    """A call to the advice service.
 
     Attributes:
-        step: The step that it is about.
-        workers: Birth times of the workers named, by id.
+        step: The step to start.
+        workers: Start times of the workers named, by id; they identify the
+            incarnations.
     """
 
-    step: runs_module.StepRun
+    step: runs_module.StepInstance
     workers: dict[str, int]
 
 
 @attrs.define(eq=False)
 class _StepAdvice:
-    """What is known of the policy for a step.
+    """Advice received for a step, and the state of its calls.
 
     Attributes:
         allowed: Whether a worker is allowed, by id.
-        is_asked: A call is on its way.
-        not_before_ms: Monotonic time of the next call at the earliest.
+        is_call_pending: A call is in progress.
+        not_before_ms: Earliest monotonic time of the next call.
     """
 
     allowed: dict[str, bool] = attrs.field(factory=dict)
-    is_asked: bool = False
+    is_call_pending: bool = False
     not_before_ms: int = 0
 
 
 @final
-class AdvicePlan:
-    """Decides what to ask. Only the owner's thread uses it."""
+class AdvicePlanner:
+    """Decides which calls to make. Used by the owner's thread only."""
 
     def __init__(self, metrics: metrics_module.Metrics) -> None:
         self._metrics = metrics
-        self._steps: dict[runs_module.StepRun, _StepAdvice] = {}
-        self._shares: dict[str, float] = {}
+        self._steps: dict[runs_module.StepInstance, _StepAdvice] = {}
+        self._allowed_shares: dict[str, float] = {}
 
-    def prepare(
+    def plan_requests(
         self,
-        steps: Iterable[runs_module.StepRun],
+        steps: Iterable[runs_module.StepInstance],
         workers: Iterable[worker_view.WorkerView],
         now_ms: int,
     ) -> list[AdviceRequest]:
-        """Drops tickets that are over; returns the calls that are needed."""
+        """Drops expired tickets and returns the calls that are needed."""
         advised = [step for step in steps if step.job.spec.queue.advice]
         if not advised:
             return []
-        self._forget_ended()
+        self._discard_ended()
         views = {worker.worker_id: worker for worker in workers}
-        taking = [one for one in views.values() if one.takes_work(now_ms)]
+        available = [
+            view for view in views.values() if view.accepts_work(now_ms)
+        ]
         requests = []
         for step in advised:
             _drop_expired(step, views, now_ms)
-            known = self._steps.setdefault(step, _StepAdvice())
-            if known.is_asked or now_ms < known.not_before_ms:
+            state = self._steps.setdefault(step, _StepAdvice())
+            if state.is_call_pending or now_ms < state.not_before_ms:
                 continue
-            chosen = self._choose(step, known, taking)
+            chosen = self._choose_workers(step, state, available)
             if chosen:
-                known.is_asked = True
+                state.is_call_pending = True
                 requests.append(
                     AdviceRequest(
                         step,
-                        {one.worker_id: one.entry.born_ms for one in chosen},
+                        {view.worker_id: view.entry.born_ms for view in chosen},
                     )
                 )
         return requests
 
-    def _forget_ended(self) -> None:
+    def _discard_ended(self) -> None:
         ended = [
             step
             for step in self._steps
-            if not step.undone or step.job.state.is_final
+            if not step.unfinished_count or step.job.state.is_final
         ]
         for step in ended:
             del self._steps[step]
 
-    def _choose(
+    def _choose_workers(
         self,
-        step: runs_module.StepRun,
-        known: _StepAdvice,
-        taking: list[worker_view.WorkerView],
+        step: runs_module.StepInstance,
+        state: _StepAdvice,
+        available: list[worker_view.WorkerView],
     ) -> list[worker_view.WorkerView]:
-        """Workers to be named; none where tickets leave room enough."""
+        """Chooses workers to name; none if workers with tickets suffice."""
         tickets = step.tickets or {}
-        needed = float(len(step.open_tasks))
+        needed = float(len(step.pending_tasks))
         candidates = []
-        for worker in taking:
-            if not placement.suits(worker, step):
+        for worker in available:
+            if not placement.is_eligible(worker, step):
                 continue
-            fitting = _fitting(worker, step)
+            fitting = _count_fitting(worker, step)
             if worker.worker_id in tickets:
                 needed -= fitting
-            elif known.allowed.get(worker.worker_id, True):
+            elif state.allowed.get(worker.worker_id, True):
                 candidates.append((worker, fitting))
         if needed <= 0:
             return []
         candidates.sort(
             key=lambda pair: (
-                not known.allowed.get(pair[0].worker_id, False),
+                not state.allowed.get(pair[0].worker_id, False),
                 -pair[1],
                 pair[0].slowness,
             )
         )
         queue = step.job.spec.queue.name
-        share = self._shares.get(queue, UNKNOWN_ALLOWED_SHARE)
-        wanted = ROOM_FACTOR * needed
+        share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
+        wanted = CAPACITY_FACTOR * needed
         chosen: list[worker_view.WorkerView] = []
-        for worker, fitting in candidates[:MOST_NAMED]:
-            if wanted <= 0 and len(chosen) >= LEAST_NAMED:
+        for worker, fitting in candidates[:MAX_WORKERS_PER_CALL]:
+            if wanted <= 0 and len(chosen) >= MIN_WORKERS_PER_CALL:
                 break
-            is_sure = known.allowed.get(worker.worker_id, False)
-            wanted -= fitting * (1.0 if is_sure else share)
+            is_known_allowed = state.allowed.get(worker.worker_id, False)
+            wanted -= fitting * (1.0 if is_known_allowed else share)
             chosen.append(worker)
         return chosen
 
-    def take(self, event: events.AdviceReturned, now_ms: int) -> None:
-        """Takes in what came of a call."""
+    def handle_advice_returned(
+        self, event: events.AdviceReturned, now_ms: int
+    ) -> None:
+        """Applies the outcome of a call."""
         step = event.step
-        known = self._steps.get(step)
-        if known is None:
+        state = self._steps.get(step)
+        if state is None:
             return
-        known.is_asked = False
+        state.is_call_pending = False
         match event.outcome:
             case result.Err(advice_port.AdviceUnavailable(detail)):
-                known.not_before_ms = now_ms + RETRY_PAUSE_MS
-                self.note_missing(step, reasons.MissingAdvice.NO_ANSWER, detail)
+                state.not_before_ms = now_ms + RETRY_PAUSE_MS
+                self.report_missing(
+                    step, reasons.MissingAdvice.NO_ANSWER, detail
+                )
             case result.Ok(advice):
-                self._take_advice(event, known, advice)
+                self._apply_advice(event, state, advice)
 
-    def note_missing(
+    def report_missing(
         self,
-        step: runs_module.StepRun,
+        step: runs_module.StepInstance,
         reason: reasons.MissingAdvice,
         detail: str,
     ) -> None:
-        """Logs and counts that a step has to wait for advice."""
+        """Logs and counts that a step waits for lack of advice."""
         logs.warning(
             _logger,
             "advice-missing",
@@ -189,28 +196,30 @@
         )
         self._metrics.count(metrics_module.Counter.ADVICE_MISSING, reason)
 
-    def _take_advice(
+    def _apply_advice(
         self,
         event: events.AdviceReturned,
-        known: _StepAdvice,
+        state: _StepAdvice,
         advice: advice_port.Advice,
     ) -> None:
         step = event.step
-        valid_ms = advice.valid_ms or USUAL_VALID_MS
-        until_ms = event.received_ms + valid_ms - TICKET_MARGIN_MS
+        valid_ms = advice.valid_ms or DEFAULT_VALIDITY_MS
+        expires_ms = event.received_ms + valid_ms - TICKET_MARGIN_MS
         tickets = {} if step.tickets is None else step.tickets
         step.tickets = tickets
         queue = step.job.spec.queue.name
-        share = self._shares.get(queue, UNKNOWN_ALLOWED_SHARE)
+        share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
         for worker_id, born_ms in event.workers.items():
             text = advice.tickets.get(worker_id)
             is_allowed = text is not None
-            if worker_id not in known.allowed:
-                share += (is_allowed - share) / (GUESS_WEIGHT + 1)
-            known.allowed[worker_id] = is_allowed
+            if worker_id not in state.allowed:
+                share += (is_allowed - share) / (PRIOR_WEIGHT + 1)
+            state.allowed[worker_id] = is_allowed
             if text is not None:
-                tickets[worker_id] = runs_module.Ticket(text, born_ms, until_ms)
-        self._shares[queue] = share
+                tickets[worker_id] = runs_module.Ticket(
+                    text, born_ms, expires_ms
+                )
+        self._allowed_shares[queue] = share
         took_ms = event.received_ms - event.sent_ms
         self._metrics.count(metrics_module.Counter.ADVICE_ANSWERS)
         self._metrics.observe(metrics_module.Latency.ADVICE, took_ms * 1_000)
@@ -225,10 +234,12 @@
         )
 
 
-def _fitting(worker: worker_view.WorkerView, step: runs_module.StepRun) -> int:
-    """How many tasks of a step would fit on a worker now."""
+def _count_fitting(
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
+) -> int:
+    """Counts the tasks of a step that fit on a worker now."""
     need = step.spec.need
-    count = len(step.open_tasks)
+    count = len(step.pending_tasks)
     if need.cpu_millicores:
         count = min(count, worker.free_cpu // need.cpu_millicores)
     if need.memory_mb:
@@ -241,15 +252,17 @@
 
 
 def _drop_expired(
-    step: runs_module.StepRun,
+    step: runs_module.StepInstance,
     views: dict[str, worker_view.WorkerView],
     now_ms: int,
 ) -> None:
-    """Drops tickets whose time or whose worker's life is over."""
+    """Drops tickets that expired or belong to a former incarnation."""
     if step.tickets is None:
         step.tickets = {}
     for worker_id, ticket in list(step.tickets.items()):
         view = views.get(worker_id)
-        is_same_life = view is not None and view.entry.born_ms == ticket.born_ms
-        if now_ms >= ticket.until_ms or not is_same_life:
+        is_same_incarnation = (
+            view is not None and view.entry.born_ms == ticket.born_ms
+        )
+        if now_ms >= ticket.expires_ms or not is_same_incarnation:
             del step.tickets[worker_id]
--- a/src/comfreylatch/_process/cell/advice_desk.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -1,4 +1,4 @@
-"""Asks for advice beside the owner's thread."""
+"""Calls the advice service on a thread of its own."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from comfreylatch._ports import advice as advice_port
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process.cell import advice
-from comfreylatch._process.cell import call_desk
+from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
 
-# The service takes its time for each worker named, and calls of a host take
-# turns; thirty workers are decided on in well under a second.
+# The service's response time grows with the workers named, and it serves a
+# host's calls one at a time; thirty workers take well under a second.
 CALL_TIMEOUT_MS = 2_500
 
 
 @final
-class AdviceDesk:
-    """Asks, one call at a time. A context manager.
+class AdviceFetcher:
+    """Makes one call at a time. A context manager.
 
     Args:
-        adviser: The service.
-        post: Told what came of each call.
-        clock: For the times of calls.
+        adviser: The advice service.
+        post: Receives the outcome of each call as an event.
+        clock: Measures the times of calls.
     """
 
     def __init__(
         self,
-        adviser: advice_port.Adviser,
+        advice_service: advice_port.AdviceService,
         post: Callable[[events.Event], None],
         clock: clock_port.Clock,
     ) -> None:
-        self._adviser = adviser
+        self._advice_service = advice_service
         self._post = post
         self._clock = clock
-        self._desk = call_desk.CallDesk("advice")
+        self._executor = call_executor.CallExecutor("advice")
 
     def __enter__(self) -> Self:
         return self
@@ -48,15 +48,15 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        self._desk.__exit__(exc_type, exc, traceback)
+        self._executor.__exit__(exc_type, exc, traceback)
 
-    def ask(self, request: advice.AdviceRequest) -> None:
-        """Queues a call."""
-        self._desk.do(lambda: self._ask(request))
+    def fetch(self, request: advice.AdviceRequest) -> None:
+        """Queues a call; its outcome is posted as an event."""
+        self._executor.submit(lambda: self._fetch(request))
 
-    def _ask(self, request: advice.AdviceRequest) -> None:
+    def _fetch(self, request: advice.AdviceRequest) -> None:
         sent_ms = self._clock.monotonic_ms()
-        outcome = self._adviser.advise(
+        outcome = self._advice_service.advise(
             request.step.name, tuple(request.workers), CALL_TIMEOUT_MS
         )
         self._post(
--- a/src/comfreylatch/_process/cell/call_desk.py
+++ b/src/comfreylatch/_process/cell/call_executor.py
@@ -13,7 +13,7 @@
 
 
 @final
-class CallDesk:
+class CallExecutor:
     """A thread that makes calls in their order. A context manager.
 
     The thread begins with the first call, as most tenures make none.
@@ -35,7 +35,7 @@
     ) -> None:
         self._queue.put(None)
 
-    def do(self, call: Call) -> None:
+    def submit(self, call: Call) -> None:
         """Queues a call; only the owner's thread may."""
         if self._thread is None:
             self._thread = threading.Thread(
--- a/src/comfreylatch/_process/cell/candidates.py
+++ b/src/comfreylatch/_process/cell/candidates.py
@@ -1,4 +1,4 @@
-"""Workers in the order in which a step's tasks should get them."""
+"""Candidate workers of a step's tasks, ordered by cost."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from comfreylatch._process.cell import worker_view
 
-# The cost of a worker for a task of the step; None where it can't be had.
-Cost = Callable[[worker_view.WorkerView], float | None]
+# The cost of a worker for a task of the step; None if it can't take the task.
+CostFunction = Callable[[worker_view.WorkerView], float | None]
 
 
 @final
 class Candidates:
-    """Picks the cheapest worker for each of many tasks that are alike.
+    """Picks the cheapest worker for each of many similar tasks.
 
-    Placing a task changes the cost of one worker only, so that costs are
-    looked at again just for the worker that seems cheapest. A cost that falls
-    in between is found late, which matters little: it falls where a task of
-    the step was placed, and that worker was the cheapest before.
+    Placing a task changes the cost of one worker only, so only the worker on
+    top of the heap is recomputed. A cost that falls in between is noticed
+    late, which matters little: costs fall only where a task of the step was
+    placed, and that worker was the cheapest before.
     """
 
     def __init__(
-        self, workers: Iterable[worker_view.WorkerView], cost: Cost
+        self, workers: Iterable[worker_view.WorkerView], cost: CostFunction
     ) -> None:
         self._cost = cost
         self._heap: list[tuple[float, int, worker_view.WorkerView]] = []
@@ -36,15 +36,15 @@
         heapq.heapify(self._heap)
 
     def pick(
-        self, unwanted: Collection[str] = (), barred: Collection[str] = ()
+        self, avoided: Collection[str] = (), excluded: Collection[str] = ()
     ) -> worker_view.WorkerView | None:
-        """The cheapest worker now; None when there is none.
+        """Returns the cheapest worker now; None if no worker qualifies.
 
         Args:
-            unwanted: Workers to be taken only if there are no others.
-            barred: Workers not to be taken at all.
+            avoided: Ids of workers to pick only if there are no others.
+            excluded: Ids of workers never to pick.
         """
-        aside = []
+        set_aside = []
         chosen = None
         while self._heap:
             stored, index, worker = self._heap[0]
@@ -53,13 +53,13 @@
                 heapq.heappop(self._heap)
             elif now > stored:
                 heapq.heapreplace(self._heap, (now, index, worker))
-            elif worker.worker_id in unwanted or worker.worker_id in barred:
-                aside.append(heapq.heappop(self._heap))
+            elif worker.worker_id in avoided or worker.worker_id in excluded:
+                set_aside.append(heapq.heappop(self._heap))
             else:
                 chosen = worker
                 break
-        for entry in aside:
+        for entry in set_aside:
             heapq.heappush(self._heap, entry)
-            if chosen is None and entry[2].worker_id not in barred:
+            if chosen is None and entry[2].worker_id not in excluded:
                 chosen = entry[2]
         return chosen
--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -8,15 +8,15 @@
 from comfreylatch._ports import advice as advice_port
 from comfreylatch._ports import cell_workers
 from comfreylatch._ports import machines as machines_port
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import runs as runs_module
 
 
 @attrs.frozen
-class BookChanged:
+class JobChanged:
     """A job was accepted or cancelled."""
 
-    change: job_book.BookChange
+    change: job_replica.JobChange
 
 
 @attrs.frozen
@@ -78,7 +78,7 @@
         outcome: What came of it.
     """
 
-    step: runs_module.StepRun
+    step: runs_module.StepInstance
     workers: dict[str, int]
     sent_ms: int
     received_ms: int
@@ -112,7 +112,7 @@
 
 
 @attrs.frozen
-class LivesRecorded:
+class WorkersRecorded:
     """The store knows of the workers on which something may run.
 
     Attributes:
@@ -130,7 +130,7 @@
 
 
 Event = (
-    BookChanged
+    JobChanged
     | WorkersListed
     | HoldReturned
     | StartReturned
@@ -139,6 +139,6 @@
     | MachinesListed
     | MaintenanceReturned
     | ReportFailed
-    | LivesRecorded
+    | WorkersRecorded
     | Fenced
 )
--- a/src/comfreylatch/_process/cell/scribe.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -51,7 +51,7 @@
 
 
 @final
-class Scribe:
+class FencedWriter:
     """A thread that appends the owner's records, one round after the other.
 
     A context manager; leaving it writes what is pending, for a bounded time.
@@ -221,12 +221,12 @@
                     self._is_fenced = True
                     self._on_fenced(detail)
                     return None
-                case result.Err(store_port.SequenceExpected(sequence)):
+                case result.Err(store_port.SequenceMismatch(sequence)):
                     self._sequences[topic] = sequence
                     producer = attrs.evolve(producer, sequence=sequence)
                     continue
                 case result.Err(error):
-                    logs.detail(
+                    logs.debug(
                         _logger, "append-retried", topic=topic, error=error
                     )
             if self._ended and self.append_age_ms > 2 * APPEND_TIMEOUT_MS:
--- a/src/comfreylatch/_process/cell/intake.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -18,11 +18,13 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
-from comfreylatch._process.cell import tail as tail_module
 
 APPEND_TIMEOUT_MS = 700
 RETRY_PAUSE_MS = 50
@@ -71,7 +73,7 @@
 
 
 @final
-class RecordKeeper:
+class BatchAppender:
     """Appends callers' records, many in one call. A context manager.
 
     Records that could not be sent are refused at once; one whose answer was
@@ -109,11 +111,11 @@
         self, record: store_port.NewRecord, deadline_ms: int
     ) -> KeepOutcome:
         """Appends a record; waits for what came of it."""
-        waiting = _Waiting(record, deadline_ms)
-        self._queue.put(waiting)
+        count_queued = _Waiting(record, deadline_ms)
+        self._queue.put(count_queued)
         left_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
-        waiting.done.wait(left_ms / 1_000)
-        return waiting.outcome
+        count_queued.done.wait(left_ms / 1_000)
+        return count_queued.outcome
 
     def _run(self) -> None:
         while True:
@@ -196,32 +198,32 @@
 
 
 @attrs.frozen
-class Unknown:
+class UnknownJob:
     """No such job was ever accepted."""
 
 
 @attrs.frozen
-class CannotTell:
+class StaleView:
     """This host's view is too old to say."""
 
     view_age_ms: int
 
 
 @final
-class Intake:
+class JobApi:
     """Jobs of a cell as callers see them, on any host."""
 
     def __init__(
         self,
-        book: job_book.JobBook,
-        tail: tail_module.Tail,
-        keeper: RecordKeeper,
+        replica: job_replica.JobReplica,
+        tail: partition_reader_module.PartitionReader,
+        appender: BatchAppender,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
-        self._book = book
+        self._replica = replica
         self._tail = tail
-        self._keeper = keeper
+        self._appender = appender
         self._metrics = metrics
         self._shown: dict[str, records.JobState] = {}
         self._clock = clock
@@ -235,7 +237,7 @@
             records.JOB_PREFIX + spec.job_id, records.encode(spec)
         )
         started_ms = self._clock.monotonic_ms()
-        outcome = self._keeper.keep(record, started_ms + wait_ms)
+        outcome = self._appender.keep(record, started_ms + wait_ms)
         took_ms = self._clock.monotonic_ms() - started_ms
         logs.event(
             _logger,
@@ -266,21 +268,21 @@
                 return Undecided(detail)
 
     def _is_known(self, job_id: str) -> bool:
-        entry = self._book.find(job_id)
+        entry = self._replica.find(job_id)
         return entry is not None and (
             entry.spec is not None or entry.state.is_final
         )
 
-    def state(self, job_id: str) -> records.JobState | Unknown | CannotTell:
+    def state(self, job_id: str) -> records.JobState | UnknownJob | StaleView:
         """The state of a job."""
         if self._is_known(job_id):
-            entry = self._book.find(job_id)
+            entry = self._replica.find(job_id)
             if entry is not None:
                 self._note_shown(job_id, entry.shown_state)
                 return entry.shown_state
         if self._tail.age_ms > OLDEST_VIEW_MS:
-            return CannotTell(self._tail.age_ms)
-        return Unknown()
+            return StaleView(self._tail.age_ms)
+        return UnknownJob()
 
     def _note_shown(self, job_id: str, state: records.JobState) -> None:
         """Logs the first showing of a state on this host."""
@@ -297,21 +299,21 @@
 
     def cancel(
         self, job_id: str, wait_ms: int
-    ) -> Accepted | Refused | Undecided | Unknown:
+    ) -> Accepted | Refused | Undecided | UnknownJob:
         """Cancels a job; Accepted also when it has ended already."""
-        entry = self._book.find(job_id)
+        entry = self._replica.find(job_id)
         if entry is not None and (entry.is_cancelled or entry.state.is_final):
             return Accepted()
         if not self._is_known(job_id):
             if self._tail.age_ms > OLDEST_VIEW_MS:
                 return Refused(reasons.Refusal.VIEW_TOO_OLD, RETRY_AFTER_MS)
-            return Unknown()
+            return UnknownJob()
         record = store_port.NewRecord(
             records.CANCEL_PREFIX + job_id,
             records.encode(records.CancelRecord(self._clock.wall_ms())),
         )
         deadline_ms = self._clock.monotonic_ms() + wait_ms
-        outcome = self._keeper.keep(record, deadline_ms)
+        outcome = self._appender.keep(record, deadline_ms)
         logs.event(
             _logger,
             "job-cancelled",
@@ -328,8 +330,8 @@
             case PerhapsKept(detail):
                 return Undecided(detail)
 
-    def waiting(self, queue: specs.QueueSpec) -> int | CannotTell:
+    def count_queued(self, queue: specs.QueueSpec) -> int | StaleView:
         """Accepted jobs of a queue of which nothing has started."""
         if self._tail.age_ms > OLDEST_VIEW_MS:
-            return CannotTell(self._tail.age_ms)
-        return self._book.waiting(queue.prefix, queue.host)
+            return StaleView(self._tail.age_ms)
+        return self._replica.count_queued(queue.prefix, queue.host)
--- a/src/comfreylatch/_process/cell/job_book.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -44,36 +44,36 @@
 
 
 @attrs.frozen
-class OwnerSighting:
+class ObservedHeartbeat:
     """The newest heartbeat of the owner, and when it was seen here."""
 
     heartbeat: records.HeartbeatRecord
     seen_ms: int
 
 
-class BookChange:
+class JobChange:
     """Base of the changes that a listener is told."""
 
 
 @attrs.frozen
-class JobAdded(BookChange):
+class JobAdded(JobChange):
     """A job was accepted."""
 
     spec: specs.JobSpec
 
 
 @attrs.frozen
-class JobCancelled(BookChange):
+class JobCancelled(JobChange):
     """A caller has cancelled a job."""
 
     job_id: str
 
 
-Listener = Callable[[BookChange], None]
+Listener = Callable[[JobChange], None]
 
 
 @final
-class JobBook:
+class JobReplica:
     """Folds the topic of jobs. Thread-safe.
 
     Only ids and states of ended jobs are kept; their text is dropped.
@@ -83,7 +83,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._jobs: dict[str, JobEntry] = {}
-        self._owner: OwnerSighting | None = None
+        self._owner: ObservedHeartbeat | None = None
         self._listener: Listener | None = None
 
     def listen(self, listener: Listener | None) -> list[JobEntry]:
@@ -111,7 +111,7 @@
                 if entry.state.is_final and entry.ended_ms < before_ms
             ]
 
-    def waiting(self, queue_prefix: str, queue_host: str) -> int:
+    def count_queued(self, queue_prefix: str, queue_host: str) -> int:
         """Accepted jobs of a queue for which no task has started."""
         with self._lock:
             return sum(
@@ -124,15 +124,15 @@
             )
 
     @property
-    def owner(self) -> OwnerSighting | None:
+    def owner(self) -> ObservedHeartbeat | None:
         """The owner's newest heartbeat."""
         return self._owner
 
     def apply(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
         """Folds records in the order of their offsets."""
-        del is_whole  # Nothing is ever taken back by a whole reading.
+        del is_complete  # Nothing is ever taken back by a whole reading.
         for record in batch:
             try:
                 self._apply_one(record)
@@ -155,7 +155,7 @@
             return
         if record.key == records.HEARTBEAT_KEY:
             beat = records.decode(records.HeartbeatRecord, record.value)
-            self._owner = OwnerSighting(beat, self._clock.monotonic_ms())
+            self._owner = ObservedHeartbeat(beat, self._clock.monotonic_ms())
         elif kind + "/" == records.JOB_PREFIX:
             self._add(records.decode(specs.JobSpec, record.value))
         elif kind + "/" == records.CANCEL_PREFIX:
--- a/src/comfreylatch/_process/cell/forgetting.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -8,9 +8,9 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 
 # Between two looks for jobs to be dropped.
 LOOK_INTERVAL_MS = 5_000
@@ -19,7 +19,7 @@
 
 
 @final
-class Forgetter:
+class JobRetention:
     """Drops the records of ended jobs, so that store and hosts don't fill up.
 
     Only the owner's thread uses it.
@@ -27,12 +27,12 @@
 
     def __init__(
         self,
-        book: job_book.JobBook,
-        scribe: scribe_module.Scribe,
+        replica: job_replica.JobReplica,
+        scribe: fenced_writer_module.FencedWriter,
         keep_ms: int,
         clock: clock_port.Clock,
     ) -> None:
-        self._book = book
+        self._replica = replica
         self._scribe = scribe
         self._keep_ms = keep_ms
         self._clock = clock
@@ -44,7 +44,7 @@
         if now_ms - self._looked_ms < LOOK_INTERVAL_MS:
             return
         self._looked_ms = now_ms
-        ended = self._book.ended_before(now_ms - self._keep_ms)
+        ended = self._replica.ended_before(now_ms - self._keep_ms)
         if not ended:
             return
         drops: dict[str, bytes | None] = {}
--- a/src/comfreylatch/_process/cell/machine_desk.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -1,4 +1,4 @@
-"""Calls the machines' API beside the owner's thread, one call at a time."""
+"""Calls the machine API on a thread of its own, one call at a time."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._ports import machines as machines_port
-from comfreylatch._process.cell import call_desk
+from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
-from comfreylatch._process.cell import wave_work
+from comfreylatch._process.cell import wave_state
 
 # The API may be fifty times slower than usual.
 CALL_TIMEOUT_MS = 2_000
 
 
 @final
-class MachineDesk:
-    """Lists and orders, one call at a time. A context manager.
+class MachineCaller:
+    """Executes maintenance actions one at a time. A context manager.
 
     Args:
-        machines: The API.
+        machines: The machine API.
         holder: Name of this host.
-        token: Its fencing token.
-        may_act: Whether the owner may still act as such.
-        post: Told what came of each call.
-        clock: For the times of calls.
+        token: The owner's fencing token.
+        may_act: Whether this host is still the owner.
+        post: Receives the outcome of each call as an event.
+        clock: Measures the times of calls.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._may_act = may_act
         self._post = post
         self._clock = clock
-        self._desk = call_desk.CallDesk("machines")
+        self._executor = call_executor.CallExecutor("machines")
 
     def __enter__(self) -> Self:
         return self
@@ -58,28 +58,28 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        self._desk.__exit__(exc_type, exc, traceback)
+        self._executor.__exit__(exc_type, exc, traceback)
 
-    def do(self, action: wave_work.Action) -> None:
-        """Queues a call."""
-        self._desk.do(lambda: self._do(action))
+    def submit(self, action: wave_state.Action) -> None:
+        """Queues an action; its outcome is posted as an event."""
+        self._executor.submit(lambda: self._execute(action))
 
-    def _do(self, action: wave_work.Action) -> None:
+    def _execute(self, action: wave_state.Action) -> None:
         match action:
-            case wave_work.ListMachines():
+            case wave_state.ListMachines():
                 sent_ms = self._clock.monotonic_ms()
                 listed = self._machines.machines(CALL_TIMEOUT_MS)
                 self._post(events.MachinesListed(sent_ms, listed))
-            case wave_work.Maintain(machine_id, wave):
-                self._maintain(machine_id, wave)
-            case wave_work.Report(wave, is_completed):
+            case wave_state.OrderMaintenance(machine_id, wave):
+                self._order_maintenance(machine_id, wave)
+            case wave_state.ReportWave(wave, is_completed):
                 outcome = self._machines.report(
                     wave, is_completed, CALL_TIMEOUT_MS
                 )
                 if outcome.is_err():
                     self._post(events.ReportFailed(wave))
 
-    def _maintain(self, machine_id: str, wave: int) -> None:
+    def _order_maintenance(self, machine_id: str, wave: int) -> None:
         outcome: result.Result[None, machines_port.MaintenanceError]
         outcome = result.Err(
             machines_port.MaintenanceRefused(machines_port.Refusal.FENCED)
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -1,8 +1,9 @@
-"""Takes machines through their maintenance, a few at a time.
+"""Plans the maintenance of machines in waves, a few machines at a time.
 
-A machine's worker gets no new work, what it runs ends or is moved, and only
-then is its maintenance ordered, which would end everything. How many machines
-are away at once follows from the time that is left, within the wave's bound.
+Maintenance ends everything on a machine. So its worker first gets no new work
+and its runs end or move, and only then is the maintenance ordered. How many
+machines are away at once follows from the remaining time, within the wave's
+limit.
 """
 
 from __future__ import annotations
@@ -18,30 +19,31 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import wave_work
+from comfreylatch._process.cell import wave_state
 from comfreylatch._process.cell import worker_view
 
-LIST_INTERVAL_MS = 700
-# Tasks without checkpoints take some seconds; what still runs then stands
-# still, and would hold up the wave.
-MOST_EVACUATION_MS = 9_000
-# Emptying a worker, its maintenance of two seconds, and coming back.
-USUAL_ROUND_MS = 7_000
-# Part of a wave's time that is planned for.
-PLANNED_SHARE = 0.75
+MACHINE_LIST_INTERVAL_MS = 700
+# Tasks without checkpoints take some seconds; a run that lasts longer is stuck
+# and would block the wave.
+MAX_EVACUATION_MS = 9_000
+# Time to empty a worker, maintain its machine (two seconds) and bring it back.
+EXPECTED_ROUND_MS = 7_000
+# Share of a wave's duration that the plan uses.
+PLANNED_DURATION_SHARE = 0.75
 RETRY_PAUSE_MS = 500
 
 _logger = logbook.Logger(__name__)
 
 
 @final
-class MaintenancePlan:
-    """Decides what to do about waves. Only the owner's thread uses it.
+class MaintenancePlanner:
+    """Decides on the actions for waves. Used by the owner's thread only.
 
     Args:
-        recorded: Waves as an owner before recorded them, by number.
-        not_before_ms: Monotonic time of the first order; hosts must not take
-            turns at a machine within the platform's lease.
+        recorded: Waves as a previous owner recorded them, by number.
+        not_before_ms: Earliest monotonic time of the first order; within the
+            platform's lease, a second host must not order maintenance of the
+            same machine.
         metrics: Counts maintenances and refusals.
     """
 
@@ -54,7 +56,7 @@
         self._recorded = recorded
         self._not_before_ms = not_before_ms
         self._metrics = metrics
-        self._waves: dict[int, wave_work.WaveWork] = {}
+        self._waves: dict[int, wave_state.WaveProgress] = {}
         self._machines: dict[str, machines_port.Machine] | None = None
         self._listed_ms = -(10**9)
         self._is_listing = False
@@ -66,248 +68,290 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
-    ) -> list[wave_work.Action]:
-        """What has to be done now; marks workers that have to be emptied."""
-        actions: list[wave_work.Action] = []
+    ) -> list[wave_state.Action]:
+        """Returns the actions due now, and marks workers to be emptied."""
+        actions: list[wave_state.Action] = []
         for wave in waves:
             if wave.number not in self._waves:
-                self._open(wave, wall_ms)
-        running = [one for one in self._waves.values() if not one.is_completed]
-        for work in running:
-            self._advance(work, workers, now_ms, wall_ms, actions)
-        for work in self._waves.values():
-            if work.reported is not work.is_completed:
-                work.reported = work.is_completed
+                self._open_wave(wave, wall_ms)
+        running = [
+            progress
+            for progress in self._waves.values()
+            if not progress.is_completed
+        ]
+        for wave_progress in running:
+            self._advance(wave_progress, workers, now_ms, wall_ms, actions)
+        for wave_progress in self._waves.values():
+            if wave_progress.reported is not wave_progress.is_completed:
+                wave_progress.reported = wave_progress.is_completed
                 actions.append(
-                    wave_work.Report(work.wave.number, work.is_completed)
+                    wave_state.ReportWave(
+                        wave_progress.wave.number, wave_progress.is_completed
+                    )
                 )
-        is_due = now_ms - self._listed_ms >= LIST_INTERVAL_MS
+        is_due = now_ms - self._listed_ms >= MACHINE_LIST_INTERVAL_MS
         if running and is_due and not self._is_listing:
             self._is_listing = True
             self._listed_ms = now_ms
-            actions.append(wave_work.ListMachines())
+            actions.append(wave_state.ListMachines())
         return actions
 
-    def _open(self, wave: machines_port.Wave, wall_ms: int) -> None:
-        before = self._recorded.get(wave.number)
-        began_wall_ms = wall_ms if before is None else before.began_wall_ms
-        work = wave_work.WaveWork(
+    def _open_wave(self, wave: machines_port.Wave, wall_ms: int) -> None:
+        recorded = self._recorded.get(wave.number)
+        began_wall_ms = wall_ms if recorded is None else recorded.began_wall_ms
+        wave_progress = wave_state.WaveProgress(
             wave,
             began_wall_ms,
-            {name: wave_work.MachineWork(name) for name in wave.machines},
+            {name: wave_state.MachineProgress(name) for name in wave.machines},
         )
-        if before is not None:
-            work.is_completed = before.is_completed
-            for name in work.machines.keys() & set(before.begun):
-                work.machines[name].phase = wave_work.Phase.AWAY
-            for name in work.machines.keys() & set(before.finished):
-                work.machines[name].phase = wave_work.Phase.FINISHED
-        self._waves[wave.number] = work
+        if recorded is not None:
+            wave_progress.is_completed = recorded.is_completed
+            for name in wave_progress.machines.keys() & set(recorded.begun):
+                wave_progress.machines[
+                    name
+                ].phase = wave_state.MachinePhase.AWAY
+            for name in wave_progress.machines.keys() & set(recorded.finished):
+                wave_progress.machines[
+                    name
+                ].phase = wave_state.MachinePhase.FINISHED
+        self._waves[wave.number] = wave_progress
         self._dirty.add(wave.number)
         logs.event(
             _logger,
             "wave-opened",
             wave=wave.number,
             machines=len(wave.machines),
-            finished=0 if before is None else len(before.finished),
+            finished=0 if recorded is None else len(recorded.finished),
             most_at_once=wave.most_at_once,
             duration_ms=wave.duration_ms,
         )
 
     def _advance(
         self,
-        work: wave_work.WaveWork,
+        wave_progress: wave_state.WaveProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
-        actions: list[wave_work.Action],
+        actions: list[wave_state.Action],
     ) -> None:
         if self._machines is None:
             return
-        for one in work.machines.values():
-            if one.phase is wave_work.Phase.EMPTYING and self._is_empty(
-                one, workers, now_ms
+        for progress in wave_progress.machines.values():
+            if (
+                progress.phase is wave_state.MachinePhase.EMPTYING
+                and self._is_evacuated(progress, workers, now_ms)
             ):
-                self._enter(one, wave_work.Phase.ORDERED, now_ms)
+                self._enter_phase(
+                    progress, wave_state.MachinePhase.ORDERED, now_ms
+                )
                 actions.append(
-                    wave_work.Maintain(one.machine_id, work.wave.number)
+                    wave_state.OrderMaintenance(
+                        progress.machine_id, wave_progress.wave.number
+                    )
                 )
             elif (
-                one.phase is wave_work.Phase.ORDERED
-                and now_ms >= one.not_before_ms > 0
+                progress.phase is wave_state.MachinePhase.ORDERED
+                and now_ms >= progress.not_before_ms > 0
             ):
-                one.not_before_ms = 0
+                progress.not_before_ms = 0
                 actions.append(
-                    wave_work.Maintain(one.machine_id, work.wave.number)
+                    wave_state.OrderMaintenance(
+                        progress.machine_id, wave_progress.wave.number
+                    )
                 )
         if now_ms >= self._not_before_ms:
-            self._begin_more(work, workers, now_ms, wall_ms)
+            self._start_evacuations(wave_progress, workers, now_ms, wall_ms)
         if all(
-            one.phase is wave_work.Phase.FINISHED
-            for one in work.machines.values()
+            progress.phase is wave_state.MachinePhase.FINISHED
+            for progress in wave_progress.machines.values()
         ):
-            work.is_completed = True
-            self._dirty.add(work.wave.number)
-            logs.event(_logger, "wave-completed", wave=work.wave.number)
+            wave_progress.is_completed = True
+            self._dirty.add(wave_progress.wave.number)
+            logs.event(
+                _logger, "wave-completed", wave=wave_progress.wave.number
+            )
 
-    def _begin_more(
+    def _start_evacuations(
         self,
-        work: wave_work.WaveWork,
+        wave_progress: wave_state.WaveProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
         wall_ms: int,
     ) -> None:
-        """Has the workers of the next machines emptied."""
+        """Starts to empty the workers of the next machines."""
         waiting = [
-            one
-            for one in work.machines.values()
-            if one.phase is wave_work.Phase.WAITING
-            and now_ms >= one.not_before_ms
+            progress
+            for progress in wave_progress.machines.values()
+            if progress.phase is wave_state.MachinePhase.WAITING
+            and now_ms >= progress.not_before_ms
         ]
-        busy = sum(
-            one.phase
+        in_progress_count = sum(
+            progress.phase
             in (
-                wave_work.Phase.EMPTYING,
-                wave_work.Phase.ORDERED,
-                wave_work.Phase.AWAY,
+                wave_state.MachinePhase.EMPTYING,
+                wave_state.MachinePhase.ORDERED,
+                wave_state.MachinePhase.AWAY,
             )
-            for one in work.machines.values()
+            for progress in wave_progress.machines.values()
         )
-        room = at_once(
-            work.wave, len(waiting) + busy, wall_ms - work.began_wall_ms
+        limit = concurrent_machines(
+            wave_progress.wave,
+            len(waiting) + in_progress_count,
+            wall_ms - wave_progress.began_wall_ms,
         )
         assert self._machines is not None
         ready = []
-        for one in waiting:
-            machine = self._machines.get(one.machine_id)
+        for progress in waiting:
+            machine = self._machines.get(progress.machine_id)
             if machine and machine.state is machines_port.MachineState.UP:
                 view = workers.get(machine.worker_id)
                 load = 0 if view is None else len(view.runs)
-                ready.append((load, one.machine_id, one, machine.worker_id))
-        for _, _, one, worker_id in sorted(ready)[: max(room - busy, 0)]:
-            one.worker_id = worker_id
+                ready.append(
+                    (load, progress.machine_id, progress, machine.worker_id)
+                )
+        for _, _, progress, worker_id in sorted(ready)[
+            : max(limit - in_progress_count, 0)
+        ]:
+            progress.worker_id = worker_id
             view = workers.get(worker_id)
             if view is not None:
-                view.is_emptied = True
-            self._enter(one, wave_work.Phase.EMPTYING, now_ms)
+                view.is_being_emptied = True
+            self._enter_phase(
+                progress, wave_state.MachinePhase.EMPTYING, now_ms
+            )
 
-    def _is_empty(
+    def _is_evacuated(
         self,
-        one: wave_work.MachineWork,
+        progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> bool:
-        """Whether a machine's maintenance would end nothing."""
-        view = workers.get(one.worker_id)
+        """Whether maintenance may start: nothing runs, or time is up."""
+        view = workers.get(progress.worker_id)
         if view is None:
             return True
-        # The owner may have been told of the worker anew.
-        view.is_emptied = True
-        return not view.runs or now_ms - one.since_ms > MOST_EVACUATION_MS
+        # The view may be a new one, of a worker that was listed again.
+        view.is_being_emptied = True
+        return not view.runs or now_ms - progress.since_ms > MAX_EVACUATION_MS
 
-    def _enter(
-        self, one: wave_work.MachineWork, phase: wave_work.Phase, now_ms: int
+    def _enter_phase(
+        self,
+        progress: wave_state.MachineProgress,
+        phase: wave_state.MachinePhase,
+        now_ms: int,
     ) -> None:
-        one.phase = phase
-        one.since_ms = now_ms
+        progress.phase = phase
+        progress.since_ms = now_ms
         logs.event(
             _logger,
             "maintenance",
-            machine=one.machine_id,
-            worker=one.worker_id,
+            machine=progress.machine_id,
+            worker=progress.worker_id,
             phase=phase.value,
         )
 
-    def take_machines(
+    def handle_machines_listed(
         self,
         event: events.MachinesListed,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        """Takes in a list of machines, or that there was none."""
+        """Applies a list of machines, or logs that the call failed."""
         self._is_listing = False
         match event.outcome:
             case result.Err(machines_port.MachinesUnavailable(detail)):
                 logs.warning(_logger, "machines-missing", detail=detail)
                 return
             case result.Ok(found):
-                self._machines = {one.machine_id: one for one in found}
-        for work in self._waves.values():
-            for one in work.machines.values():
-                if self._is_finished(one, event.sent_ms):
-                    self._finish(work, one, workers, now_ms)
+                self._machines = {
+                    machine.machine_id: machine for machine in found
+                }
+        for wave_progress in self._waves.values():
+            for progress in wave_progress.machines.values():
+                if self._is_finished(progress, event.sent_ms):
+                    self._finish(wave_progress, progress, workers, now_ms)
 
-    def _is_finished(self, one: wave_work.MachineWork, listed_ms: int) -> bool:
-        """Whether a list shows a machine back, or gone."""
+    def _is_finished(
+        self, progress: wave_state.MachineProgress, listed_ms: int
+    ) -> bool:
+        """Whether the list shows that a machine is back or no longer exists."""
         assert self._machines is not None
-        machine = self._machines.get(one.machine_id)
+        machine = self._machines.get(progress.machine_id)
         if machine is None:
-            # It has left, and needs nothing any more.
-            return one.phase is not wave_work.Phase.FINISHED
+            # The machine was removed and needs no maintenance.
+            return progress.phase is not wave_state.MachinePhase.FINISHED
         is_up = machine.state is machines_port.MachineState.UP
         return (
-            one.phase is wave_work.Phase.AWAY
+            progress.phase is wave_state.MachinePhase.AWAY
             and is_up
-            and listed_ms > one.since_ms
+            and listed_ms > progress.since_ms
         )
 
     def _finish(
         self,
-        work: wave_work.WaveWork,
-        one: wave_work.MachineWork,
+        wave_progress: wave_state.WaveProgress,
+        progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        self._enter(one, wave_work.Phase.FINISHED, now_ms)
-        self._dirty.add(work.wave.number)
-        self._reopen(one, workers)
+        self._enter_phase(progress, wave_state.MachinePhase.FINISHED, now_ms)
+        self._dirty.add(wave_progress.wave.number)
+        self._readmit_worker(progress, workers)
 
-    def _reopen(
+    def _readmit_worker(
         self,
-        one: wave_work.MachineWork,
+        progress: wave_state.MachineProgress,
         workers: dict[str, worker_view.WorkerView],
     ) -> None:
-        """Lets a machine's worker take work, if it is still the same one."""
-        view = workers.get(one.worker_id)
+        """Lets a machine's worker accept work again, if it is still listed."""
+        view = workers.get(progress.worker_id)
         if view is not None:
-            view.is_emptied = False
+            view.is_being_emptied = False
 
-    def take_order(
+    def handle_maintenance_returned(
         self,
         event: events.MaintenanceReturned,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> None:
-        """Takes in what came of an order."""
-        work = self._waves.get(event.wave)
-        one = work.machines.get(event.machine_id) if work else None
+        """Applies the outcome of a maintenance order."""
+        wave_progress = self._waves.get(event.wave)
+        progress = (
+            wave_progress.machines.get(event.machine_id)
+            if wave_progress
+            else None
+        )
         if (
-            work is None
-            or one is None
-            or one.phase is not wave_work.Phase.ORDERED
+            wave_progress is None
+            or progress is None
+            or progress.phase is not wave_state.MachinePhase.ORDERED
         ):
             return
         match event.outcome:
             case result.Ok(_):
                 self._metrics.count(metrics_module.Counter.MAINTENANCES)
-                self._enter(one, wave_work.Phase.AWAY, now_ms)
+                self._enter_phase(
+                    progress, wave_state.MachinePhase.AWAY, now_ms
+                )
                 self._dirty.add(event.wave)
             case result.Err(machines_port.MaintenanceUnanswered(detail)):
-                # The same order again changes nothing if it was carried out.
-                one.not_before_ms = now_ms + RETRY_PAUSE_MS
+                # Orders are idempotent, so the same one is sent again.
+                progress.not_before_ms = now_ms + RETRY_PAUSE_MS
                 logs.event(
                     _logger,
                     "maintenance-unanswered",
-                    machine=one.machine_id,
+                    machine=progress.machine_id,
                     detail=detail,
                 )
             case result.Err(machines_port.MaintenanceRefused(reason)):
-                self._take_refusal(work, one, reason, workers, now_ms)
+                self._handle_refusal(
+                    wave_progress, progress, reason, workers, now_ms
+                )
 
-    def _take_refusal(
+    def _handle_refusal(
         self,
-        work: wave_work.WaveWork,
-        one: wave_work.MachineWork,
+        wave_progress: wave_state.WaveProgress,
+        progress: wave_state.MachineProgress,
         reason: machines_port.Refusal,
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
@@ -315,58 +359,62 @@
         logs.event(
             _logger,
             "maintenance-refused",
-            machine=one.machine_id,
+            machine=progress.machine_id,
             reason=reason,
         )
         self._metrics.count(metrics_module.Counter.MAINTENANCE_REFUSALS, reason)
         match reason:
             case machines_port.Refusal.OVERLOADED:
-                one.not_before_ms = now_ms + RETRY_PAUSE_MS
+                progress.not_before_ms = now_ms + RETRY_PAUSE_MS
                 return
             case (
                 machines_port.Refusal.OTHER_WAVE
                 | machines_port.Refusal.NO_SUCH_MACHINE
             ):
-                self._finish(work, one, workers, now_ms)
+                self._finish(wave_progress, progress, workers, now_ms)
             case _:
-                one.not_before_ms = now_ms + RETRY_PAUSE_MS
-                self._enter(one, wave_work.Phase.WAITING, now_ms)
-                self._reopen(one, workers)
+                progress.not_before_ms = now_ms + RETRY_PAUSE_MS
+                self._enter_phase(
+                    progress, wave_state.MachinePhase.WAITING, now_ms
+                )
+                self._readmit_worker(progress, workers)
 
     def drain_writes(self) -> dict[str, bytes]:
-        """Records of the waves that have changed, by key."""
+        """Returns the records of the waves that have changed, by key."""
         writes = {}
         for number in self._dirty:
-            work = self._waves[number]
+            wave_progress = self._waves[number]
             writes[f"{records.WAVE_PREFIX}{number}"] = records.encode(
                 records.WaveRecord(
-                    work.began_wall_ms,
-                    work.in_phase(wave_work.Phase.AWAY),
-                    work.in_phase(wave_work.Phase.FINISHED),
-                    work.is_completed,
+                    wave_progress.began_wall_ms,
+                    wave_progress.in_phase(wave_state.MachinePhase.AWAY),
+                    wave_progress.in_phase(wave_state.MachinePhase.FINISHED),
+                    wave_progress.is_completed,
                 )
             )
         self._dirty.clear()
         return writes
 
-    def report_failed(self, wave: int) -> None:
-        """A report could not be written; it is made again."""
-        work = self._waves.get(wave)
-        if work is not None:
-            work.reported = None
+    def handle_report_failed(self, wave: int) -> None:
+        """Schedules a failed report again."""
+        wave_progress = self._waves.get(wave)
+        if wave_progress is not None:
+            wave_progress.reported = None
 
 
-def at_once(wave: machines_port.Wave, left: int, elapsed_ms: int) -> int:
-    """How many machines of a wave should be away at the same time.
+def concurrent_machines(
+    wave: machines_port.Wave, unfinished: int, elapsed_ms: int
+) -> int:
+    """Returns how many machines of a wave should be away at the same time.
 
-    As few as end in time, as each takes its room from the tasks; never more
-    than the wave's bound.
+    As few as finish in time, as each takes capacity from tasks, and never more
+    than the wave's limit.
 
     Args:
         wave: The wave.
-        left: Machines that have not come back from their maintenance.
-        elapsed_ms: Time since the wave was seen first.
+        unfinished: Machines that have not come back from their maintenance.
+        elapsed_ms: Time since the wave was first seen.
     """
-    time_ms = PLANNED_SHARE * wave.duration_ms - elapsed_ms
-    rounds = max(int(time_ms // USUAL_ROUND_MS), 1)
-    return min(-(-left // rounds), wave.most_at_once)
+    time_ms = PLANNED_DURATION_SHARE * wave.duration_ms - elapsed_ms
+    rounds = max(int(time_ms // EXPECTED_ROUND_MS), 1)
+    return min(-(-unfinished // rounds), wave.most_at_once)
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -15,26 +15,26 @@
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import advice as advice_module
-from comfreylatch._process.cell import advice_desk
+from comfreylatch._process.cell import advice_fetcher
 from comfreylatch._process.cell import cell_report
-from comfreylatch._process.cell import disturbance
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import events
-from comfreylatch._process.cell import inheritance as inheritance_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
+from comfreylatch._process.cell import interference
+from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import job_table as job_table_module
-from comfreylatch._process.cell import learning
-from comfreylatch._process.cell import machine_desk
+from comfreylatch._process.cell import machine_caller
 from comfreylatch._process.cell import maintenance
+from comfreylatch._process.cell import model_persistence
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import planner as planner_module
 from comfreylatch._process.cell import ranking as ranking_module
 from comfreylatch._process.cell import reasons
-from comfreylatch._process.cell import recorded_lives
-from comfreylatch._process.cell import run_control as run_control_module
-from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import recorded_workers
+from comfreylatch._process.cell import recovered_state as recovered_state_module
+from comfreylatch._process.cell import run_dispatcher
+from comfreylatch._process.cell import run_reconciler as run_reconciler_module
 from comfreylatch._process.cell import runs as runs_module
-from comfreylatch._process.cell import scribe as scribe_module
-from comfreylatch._process.cell import tenure_parts
 from comfreylatch._process.cell import worker_session
 from comfreylatch._process.cell import worker_table as worker_table_module
 
@@ -69,9 +69,9 @@
 
     def __init__(
         self,
-        inheritance: inheritance_module.Inheritance,
-        scribe: scribe_module.Scribe,
-        parts: tenure_parts.TenureParts,
+        inheritance: recovered_state_module.RecoveredState,
+        scribe: fenced_writer_module.FencedWriter,
+        parts: owner_dependencies.OwnerDependencies,
         host_name: str,
     ) -> None:
         clock, metrics = parts.clock, parts.metrics
@@ -81,9 +81,9 @@
         self._clock = clock
         self._events: queue.SimpleQueue[events.Event] = queue.SimpleQueue()
         self._jobs = job_table_module.JobTable(inheritance.token, clock)
-        self._durations = durations_module.Durations()
+        self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
-        terms = worker_session.LeaseTerms(
+        terms = worker_session.LeaseParameters(
             inheritance.token, parts.lease_ms, scribe.may_act
         )
         self._workers = worker_table_module.WorkerTable(
@@ -93,12 +93,12 @@
             clock,
             inheritance.release_after_ms,
         )
-        model = disturbance.DisturbanceModel()
+        model = interference.InterferenceModel()
         self._model = model
-        self._orders = run_orders.RunOrders(
+        self._orders = run_dispatcher.RunDispatcher(
             self._jobs, self._workers, model, metrics, clock
         )
-        self._control = run_control_module.RunControl(
+        self._control = run_reconciler_module.RunReconciler(
             self._orders,
             self._jobs,
             self._workers,
@@ -110,9 +110,9 @@
         self._planner = planner_module.Planner(
             self._workers, self._ranker, model
         )
-        self._advice = advice_module.AdvicePlan(metrics)
+        self._advice = advice_module.AdvicePlanner(metrics)
         self._waves = parts.waves
-        self._maintenance = maintenance.MaintenancePlan(
+        self._maintenance = maintenance.MaintenancePlanner(
             inheritance.waves,
             clock.monotonic_ms() + parts.handover_ms,
             metrics,
@@ -124,27 +124,27 @@
         self._reported_ms = 0
         self._placed_ms = 0
         self._pass_took_ms = 0
-        self._stop_reason: reasons.TenureEnd | None = None
+        self._stop_reason: reasons.OwnershipEnd | None = None
         self._must_acknowledge: set[str] = set()
-        self._lives = recorded_lives.RecordedLives(
+        self._lives = recorded_workers.RecordedWorkers(
             self._workers, inheritance.known_workers, self._events.put
         )
-        self._learning = learning.Learning(
+        self._model_persistence = model_persistence.ModelPersistence(
             model, self._durations, inheritance.learned, clock
         )
 
     def _open_desks(
-        self, parts: tenure_parts.TenureParts, host_name: str
+        self, parts: owner_dependencies.OwnerDependencies, host_name: str
     ) -> None:
         """Opens those services of the platform that there are."""
-        self._advice_desk = None
-        if parts.adviser is not None:
-            self._advice_desk = advice_desk.AdviceDesk(
-                parts.adviser, self._events.put, parts.clock
+        self._advice_fetcher = None
+        if parts.advice_service is not None:
+            self._advice_fetcher = advice_fetcher.AdviceFetcher(
+                parts.advice_service, self._events.put, parts.clock
             )
-        self._machine_desk = None
+        self._machine_caller = None
         if parts.machines is not None:
-            self._machine_desk = machine_desk.MachineDesk(
+            self._machine_caller = machine_caller.MachineCaller(
                 parts.machines,
                 host_name,
                 self._inheritance.token,
@@ -161,7 +161,7 @@
             progress = self._inheritance.progress.get(entry.spec.job_id)
             job = self._jobs.add(entry.spec, floor, progress, entry.state)
             if job is not None:
-                self._ranker.note_job(job)
+                self._ranker.add_job(job)
             if entry.is_cancelled:
                 self._jobs.cancel(entry.spec.job_id)
         return self
@@ -173,18 +173,18 @@
         traceback: types.TracebackType | None,
     ) -> None:
         self._workers.__exit__(exc_type, exc, traceback)
-        if self._advice_desk is not None:
-            self._advice_desk.__exit__(exc_type, exc, traceback)
-        if self._machine_desk is not None:
-            self._machine_desk.__exit__(exc_type, exc, traceback)
+        if self._advice_fetcher is not None:
+            self._advice_fetcher.__exit__(exc_type, exc, traceback)
+        if self._machine_caller is not None:
+            self._machine_caller.__exit__(exc_type, exc, traceback)
 
     def post(self, event: events.Event) -> None:
         """Tells the owner something; any thread may call it."""
         self._events.put(event)
 
-    def post_change(self, change: job_book.BookChange) -> None:
+    def post_change(self, change: job_replica.JobChange) -> None:
         """Tells the owner of a job accepted or cancelled."""
-        self._events.put(events.BookChanged(change))
+        self._events.put(events.JobChanged(change))
 
     @property
     def is_isolated(self) -> bool:
@@ -194,8 +194,8 @@
         return bool(listed) and 2 * len(failing) > len(listed)
 
     def run(
-        self, must_stop: Callable[[], reasons.TenureEnd | None]
-    ) -> reasons.TenureEnd:
+        self, must_stop: Callable[[], reasons.OwnershipEnd | None]
+    ) -> reasons.OwnershipEnd:
         """Works until told to stop; returns why it stopped.
 
         `must_stop` is asked often, and says why or returns None.
@@ -223,18 +223,20 @@
 
     def _handle(self, event: events.Event) -> None:
         match event:
-            case events.BookChanged(change):
+            case events.JobChanged(change):
                 self._handle_change(change)
             case events.WorkersListed(entries):
-                self._orders.take_lost(self._workers.list_workers(entries))
+                self._orders.handle_lost(self._workers.apply_listing(entries))
             case events.HoldReturned():
                 self._handle_hold(event)
             case events.StartReturned() | events.StopReturned():
                 self._handle_order(event)
-            case events.LivesRecorded(born_ms):
+            case events.WorkersRecorded(born_ms):
                 self._lives.note_kept(born_ms)
             case events.AdviceReturned():
-                self._advice.take(event, self._clock.monotonic_ms())
+                self._advice.handle_advice_returned(
+                    event, self._clock.monotonic_ms()
+                )
             case (
                 events.MachinesListed()
                 | events.MaintenanceReturned()
@@ -242,24 +244,24 @@
             ):
                 self._handle_maintenance(event)
             case events.Fenced():
-                self._stop_reason = reasons.TenureEnd.FENCED
+                self._stop_reason = reasons.OwnershipEnd.FENCED
 
     def _handle_order(
         self, event: events.StartReturned | events.StopReturned
     ) -> None:
         match event:
             case events.StartReturned():
-                self._orders.take_start(event)
+                self._orders.handle_start(event)
             case events.StopReturned():
-                self._orders.take_stop(event)
+                self._orders.handle_stop(event)
 
-    def _handle_change(self, change: job_book.BookChange) -> None:
+    def _handle_change(self, change: job_replica.JobChange) -> None:
         match change:
-            case job_book.JobAdded(spec):
+            case job_replica.JobAdded(spec):
                 job = self._jobs.add(spec)
                 if job is not None:
-                    self._ranker.note_job(job)
-            case job_book.JobCancelled(job_id):
+                    self._ranker.add_job(job)
+            case job_replica.JobCancelled(job_id):
                 self._cancel(job_id)
 
     def _handle_maintenance(
@@ -271,15 +273,15 @@
         now_ms = self._clock.monotonic_ms()
         match event:
             case events.MachinesListed():
-                self._maintenance.take_machines(
+                self._maintenance.handle_machines_listed(
                     event, self._workers.by_id(), now_ms
                 )
             case events.MaintenanceReturned():
-                self._maintenance.take_order(
+                self._maintenance.handle_maintenance_returned(
                     event, self._workers.by_id(), now_ms
                 )
             case events.ReportFailed(wave):
-                self._maintenance.report_failed(wave)
+                self._maintenance.handle_report_failed(wave)
 
     def _cancel(self, job_id: str) -> None:
         job = self._jobs.cancel(job_id)
@@ -287,24 +289,26 @@
             self._orders.stop_all(job)
 
     def _handle_hold(self, event: events.HoldReturned) -> None:
-        if not self._workers.take_hold(event):
+        if not self._workers.handle_hold(event):
             return
         match event.outcome:
             case result.Ok(answer):
-                if self._control.take_hold(event, answer):
+                if self._control.handle_hold(event, answer):
                     self._must_acknowledge.add(event.worker_id)
             case result.Err(cell_workers.OrderRefused(reason)):
                 if reason is cell_workers.Refusal.FENCED:
-                    self._stop_reason = reasons.TenureEnd.FENCED
+                    self._stop_reason = reasons.OwnershipEnd.FENCED
 
     def _tick(self, now_ms: int) -> None:
         self._jobs.open_due()
         for lost in self._workers.expire():
-            self._orders.take_lost(lost)
+            self._orders.handle_lost(lost)
         self._maintain(now_ms)
-        self._control.look_after(now_ms)
+        self._control.move_runs(now_ms)
         if self._is_settled and self._scribe.may_act():
-            for copy in self._planner.place_copies(self._jobs, now_ms):
+            for copy in self._planner.place_speculative_runs(
+                self._jobs, now_ms
+            ):
                 self._orders.send_start(copy.run)
         if now_ms - self._reported_ms >= REPORT_MS:
             self._reported_ms = now_ms
@@ -354,7 +358,7 @@
         self._ask_advice(steps, now_ms)
         for placement in self._planner.place(steps, now_ms):
             self._orders.send_start(placement.run)
-        left = [step for step in steps if step.open_tasks]
+        left = [step for step in steps if step.pending_tasks]
         for victim in self._planner.choose_victims(left, now_ms):
             self._orders.stop(victim, reasons.StopReason.SHORT_TASK)
         for run in self._planner.clear_worker(left, now_ms):
@@ -362,15 +366,17 @@
         self._pass_took_ms = self._clock.monotonic_ms() - now_ms
 
     def _ask_advice(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
         """Asks which workers may run steps that a policy is for."""
-        wanted = steps + self._jobs.soon_ready_steps()
-        for request in self._advice.prepare(wanted, self._workers, now_ms):
-            if self._advice_desk is not None:
-                self._advice_desk.ask(request)
+        wanted = steps + self._jobs.nearly_ready_steps()
+        for request in self._advice.plan_requests(
+            wanted, self._workers, now_ms
+        ):
+            if self._advice_fetcher is not None:
+                self._advice_fetcher.fetch(request)
                 continue
-            self._advice.note_missing(
+            self._advice.report_missing(
                 request.step,
                 reasons.MissingAdvice.NO_SERVICE,
                 "the settings name no service for advice",
@@ -379,12 +385,12 @@
     def _maintain(self, now_ms: int) -> None:
         """Takes the machines of waves through their maintenance."""
         waves = self._waves()
-        if not waves or self._machine_desk is None:
+        if not waves or self._machine_caller is None:
             return
         for action in self._maintenance.plan(
             waves, self._workers.by_id(), now_ms, self._clock.wall_ms()
         ):
-            self._machine_desk.do(action)
+            self._machine_caller.submit(action)
 
     def _record_timer(self) -> Callable[[], None]:
         """What measures the time until ends seen now are recorded."""
@@ -402,7 +408,7 @@
         writes = self._jobs.drain_writes()
         recorded: list[Callable[[], None]] = []
         self._lives.add_writes(writes.work, recorded, self._is_settled)
-        self._learning.add_writes(writes.work)
+        self._model_persistence.add_writes(writes.work)
         writes.work.update(self._maintenance.drain_writes())
         if self._must_acknowledge:
             recorded.append(self._record_timer())
--- a/src/comfreylatch/_process/cell/tenure_parts.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -12,13 +12,15 @@
 from comfreylatch._ports import machines as machines_port
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import job_book
-from comfreylatch._process.cell import tail as tail_module
+from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import worker_session
 
 
 @attrs.frozen
-class TenureParts:
+class OwnerDependencies:
     """What a tenure needs of its host.
 
     Attributes:
@@ -42,18 +44,18 @@
 
     cell: int
     store: store_port.RecordStore
-    book: job_book.JobBook
-    jobs_tail: tail_module.Tail
+    replica: job_replica.JobReplica
+    jobs_reader: partition_reader_module.PartitionReader
     connect: worker_session.Connect
     follow_workers: Callable[
         [Callable[[dict[str, cell_workers.WorkerEntry]], None]],
-        tail_module.Tail,
+        partition_reader_module.PartitionReader,
     ]
     lease_ms: int
     keep_ended_ms: int
     metrics: metrics_module.Metrics
     clock: clock_port.Clock
-    adviser: advice_port.Adviser | None = None
+    advice_service: advice_port.AdviceService | None = None
     machines: machines_port.Machines | None = None
     waves: Callable[[], tuple[machines_port.Wave, ...]] = tuple
     handover_ms: int = 0
