--- a/src/comfreylatch/_process/cell/tenure.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -22,14 +22,14 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.cell import claiming
 from comfreylatch._process.cell import events
-from comfreylatch._process.cell import forgetting
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
+from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import job_retention
 from comfreylatch._process.cell import owner as owner_module
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import takeover
-from comfreylatch._process.cell import tenure_parts
 
 # For how long most workers must be out of reach before the owner gives up.
 ISOLATION_MS = 900
@@ -43,11 +43,13 @@
 
 
 @final
-class Tenure:
+class Ownership:
     """Watches a cell and owns it when it has to. Runs in its own thread."""
 
     def __init__(
-        self, parts: tenure_parts.TenureParts, host: claiming.HostIdentity
+        self,
+        parts: owner_dependencies.OwnerDependencies,
+        host: claiming.HostIdentity,
     ) -> None:
         self._parts = parts
         self._host = host
@@ -61,7 +63,7 @@
 
     def start(self) -> None:
         """Begins to watch the cell."""
-        self._parts.jobs_tail.pause_ms = WATCH_PAUSE_MS
+        self._parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
         threading.Thread(
             target=self._watch, name=f"tenure-{self._parts.cell}", daemon=True
         ).start()
@@ -82,9 +84,9 @@
         parts = self._parts
         view = claiming.ClaimView(
             now_ms=parts.clock.monotonic_ms(),
-            view_age_ms=parts.jobs_tail.age_ms,
-            reachable_ms=parts.jobs_tail.reachable_ms,
-            owner=parts.book.owner,
+            view_age_ms=parts.jobs_reader.age_ms,
+            reachable_ms=parts.jobs_reader.reachable_ms,
+            owner=parts.replica.owner,
             started_ms=self._started_ms,
         )
         reason = claiming.reason_to_claim(view, self._host)
@@ -97,11 +99,13 @@
         try:
             self._own(token, predecessor)
         except Exception:
-            logs.failure(_logger, "owner-failed", cell=parts.cell, token=token)
+            logs.exception(
+                _logger, "owner-failed", cell=parts.cell, token=token
+            )
         finally:
-            parts.book.listen(None)
+            parts.replica.listen(None)
             self.is_owner = False
-            parts.jobs_tail.pause_ms = WATCH_PAUSE_MS
+            parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
 
     def _claim(
         self, reason: reasons.ClaimReason, view: claiming.ClaimView
@@ -120,7 +124,7 @@
             return None
         # The claims were read after the view was taken; a heartbeat that came
         # in between may be the one of their newest.
-        if claiming.is_outdated(view, parts.book.owner):
+        if claiming.is_outdated(view, parts.replica.owner):
             return None
         claim = records.ClaimRecord(
             parts.cell, self._host.name, self._host.boot, self._host.zone
@@ -155,7 +159,7 @@
         for record in claims:
             if record.key != key or record.value is None:
                 continue
-            sighting = self._parts.book.owner
+            sighting = self._parts.replica.owner
             seen_token = sighting.heartbeat.token if sighting else 0
             if record.offset + 1 <= seen_token:
                 return False
@@ -199,7 +203,7 @@
             for post in inbox:
                 post(events.Fenced(detail))
 
-        with scribe_module.Scribe(
+        with fenced_writer_module.FencedWriter(
             parts.store, parts.cell, heartbeat, on_fenced, parts.clock
         ) as scribe:
             inheritance = takeover.take_over(
@@ -211,34 +215,34 @@
                 inheritance, scribe, parts, self._host.name
             ) as owner:
                 inbox.append(owner.post)
-                for entry in parts.book.listen(owner.post_change):
+                for entry in parts.replica.listen(owner.post_change):
                     if entry.spec is None:
                         continue
-                    owner.post_change(job_book.JobAdded(entry.spec))
+                    owner.post_change(job_replica.JobAdded(entry.spec))
                     if entry.is_cancelled:
                         owner.post_change(
-                            job_book.JobCancelled(entry.spec.job_id)
+                            job_replica.JobCancelled(entry.spec.job_id)
                         )
                 self.is_owner = True
-                forgetter = forgetting.Forgetter(
-                    parts.book, scribe, parts.keep_ended_ms, parts.clock
+                forgetter = job_retention.JobRetention(
+                    parts.replica, scribe, parts.keep_ended_ms, parts.clock
                 )
-                parts.jobs_tail.pause_ms = 0
+                parts.jobs_reader.pause_ms = 0
                 self._run(owner, scribe, heartbeat, forgetter)
 
     def _run(
         self,
         owner: owner_module.Owner,
-        scribe: scribe_module.Scribe,
+        scribe: fenced_writer_module.FencedWriter,
         heartbeat: records.HeartbeatRecord,
-        forgetter: forgetting.Forgetter,
+        forgetter: job_retention.JobRetention,
     ) -> None:
         def on_workers(
             entries: dict[str, cell_workers.WorkerEntry],
         ) -> None:
             owner.post(events.WorkersListed(entries))
 
-        def must_stop() -> reasons.TenureEnd | None:
+        def must_stop() -> reasons.OwnershipEnd | None:
             forgetter.forget()
             return self._reason_to_stop(owner, heartbeat)
 
@@ -253,15 +257,15 @@
             token=heartbeat.token,
             reason=reason,
         )
-        parts.metrics.count(metrics_module.Counter.TENURES_ENDED, reason)
+        parts.metrics.count(metrics_module.Counter.OWNERSHIPS_ENDED, reason)
         if reason in (
-            reasons.TenureEnd.STOPPING,
-            reasons.TenureEnd.ISOLATED,
+            reasons.OwnershipEnd.STOPPING,
+            reasons.OwnershipEnd.ISOLATED,
         ):
             last = attrs.evolve(
                 heartbeat,
                 is_released=True,
-                is_isolated=reason is reasons.TenureEnd.ISOLATED,
+                is_isolated=reason is reasons.OwnershipEnd.ISOLATED,
             )
             scribe.release(last)
 
@@ -269,17 +273,17 @@
         self,
         owner: owner_module.Owner,
         heartbeat: records.HeartbeatRecord,
-    ) -> reasons.TenureEnd | None:
+    ) -> reasons.OwnershipEnd | None:
         if self._stopping.is_set():
-            return reasons.TenureEnd.STOPPING
-        sighting = self._parts.book.owner
+            return reasons.OwnershipEnd.STOPPING
+        sighting = self._parts.replica.owner
         if sighting and sighting.heartbeat.token > heartbeat.token:
-            return reasons.TenureEnd.SUPERSEDED
+            return reasons.OwnershipEnd.SUPERSEDED
         now_ms = self._parts.clock.monotonic_ms()
         if not owner.is_isolated:
             self._isolated_since_ms = 0
         elif self._isolated_since_ms == 0:
             self._isolated_since_ms = now_ms
         elif now_ms - self._isolated_since_ms > ISOLATION_MS:
-            return reasons.TenureEnd.ISOLATED
+            return reasons.OwnershipEnd.ISOLATED
         return None
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -1,4 +1,4 @@
-"""Which worker a task goes to. Pure decisions on plain data."""
+"""Eligibility and cost of workers for tasks, without side effects."""
 
 from __future__ import annotations
 
@@ -8,103 +8,113 @@
 import attrs
 
 from comfreylatch._process.cell import candidates
-from comfreylatch._process.cell import disturbance
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_view
 
-# Weights of a worker's drawbacks, in millicores of leftover capacity that
-# they are worth: another rack multiplies a task's duration, a slow worker
-# does so by its slowness.
+# Penalties of a worker, in millicores of leftover capacity that they are worth.
+# Another rack multiplies a task's duration, a slow worker does so by its
+# slowness.
 OFF_RACK_COST = 60_000.0
 SLOWNESS_COST = 40_000.0
-# For each millicore that tasks which fill would lose, or lasting ones lack.
-CROWDING_COST = 2.0
-# Worth of each task of the same step on a worker, for lasting ones.
-TOGETHER_WORTH = 20_000.0
-# The same for a task that fills, in room to the targets of lasting tasks.
-FILL_SLOWNESS_COST = 0.5
-# An image with a higher coefficient counts as harmful: a few of its tasks bring
-# the lasting ones beside them to their targets.
-HARMLESS = 0.5
-# A task that fills idle processors is placed only where it would get at least
-# this share of what it asks for.
-FILL_SHARE = 0.7
+# Penalty for each millicore that filling tasks would lose or lasting ones lack.
+CROWDING_COST_PER_MILLICORE = 2.0
+# Bonus for each task of the same step on a worker, for lasting tasks.
+COLOCATION_BONUS = 20_000.0
+# Slowness penalty for a filling task, in headroom of the lasting tasks.
+FILLING_SLOWNESS_COST = 0.5
+# An image with this coefficient or more counts as harmful: a few of its tasks
+# bring the lasting ones on their worker to their targets.
+MIN_HARMFUL_COEFFICIENT = 0.5
+# A filling task is placed only where it would get at least this share of the
+# processors it requests.
+MIN_FILLING_CPU_SHARE = 0.7
 
 
 def is_allowed(
-    worker: worker_view.WorkerView, step: runs_module.StepRun
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
-    """Whether a worker may run a task of a step at all, room aside."""
-    if not suits(worker, step):
+    """Whether a worker may run a step's tasks, regardless of capacity."""
+    if not is_eligible(worker, step):
         return False
-    most = step.spec.max_per_worker
-    if most and step.per_worker.get(worker.worker_id, 0) >= most:
+    limit = step.spec.max_per_worker
+    if limit and step.runs_per_worker.get(worker.worker_id, 0) >= limit:
         return False
     return step.tickets is None or worker.worker_id in step.tickets
 
 
-def suits(worker: worker_view.WorkerView, step: runs_module.StepRun) -> bool:
-    """Whether a worker may run a step's tasks, policy and room aside."""
+def is_eligible(
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
+) -> bool:
+    """Whether service and label match, regardless of policy and capacity."""
     label = step.spec.required_label
     return worker.entry.service == step.job.spec.queue.service and (
         not label or label in worker.entry.labels
     )
 
 
-def room_cost(step: runs_module.StepRun, wanted_rack: str) -> candidates.Cost:
-    """The cost of workers for tasks that reserve what they need."""
+def reservation_cost(
+    step: runs_module.StepInstance, preferred_rack: str
+) -> candidates.CostFunction:
+    """Returns the cost function for tasks that reserve what they need."""
     spec = step.spec
     need = spec.need
-    taken = spec.cpu_millicores
+    expected_use = spec.cpu_millicores
     if spec.is_lasting:
-        taken = int(taken * worker_view.LASTING_USE_SHARE)
+        expected_use = int(expected_use * worker_view.ASSUMED_LASTING_USE_SHARE)
 
     def cost(worker: worker_view.WorkerView) -> float | None:
         if not worker.fits(need) or not is_allowed(worker, step):
             return None
         cost = SLOWNESS_COST * max(worker.slowness - 1.0, 0.0)
-        if wanted_rack and worker.rack != wanted_rack:
+        if preferred_rack and worker.rack != preferred_rack:
             cost += OFF_RACK_COST
         cost += worker.free_cpu - spec.cpu_millicores
-        cost += CROWDING_COST * max(taken - worker.idle_millicores, 0)
+        cost += CROWDING_COST_PER_MILLICORE * max(
+            expected_use - worker.idle_millicores, 0
+        )
         if spec.is_lasting:
-            cost -= TOGETHER_WORTH * _fitting_together(worker, step)
+            cost -= COLOCATION_BONUS * _count_colocated(worker, step)
         return cost
 
     return cost
 
 
-def _fitting_together(
-    worker: worker_view.WorkerView, step: runs_module.StepRun
+def _count_colocated(
+    worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> int:
-    """How many tasks of a step a worker would have in the end.
+    """Counts the tasks of a step that a worker has and could still take.
 
-    Lasting tasks of a step have their load at the same times. Beside them
-    alone, others can fill the idle times; beside tasks whose loads take
-    turns, somebody is always busy.
+    Lasting tasks of one step peak at the same times, so that filling tasks
+    can use the idle times of a worker that has only these. Where tasks of
+    several steps peak in turn, the worker is never idle.
     """
     spec = step.spec
-    placed = step.per_worker.get(worker.worker_id, 0)
-    room = worker.free_cpu // max(spec.cpu_millicores, 1)
-    room = min(room, worker.free_memory // max(spec.memory_mb, 1))
-    together = placed + min(room, len(step.open_tasks))
+    placed = step.runs_per_worker.get(worker.worker_id, 0)
+    fitting = worker.free_cpu // max(spec.cpu_millicores, 1)
+    fitting = min(fitting, worker.free_memory // max(spec.memory_mb, 1))
+    colocated = placed + min(fitting, len(step.pending_tasks))
     if spec.max_per_worker:
-        together = min(together, spec.max_per_worker)
-    return together
+        colocated = min(colocated, spec.max_per_worker)
+    return colocated
 
 
-def wanted_rack(step: runs_module.StepRun, racks: dict[str, str]) -> str:
-    """The rack that a step's tasks are faster on; empty for any.
+def preferred_rack(
+    step: runs_module.StepInstance, racks: dict[str, str]
+) -> str:
+    """Returns the rack on which a step's tasks run faster; empty for any.
 
-    `racks` gives the rack of each worker.
+    Args:
+        step: The step to place.
+        racks: The rack of each worker, by worker id.
     """
     if step.spec.data_rack:
         return step.spec.data_rack
     if not step.spec.needs_one_rack:
         return ""
     counts: dict[str, int] = {}
-    for worker_id, count in step.per_worker.items():
+    for worker_id, count in step.runs_per_worker.items():
         rack = racks.get(worker_id, "")
         counts[rack] = counts.get(rack, 0) + count
     return max(counts, key=lambda rack: counts[rack]) if counts else ""
@@ -113,7 +123,7 @@
 def roomiest_rack(
     workers: Iterable[worker_view.WorkerView], spec: specs.StepSpec
 ) -> str:
-    """The rack on which most tasks of a step would fit now."""
+    """Returns the rack on which most tasks of a step fit now."""
     fitting: dict[str, int] = {}
     for worker in workers:
         if not worker.fits(spec.need):
@@ -128,58 +138,59 @@
 
 
 @attrs.frozen
-class _KnownSlacks:
-    """Slacks of a worker as of one of its revisions."""
+class _CachedSlacks:
+    """Slacks of a worker, valid for one of its revisions."""
 
     revision: int
-    slacks: tuple[disturbance.Slack, ...]
+    slacks: tuple[interference.Slack, ...]
 
 
 @final
-class FillRooms:
-    """Room to the targets of lasting tasks, kept while nothing changes."""
+class FillingCosts:
+    """Costs of workers for filling tasks; caches slacks by worker revision."""
 
-    def __init__(self, model: disturbance.DisturbanceModel) -> None:
+    def __init__(self, model: interference.InterferenceModel) -> None:
         self._model = model
-        self._known: dict[str, _KnownSlacks] = {}
+        self._cached: dict[str, _CachedSlacks] = {}
 
-    def _slacks_of(
+    def _get_slacks(
         self, worker: worker_view.WorkerView
-    ) -> tuple[disturbance.Slack, ...]:
-        known = self._known.get(worker.worker_id)
-        if known is None or known.revision != worker.revision:
-            known = _KnownSlacks(worker.revision, self._model.slacks(worker))
-            self._known[worker.worker_id] = known
-        return known.slacks
-
-    def cost(self, step: runs_module.StepRun) -> candidates.Cost:
-        """The cost of workers for tasks that fill idle processors.
-
-        Beside lasting tasks it is lower the more room these are left with to
-        their targets; a worker where one would come over its target can't be
-        had. A worker without lasting tasks is left to the images that can
-        work nowhere else.
+    ) -> tuple[interference.Slack, ...]:
+        cached = self._cached.get(worker.worker_id)
+        if cached is None or cached.revision != worker.revision:
+            cached = _CachedSlacks(worker.revision, self._model.slacks(worker))
+            self._cached[worker.worker_id] = cached
+        return cached.slacks
+
+    def cost(self, step: runs_module.StepInstance) -> candidates.CostFunction:
+        """Returns the cost function for tasks that fill idle processors.
+
+        The more headroom a worker's lasting tasks keep, the lower its cost. A
+        worker where one of them would exceed its target is excluded. A worker
+        without lasting tasks is left to images that fit nowhere else.
         """
         spec = step.spec
         need = spec.need
-        least = int(spec.cpu_millicores * FILL_SHARE)
-        alone_cost = HARMLESS - self._model.harm(spec.image)
+        min_millicores = int(spec.cpu_millicores * MIN_FILLING_CPU_SHARE)
+        alone_cost = MIN_HARMFUL_COEFFICIENT - self._model.common_coefficient(
+            spec.image
+        )
 
         def cost(worker: worker_view.WorkerView) -> float | None:
-            if worker.idle_millicores < least or not worker.fits(need):
+            if worker.idle_millicores < min_millicores or not worker.fits(need):
                 return None
             if not is_allowed(worker, step):
                 return None
             slowness = max(worker.slowness - 1.0, 0.0)
-            slacks = self._slacks_of(worker)
+            slacks = self._get_slacks(worker)
             if not slacks:
-                return alone_cost + FILL_SLOWNESS_COST * slowness
+                return alone_cost + FILLING_SLOWNESS_COST * slowness
             cpu = max(worker.entry.capacity.cpu_millicores, 1)
-            room = self._model.head_room(
+            headroom = self._model.headroom(
                 slacks, spec.image, spec.cpu_millicores / cpu
             )
-            if room < 0:
+            if headroom < 0:
                 return None
-            return FILL_SLOWNESS_COST * slowness - room
+            return FILLING_SLOWNESS_COST * slowness - headroom
 
         return cost
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -1,4 +1,4 @@
-"""Gives ready tasks to workers with room, in the order of their rank."""
+"""Assigns ready tasks to workers with free capacity, in rank order."""
 
 from __future__ import annotations
 
@@ -9,81 +9,85 @@
 
 from comfreylatch._process.cell import candidates as candidates_module
 from comfreylatch._process.cell import clearing
-from comfreylatch._process.cell import copies
-from comfreylatch._process.cell import disturbance
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import placement
 from comfreylatch._process.cell import preemption
 from comfreylatch._process.cell import ranking as ranking_module
 from comfreylatch._process.cell import runs as runs_module
+from comfreylatch._process.cell import speculation
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# How long a short task waits for room before a lasting one makes way.
-PREEMPT_AFTER_MS = 40
-# Tasks of one step for which room is made at once.
-MOST_TASKS_FOR = 8
-# Share of the lasting runs that may be on their way out.
-MOST_STOPPED_SHARE = 0.08
+# How long a short task waits for capacity before it preempts a lasting one.
+PREEMPTION_DELAY_MS = 40
+# Tasks of one step that one pass preempts lasting runs for.
+MAX_PREEMPTING_TASKS_PER_STEP = 8
+# Share of the lasting runs that may be stopping at the same time.
+MAX_STOPPING_SHARE = 0.08
 
 
 @attrs.frozen
 class Placement:
-    """A run that has been given a worker; its start is to be sent."""
+    """A run with an assigned worker; its start order is not sent yet."""
 
     run: runs_module.Run
     worker: worker_view.WorkerView
 
 
 @attrs.define(eq=False)
-class _Pass:
-    """One pass over the ready steps.
+class _PlacementPass:
+    """State of one pass over the ready steps.
 
     Attributes:
-        workers: Those that take work.
-        cleared: Names of those that no lasting tasks should go on.
-        racks: The rack of each worker.
-        now_ms: Monotonic time.
-        smallest_unfit_cpu: Plain tasks of this size found no room.
-        smallest_unfit_fill: The same for tasks that fill, by image.
-        candidates: Of each step that was looked at.
+        workers: Workers that accept work.
+        cleared: Ids of workers that lasting tasks are kept off.
+        racks: The rack of each worker, by worker id.
+        now_ms: Monotonic time of the pass.
+        min_unplaceable_millicores: Smallest size of an unconstrained task
+            that fit on no worker.
+        min_unplaceable_filling_millicores: The same for filling tasks, by
+            image.
+        candidates: Candidate workers of each step tried so far.
     """
 
     workers: list[worker_view.WorkerView]
     cleared: frozenset[str]
     racks: dict[str, str]
     now_ms: int
-    smallest_unfit_cpu: int = 1 << 60
-    smallest_unfit_fill: dict[str, int] = attrs.field(factory=dict)
-    candidates: dict[runs_module.StepRun, candidates_module.Candidates] = (
+    min_unplaceable_millicores: int = 1 << 60
+    min_unplaceable_filling_millicores: dict[str, int] = attrs.field(
+        factory=dict
+    )
+    candidates: dict[runs_module.StepInstance, candidates_module.Candidates] = (
         attrs.field(factory=dict)
     )
 
 
 @final
 class Planner:
-    """Places tasks. Only the owner's thread uses it."""
+    """Places tasks on workers. Used by the owner's thread only."""
 
     def __init__(
         self,
         workers: worker_table_module.WorkerTable,
         ranker: ranking_module.Ranker,
-        model: disturbance.DisturbanceModel,
+        model: interference.InterferenceModel,
     ) -> None:
         self._workers = workers
         self._ranker = ranker
-        self._disturbance = model
-        self._fill_rooms = placement.FillRooms(model)
+        self._interference = model
+        self._filling_costs = placement.FillingCosts(model)
 
     def place(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[Placement]:
-        """Reserves room for as many tasks as fit; returns their runs."""
-        taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+        """Reserves capacity for as many tasks as fit; returns their runs."""
+        available = [
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        if not taking or not steps:
+        if not available or not steps:
             return []
-        this_pass = self._new_pass(taking, now_ms)
+        this_pass = self._new_pass(available, now_ms)
         ranked = sorted(steps, key=lambda step: self._ranker.rank(step, now_ms))
         placements: list[Placement] = []
         for step in ranked:
@@ -93,128 +97,136 @@
                 placements.extend(self._place_step(step, this_pass))
         return placements
 
-    def place_copies(
-        self, jobs: Iterable[runs_module.JobRun], now_ms: int
+    def place_speculative_runs(
+        self, jobs: Iterable[runs_module.ActiveJob], now_ms: int
     ) -> list[Placement]:
-        """Places second runs of tasks that take much longer than the rest."""
+        """Places second runs of tasks that are much slower than their peers."""
         stragglers = [
             task
             for job in jobs
             for step in job.all_steps()
-            if step.spec.is_speculative and step.undone
+            if step.spec.is_speculative and step.unfinished_count
             for task in step.tasks
-            if copies.is_straggling(task, now_ms)
+            if speculation.is_straggler(task, now_ms)
         ]
         if not stragglers:
             return []
-        taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+        available = [
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        this_pass = self._new_pass(taking, now_ms)
+        this_pass = self._new_pass(available, now_ms)
         placed = (
             self._place_task(task, this_pass, task.last_run + 1)
             for task in stragglers
         )
-        return [one for one in placed if one is not None]
+        return [started for started in placed if started is not None]
 
     def _new_pass(
         self, workers: list[worker_view.WorkerView], now_ms: int
-    ) -> _Pass:
+    ) -> _PlacementPass:
         cleared = frozenset(
-            one.worker_id for one in workers if now_ms < one.cleared_until_ms
+            worker.worker_id
+            for worker in workers
+            if now_ms < worker.cleared_until_ms
         )
-        return _Pass(workers, cleared, self._workers.racks(), now_ms)
+        return _PlacementPass(workers, cleared, self._workers.racks(), now_ms)
 
     def clear_worker(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
-        """Clears a worker where there is cause; returns runs to be stopped."""
-        demand = clearing.waiting_millicores(steps, self._disturbance, now_ms)
+        """Clears a worker if waiting tasks justify it; returns runs to stop."""
+        demand = clearing.waiting_millicores(steps, self._interference, now_ms)
         if not demand:
-            clearing.end_early(self._workers, now_ms)
+            clearing.reopen_unused(self._workers, now_ms)
             return []
-        taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+        available = [
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        worker = clearing.choose_worker(taking, demand, now_ms)
+        worker = clearing.choose_worker(available, demand, now_ms)
         if worker is None:
             return []
-        worker.cleared_until_ms = now_ms + clearing.CLEARED_MS
+        worker.cleared_until_ms = now_ms + clearing.CLEARED_DURATION_MS
         return [
             run for run in worker.runs.values() if run.task.step.spec.is_lasting
         ]
 
     def choose_victims(
-        self, steps: list[runs_module.StepRun], now_ms: int
+        self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
-        """Lasting runs to be stopped for short tasks that find no room.
+        """Chooses lasting runs to stop for short tasks that fit nowhere.
 
-        A short job earns as much as a lasting one does in two seconds, for a
-        fraction of the processors; the lasting task starts again once the
+        A short job is worth as much as a lasting one is in two seconds, and
+        takes a fraction of the processors. The lasting task restarts once the
         short ones are done.
         """
         urgent = [step for step in steps if self._may_preempt(step, now_ms)]
         if not urgent:
             return []
-        taking = [
-            worker for worker in self._workers if worker.takes_work(now_ms)
+        available = [
+            worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
         lasting = sum(
             run.task.step.spec.is_lasting
-            for worker in taking
+            for worker in available
             for run in worker.runs.values()
         )
-        room = preemption.VirtualRoom(taking)
+        capacity = preemption.ProjectedCapacity(available)
         victims: list[runs_module.Run] = []
         for step in urgent:
-            for task in list(step.open_tasks.values())[:MOST_TASKS_FOR]:
-                if room.take(task):
+            for task in list(step.pending_tasks.values())[
+                :MAX_PREEMPTING_TASKS_PER_STEP
+            ]:
+                if capacity.reserve(task):
                     continue
-                if room.stopping_count >= lasting * MOST_STOPPED_SHARE:
+                if capacity.stopping_count >= lasting * MAX_STOPPING_SHARE:
                     return victims
-                victim = room.find_victim(task)
+                victim = capacity.find_victim(task)
                 if victim is None:
                     break
                 victims.append(victim)
         return victims
 
-    def _may_preempt(self, step: runs_module.StepRun, now_ms: int) -> bool:
+    def _may_preempt(self, step: runs_module.StepInstance, now_ms: int) -> bool:
         spec = step.spec
         if spec.is_lasting or spec.fills_idle or spec.is_gang:
             return False
-        if now_ms - step.ready_ms < PREEMPT_AFTER_MS:
+        if now_ms - step.ready_ms < PREEMPTION_DELAY_MS:
             return False
         rank = self._ranker.rank(step, now_ms)
-        return rank.prospect is ranking_module.Prospect.ON_TIME
+        return rank.timeliness is ranking_module.Timeliness.ON_TIME
 
     def _place_step(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> list[Placement]:
         placements: list[Placement] = []
-        if self._is_known_unfit(step, this_pass):
+        if self._is_known_unplaceable(step, this_pass):
             return placements
-        for task in list(step.open_tasks.values()):
+        for task in list(step.pending_tasks.values()):
             if task.not_before_ms > this_pass.now_ms:
                 continue
             placed = self._place_task(task, this_pass, task.last_run + 1)
             if placed is None:
-                self._note_unfit(step, this_pass)
+                self._record_unplaceable(step, this_pass)
                 break
             placements.append(placed)
         return placements
 
-    def _is_known_unfit(
-        self, step: runs_module.StepRun, this_pass: _Pass
+    def _is_known_unplaceable(
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether a search must fail, as one for less has failed."""
+        """Whether placement would fail, as it did for a smaller task."""
         spec = step.spec
-        unfit = this_pass.smallest_unfit_cpu
+        unplaceable = this_pass.min_unplaceable_millicores
         if spec.fills_idle:
-            unfit = this_pass.smallest_unfit_fill.get(spec.image, 1 << 60)
-        return spec.cpu_millicores >= unfit
+            unplaceable = this_pass.min_unplaceable_filling_millicores.get(
+                spec.image, 1 << 60
+            )
+        return spec.cpu_millicores >= unplaceable
 
-    def _note_unfit(self, step: runs_module.StepRun, this_pass: _Pass) -> None:
-        """Spares the rest of the pass a search that must fail, too."""
+    def _record_unplaceable(
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
+    ) -> None:
+        """Records a failed size, so that the pass skips tasks as large."""
         spec = step.spec
         is_plain = not (
             spec.required_label
@@ -225,53 +237,57 @@
         if not is_plain:
             return
         if spec.fills_idle:
-            before = this_pass.smallest_unfit_fill.get(spec.image, 1 << 60)
-            this_pass.smallest_unfit_fill[spec.image] = min(
+            before = this_pass.min_unplaceable_filling_millicores.get(
+                spec.image, 1 << 60
+            )
+            this_pass.min_unplaceable_filling_millicores[spec.image] = min(
                 before, spec.cpu_millicores
             )
-        elif not self._has_memory_bound(step, this_pass):
-            this_pass.smallest_unfit_cpu = min(
-                this_pass.smallest_unfit_cpu, spec.cpu_millicores
+        elif not self._is_memory_bound(step, this_pass):
+            this_pass.min_unplaceable_millicores = min(
+                this_pass.min_unplaceable_millicores, spec.cpu_millicores
             )
 
-    def _has_memory_bound(
-        self, step: runs_module.StepRun, this_pass: _Pass
+    def _is_memory_bound(
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether memory rather than processors kept a step out."""
+        """Whether a step lacked memory rather than processors."""
         return any(
             worker.free_cpu >= step.spec.cpu_millicores
             for worker in this_pass.workers
         )
 
     def _candidates(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> candidates_module.Candidates:
         found = this_pass.candidates.get(step)
         if found is not None:
             return found
         workers = this_pass.workers
         if step.spec.fills_idle:
-            cost = self._fill_rooms.cost(step)
+            cost = self._filling_costs.cost(step)
         else:
-            rack = placement.wanted_rack(step, this_pass.racks)
+            rack = placement.preferred_rack(step, this_pass.racks)
             if step.spec.needs_one_rack and not rack:
                 rack = placement.roomiest_rack(workers, step.spec)
-            cost = placement.room_cost(step, rack)
+            cost = placement.reservation_cost(step, rack)
         found = candidates_module.Candidates(workers, cost)
         this_pass.candidates[step] = found
         return found
 
     def _place_task(
-        self, task: runs_module.Task, this_pass: _Pass, number: int
+        self, task: runs_module.Task, this_pass: _PlacementPass, number: int
     ) -> Placement | None:
         step = task.step
-        # A copy is of use only where the first run is not.
-        barred = frozenset(run.worker_id for run in task.runs)
+        # A speculative run has to be on another worker than the first run.
+        excluded = frozenset(run.worker_id for run in task.runs)
         if step.spec.is_lasting and not clearing.is_overdue(
             task, this_pass.now_ms
         ):
-            barred |= this_pass.cleared
-        worker = self._candidates(step, this_pass).pick(task.shunned, barred)
+            excluded |= this_pass.cleared
+        worker = self._candidates(step, this_pass).pick(
+            task.avoided_workers, excluded
+        )
         if worker is None:
             return None
         run = runs_module.Run(
@@ -282,15 +298,15 @@
             this_pass.now_ms,
         )
         task.last_run = number
-        step.note_run(run)
+        step.add_run(run)
         worker.add(run)
         return Placement(run, worker)
 
     def _place_gang(
-        self, step: runs_module.StepRun, this_pass: _Pass
+        self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> list[Placement]:
-        """Places all tasks of a gang at once, or none."""
-        if len(step.open_tasks) < len(step.tasks):
+        """Places all tasks of a gang together, or none."""
+        if len(step.pending_tasks) < len(step.tasks):
             return []
         if any(task.not_before_ms > this_pass.now_ms for task in step.tasks):
             return []
@@ -301,7 +317,7 @@
             if placed is None:
                 for made in placements:
                     made.worker.remove(made.run)
-                    step.note_gone(made.run, this_pass.now_ms)
+                    step.remove_run(made.run, this_pass.now_ms)
                 return []
             placements.append(placed)
         return placements
--- a/src/comfreylatch/_process/cell/pressures.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -1,9 +1,9 @@
-"""Learns how hard each image of filling tasks presses on lasting ones.
+"""Learns the pressure of each filling image on lasting tasks.
 
-Tasks of a lasting step have the same load at the same time, so that the
-differences between their tails on different workers are due to what fills
-beside them. The coefficients are fitted to these differences, by least
-squares with a prior, which leaves the load itself out.
+Tasks of a lasting step have the same load at the same time, so differences
+between their tails on different workers are due to the filling tasks there.
+The coefficients are fitted to these differences by least squares with a
+prior; the load itself cancels out.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 
 from comfreylatch._process.cell import records
 
-# Coefficient of an image of which nothing is known: between those of
-# harmless images (about 0.1) and of harmful ones (about 2).
-UNKNOWN_PRESSURE = 0.5
-# Scatter of the readings that are compared.
-COMPARED_SD = 0.06
-# Weight of that guess: scatter of a reading over scatter of coefficients.
-PRIOR_WEIGHT = (COMPARED_SD / 0.5) ** 2
-# The same for what a pair of images has over its filling image.
-PAIR_PRIOR_WEIGHT = (COMPARED_SD / 0.3) ** 2
-# What an owner before has learned counts at most like so much of one's own.
-MOST_INHERITED_WEIGHT = 0.2
-HIGHEST_PRESSURE = 6.0
-# Readings of a step within this time are compared with each other; figures of
-# workers are averages over half a second.
-COMPARED_MS = 500
-# Longest wait for readings of a second worker. Those of one worker are then
-# compared among themselves, though its load may have changed meanwhile.
-LONGEST_COMPARED_MS = 1_600
+# Coefficient of an unknown image: between those of harmless images (about 0.1)
+# and of harmful ones (about 2).
+PRIOR_COEFFICIENT = 0.5
+# Standard deviation of the readings that are compared.
+COMPARISON_SD = 0.06
+# Weight of the prior: variance of a reading over variance of coefficients.
+PRIOR_WEIGHT = (COMPARISON_SD / 0.5) ** 2
+# The same for the excess of a pair of images over its filling image.
+PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
+# Maximum weight of a coefficient that was learned by a previous owner.
+MAX_INHERITED_WEIGHT = 0.2
+MAX_COEFFICIENT = 6.0
+# Readings of a step within this time are compared with each other; workers
+# report averages over half a second.
+COMPARISON_WINDOW_MS = 500
+# Longest wait for readings of a second worker. After it, readings of a single
+# worker are compared, although its load may have changed between them.
+MAX_COMPARISON_MS = 1_600
 FIT_INTERVAL_MS = 500
-# What was learned counts half after 40 s.
-MEMORY_MS = 60_000
-# An image whose sums have faded below this is forgotten.
-LEAST_SUM = 1e-6
+# Time constant of the decay of the sums; their half-life is about 40 s.
+DECAY_TIME_CONSTANT_MS = 60_000
+# An image is dropped when its sum of squares has decayed below this.
+MIN_SQUARES_SUM = 1e-6
 
 
 @attrs.frozen
 class _Reading:
     worker_id: str
-    busy: float
+    load: float
     uses: Mapping[str, float]
 
 
@@ -53,17 +53,19 @@
     """Readings of one step that are compared with each other."""
 
     serving: str
-    began_ms: int
+    started_ms: int
     readings: list[_Reading] = attrs.field(factory=list)
 
     def is_over(self, now_ms: int) -> bool:
         """Whether no more readings should be added."""
-        age_ms = now_ms - self.began_ms
-        if age_ms < COMPARED_MS:
+        age_ms = now_ms - self.started_ms
+        if age_ms < COMPARISON_WINDOW_MS:
             return False
         first = self.readings[0].worker_id
-        is_across = any(one.worker_id != first for one in self.readings)
-        return is_across or age_ms >= LONGEST_COMPARED_MS
+        has_several_workers = any(
+            reading.worker_id != first for reading in self.readings
+        )
+        return has_several_workers or age_ms >= MAX_COMPARISON_MS
 
 
 @attrs.define(eq=False)
@@ -74,18 +76,18 @@
 
 @attrs.frozen
 class _Prior:
-    """What is believed of a coefficient before any reading."""
+    """Value and weight of a coefficient before any reading."""
 
-    coefficient: float = UNKNOWN_PRESSURE
+    coefficient: float = PRIOR_COEFFICIENT
     weight: float = PRIOR_WEIGHT
 
 
 @final
-class Pressures:
+class PressureModel:
     """Coefficients of filling images on serving images. Not thread-safe."""
 
     def __init__(self) -> None:
-        self._open: dict[object, _Comparison] = {}
+        self._open_comparisons: dict[object, _Comparison] = {}
         self._squares: dict[str, dict[str, float]] = {}
         self._products: dict[str, float] = {}
         self._pairs: dict[tuple[str, str], _PairSums] = {}
@@ -95,27 +97,31 @@
         self._fitted_ms = 0
 
     def restore(self, learned: records.LearnedRecord) -> None:
-        """Begins with what an owner before has learned."""
-        for one in learned.pressures:
-            weight = min(one.weight, MOST_INHERITED_WEIGHT)
-            self._priors[one.filling] = _Prior(one.coefficient, weight)
+        """Uses what a previous owner learned as priors."""
+        for pressure in learned.pressures:
+            weight = min(pressure.weight, MAX_INHERITED_WEIGHT)
+            self._priors[pressure.filling] = _Prior(
+                pressure.coefficient, weight
+            )
         for pair in learned.pairs:
-            weight = min(pair.weight, MOST_INHERITED_WEIGHT)
+            weight = min(pair.weight, MAX_INHERITED_WEIGHT)
             key = pair.serving, pair.filling
             self._pairs[key] = _PairSums(weight, weight * pair.excess)
             self._by_pair[key] = pair.excess
 
     def export(self) -> tuple[records.LearnedPressure, ...]:
-        """Coefficients of all images, for the next owner."""
+        """Returns the coefficients of all images, for the next owner."""
         return tuple(
             records.LearnedPressure(
-                name, round(self.common(name), 3), round(self._weight(name), 4)
+                name,
+                round(self.common_coefficient(name), 3),
+                round(self._coefficient_weight(name), 4),
             )
             for name in sorted(self._priors.keys() | self._by_image.keys())
         )
 
     def export_pairs(self) -> tuple[records.LearnedPair, ...]:
-        """Excesses of the pairs of which enough is known."""
+        """Returns the excesses of pairs that were observed often enough."""
         return tuple(
             records.LearnedPair(
                 serving,
@@ -130,99 +136,106 @@
     def _prior(self, filling: str) -> _Prior:
         return self._priors.get(filling, _Prior())
 
-    def _weight(self, filling: str) -> float:
-        """What a coefficient rests on."""
+    def _coefficient_weight(self, filling: str) -> float:
+        """Weight of an image's readings and prior."""
         own = self._squares.get(filling, {}).get(filling, 0.0)
         return own + self._prior(filling).weight
 
     def uncertainty(self, filling: str) -> float:
-        """Standard deviation of an image's coefficient."""
-        return COMPARED_SD / math.sqrt(self._weight(filling))
+        """Returns the standard deviation of an image's coefficient."""
+        return COMPARISON_SD / math.sqrt(self._coefficient_weight(filling))
 
-    def common(self, filling: str) -> float:
-        """Coefficient of a filling image whatever it presses on."""
+    def common_coefficient(self, filling: str) -> float:
+        """Returns the coefficient of a filling image on any serving image."""
         learned = self._by_image.get(filling)
         return self._prior(filling).coefficient if learned is None else learned
 
-    def of(self, serving: str, filling: str) -> float:
-        """Coefficient of a filling image on a serving image."""
+    def coefficient(self, serving: str, filling: str) -> float:
+        """Returns the coefficient of a filling image on a serving image."""
         own = self._by_pair.get((serving, filling), 0.0)
-        return min(max(self.common(filling) + own, 0.0), HIGHEST_PRESSURE)
+        return min(
+            max(self.common_coefficient(filling) + own, 0.0), MAX_COEFFICIENT
+        )
 
-    def forget(self, step: object) -> None:
-        """Drops the comparison of a step that has ended."""
-        self._open.pop(step, None)
+    def discard_step(self, step: object) -> None:
+        """Discards the open comparison of a step that has ended."""
+        self._open_comparisons.pop(step, None)
 
-    def note(
+    def observe(
         self,
         step: object,
         serving: str,
         worker_id: str,
-        busy: float,
+        load: float,
         uses: Mapping[str, float],
         now_ms: int,
     ) -> None:
-        """Takes in one reading of a lasting task.
+        """Adds one reading of a lasting task.
 
         Args:
-            step: Its step.
-            serving: Its image.
-            worker_id: Where it runs.
-            busy: Load and pressures together, as its tail shows them.
+            step: The task's step.
+            serving: The task's image.
+            worker_id: The worker it runs on.
+            load: Sum of load and pressures that the tail implies.
             uses: Shares of the worker that filling images use, by image.
             now_ms: Monotonic time of the reading.
         """
-        comparison = self._open.get(step)
+        comparison = self._open_comparisons.get(step)
         if comparison is not None and comparison.is_over(now_ms):
-            self._close(comparison)
+            self._close_comparison(comparison)
             comparison = None
         if comparison is None:
             comparison = _Comparison(serving, now_ms)
-            self._open[step] = comparison
-        comparison.readings.append(_Reading(worker_id, busy, uses))
+            self._open_comparisons[step] = comparison
+        comparison.readings.append(_Reading(worker_id, load, uses))
         if now_ms - self._fitted_ms >= FIT_INTERVAL_MS:
-            self._fit(now_ms)
+            self._fit_coefficients(now_ms)
 
-    def _close(self, comparison: _Comparison) -> None:
-        """Adds a comparison's differences to the sums."""
+    def _close_comparison(self, comparison: _Comparison) -> None:
+        """Adds the differences between a comparison's readings to the sums."""
         readings = comparison.readings
         count = len(readings)
-        fills = sorted({name for one in readings for name in one.uses})
-        if count < 2 or not fills:
+        images = sorted({name for reading in readings for name in reading.uses})
+        if count < 2 or not images:
             return
-        mean_busy = sum(one.busy for one in readings) / count
+        mean_load = sum(reading.load for reading in readings) / count
         means = {
-            name: sum(one.uses.get(name, 0.0) for one in readings) / count
-            for name in fills
+            name: sum(reading.uses.get(name, 0.0) for reading in readings)
+            / count
+            for name in images
         }
-        for one in readings:
+        for reading in readings:
             differences = {
-                name: one.uses.get(name, 0.0) - means[name] for name in fills
+                name: reading.uses.get(name, 0.0) - means[name]
+                for name in images
             }
-            self._add(comparison.serving, one.busy - mean_busy, differences)
+            self._add_differences(
+                comparison.serving, reading.load - mean_load, differences
+            )
 
-    def _add(
-        self, serving: str, busy: float, differences: Mapping[str, float]
+    def _add_differences(
+        self, serving: str, load: float, differences: Mapping[str, float]
     ) -> None:
-        """Adds one difference in tails and those in uses that caused it."""
-        left = busy - sum(
-            self.of(serving, name) * use for name, use in differences.items()
+        """Adds a load difference and the use differences that explain it."""
+        unexplained = load - sum(
+            self.coefficient(serving, name) * use
+            for name, use in differences.items()
         )
         for name, use in differences.items():
             row = self._squares.setdefault(name, {})
             for other, other_use in differences.items():
                 row[other] = row.get(other, 0.0) + use * other_use
-            self._products[name] = self._products.get(name, 0.0) + use * busy
+            self._products[name] = self._products.get(name, 0.0) + use * load
             own = self._by_pair.get((serving, name), 0.0)
             sums = self._pairs.setdefault((serving, name), _PairSums())
             sums.squares += use * use
-            sums.products += use * (left + own * use)
+            sums.products += use * (unexplained + own * use)
 
-    def _fit(self, now_ms: int) -> None:
-        """Works out the coefficients from the sums, and lets these fade."""
+    def _fit_coefficients(self, now_ms: int) -> None:
+        """Decays the sums and solves them for the coefficients."""
         elapsed_ms = now_ms - self._fitted_ms if self._fitted_ms else 0
         self._fitted_ms = now_ms
-        self._fade(math.exp(-elapsed_ms / MEMORY_MS))
+        self._decay(math.exp(-elapsed_ms / DECAY_TIME_CONSTANT_MS))
         names = list(self._squares)
         matrix = [
             [self._squares[name].get(other, 0.0) for other in names]
@@ -237,7 +250,7 @@
             )
         solution = solve(matrix, values)
         self._by_image = {
-            name: min(max(value, 0.0), HIGHEST_PRESSURE)
+            name: min(max(value, 0.0), MAX_COEFFICIENT)
             for name, value in zip(names, solution, strict=True)
         }
         self._by_pair = {
@@ -245,10 +258,10 @@
             for pair, sums in self._pairs.items()
         }
 
-    def _fade(self, factor: float) -> None:
+    def _decay(self, factor: float) -> None:
         for name, row in list(self._squares.items()):
-            if row[name] < LEAST_SUM:
-                self._drop(name)
+            if row[name] < MIN_SQUARES_SUM:
+                self._drop_image(name)
                 continue
             for other in row:
                 row[other] *= factor
@@ -257,20 +270,20 @@
             sums.squares *= factor
             sums.products *= factor
 
-    def _drop(self, name: str) -> None:
+    def _drop_image(self, name: str) -> None:
         del self._squares[name]
         del self._products[name]
         for row in self._squares.values():
             row.pop(name, None)
-        for pair in [one for one in self._pairs if one[1] == name]:
+        for pair in [pair for pair in self._pairs if pair[1] == name]:
             del self._pairs[pair]
 
 
 def solve(matrix: list[list[float]], values: list[float]) -> list[float]:
     """Solves linear equations with a positive definite matrix.
 
-    By elimination without pivots, which such a matrix does not need; the
-    arguments are used up.
+    Uses Gaussian elimination; a positive definite matrix needs no pivoting.
+    Overwrites its arguments.
     """
     size = len(values)
     for index in range(size):
--- a/src/comfreylatch/_process/cell/recorded_lives.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -11,7 +11,7 @@
 
 
 @final
-class RecordedLives:
+class RecordedWorkers:
     """Has tasks started only where the next owner will ask what runs.
 
     Only the owner's thread uses it.
@@ -49,7 +49,7 @@
         Until all is known that the owner before started, its lives stay among
         them, so that an owner after this one asks there, too.
         """
-        born_ms = self._workers.lives()
+        born_ms = self._workers.incarnations()
         if not is_settled:
             born_ms = {**self._inherited, **born_ms}
         if born_ms == self._queued:
@@ -63,4 +63,4 @@
         work[records.WORKERS_KEY] = records.encode(
             records.WorkersRecord(born_ms)
         )
-        recorded.append(lambda: self._post(events.LivesRecorded(born_ms)))
+        recorded.append(lambda: self._post(events.WorkersRecorded(born_ms)))
--- a/src/comfreylatch/_process/cell/run_orders.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -11,8 +11,8 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import disturbance
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import reasons
 from comfreylatch._process.cell import runs as runs_module
@@ -31,20 +31,20 @@
 
 
 @final
-class RunOrders:
+class RunDispatcher:
     """Starts, stops and paces runs. Only the owner's thread uses it."""
 
     def __init__(
         self,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
-        model: disturbance.DisturbanceModel,
+        model: interference.InterferenceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self._jobs = jobs
         self._workers = workers
-        self._disturbance = model
+        self._interference = model
         self._metrics = metrics
         self._clock = clock
 
@@ -57,7 +57,7 @@
             return
         job = step.job
         now_ms = self._clock.monotonic_ms()
-        waited_ms = now_ms - max(run.task.open_since_ms, step.ready_ms)
+        waited_ms = now_ms - max(run.task.pending_since_ms, step.ready_ms)
         if job.first_start_ms == 0:
             job.first_start_ms = now_ms
             self._observe(
@@ -124,14 +124,14 @@
         if session is not None:
             session.stop(run, run.task.name, run.number)
 
-    def stop_all(self, job: runs_module.JobRun) -> None:
+    def stop_all(self, job: runs_module.ActiveJob) -> None:
         """Stops every run of a job that has ended."""
         for run in list(job.all_runs()):
             self.stop(run, reasons.StopReason.JOB_ENDED, job.state)
         for step in job.all_steps():
-            self._disturbance.forget(step)
+            self._interference.discard_step(step)
 
-    def take_lost(self, lost: worker_table_module.LostRuns) -> None:
+    def handle_lost(self, lost: worker_table_module.LostRuns) -> None:
         """Takes in runs that are surely over, without an end."""
         for run in lost.runs:
             logs.event(
@@ -144,9 +144,9 @@
                 phase=run.phase.value,
             )
             self._metrics.count(metrics_module.Counter.RUNS_LOST, lost.reason)
-            run.task.step.note_gone(run, self._clock.monotonic_ms())
+            run.task.step.remove_run(run, self._clock.monotonic_ms())
 
-    def take_start(self, event: events.StartReturned) -> None:
+    def handle_start(self, event: events.StartReturned) -> None:
         """Takes in what came of a start order."""
         run = event.run
         worker = self._workers.find(run.worker_id)
@@ -164,7 +164,7 @@
                 else:
                     run.is_in_doubt = True
                 if event.tries:
-                    self._workers.note_failing(worker, detail)
+                    self._workers.mark_failing(worker, detail)
             case result.Err(cell_workers.OrderUnanswered(detail)):
                 run.is_in_doubt = True
                 run.unanswered += event.tries
@@ -182,7 +182,7 @@
         """The worker says that a run is there."""
         run.is_in_doubt = False
         run.confirmed_ms = now_ms
-        run.moved_ms = now_ms
+        run.progressed_ms = now_ms
         if run.phase is runs_module.RunPhase.STARTING:
             run.phase = runs_module.RunPhase.RUNNING
         self._jobs.note_started(run.task.step.job)
@@ -230,9 +230,9 @@
         worker = self._workers.find(run.worker_id)
         if worker is not None:
             worker.remove(run)
-        run.task.step.note_gone(run, self._clock.monotonic_ms())
+        run.task.step.remove_run(run, self._clock.monotonic_ms())
 
-    def take_stop(self, event: events.StopReturned) -> None:
+    def handle_stop(self, event: events.StopReturned) -> None:
         """Takes in what came of a stop order."""
         run = event.run
         if run is None or run not in run.task.runs:
@@ -251,7 +251,7 @@
         session = self._workers.session(worker.worker_id)
         if session is None:
             return
-        for change in self._disturbance.pace_changes(worker):
+        for change in self._interference.pace_changes(worker):
             run = change.run
             if run.phase is runs_module.RunPhase.STOPPING:
                 continue
@@ -265,7 +265,7 @@
                 percent=change.percent,
             )
             run.pace_percent = change.percent
-            run.paced_ms = self._clock.monotonic_ms()
+            run.pace_changed_ms = self._clock.monotonic_ms()
             if change.percent > SLOW_PACE:
                 run.slow_since_ms = 0
             elif run.slow_since_ms == 0:
--- a/src/comfreylatch/_process/cell/run_control.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -11,13 +11,13 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process.cell import disturbance
-from comfreylatch._process.cell import durations as durations_module
+from comfreylatch._process.cell import duration_model as duration_model_module
 from comfreylatch._process.cell import evacuation
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table as job_table_module
 from comfreylatch._process.cell import reasons
-from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_dispatcher
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
@@ -40,16 +40,16 @@
 
 
 @final
-class RunControl:
+class RunReconciler:
     """Keeps runs, workers and jobs in step. Only the owner's thread uses it."""
 
     def __init__(
         self,
-        orders: run_orders.RunOrders,
+        orders: run_dispatcher.RunDispatcher,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
-        durations: durations_module.Durations,
-        model: disturbance.DisturbanceModel,
+        durations: duration_model_module.DurationModel,
+        model: interference.InterferenceModel,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
@@ -57,12 +57,12 @@
         self._jobs = jobs
         self._workers = workers
         self._durations = durations
-        self._disturbance = model
+        self._interference = model
         self._metrics = metrics
-        self._evacuation = evacuation.Evacuation(durations)
+        self._evacuation = evacuation.EvacuationPolicy(durations)
         self._clock = clock
 
-    def take_hold(
+    def handle_hold(
         self, event: events.HoldReturned, answer: cell_workers.HoldAnswer
     ) -> bool:
         """Takes in a worker's lists; whether there are ends to record."""
@@ -77,7 +77,7 @@
             self._take_running(worker, task, event.received_ms)
         if len(answer.ended) < FULL_ENDS_LIST:
             self._take_missing(worker, listed, event.sent_ms)
-        self._disturbance.learn(worker, event.received_ms)
+        self._interference.learn(worker, event.received_ms)
         worker.revision += 1
         self._orders.set_paces(worker)
         return bool(ended)
@@ -100,7 +100,7 @@
         self._metrics.count(metrics_module.Counter.RUN_ENDS, end.how)
         if run is not None:
             worker.remove(run)
-            run.task.step.note_gone(run, self._clock.monotonic_ms())
+            run.task.step.remove_run(run, self._clock.monotonic_ms())
         if task is None:
             return
         task.last_run = max(task.last_run, end.run)
@@ -142,7 +142,7 @@
             return
         took_ms = self._clock.monotonic_ms() - run.confirmed_ms
         queue = step.job.spec.queue.name
-        self._durations.note(queue, step.spec, took_ms)
+        self._durations.observe(queue, step.spec, took_ms)
         step.durations_ms.append(took_ms)
         if len(step.durations_ms) >= 3:
             usual_ms = max(statistics.median(step.durations_ms), 1)
@@ -157,7 +157,7 @@
         end: cell_workers.EndedRun,
     ) -> None:
         worker.recent_failures += 1
-        task.shunned |= {worker.worker_id}
+        task.avoided_workers |= {worker.worker_id}
         if worker.recent_failures >= FAILING_WORKER_RUNS:
             now_ms = self._clock.monotonic_ms()
             worker.avoided_until_ms = now_ms + FAILING_WORKER_PAUSE_MS
@@ -188,9 +188,9 @@
             return
         if run.phase is runs_module.RunPhase.STARTING:
             self._orders.confirm(run, now_ms)
-        if listed.percent > run.percent or run.moved_ms == 0:
+        if listed.percent > run.percent or run.progressed_ms == 0:
             run.percent = listed.percent
-            run.moved_ms = now_ms
+            run.progressed_ms = now_ms
         run.reading = listed.reading
         if listed.checkpoint and run.number == run.task.last_run:
             run.task.checkpoint = listed.checkpoint
@@ -219,11 +219,11 @@
                 runs_module.RunPhase.RUNNING,
                 now_ms,
                 confirmed_ms=now_ms,
-                moved_ms=now_ms,
+                progressed_ms=now_ms,
                 percent=listed.percent,
             )
             task.last_run = max(task.last_run, listed.run)
-            task.step.note_run(run)
+            task.step.add_run(run)
             worker.add(run)
             self._jobs.note_started(task.step.job)
             return
@@ -265,12 +265,12 @@
             elif run.is_in_doubt:
                 self._orders.resolve(run)
 
-    def look_after(self, now_ms: int) -> None:
+    def move_runs(self, now_ms: int) -> None:
         """Stops runs that should go on elsewhere."""
         for worker in self._workers:
             if not worker.is_answering:
                 continue
-            for run in self._evacuation.to_move(worker):
+            for run in self._evacuation.runs_to_move(worker):
                 self._orders.stop(run, reasons.StopReason.WORKER_LEAVES)
             for run in list(worker.runs.values()):
                 reason = self._reason_to_move(run, now_ms)
@@ -284,7 +284,7 @@
         if run.phase is not runs_module.RunPhase.RUNNING:
             return None
         if self._is_stalled(run, now_ms):
-            run.task.shunned |= {run.worker_id}
+            run.task.avoided_workers |= {run.worker_id}
             return reasons.StopReason.STALLED
         is_slow = (
             run.slow_since_ms > 0
@@ -299,6 +299,6 @@
             not spec.is_lasting
             and not spec.fills_idle
             and not spec.is_gang
-            and run.moved_ms > 0
-            and now_ms - run.moved_ms > STALLED_MS
+            and run.progressed_ms > 0
+            and now_ms - run.progressed_ms > STALLED_MS
         )
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -41,7 +41,7 @@
 
     text: str
     born_ms: int
-    until_ms: int
+    expires_ms: int
 
 
 @attrs.define(eq=False)
@@ -72,20 +72,20 @@
     number: int
     worker_id: str
     phase: RunPhase
-    since_ms: int
+    ordered_ms: int
     confirmed_ms: int = 0
     percent: float = 0.0
-    moved_ms: int = 0
+    progressed_ms: int = 0
     reading: int = 0
     pace_percent: int = 100
     slow_since_ms: int = 0
     intensity: float = USUAL_INTENSITY
-    paced_ms: int = 0
+    pace_changed_ms: int = 0
     unanswered: int = 0
     is_in_doubt: bool = False
 
     @property
-    def is_wanted(self) -> bool:
+    def should_start(self) -> bool:
         """Whether it should be started, if it hasn't been; any thread asks."""
         return self.phase is not RunPhase.STOPPING and not self.task.is_done
 
@@ -111,15 +111,15 @@
 
     name: str
     index: int
-    step: StepRun
+    step: StepInstance
     last_run: int = 0
     checkpoint: str = ""
     failed_runs: frozenset[int] = frozenset()
     is_done: bool = False
     runs: list[Run] = attrs.field(factory=list)
     not_before_ms: int = 0
-    shunned: frozenset[str] = frozenset()
-    open_since_ms: int = 0
+    avoided_workers: frozenset[str] = frozenset()
+    pending_since_ms: int = 0
 
     @property
     def failures(self) -> int:
@@ -133,7 +133,7 @@
 
 
 @attrs.define(eq=False)
-class StepRun:
+class StepInstance:
     """One step of one repetition of a job.
 
     Attributes:
@@ -150,20 +150,20 @@
         durations_ms: Durations of its undisturbed runs.
     """
 
-    job: JobRun
+    job: ActiveJob
     occurrence: int
     number: int
     spec: specs.StepSpec
     tasks: list[Task] = attrs.field(factory=list)
-    open_tasks: dict[int, Task] = attrs.field(factory=dict)
-    undone: int = 0
-    per_worker: dict[str, int] = attrs.field(factory=dict)
+    pending_tasks: dict[int, Task] = attrs.field(factory=dict)
+    unfinished_count: int = 0
+    runs_per_worker: dict[str, int] = attrs.field(factory=dict)
     tickets: dict[str, Ticket] | None = None
     ready_ms: int = 0
     durations_ms: list[int] = attrs.field(factory=list)
 
     @property
-    def away_count(self) -> int:
+    def unavailable_count(self) -> int:
         """How many of its tasks are not at work, for whatever cause."""
         return sum(
             not any(
@@ -174,12 +174,12 @@
         )
 
     @property
-    def oldest_open_ms(self) -> int:
+    def oldest_pending_ms(self) -> int:
         """Since when its longest waiting task has needed a run."""
         return min(
             (
-                max(task.open_since_ms, self.ready_ms)
-                for task in self.open_tasks.values()
+                max(task.pending_since_ms, self.ready_ms)
+                for task in self.pending_tasks.values()
             ),
             default=0,
         )
@@ -189,39 +189,39 @@
         """Its id, `job.occurrence.step`."""
         return f"{self.job.spec.job_id}.{self.occurrence}.{self.number}"
 
-    def note_run(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Counts a new run of one of its tasks."""
         run.task.runs.append(run)
-        self.open_tasks.pop(run.task.index, None)
-        self.per_worker[run.worker_id] = (
-            self.per_worker.get(run.worker_id, 0) + 1
+        self.pending_tasks.pop(run.task.index, None)
+        self.runs_per_worker[run.worker_id] = (
+            self.runs_per_worker.get(run.worker_id, 0) + 1
         )
 
-    def note_gone(self, run: Run, now_ms: int) -> None:
+    def remove_run(self, run: Run, now_ms: int) -> None:
         """Forgets a run that has ended."""
         task = run.task
         if run not in task.runs:
             return
         task.runs.remove(run)
-        left = self.per_worker.get(run.worker_id, 0) - 1
+        left = self.runs_per_worker.get(run.worker_id, 0) - 1
         if left > 0:
-            self.per_worker[run.worker_id] = left
+            self.runs_per_worker[run.worker_id] = left
         else:
-            self.per_worker.pop(run.worker_id, None)
+            self.runs_per_worker.pop(run.worker_id, None)
         if task.is_open:
-            task.open_since_ms = now_ms
-            self.open_tasks[task.index] = task
+            task.pending_since_ms = now_ms
+            self.pending_tasks[task.index] = task
 
     def note_done(self, task: Task) -> None:
         """Counts the end of a task."""
         if not task.is_done:
             task.is_done = True
-            self.undone -= 1
-            self.open_tasks.pop(task.index, None)
+            self.unfinished_count -= 1
+            self.pending_tasks.pop(task.index, None)
 
 
 @attrs.define(eq=False)
-class JobRun:
+class ActiveJob:
     """A job that has not ended.
 
     Attributes:
@@ -239,7 +239,7 @@
 
     spec: specs.JobSpec
     accepted_ms: int
-    steps: dict[int, list[StepRun]] = attrs.field(factory=dict)
+    steps: dict[int, list[StepInstance]] = attrs.field(factory=dict)
     next_occurrence: int = 0
     state: records.JobState = records.JobState.QUEUED
     is_cancelled: bool = False
@@ -258,25 +258,25 @@
             return 0
         return self.spec.first_due_ms + occurrence * self.spec.interval_ms
 
-    def open_occurrence(self, occurrence: int) -> list[StepRun]:
+    def open_occurrence(self, occurrence: int) -> list[StepInstance]:
         """Creates the steps of a repetition."""
         steps = []
         for number, spec in enumerate(self.spec.steps):
-            step = StepRun(self, occurrence, number, spec)
+            step = StepInstance(self, occurrence, number, spec)
             if self.spec.queue.advice is not None:
                 step.tickets = {}
             for index in range(spec.task_count):
                 name = f"{step.name}.{index}"
                 task = Task(name, index, step, last_run=self.run_floor)
                 step.tasks.append(task)
-                step.open_tasks[index] = task
-            step.undone = spec.task_count
+                step.pending_tasks[index] = task
+            step.unfinished_count = spec.task_count
             steps.append(step)
         self.steps[occurrence] = steps
         self.next_occurrence = max(self.next_occurrence, occurrence + 1)
         return steps
 
-    def all_steps(self) -> Iterator[StepRun]:
+    def all_steps(self) -> Iterator[StepInstance]:
         """The steps of all repetitions that are due."""
         for steps in self.steps.values():
             yield from steps
@@ -300,18 +300,18 @@
         """Whether every task of every repetition is done."""
         if self.next_occurrence < self.occurrence_count:
             return False
-        return all(step.undone == 0 for step in self.all_steps())
+        return all(step.unfinished_count == 0 for step in self.all_steps())
 
-    def is_ready(self, step: StepRun) -> bool:
+    def is_ready(self, step: StepInstance) -> bool:
         """Whether all that a step depends on is done."""
         siblings = self.steps[step.occurrence]
         return all(
-            siblings[number].undone == 0
+            siblings[number].unfinished_count == 0
             for number in step.spec.depends_on
             if number < len(siblings)
         )
 
-    def is_soon(self, step: StepRun) -> bool:
+    def is_soon(self, step: StepInstance) -> bool:
         """Whether all tasks that a step waits for are more than half done."""
         siblings = self.steps[step.occurrence]
         return all(
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -8,10 +8,10 @@
 
 from comfreylatch._process import logs
 from comfreylatch._process.cell import claiming
-from comfreylatch._process.cell import inheritance
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
+from comfreylatch._process.cell import owner_dependencies
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
-from comfreylatch._process.cell import tenure_parts
+from comfreylatch._process.cell import recovered_state
 from comfreylatch._process.cell import worker_view
 
 CATCH_UP_MS = 3_000
@@ -30,30 +30,30 @@
 
 
 def take_over(
-    parts: tenure_parts.TenureParts,
+    parts: owner_dependencies.OwnerDependencies,
     host: claiming.HostIdentity,
     token: int,
-    scribe: scribe_module.Scribe,
+    scribe: fenced_writer_module.FencedWriter,
     predecessor: records.HeartbeatRecord | None,
-) -> inheritance.Inheritance | None:
+) -> recovered_state.RecoveredState | None:
     """Fences the owner before and reads what it has recorded."""
     started_ms = parts.clock.monotonic_ms()
     first_offset = scribe.fence()
     if first_offset is None:
         return None
     # The book then has all that the owner before may have started.
-    if not parts.jobs_tail.wait_for(first_offset, CATCH_UP_MS):
+    if not parts.jobs_reader.wait_for(first_offset, CATCH_UP_MS):
         return None
     work = _read_work(parts)
     if work is None:
         return None
-    lease_ms = int(parts.lease_ms / (1 - worker_view.CLOCK_DRIFT))
+    lease_ms = int(parts.lease_ms / (1 - worker_view.MAX_CLOCK_DRIFT))
     release_after_ms = started_ms + lease_ms
     if predecessor is None:
         release_after_ms = started_ms
     elif not (predecessor.is_released or predecessor.host == host.name):
-        release_after_ms += scribe_module.AUTONOMY_MS
-    jobs = parts.book.listen(None)
+        release_after_ms += fenced_writer_module.AUTONOMY_MS
+    jobs = parts.replica.listen(None)
     logs.event(
         _logger,
         "takeover",
@@ -63,7 +63,7 @@
         jobs=len(jobs),
         took_ms=parts.clock.monotonic_ms() - started_ms,
     )
-    return inheritance.Inheritance(
+    return recovered_state.RecoveredState(
         token,
         tuple(jobs),
         work.progress,
@@ -74,7 +74,7 @@
     )
 
 
-def _read_work(parts: tenure_parts.TenureParts) -> _Work | None:
+def _read_work(parts: owner_dependencies.OwnerDependencies) -> _Work | None:
     """Reads what the owner before has recorded; None while it can't be."""
     match parts.store.newest(records.WORK_TOPIC, parts.cell):
         case result.Ok(batch):
--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -32,23 +32,23 @@
 from comfreylatch._process import host_status
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import loans
+from comfreylatch._process import local_state
 from comfreylatch._process import logs
 from comfreylatch._process import membership as membership_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import operator_pages
-from comfreylatch._process import own_state
 from comfreylatch._process import pause_watch
 from comfreylatch._process import peer_service
 from comfreylatch._process import reasons
-from comfreylatch._process import record_push
+from comfreylatch._process import record_pusher
 from comfreylatch._process import resident
 from comfreylatch._process import settings as settings_module
 from comfreylatch._process import shares as shares_module
 from comfreylatch._process import shutdown
 from comfreylatch._process import snapshot_publisher
+from comfreylatch._process import startup_waits
 from comfreylatch._process import stream_state
-from comfreylatch._process import ticket_desk
-from comfreylatch._process import waits
+from comfreylatch._process import ticket_handler
 from comfreylatch._process.batch import service as batch_service
 from comfreylatch._request import dispatch_guard
 from comfreylatch._request import router as router_module
@@ -76,7 +76,7 @@
         self._metrics = metrics_module.Metrics()
         self.host_id = f"{settings.seat}-{secrets.token_hex(4)}"
         self._journal = journal_module.Journal(self.host_id, self._clock)
-        self._state = own_state.OwnState(
+        self._state = local_state.LocalState(
             settings.seat, settings.zone, self.host_id, self._clock
         )
         self.superseded = threading.Event()
@@ -156,7 +156,7 @@
         self._config_appender = appender_module.StreamAppender(
             self._log, CONFIG_STREAM, self.host_id, self._metrics, self._clock
         )
-        push = record_push.OwnRecordPush(self._membership, self.host_id)
+        push = record_pusher.OwnRecordPusher(self._membership, self.host_id)
 
         def after_apply(applied: stream_state.Applied) -> None:
             self._config_appender.observe(applied)
@@ -175,8 +175,8 @@
             ),
             after_apply=after_apply,
         )
-        self._fold.use_age_source(self._config.age_ms)
-        self._desk = ticket_desk.TicketDesk(
+        self._fold.set_age_source(self._config.age_ms)
+        self._ticket_handler = ticket_handler.TicketHandler(
             self._config_appender,
             self._fold,
             self._config,
@@ -190,7 +190,7 @@
     def _make_requests(self) -> None:
         settings = self._settings
         seed = settings.routing.seed or secrets.randbits(32)
-        longest = waits.LongestHold(self._fold)
+        longest = startup_waits.MaxSlotHoldTime(self._fold)
         shares = shares_module.FixedShares(
             self._fold,
             settings.zone,
@@ -212,13 +212,15 @@
             settings.timing.peer_timeout_ms,
         )
         self._marks = dispatch_marks.DispatchMarks(self.host_id, self._clock)
-        self._gate = own_state.SeatGate(
-            own_state.GateParts(
+        self._gate = local_state.SeatGate(
+            local_state.GateDependencies(
                 self._config,
                 self._fold,
                 self._membership,
                 shares,
-                lambda: waits.left_over_ms(longest, self._ledger),
+                lambda: startup_waits.predecessor_hold_ms(
+                    longest, self._ledger
+                ),
                 self._marks.assume_complete,
                 self._clock,
             )
@@ -227,7 +229,7 @@
             self._clock,
             lambda _: shares.hold_until(
                 self._clock.monotonic_ms()
-                + waits.seat_check_ms(settings.timing)
+                + startup_waits.seat_conflict_wait_ms(settings.timing)
             ),
         )
         self._client = endpoint_client.EndpointClient(
@@ -275,7 +277,7 @@
         self._poller = host_list.HostListPoller(
             self._host_list,
             settings.timing.host_list_ms,
-            (self._router.update_listed, self._batch.update_listed),
+            (self._router.update_host_list, self._batch.update_host_list),
         )
         zone_stream = job_records.zone_stream(settings.zone)
         self._state.attach(self._config, self._batch.follower, self._router)
@@ -334,7 +336,7 @@
         )
         return [
             *pages.routes(),
-            *self._desk.routes(),
+            *self._ticket_handler.routes(),
             *self._batch.routes(),
         ]
 
@@ -382,7 +384,7 @@
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
-    with logs.LogOutput(settings.log_level):
+    with logs.TextLogOutput(settings.log_level):
         resident.mark(resident.LIBRARIES)
         with EntryHost(settings) as host:
             while not stop.wait(STOP_CHECK_S):
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -1,4 +1,4 @@
-"""Follows one stream and folds its records in the order of their offsets."""
+"""Follows one stream and folds its records in offset order."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 from comfreylatch._version import snapshots
 
 MAX_READ_ENTRIES = 256
-DEFAULT_WAIT_MS = 2_000
-EARLY_ANSWER_PAUSE_MS = 100
-NEVER_MS = 2**53
+DEFAULT_READ_WAIT_MS = 2_000
+EARLY_ANSWER_DELAY_MS = 100
+NEVER_SYNCED_AGE_MS = 2**53
 
 _events = logbook.Logger(__name__)
 
 
 @final
 class StreamFollower:
-    """Reads a stream with one thread; peers may add to it from others.
+    """Reads a stream on one thread; other threads may add peers' entries.
 
     Args:
         log: The platform's log.
         stream: Name of the stream.
-        fold: Takes every record once, in the order of the offsets.
+        fold: Receives every record once, in offset order.
         metrics: Counts malformed records and retries.
-        clock: For ages.
+        clock: Clock for the age of the state.
         wait_ms: How long the log may hold a read that finds nothing new.
-        catch_up: Asked when the log is down or has dropped what is needed.
+        catch_up: Source of records when the log is down or has expired them.
         after_apply: Called after each change of the fold, outside any lock.
-        retry: Waits between reads that failed.
-        source: Randomness of those waits.
+        retry: Backoff between failed reads.
+        rng: Random number generator of the backoff.
     """
 
     def __init__(
@@ -56,11 +56,11 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         *,
-        wait_ms: int = DEFAULT_WAIT_MS,
+        wait_ms: int = DEFAULT_READ_WAIT_MS,
         catch_up: catch_up_module.CatchUpSource | None = None,
         after_apply: stream_state.AfterApply | None = None,
         retry: backoff.Backoff | None = None,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
         self._log = log
         self._stream = stream
@@ -69,12 +69,12 @@
         self._wait_ms = wait_ms
         self._catch_up = catch_up
         self._retry = retry or backoff.Backoff()
-        self._source = source or random.Random()
+        self._rng = rng or random.Random()
         self._state = stream_state.StreamState(
             stream, fold, metrics, after_apply
         )
         self._first_offset = 0
-        self._at_head_ms = -1
+        self._last_synced_ms = -1
         self._ready = False
         self._failures = 0
         self._closing = threading.Event()
@@ -92,7 +92,7 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        """Ends the thread, after the read under way."""
+        """Stops the thread once the read in progress has returned."""
         self._closing.set()
         self._thread.join()
 
@@ -103,16 +103,16 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the state was once as new as the log or a peer had it."""
+        """Whether the state has ever caught up with the log or a peer."""
         return self._ready
 
     @property
     def first_offset(self) -> int:
-        """Lowest offset the log still keeps, as last heard."""
+        """Lowest offset the log still keeps, as of the last read."""
         return self._first_offset
 
     def offset(self) -> int:
-        """Offset of the last record folded, -1 for none; never falls."""
+        """Offset of the last record folded, -1 for none; never decreases."""
         return self._state.offset
 
     def digest(self) -> str:
@@ -120,94 +120,104 @@
         return self._state.digest()
 
     def position(self) -> tuple[int, str]:
-        """Offset and digest that belong together, for heartbeats."""
+        """Offset and digest of one consistent state, for heartbeats."""
         return self._state.position()
 
     def age_ms(self) -> int:
-        """Time since the state was known to be as new as the log.
+        """Time since the state was last known to match the head of the log.
 
-        `NEVER_MS` when it never was.
+        `NEVER_SYNCED_AGE_MS` if it never was.
         """
-        if self._at_head_ms < 0:
-            return NEVER_MS
-        return max(0, self._clock.monotonic_ms() - self._at_head_ms)
+        if self._last_synced_ms < 0:
+            return NEVER_SYNCED_AGE_MS
+        return max(0, self._clock.monotonic_ms() - self._last_synced_ms)
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
-        """Waits until a record has been folded; False when time is up."""
+        """Waits until a record has been folded; False on timeout."""
         return self._state.wait_for(offset, timeout_ms)
 
     def snapshot(self) -> snapshots.StreamSnapshot:
         """The state after the current offset."""
         return self._state.snapshot()
 
-    def offer(self, entries: Sequence[log_port.LogEntry]) -> bool:
-        """Takes entries which a peer has read from the log.
+    def apply_from_peer(self, entries: Sequence[log_port.LogEntry]) -> bool:
+        """Applies entries that a peer has read from the log.
 
         Returns:
-            Whether they were new and continued exactly from the own offset;
-            otherwise nothing was done.
+            Whether there were new entries that continue exactly from this
+            host's offset; otherwise nothing was applied.
         """
-        return self._state.take(entries, stream_state.EntrySource.PEER)
+        return self._state.apply(entries, stream_state.EntrySource.PEER)
 
     def serve_catch_up(
         self, after_offset: int
-    ) -> result.Result[catch_up_module.CatchUp, catch_up_module.NoCatchUp]:
-        """What brings a peer forward; Err until this host is ready."""
+    ) -> result.Result[
+        catch_up_module.CatchUp, catch_up_module.CatchUpUnavailable
+    ]:
+        """State for a peer to catch up with; Err until this host is ready."""
         if not self._ready:
-            return result.Err(catch_up_module.NoCatchUp("not ready"))
-        return result.Ok(self._state.since(after_offset))
+            return result.Err(catch_up_module.CatchUpUnavailable("not ready"))
+        return result.Ok(self._state.catch_up_from(after_offset))
 
     def step(self) -> int:
-        """Makes one read of the log and folds what it gives.
+        """Reads the log once and folds the entries read.
 
         Returns:
             Milliseconds to wait before the next step.
         """
         started_ms = self._clock.monotonic_ms()
-        asked = self._state.offset + 1
-        # Whether this is the head must be known soon after the start.
+        requested_offset = self._state.offset + 1
+        # Reads don't wait until a host is ready, so that a host whose state is
+        # at the head of the log becomes ready soon after its start.
         wait_ms = self._wait_ms if self._ready else 0
-        answer = self._log.read(self._stream, asked, MAX_READ_ENTRIES, wait_ms)
+        answer = self._log.read(
+            self._stream, requested_offset, MAX_READ_ENTRIES, wait_ms
+        )
         match answer:
             case result.Ok(batch):
-                return self._take_batch(batch, asked, started_ms, wait_ms)
+                return self._apply_batch(
+                    batch, requested_offset, started_ms, wait_ms
+                )
             case result.Err(log_port.LogExpired(first_offset)):
-                return self._recover(first_offset)
-            case result.Err(log_port.LogDown(detail)):
-                self._take_from_peer()
-                return self._failed(detail)
+                return self._recover_expired(first_offset)
+            case result.Err(log_port.LogUnavailable(detail)):
+                self._catch_up_from_peer()
+                return self._record_failure(detail)
 
-    def _take_batch(
+    def _apply_batch(
         self,
         batch: log_port.LogBatch,
-        asked: int,
+        requested_offset: int,
         started_ms: int,
         wait_ms: int,
     ) -> int:
-        if not batch.entries and batch.next_offset != asked:
-            return self._failed(
-                f"the log goes on at {batch.next_offset}, not at {asked}"
+        if not batch.entries and batch.next_offset != requested_offset:
+            return self._record_failure(
+                f"the log continues at offset {batch.next_offset}, not at"
+                f" {requested_offset}"
             )
         if batch.entries:
-            self._state.take(batch.entries, stream_state.EntrySource.LOG)
+            self._state.apply(batch.entries, stream_state.EntrySource.LOG)
             if batch.entries[-1].offset > self._state.offset:
-                return self._failed("the log's answer leaves out records")
+                return self._record_failure("the log's answer skips records")
         self._failures = 0
         self._first_offset = max(self._first_offset, batch.first_offset)
         if len(batch.entries) == MAX_READ_ENTRIES:
             return 0
-        # An empty answer was held back for the whole of the wait; until then
-        # at least nothing newer was on the log.
+        # While the log held back an empty answer, it had nothing newer than
+        # this state.
         held_ms = self._clock.monotonic_ms() - started_ms
-        known_ms = 0 if batch.entries else min(held_ms, wait_ms)
-        self._at_head_ms = max(self._at_head_ms, started_ms + known_ms)
+        unchanged_ms = 0 if batch.entries else min(held_ms, wait_ms)
+        self._last_synced_ms = max(
+            self._last_synced_ms, started_ms + unchanged_ms
+        )
         self._ready = True
         if batch.entries:
             return 0
-        # A log that does not hold empty answers back must not be flooded.
-        return max(0, min(EARLY_ANSWER_PAUSE_MS, wait_ms - held_ms))
+        # Limits the rate of reads of a log that doesn't hold empty answers.
+        return max(0, min(EARLY_ANSWER_DELAY_MS, wait_ms - held_ms))
 
-    def _failed(self, detail: str) -> int:
+    def _record_failure(self, detail: str) -> int:
         self._failures += 1
         self._metrics.count(
             metrics_module.Counter.RETRIES, reasons.RetryReason.LOG_DOWN
@@ -220,53 +230,53 @@
                 offset=self._state.offset,
                 detail=detail,
             )
-        return self._retry.delay_ms(self._failures, self._source)
+        return self._retry.delay_ms(self._failures, self._rng)
 
-    def _recover(self, first_offset: int) -> int:
-        """Goes on from a snapshot when the next record has expired."""
+    def _recover_expired(self, first_offset: int) -> int:
+        """Continues from a snapshot or a peer after records have expired."""
         loaded = snapshot_stream.load(self._log, self._stream)
         if loaded.is_ok():
             log_source = stream_state.EntrySource.LOG
             self._state.restore(loaded.ok(), log_source)
         if self._state.offset + 1 >= first_offset:
             return 0
-        self._take_from_peer()
+        self._catch_up_from_peer()
         if self._state.offset + 1 >= first_offset:
             return 0
-        return self._failed(
+        return self._record_failure(
             f"records before {first_offset} have expired and neither a"
             " snapshot nor a peer has them"
         )
 
-    def _take_from_peer(self) -> None:
+    def _catch_up_from_peer(self) -> None:
         """Catches up from a peer, if one has the state."""
         if self._catch_up is None:
             return
         fetched = self._catch_up.fetch(self._stream, self._state.offset)
         if fetched.is_err():
             return
-        given = fetched.ok()
+        received = fetched.ok()
         source = stream_state.EntrySource.PEER
-        if given.snapshot:
-            match snapshots.decode(given.snapshot):
-                case result.Ok(taken):
-                    self._state.restore(taken, source)
+        if received.snapshot:
+            match snapshots.decode(received.snapshot):
+                case result.Ok(snapshot):
+                    self._state.restore(snapshot, source)
                 case result.Err(bad):
-                    self._bad_peer_message("snapshot", bad.detail)
+                    self._report_bad_peer_message("snapshot", bad.detail)
                     return
-        if given.entries:
-            self._state.take(given.entries, source)
-        self._check(given)
+        if received.entries:
+            self._state.apply(received.entries, source)
+        self._verify_position(received)
 
-    def _check(self, given: catch_up_module.CatchUp) -> None:
-        """Compares the position with the peer's before serving from it."""
+    def _verify_position(self, received: catch_up_module.CatchUp) -> None:
+        """Marks the state ready if it agrees with the peer's position."""
         offset, digest = self._state.position()
-        if offset == given.offset and digest != given.digest:
-            self._bad_peer_message("digest", f"at offset {offset}")
-        elif offset >= max(given.offset, given.floor):
+        if offset == received.offset and digest != received.digest:
+            self._report_bad_peer_message("digest", f"at offset {offset}")
+        elif offset >= max(received.offset, received.min_serving_offset):
             self._ready = True
 
-    def _bad_peer_message(self, what: str, detail: str) -> None:
+    def _report_bad_peer_message(self, what: str, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_PEER_MESSAGES, what)
         logs.error(
             _events,
@@ -281,6 +291,8 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.failure(_events, "follow-step-failed", stream=self._stream)
+                logs.exception(
+                    _events, "follow-step-failed", stream=self._stream
+                )
                 delay_ms = self._retry.max_ms
             self._closing.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/json_positions.py
+++ b/src/comfreylatch/_process/json_positions.py
@@ -1,6 +1,6 @@
-"""Lines and columns of the parts of a JSON-with-comments text.
+"""Positions of keys and values in a JSON-with-comments text.
 
-Only needed to place an error, so it is imported when there is one.
+Imported only when an error has to be located.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Position:
-    """A place in a text; line and column count from 1, in characters."""
+    """A line and a column in a text, from 1, in characters."""
 
     line: int
     column: int
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class SyntaxProblem:
-    """Where a text stops being JSON with comments, and what was expected."""
+    """Position of a syntax error, with what was expected and found."""
 
     position: Position
     expected: str
@@ -45,7 +45,7 @@
     value: tree_sitter.Node
 
 
-class Outline:
+class SyntaxTree:
     """The syntax tree of one text."""
 
     def __init__(self, text: str) -> None:
@@ -55,43 +55,43 @@
         self._lines = self._source.split(b"\n")
 
     def position(self, path: str) -> Position:
-        """Position of a value, or of the nearest value around it.
+        """Position of a value, or of the innermost existing value around it.
 
         Args:
-            path: As in `changes[0].state.slots`.
+            path: A path such as `changes[0].state.slots`.
         """
         _, value = self._find(path)
         return Position(1, 1) if value is None else self._start(value)
 
     def key_position(self, path: str) -> Position:
-        """Like `position`, but of the key that names the value."""
+        """Like `position`, but for the key of the value."""
         key, _ = self._find(path)
         return self.position(path) if key is None else self._start(key)
 
     def duplicate_keys(self) -> list[tuple[str, Position]]:
-        """Path and place of every key that its object has had before."""
+        """Path and position of every key that repeats one of its object."""
         root = _first_value(self._tree.root_node)
         return [] if root is None else self._duplicates(root, "")
 
     def _find(
         self, path: str
     ) -> tuple[tree_sitter.Node | None, tree_sitter.Node | None]:
-        """The key and the value at a path, as far as the text has them."""
+        """Finds the key and value at a path, as deep as the text has it."""
         key = None
         value = _first_value(self._tree.root_node)
         rest = path
         while rest and value is not None:
-            step = _step(value, rest)
+            step = _resolve_step(value, rest)
             if step is None:
                 break
             key, value, rest = step
         return key, value
 
     def syntax_problem(self) -> SyntaxProblem:
-        """The first error of a text that is not JSON with comments."""
+        """Locates the first error of a text that isn't JSON with comments."""
         blanked = self._blank_comments_and_trailing_commas()
         try:
-            json.loads(blanked, parse_constant=_no_constant)
+            json.loads(blanked, parse_constant=_reject_constant)
         except RecursionError:
             return SyntaxProblem(Position(1, 1), "fewer levels", "deep nesting")
         except json.JSONDecodeError as error:
@@ -104,10 +104,10 @@
             )
         except ValueError as error:
             word = str(error)
-            return SyntaxProblem(self._place_of(word), "a JSON value", word)
+            return SyntaxProblem(self._position_of(word), "a JSON value", word)
         return SyntaxProblem(Position(1, 1), "JSON with comments", "other text")
 
-    def _place_of(self, word: str) -> Position:
+    def _position_of(self, word: str) -> Position:
         for row, line in enumerate(self._lines):
             column = line.decode("utf-8", "replace").find(word)
             if column >= 0:
@@ -125,15 +125,17 @@
         found = []
         seen = set()
         for member in _members(node):
-            here = path + member.label if path else member.label.lstrip(".")
+            member_path = (
+                path + member.label if path else member.label.lstrip(".")
+            )
             if member.key is not None and member.label in seen:
-                found.append((here, self._start(member.key)))
+                found.append((member_path, self._start(member.key)))
             seen.add(member.label)
-            found.extend(self._duplicates(member.value, here))
+            found.extend(self._duplicates(member.value, member_path))
         return found
 
     def _blank_comments_and_trailing_commas(self) -> str:
-        """The text with the same positions, as strict JSON."""
+        """Converts the text to strict JSON with unchanged positions."""
         blanked = bytearray(self._source)
         comma = None
         for leaf in _leaves(self._tree.root_node):
@@ -147,14 +149,14 @@
         return blanked.decode("utf-8", "replace")
 
 
-def _no_constant(word: str) -> Any:
+def _reject_constant(word: str) -> Any:
     raise ValueError(word)
 
 
 def _blank(source: bytearray, node: tree_sitter.Node) -> None:
     text = bytes(source[node.start_byte : node.end_byte]).decode("utf-8")
-    spaces = "".join("\n" if letter == "\n" else " " for letter in text)
-    # Padding keeps byte offsets of later nodes right.
+    spaces = "".join("\n" if char == "\n" else " " for char in text)
+    # The padding keeps the byte offsets of later nodes unchanged.
     padding = len(text.encode("utf-8")) - len(spaces)
     source[node.start_byte : node.end_byte] = (spaces + " " * padding).encode()
 
@@ -202,16 +204,16 @@
     ]
 
 
-def _step(
+def _resolve_step(
     node: tree_sitter.Node, path: str
 ) -> tuple[tree_sitter.Node | None, tree_sitter.Node, str] | None:
-    """The member that a path leads to, and the rest of the path."""
+    """Finds the member at the start of a path, and the rest of the path."""
     found = None
-    lead = path if path.startswith("[") else f".{path.removeprefix('.')}"
+    suffix = path if path.startswith("[") else f".{path.removeprefix('.')}"
     for member in _members(node):
-        rest = lead[len(member.label) :]
-        if lead.startswith(member.label) and rest[:1] in ("", ".", "["):
-            # A later member of the same name is the one in force.
+        rest = suffix[len(member.label) :]
+        if suffix.startswith(member.label) and rest[:1] in ("", ".", "["):
+            # The last member of a name overrides the earlier ones.
             found = (member.key, member.value, rest)
     return found
 
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -22,7 +22,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._ports import peers as peers_port
 from comfreylatch._process import metrics as metrics_module
-from comfreylatch._process import slot_book
+from comfreylatch._process import slot_account
 from comfreylatch._wire.gen.peer import ttypes
 
 ASKED_SLOTS = 2
@@ -40,7 +40,7 @@
         """Slots of this host's own share that are in force now."""
         ...
 
-    def share_connections(self, endpoint: str) -> int:
+    def connection_share(self, endpoint: str) -> int:
         """Connections this host may hold to the endpoint."""
         ...
 
@@ -84,7 +84,7 @@
         seat: str,
         host_id: str,
         peers: peers_port.Peers,
-        longest_request_ms: Callable[[], int],
+        max_hold_ms: Callable[[], int],
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         chance: random.Random,
@@ -95,13 +95,13 @@
         self._seat = seat
         self._host_id = host_id
         self._peers = peers
-        self._longest_request_ms = longest_request_ms
+        self._max_hold_ms = max_hold_ms
         self._metrics = metrics
         self._clock = clock
         self._chance = chance
         self._timeout_ms = timeout_ms
         self._lock = threading.Lock()
-        self._books: dict[str, slot_book.SlotBook] = {}
+        self._books: dict[str, slot_account.SlotAccount] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._wanted: set[str] = set()
         self._refused_until_ms: collections.Counter[tuple[str, str]] = (
@@ -145,16 +145,16 @@
         """See `SlotLedger.free`."""
         with self._lock:
             return self._book(endpoint).free(
-                self._clock.monotonic_ms(), self._longest_request_ms()
+                self._clock.monotonic_ms(), self._max_hold_ms()
             )
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """See `SlotLedger.on_free`."""
         self._listeners.append(callback)
 
-    def share_connections(self, endpoint: str) -> int:
-        """See `SlotLedger.share_connections`."""
-        return self._shares.share_connections(endpoint)
+    def connection_share(self, endpoint: str) -> int:
+        """See `SlotLedger.connection_share`."""
+        return self._shares.connection_share(endpoint)
 
     def want(self, endpoint: str) -> None:
         """Has slots of an endpoint borrowed, if another host has some."""
@@ -165,7 +165,7 @@
     def lend(self, request: ttypes.LoanRequest) -> ttypes.LoanReply:
         """Answers another host's request; debited before it is sent."""
         now_ms = self._clock.monotonic_ms()
-        duration_ms = min(request.duration_ms, self.loan_ms())
+        duration_ms = min(request.duration_ms, self.loan_duration_ms())
         with self._lock:
             slots = self._book(request.endpoint).lend(
                 now_ms,
@@ -187,9 +187,9 @@
         self._metrics.count(metrics_module.Counter.LOANS, "returned")
         self._tell(loan.endpoint)
 
-    def loan_ms(self) -> int:
+    def loan_duration_ms(self) -> int:
         """How long a loan lasts under the configuration in force."""
-        longest_ms = self._longest_request_ms()
+        longest_ms = self._max_hold_ms()
         return max(MIN_LOAN_MS, LOAN_IN_LONGEST_REQUESTS * longest_ms)
 
     def status(self) -> tuple[LoanStatus, ...]:
@@ -206,10 +206,10 @@
                 for endpoint, book in sorted(self._books.items())
             )
 
-    def _book(self, endpoint: str) -> slot_book.SlotBook:
+    def _book(self, endpoint: str) -> slot_account.SlotAccount:
         book = self._books.get(endpoint)
         if book is None:
-            book = slot_book.SlotBook(endpoint)
+            book = slot_account.SlotAccount(endpoint)
             self._books[endpoint] = book
         book.set_own(self._shares.free(endpoint))
         return book
@@ -258,7 +258,7 @@
             endpoint=endpoint,
             slots=ASKED_SLOTS,
             loan_id=next(self._loan_ids),
-            duration_ms=self.loan_ms(),
+            duration_ms=self.loan_duration_ms(),
         )
         asked_ms = self._clock.monotonic_ms()
         match self._peers.borrow(seat, request, self._timeout_ms):
@@ -279,7 +279,7 @@
         asked_ms: int,
     ) -> None:
         duration_ms = min(reply.duration_ms, request.duration_ms)
-        loan = slot_book.Borrowed(
+        loan = slot_account.Borrowed(
             lender_seat=seat,
             loan_id=request.loan_id,
             slots=min(reply.slots, request.slots),
--- a/src/comfreylatch/_process/own_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -28,7 +28,7 @@
 
 
 @final
-class OwnState:
+class LocalState:
     """This host's part of a heartbeat; parts are attached as they are made."""
 
     def __init__(
@@ -102,7 +102,7 @@
 
 
 @attrs.frozen
-class GateParts:
+class GateDependencies:
     """What the gate of a seat looks at.
 
     Attributes:
@@ -110,7 +110,8 @@
         source: Configuration in force.
         membership: Tells what peers know of the predecessor.
         shares: Opened by the gate.
-        left_over_ms: How long a predecessor's requests and loans may last.
+        predecessor_hold_ms: How long requests and loans of a predecessor may
+            last.
         on_first_start: Called when nothing was in force before this start.
         clock: Monotonic time.
     """
@@ -119,7 +120,7 @@
     source: configuration_port.ConfigurationSource
     membership: membership_module.Membership
     shares: shares_module.FixedShares
-    left_over_ms: Callable[[], int]
+    predecessor_hold_ms: Callable[[], int]
     on_first_start: Callable[[], None]
     clock: clock_port.Clock
 
@@ -133,7 +134,7 @@
     the longest time for which its requests and loans can last.
     """
 
-    def __init__(self, parts: GateParts) -> None:
+    def __init__(self, parts: GateDependencies) -> None:
         self._parts = parts
         self._started_ms = parts.clock.monotonic_ms()
         self._had_endpoints = False
@@ -186,6 +187,6 @@
         if parts.membership.is_predecessor_drained():
             return "predecessor-drained"
         waited_ms = parts.clock.monotonic_ms() - self._started_ms
-        if waited_ms >= parts.left_over_ms():
+        if waited_ms >= parts.predecessor_hold_ms():
             return "waited"
         return ""
--- a/src/comfreylatch/_process/logs.py
+++ b/src/comfreylatch/_process/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line an event, `event` and its fields as `key=value`."""
+"""Structured logs: one line per event, with its fields as `key=value`."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 import logbook
 from logbook import handlers
 
-MAX_VALUE_LETTERS = 500
+MAX_VALUE_CHARS = 500
 
 _LINE_FORMAT: Final = (
     "{record.time:%Y-%m-%dT%H:%M:%S.%f}Z level={record.level_name} "
     "logger={record.channel} {record.message}"
 )
-_PLAIN_LETTERS: Final = frozenset(
+_UNQUOTED_CHARS: Final = frozenset(
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:/+@[],%"
 )
 
 
 @final
-class _OneLine(handlers.StringFormatter):
-    """Keeps every event on one line, with its traceback if it has one."""
+class _SingleLineFormatter(handlers.StringFormatter):
+    """Formats every event on one line, with its traceback if it has one."""
 
     def __call__(
         self, record: logbook.LogRecord, handler: logbook.Handler
@@ -39,12 +39,14 @@
 
 
 @final
-class LogOutput:
-    """Sends every logger's lines to one stream while it is open.
+class TextLogOutput:
+    """Writes the lines of every logger to a text stream.
+
+    Use as a context manager; lines are written while it is entered.
 
     Args:
         level: One of logbook's level names, in lower case.
-        stream: Where the lines go; standard error when None.
+        stream: Stream for the lines; standard error if None.
     """
 
     def __init__(self, level: str, stream: TextIO | None = None) -> None:
@@ -52,7 +54,7 @@
             stream or sys.stderr,
             level=logbook.lookup_level(level.upper()),
         )
-        self._handler.formatter = _OneLine(_LINE_FORMAT)
+        self._handler.formatter = _SingleLineFormatter(_LINE_FORMAT)
 
     def __enter__(self) -> Self:
         self._handler.push_application()
@@ -64,36 +66,36 @@
 
 
 def event(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something that happened, at level info."""
-    logger.info(Line(name, fields))
+    """Logs an event at level info."""
+    logger.info(LogEvent(name, fields))
 
 
-def detail(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something only wanted in a close look, at level debug."""
-    logger.debug(Line(name, fields))
+def debug(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
+    """Logs an event at level debug."""
+    logger.debug(LogEvent(name, fields))
 
 
 def warning(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something that an operator should look at."""
-    logger.warning(Line(name, fields))
+    """Logs a condition that an operator should check, at level warning."""
+    logger.warning(LogEvent(name, fields))
 
 
 def error(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs something that went wrong here."""
-    logger.error(Line(name, fields))
+    """Logs a fault of this process, at level error."""
+    logger.error(LogEvent(name, fields))
 
 
-def failure(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
-    """Logs the exception being handled, with its traceback."""
-    logger.exception(Line(name, fields))
+def exception(logger: logbook.Logger, name: str, /, **fields: Any) -> None:
+    """Logs the exception being handled with its traceback, at level error."""
+    logger.exception(LogEvent(name, fields))
 
 
-class Line:
-    """An event and its fields; made to text only where a handler wants it.
+class LogEvent:
+    """An event with its fields; formatted only if a handler needs the text.
 
     Attributes:
         name: Name of the event.
-        fields: What is told of it.
+        fields: Values of its fields by name.
     """
 
     def __init__(self, name: str, fields: dict[str, Any]) -> None:
@@ -109,8 +111,8 @@
 
 def _quoted(value: Any) -> str:
     text = str(value)
-    if len(text) > MAX_VALUE_LETTERS:
-        text = text[:MAX_VALUE_LETTERS] + "..."
-    if text and _PLAIN_LETTERS.issuperset(text):
+    if len(text) > MAX_VALUE_CHARS:
+        text = text[:MAX_VALUE_CHARS] + "..."
+    if text and _UNQUOTED_CHARS.issuperset(text):
         return text
     return json.dumps(text, ensure_ascii=False)
--- a/src/comfreylatch/_process/metrics.py
+++ b/src/comfreylatch/_process/metrics.py
@@ -1,4 +1,4 @@
-"""Counters by reason and latency histograms of one process."""
+"""Counters and latency histograms of one process."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 import attrs
 from hdrh import histogram
 
-LOWEST_US = 1
-HIGHEST_US = 600_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 2
 
 
 class Counter(enum.StrEnum):
-    """What is counted; most counters are split by a reason."""
+    """Names of counters; most are labelled with a reason."""
 
     REQUESTS = "requests"
     REFUSALS = "refusals"
@@ -36,7 +36,7 @@
     RUN_STOPS = "tasks-stopped"
     RUNS_LOST = "runs-lost"
     CLAIMS = "claims"
-    TENURES_ENDED = "tenures-ended"
+    OWNERSHIPS_ENDED = "tenures-ended"
     ADVICE_ANSWERS = "advice-answers"
     ADVICE_MISSING = "advice-missing"
     MAINTENANCES = "maintenances"
@@ -44,7 +44,7 @@
 
 
 class Latency(enum.StrEnum):
-    """What is timed, in microseconds."""
+    """Names of latencies, measured in microseconds."""
 
     REQUEST = "request"
     TRY = "try"
@@ -73,8 +73,8 @@
 class LatencyLine:
     """Quantiles of one latency for one label, in microseconds.
 
-    `encoded` is the whole histogram in the HdrHistogram V2 format, so that
-    histograms of several hosts can be merged exactly.
+    `encoded` is the complete histogram in the HdrHistogram V2 format, from
+    which histograms of several hosts can be merged exactly.
     """
 
     latency: str
@@ -89,7 +89,7 @@
 
 @attrs.frozen
 class MetricsPage:
-    """All metrics of a process at one moment."""
+    """All metrics of a process at one point in time."""
 
     counters: tuple[CounterLine, ...]
     latencies: tuple[LatencyLine, ...]
@@ -105,54 +105,54 @@
         )
         self._histograms: dict[tuple[str, str], histogram.HdrHistogram] = {}
 
-    def count(self, counter: Counter, label: str = "", by: int = 1) -> None:
-        """Adds to a counter; `label` is a reason or the name of a thing."""
+    def count(self, counter: Counter, label: str = "", amount: int = 1) -> None:
+        """Adds to a counter; `label` is a reason or an object's name."""
         with self._lock:
-            self._counters[counter, label] += by
+            self._counters[counter, label] += amount
 
     def value(self, counter: Counter, label: str = "") -> int:
-        """Value of a counter so far."""
+        """Current value of a counter."""
         with self._lock:
             return self._counters[counter, label]
 
     def observe(
         self, latency: Latency, elapsed_us: int, label: str = ""
     ) -> None:
-        """Adds one measured time."""
-        bounded_us = min(max(elapsed_us, LOWEST_US), HIGHEST_US)
+        """Adds one measured latency to its histogram."""
+        bounded_us = min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
         with self._lock:
-            found = self._histograms.get((latency, label))
-            if found is None:
-                found = histogram.HdrHistogram(
-                    LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
+            hist = self._histograms.get((latency, label))
+            if hist is None:
+                hist = histogram.HdrHistogram(
+                    MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
                 )
-                self._histograms[latency, label] = found
-            found.record_value(bounded_us)
+                self._histograms[latency, label] = hist
+            hist.record_value(bounded_us)
 
     def page(self) -> MetricsPage:
-        """A consistent copy of everything."""
+        """A consistent snapshot of all metrics."""
         with self._lock:
             counters = tuple(
                 CounterLine(counter, label, value)
                 for (counter, label), value in sorted(self._counters.items())
             )
             latencies = tuple(
-                _latency_line(latency, label, found)
-                for (latency, label), found in sorted(self._histograms.items())
+                _latency_line(latency, label, hist)
+                for (latency, label), hist in sorted(self._histograms.items())
             )
         return MetricsPage(counters, latencies)
 
 
 def _latency_line(
-    latency: str, label: str, found: histogram.HdrHistogram
+    latency: str, label: str, hist: histogram.HdrHistogram
 ) -> LatencyLine:
     return LatencyLine(
         latency=latency,
         label=label,
-        count=found.get_total_count(),
-        p50_us=int(found.get_value_at_percentile(50)),
-        p99_us=int(found.get_value_at_percentile(99)),
-        p999_us=int(found.get_value_at_percentile(99.9)),
-        max_us=int(found.get_max_value()),
-        encoded=found.encode().decode("ascii"),
+        count=hist.get_total_count(),
+        p50_us=int(hist.get_value_at_percentile(50)),
+        p99_us=int(hist.get_value_at_percentile(99)),
+        p999_us=int(hist.get_value_at_percentile(99.9)),
+        max_us=int(hist.get_max_value()),
+        encoded=hist.encode().decode("ascii"),
     )
--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -13,7 +13,7 @@
 from comfreylatch._connection import address as addresses
 from comfreylatch._process import json_file
 from comfreylatch._process import settings as settings_module
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._version import schema
 
 MAX_THREADS = 1_024
@@ -38,7 +38,7 @@
 def load(
     path: str,
 ) -> result.Result[settings_module.Settings, SettingsErrors]:
-    """Loads a file; Err holds every error of it, with line and column."""
+    """Loads a file; Err holds all its errors, with line and column."""
     match json_file.read(path, check):
         case result.Err() as refused:
             return refused
@@ -47,28 +47,28 @@
 
 
 def check(value: Any) -> schema.Problems:
-    """Returns everything wrong with a decoded settings file."""
+    """Returns all problems of a decoded settings file."""
     problems = schema.check(value, settings_module.Settings, "")
     if not isinstance(value, dict):
         return problems
-    wrong = {problem.path for problem in problems}
+    reported = {problem.path for problem in problems}
     for problem in _value_problems(value):
-        if problem.path not in wrong:
+        if problem.path not in reported:
             problems.append(problem)
     return problems
 
 
 def _value_problems(value: dict[str, Any]) -> Iterator[schema.Problem]:
-    yield from _names(value)
-    yield from _addresses(value)
-    yield from _timing(value)
-    yield from _ranges(value)
-    yield from _seats(value)
-    yield from _routing(value)
+    yield from _check_names(value)
+    yield from _check_addresses(value)
+    yield from _check_timing(value)
+    yield from _check_threads_and_log_level(value)
+    yield from _check_seats(value)
+    yield from _check_routing(value)
 
 
 def _peers(value: dict[str, Any]) -> list[tuple[str, dict[str, Any]]]:
-    """The peers that are objects, each with its path."""
+    """Lists the peers that are objects, each with its path."""
     listed = value.get("peers")
     if not isinstance(listed, list):
         return []
@@ -79,44 +79,46 @@
     ]
 
 
-def _member(value: dict[str, Any], key: str) -> dict[str, Any]:
-    """A member that is an object; an empty one when it is not."""
+def _object_member(value: dict[str, Any], key: str) -> dict[str, Any]:
+    """Returns a member that is an object, else an empty object."""
     member = value.get(key)
     return member if isinstance(member, dict) else {}
 
 
-def _names(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_names(value: dict[str, Any]) -> Iterator[schema.Problem]:
     for path, named in [("", value), *_peers(value)]:
         for key in ("seat", "zone"):
             name = named.get(key)
             if isinstance(name, str) and not name.strip():
-                where = schema.join(path, key)
-                yield schema.Problem(where, "a name", schema.show(name))
+                name_path = schema.join(path, key)
+                yield schema.Problem(
+                    name_path, "a name", schema.describe_value(name)
+                )
 
 
-def _addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_addresses(value: dict[str, Any]) -> Iterator[schema.Problem]:
     texts = [(key, value.get(key)) for key in _OWN_ADDRESSES]
-    platform = _member(value, "platform")
+    platform = _object_member(value, "platform")
     for key in _PLATFORM_ADDRESSES:
         texts.append((f"platform.{key}", platform.get(key)))
     for path, peer in _peers(value):
         texts.append((f"{path}.peer_address", peer.get("peer_address")))
     for path, text in texts:
         if isinstance(text, str):
-            yield from _address(path, text)
-    yield from _repeated_listeners(value)
+            yield from _check_address(path, text)
+    yield from _check_listeners_differ(value)
 
 
-def _address(path: str, text: str) -> Iterator[schema.Problem]:
+def _check_address(path: str, text: str) -> Iterator[schema.Problem]:
     match addresses.parse(text):
         case result.Err(bad):
             expected = "IP:port, such as 10.0.0.5:8080"
             yield schema.Problem(path, expected, bad.detail)
         case result.Ok(parsed) if parsed.port == 0:
-            yield schema.Problem(path, "a port from 1 on", text)
+            yield schema.Problem(path, "a port of at least 1", text)
 
 
-def _repeated_listeners(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_listeners_differ(value: dict[str, Any]) -> Iterator[schema.Problem]:
     first_by_text: dict[str, str] = {}
     for name in _OWN_ADDRESSES:
         text = value.get(name)
@@ -128,8 +130,8 @@
         first_by_text.setdefault(text, name)
 
 
-def _timing(value: dict[str, Any]) -> Iterator[schema.Problem]:
-    timing = _member(value, "timing")
+def _check_timing(value: dict[str, Any]) -> Iterator[schema.Problem]:
+    timing = _object_member(value, "timing")
     for field in attrs.fields(settings_module.TimingSettings):
         duration_ms = timing.get(field.name)
         if not _is_int(duration_ms):
@@ -140,7 +142,9 @@
             yield schema.Problem(path, expected, str(duration_ms))
 
 
-def _ranges(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_threads_and_log_level(
+    value: dict[str, Any],
+) -> Iterator[schema.Problem]:
     threads = value.get("threads")
     if _is_int(threads) and not MIN_THREADS <= threads <= MAX_THREADS:
         expected = f"{MIN_THREADS} to {MAX_THREADS} threads"
@@ -148,16 +152,18 @@
     level = value.get("log_level")
     if isinstance(level, str) and level not in LOG_LEVELS:
         expected = "one of " + ", ".join(LOG_LEVELS)
-        yield schema.Problem("log_level", expected, schema.show(level))
+        yield schema.Problem(
+            "log_level", expected, schema.describe_value(level)
+        )
 
 
-def _routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
-    routing = _member(value, "routing")
+def _check_routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
+    routing = _object_member(value, "routing")
     policy = routing.get("policy")
-    known = [known.value for known in choice.Policy]
+    known = [known.value for known in load_balancing.Policy]
     if isinstance(policy, str) and policy not in known:
         expected = "one of " + ", ".join(known)
-        found = schema.show(policy)
+        found = schema.describe_value(policy)
         yield schema.Problem("routing.policy", expected, found)
     keep_ms = routing.get("mark_keep_ms")
     if _is_int(keep_ms) and not 1 <= keep_ms <= MAX_TIMING_MS:
@@ -172,25 +178,31 @@
     return isinstance(value, int) and not isinstance(value, bool)
 
 
-def _seats(value: dict[str, Any]) -> Iterator[schema.Problem]:
+def _check_seats(value: dict[str, Any]) -> Iterator[schema.Problem]:
     own = value.get("seat")
     uses: collections.Counter[str] = collections.Counter()
     used_addresses: set[str] = set()
     for path, peer in _peers(value):
         seat = peer.get("seat")
-        where = f"{path}.seat"
+        seat_path = f"{path}.seat"
         if isinstance(seat, str):
             uses[seat] += 1
             if seat == own:
-                yield schema.Problem(where, "other seats only", f"own {seat!r}")
+                yield schema.Problem(
+                    seat_path,
+                    "a seat other than this host's",
+                    f"own seat {seat!r}",
+                )
             elif uses[seat] > 1:
-                yield schema.Problem(where, "each seat once", f"{seat!r} again")
+                yield schema.Problem(
+                    seat_path, "each seat once", f"{seat!r} repeated"
+                )
         peer_address = peer.get("peer_address")
         if isinstance(peer_address, str):
             if peer_address in (value.get("peer_address"), *used_addresses):
                 yield schema.Problem(
                     f"{path}.peer_address",
-                    "an address of its own",
-                    f"{peer_address!r} again",
+                    "an address used only once",
+                    f"{peer_address!r} repeated",
                 )
             used_addresses.add(peer_address)
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -23,7 +23,7 @@
 
 RECHECK_MS = 100
 # Time from taking a slot within which its request must be sent.
-SEND_WITHIN_MS = 500
+MAX_SEND_DELAY_MS = 500
 
 
 @attrs.frozen
@@ -61,7 +61,7 @@
     return total // count + (1 if turn < total % count else 0)
 
 
-def longest_request_ms(current: configuration.Configuration) -> int:
+def max_request_ms(current: configuration.Configuration) -> int:
     """Bound on how long an endpoint may run a request, from its sending."""
     services = list(current.services.values()) or [objects.Service()]
     longest_ms = max(
@@ -70,9 +70,9 @@
     return longest_ms + current.limits.drift_margin_ms
 
 
-def longest_hold_ms(current: configuration.Configuration) -> int:
+def max_slot_hold_ms(current: configuration.Configuration) -> int:
     """Bound on how long a slot is held, from its taking."""
-    return SEND_WITHIN_MS + longest_request_ms(current)
+    return MAX_SEND_DELAY_MS + max_request_ms(current)
 
 
 @attrs.define(eq=False)
@@ -178,8 +178,8 @@
         """See `SlotLedger.on_free`."""
         self._listeners.append(callback)
 
-    def share_connections(self, endpoint: str) -> int:
-        """See `SlotLedger.share_connections`."""
+    def connection_share(self, endpoint: str) -> int:
+        """See `SlotLedger.connection_share`."""
         held = self._held.get(endpoint)
         return 0 if held is None else held.usable.connections
 
@@ -267,7 +267,7 @@
             return
         with self._lock:
             self._next_check_ms = now_ms + RECHECK_MS
-            wait_ms = longest_request_ms(self._configuration)
+            wait_ms = max_request_ms(self._configuration)
             for held in self._held.values():
                 gain = held.gain
                 if gain is not None and self._is_due(gain, now_ms, wait_ms):
--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -17,44 +17,48 @@
 from comfreylatch._process import follower as follower_module
 from comfreylatch._process import logs
 from comfreylatch._process import metrics as metrics_module
+from comfreylatch._process import snapshot_schedule
 from comfreylatch._process import snapshot_stream
-from comfreylatch._process import snapshot_turn
 from comfreylatch._version import records
 from comfreylatch._version import snapshots
 
-CHECK_MS = 5_000
+CHECK_INTERVAL_MS = 5_000
 
 _events = logbook.Logger(__name__)
 
 
 @attrs.frozen
-class _Published:
-    """The last whole snapshot seen on the log.
+class _PublishedSnapshot:
+    """The latest complete snapshot seen on the log.
 
-    `at` is where its last chunk lies on the stream of snapshots.
+    Attributes:
+        offset: Offset of the followed stream that it covers; -1 for none.
+        last_chunk_offset: Offset of its last chunk on the snapshot stream.
+        seen_ms: When it was seen first.
     """
 
     offset: int = -1
-    at: int = -1
+    last_chunk_offset: int = -1
     seen_ms: int = 0
 
 
 @final
 class SnapshotPublisher:
-    """Watches the snapshots of a followed stream and adds to them in turn.
+    """Publishes snapshots of a followed stream when one is due.
 
-    Any host may publish; the turn only spares the log. Two snapshots of one
-    offset are equal, so that a race or a lost answer does no harm.
+    Any host may publish; the order of the seats only saves appends. Two
+    snapshots of one offset are equal, so that duplicates after a race or a
+    lost answer are harmless.
 
     Args:
         log: The platform's log.
-        follower: Follows the stream.
-        writer: Host id, for the records.
+        follower: Follower of the stream.
+        writer: Host id, the writer id of the records.
         seat: Seat of this host.
         seats: Returns the seats that follow the stream.
         metrics: Counts appends.
-        clock: For ages and turns.
-        rule: When snapshots are published.
+        clock: Clock for ages and turns.
+        policy: When snapshots are published.
     """
 
     def __init__(
@@ -67,7 +71,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
         *,
-        rule: snapshot_turn.SnapshotRule | None = None,
+        policy: snapshot_schedule.SnapshotPolicy | None = None,
     ) -> None:
         self._log = log
         self._follower = follower
@@ -76,9 +80,9 @@
         self._seats = seats
         self._metrics = metrics
         self._clock = clock
-        self._rule = rule or snapshot_turn.SnapshotRule()
-        self._last = _Published(seen_ms=clock.monotonic_ms())
-        self._next_read = 0
+        self._policy = policy or snapshot_schedule.SnapshotPolicy()
+        self._latest = _PublishedSnapshot(seen_ms=clock.monotonic_ms())
+        self._next_read_offset = 0
         self._due_since_ms = -1
         self._sequence = 0
         self._closing = threading.Event()
@@ -100,63 +104,67 @@
         self._thread.join()
 
     def step(self) -> bool:
-        """Looks at what is published; publishes if it is this seat's turn.
+        """Publishes a snapshot if one is due and it is this seat's turn.
 
         Returns:
             Whether a snapshot was published.
         """
-        if not self._follower.ready or not self._watch():
+        if not self._follower.ready or not self._read_published():
             return False
         now_ms = self._clock.monotonic_ms()
-        reason = snapshot_turn.due(self._position(now_ms), self._rule)
+        reason = snapshot_schedule.due_reason(
+            self._position(now_ms), self._policy
+        )
         if reason is None:
             self._due_since_ms = -1
             return False
         if self._due_since_ms < 0:
             self._due_since_ms = now_ms
-        wait_ms = snapshot_turn.wait_ms(
-            self._seat, self._seats(), self._last.offset, self._rule.turn_ms
+        delay_ms = snapshot_schedule.turn_delay_ms(
+            self._seat, self._seats(), self._latest.offset, self._policy.turn_ms
         )
-        if now_ms - self._due_since_ms < wait_ms:
+        if now_ms - self._due_since_ms < delay_ms:
             return False
         return self._publish(reason)
 
-    def _position(self, now_ms: int) -> snapshot_turn.SnapshotPosition:
-        return snapshot_turn.SnapshotPosition(
+    def _position(self, now_ms: int) -> snapshot_schedule.SnapshotPosition:
+        return snapshot_schedule.SnapshotPosition(
             offset=self._follower.offset(),
             first_offset=self._follower.first_offset,
-            snapshot_offset=self._last.offset,
-            snapshot_age_ms=now_ms - self._last.seen_ms,
+            snapshot_offset=self._latest.offset,
+            snapshot_age_ms=now_ms - self._latest.seen_ms,
         )
 
-    def _watch(self) -> bool:
-        """Reads what was published since; False while the log is down."""
+    def _read_published(self) -> bool:
+        """Reads newly published snapshots; False while the log is down."""
         stream = self._follower.stream
         while True:
-            answer = snapshot_stream.read(self._log, stream, self._next_read)
+            answer = snapshot_stream.read(
+                self._log, stream, self._next_read_offset
+            )
             if answer.is_err():
                 return False
             batch = answer.ok()
-            if batch.first_offset > self._last.at >= 0:
-                self._last = _Published(seen_ms=self._last.seen_ms)
-            self._note(batch)
-            self._next_read = batch.next_offset
+            if batch.first_offset > self._latest.last_chunk_offset >= 0:
+                self._latest = _PublishedSnapshot(seen_ms=self._latest.seen_ms)
+            self._record_complete(batch)
+            self._next_read_offset = batch.next_offset
             if not batch.entries:
                 return True
 
-    def _note(self, batch: log_port.LogBatch) -> None:
-        """Notes whole snapshots: those whose last chunk was read."""
+    def _record_complete(self, batch: log_port.LogBatch) -> None:
+        """Records the latest snapshot whose last chunk is in the batch."""
         for entry in batch.entries:
-            chunk = snapshot_stream.chunk_of(entry)
+            chunk = snapshot_stream.decode_chunk(entry)
             if chunk is None or chunk.index + 1 < chunk.count:
                 continue
-            if chunk.offset >= self._last.offset:
-                self._last = _Published(
+            if chunk.offset >= self._latest.offset:
+                self._latest = _PublishedSnapshot(
                     chunk.offset, entry.offset, self._clock.monotonic_ms()
                 )
                 self._due_since_ms = -1
 
-    def _publish(self, reason: snapshot_turn.DueReason) -> bool:
+    def _publish(self, reason: snapshot_schedule.DueReason) -> bool:
         snapshot = self._follower.snapshot()
         chunks = snapshots.split(snapshot)
         payloads: list[bytes] = []
@@ -189,11 +197,11 @@
                 return False
 
     def _run(self) -> None:
-        while not self._closing.wait(CHECK_MS / 1_000):
+        while not self._closing.wait(CHECK_INTERVAL_MS / 1_000):
             try:
                 self.step()
             except Exception:
-                logs.failure(
+                logs.exception(
                     _events,
                     "snapshot-step-failed",
                     stream=self._follower.stream,
--- a/src/comfreylatch/_process/snapshot_stream.py
+++ b/src/comfreylatch/_process/snapshot_stream.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class NoSnapshot:
-    """The stream holds no whole snapshot, or can't be read."""
+    """The stream holds no complete snapshot, or can't be read."""
 
     detail: str
 
@@ -29,9 +29,11 @@
 def load(
     log: log_port.LogPort, stream: str
 ) -> result.Result[snapshots.StreamSnapshot, NoSnapshot]:
-    """Reads the latest whole snapshot that the log still holds."""
-    parts: dict[tuple[int, str], dict[int, snapshots.SnapshotChunk]] = {}
-    whole: tuple[int, str] | None = None
+    """Loads the latest complete snapshot that the log still holds."""
+    chunks_by_key: dict[
+        tuple[int, str], dict[int, snapshots.SnapshotChunk]
+    ] = {}
+    complete_key: tuple[int, str] | None = None
     start = 0
     while True:
         match read(log, stream, start):
@@ -39,27 +41,27 @@
                 pass
             case result.Err(error):
                 return result.Err(NoSnapshot(str(error)))
-        for chunk in chunks_of(batch):
+        for chunk in decode_chunks(batch):
             key = (chunk.offset, chunk.checksum)
-            if whole is not None and key <= whole:
+            if complete_key is not None and key <= complete_key:
                 continue
-            parts.setdefault(key, {})[chunk.index] = chunk
-            if len(parts[key]) == chunk.count:
-                whole = key
-                parts = {key: parts[key]}
+            chunks_by_key.setdefault(key, {})[chunk.index] = chunk
+            if len(chunks_by_key[key]) == chunk.count:
+                complete_key = key
+                chunks_by_key = {key: chunks_by_key[key]}
         if not batch.entries:
             break
         start = batch.next_offset
-    if whole is None:
-        return result.Err(NoSnapshot("none is whole"))
-    joined = snapshots.join(parts[whole].values())
+    if complete_key is None:
+        return result.Err(NoSnapshot("no complete snapshot on the stream"))
+    joined = snapshots.join(chunks_by_key[complete_key].values())
     return joined.map_err(lambda bad: NoSnapshot(bad.detail))
 
 
 def read(
     log: log_port.LogPort, stream: str, start: int
 ) -> result.Result[log_port.LogBatch, log_port.ReadError]:
-    """Reads snapshots from an offset on, or from the first one kept."""
+    """Reads entries from an offset, or from the first one if it expired."""
     name = name_of(stream)
     answer = log.read(name, start, MAX_READ_ENTRIES, 0)
     match answer:
@@ -69,18 +71,18 @@
             return answer
 
 
-def chunks_of(
+def decode_chunks(
     batch: log_port.LogBatch,
 ) -> Iterator[snapshots.SnapshotChunk]:
-    """The chunks among the entries read; others are passed over."""
+    """Decodes the chunks of a batch and skips other entries."""
     for entry in batch.entries:
-        chunk = chunk_of(entry)
+        chunk = decode_chunk(entry)
         if chunk is not None:
             yield chunk
 
 
-def chunk_of(entry: log_port.LogEntry) -> snapshots.SnapshotChunk | None:
-    """The chunk in an entry; None when it holds something else."""
+def decode_chunk(entry: log_port.LogEntry) -> snapshots.SnapshotChunk | None:
+    """Decodes the chunk in an entry; None if it holds something else."""
     decoded = records.decode(entry.payload)
     if decoded.is_err():
         return None
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -1,4 +1,4 @@
-"""The folded state of one stream: what was applied, and how far it reaches."""
+"""The folded state of one stream, up to its offset."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from comfreylatch._version import snapshots
 from comfreylatch._version import writers
 
-# What is kept to bring a peer forward without a snapshot.
+# Recent entries kept so that a peer can catch up without a snapshot.
 MAX_RECENT_ENTRIES = 512
 MAX_RECENT_BYTES = 256 * 1_024
 
@@ -31,7 +31,7 @@
 
 
 class EntrySource(enum.StrEnum):
-    """Where applied entries came from."""
+    """Where applied entries were read from."""
 
     LOG = "log"
     PEER = "peer"
@@ -39,20 +39,21 @@
 
 @attrs.frozen
 class Applied:
-    """What one step added to the fold.
+    """The result of one change of the fold.
 
     Attributes:
         stream: Name of the stream.
-        source: The log, or a peer.
-        entries: The entries, also malformed and repeated ones, in order.
-        seen: Of each writer among them, or of all writers after a snapshot
-            was restored, the last record folded.
+        source: Where the entries were read from.
+        entries: The entries in order, with malformed and repeated ones; empty
+            after a snapshot was restored.
+        last_records: Last record folded of each writer in `entries`, or of
+            all writers after a snapshot was restored.
     """
 
     stream: str
     source: EntrySource
     entries: tuple[log_port.LogEntry, ...]
-    seen: Mapping[str, writers.WriterLine]
+    last_records: Mapping[str, writers.WriterPosition]
 
 
 AfterApply = Callable[[Applied], None]
@@ -60,10 +61,10 @@
 
 @final
 class StreamState:
-    """A fold, the writers it has seen, and its offset. Thread-safe.
+    """A fold with its writer table and its offset. Thread-safe.
 
-    Entries are taken only if they continue exactly from the offset, and
-    snapshots only if they are later, so that the offset never falls.
+    Entries are applied only if they continue exactly from the offset, and
+    snapshots only if they are later, so that the offset never decreases.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
 
     @property
     def offset(self) -> int:
-        """Offset of the last entry applied; -1 for none. Takes no lock."""
+        """Offset of the last entry applied; -1 for none. Doesn't lock."""
         return self._offset
 
     def digest(self) -> str:
@@ -94,12 +95,12 @@
             return self._fold.digest()
 
     def position(self) -> tuple[int, str]:
-        """Offset and digest that belong together."""
+        """Offset and digest of one consistent state."""
         with self._changed:
             return self._offset, self._fold.digest()
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
-        """Waits until an offset is applied; False when the time is up."""
+        """Waits until an offset is applied; False on timeout."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self._offset >= offset, timeout_ms / 1_000
@@ -116,8 +117,8 @@
                 fold=self._fold.snapshot(),
             )
 
-    def since(self, after_offset: int) -> catch_up_module.CatchUp:
-        """What brings another host from `after_offset` to the offset here."""
+    def catch_up_from(self, after_offset: int) -> catch_up_module.CatchUp:
+        """State that advances a host from `after_offset` to this offset."""
         with self._changed:
             entries = tuple(
                 entry for entry in self._recent if entry.offset > after_offset
@@ -130,96 +131,103 @@
                 encoded, entries, self._offset, self._fold.digest()
             )
 
-    def take(
+    def apply(
         self, entries: Sequence[log_port.LogEntry], source: EntrySource
     ) -> bool:
         """Folds the entries above the offset.
 
         Returns:
-            Whether there were any and they continue exactly from the offset;
-            otherwise nothing was done.
+            Whether there were any that continue exactly from the offset;
+            otherwise nothing was applied.
         """
         with self._changed:
-            fresh = tuple(
+            new_entries = tuple(
                 entry for entry in entries if entry.offset > self._offset
             )
-            if not self._continues(fresh):
+            if not self._is_contiguous(new_entries):
                 return False
-            seen: dict[str, writers.WriterLine] = {}
-            for entry in fresh:
-                self._apply(entry, seen)
+            last_records: dict[str, writers.WriterPosition] = {}
+            for entry in new_entries:
+                self._apply_entry(entry, last_records)
             self._changed.notify_all()
-        self._tell(Applied(self._stream, source, fresh, seen))
+        self._notify(Applied(self._stream, source, new_entries, last_records))
         return True
 
     def restore(
-        self, taken: snapshots.StreamSnapshot, source: EntrySource
+        self, snapshot: snapshots.StreamSnapshot, source: EntrySource
     ) -> bool:
-        """Replaces the state by a later one; False if it isn't sound."""
+        """Replaces the state by a snapshot; False if it is older or invalid."""
         with self._changed:
-            if taken.stream != self._stream or taken.offset <= self._offset:
+            if (
+                snapshot.stream != self._stream
+                or snapshot.offset <= self._offset
+            ):
                 return False
-            if not self._restore_fold(taken):
+            if not self._restore_fold(snapshot):
                 return False
-            self._writers = writers.WriterTable(taken.writers)
-            self._offset = taken.offset
+            self._writers = writers.WriterTable(snapshot.writers)
+            self._offset = snapshot.offset
             self._recent.clear()
             self._recent_bytes = 0
             self._changed.notify_all()
-        seen = {line.writer: line for line in taken.writers}
-        self._tell(Applied(self._stream, source, (), seen))
+        last_records = {line.writer: line for line in snapshot.writers}
+        self._notify(Applied(self._stream, source, (), last_records))
         return True
 
-    def _restore_fold(self, taken: snapshots.StreamSnapshot) -> bool:
+    def _restore_fold(self, snapshot: snapshots.StreamSnapshot) -> bool:
         before = self._fold.snapshot()
         try:
-            self._fold.restore(taken.offset, taken.fold)
+            self._fold.restore(snapshot.offset, snapshot.fold)
         except ValueError as error:
-            self._bad_record(taken.offset, f"snapshot: {error}")
+            self._report_bad_record(snapshot.offset, f"snapshot: {error}")
             return False
-        if self._fold.digest() == taken.digest:
+        if self._fold.digest() == snapshot.digest:
             return True
         self._fold.restore(self._offset, before)
-        self._bad_record(taken.offset, "snapshot: the digest differs")
+        self._report_bad_record(snapshot.offset, "snapshot: the digest differs")
         return False
 
-    def _continues(self, entries: Sequence[log_port.LogEntry]) -> bool:
+    def _is_contiguous(self, entries: Sequence[log_port.LogEntry]) -> bool:
         start = self._offset + 1
         expected = range(start, start + len(entries))
         offsets = [entry.offset for entry in entries]
         return bool(entries) and offsets == list(expected)
 
-    def _apply(
-        self, entry: log_port.LogEntry, seen: dict[str, writers.WriterLine]
+    def _apply_entry(
+        self,
+        entry: log_port.LogEntry,
+        last_records: dict[str, writers.WriterPosition],
     ) -> None:
         match records.decode(entry.payload):
             case result.Ok((envelope, body)):
-                self._apply_record(entry.offset, envelope, body, seen)
+                self._apply_record(entry.offset, envelope, body, last_records)
             case result.Err(bad):
-                self._bad_record(entry.offset, bad.detail)
+                self._report_bad_record(entry.offset, bad.detail)
         self._offset = entry.offset
         self._writers.sweep(entry.offset)
-        self._remember(entry)
+        self._retain(entry)
 
     def _apply_record(
         self,
         offset: int,
         envelope: records.Envelope,
         body: object,
-        seen: dict[str, writers.WriterLine],
+        last_records: dict[str, writers.WriterPosition],
     ) -> None:
         writer = envelope.writer
         if not self._writers.take(writer, envelope.sequence, offset):
             return
-        seen[writer] = writers.WriterLine(writer, envelope.sequence, offset)
+        last_records[writer] = writers.WriterPosition(
+            writer, envelope.sequence, offset
+        )
         try:
             self._fold.apply(offset, envelope, body)
         except Exception:
-            # Every host fails alike on it, and the stream must go on.
-            logs.failure(_events, "fold-failed", offset=offset)
-            self._bad_record(offset, f"fold of {envelope.kind} failed")
+            # Every host fails on it in the same way; the stream must continue.
+            logs.exception(_events, "fold-failed", offset=offset)
+            self._report_bad_record(offset, f"fold of {envelope.kind} failed")
 
-    def _remember(self, entry: log_port.LogEntry) -> None:
+    def _retain(self, entry: log_port.LogEntry) -> None:
         self._recent.append(entry)
         self._recent_bytes += len(entry.payload)
         while (
@@ -228,15 +236,15 @@
         ):
             self._recent_bytes -= len(self._recent.popleft().payload)
 
-    def _tell(self, applied: Applied) -> None:
+    def _notify(self, applied: Applied) -> None:
         if self._after_apply is None:
             return
         try:
             self._after_apply(applied)
         except Exception:
-            logs.failure(_events, "after-apply-failed", stream=self._stream)
+            logs.exception(_events, "after-apply-failed", stream=self._stream)
 
-    def _bad_record(self, offset: int, detail: str) -> None:
+    def _report_bad_record(self, offset: int, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_RECORDS, self._stream)
         logs.error(
             _events,
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -24,7 +24,7 @@
 from comfreylatch._process import reasons
 from comfreylatch._process import settings as settings_module
 from comfreylatch._process.routing import admission
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import service_state
 from comfreylatch._request import call as call_module
 from comfreylatch._request import outcomes
@@ -78,7 +78,7 @@
             settings.zone,
             slots,
             clock,
-            choice.Policy(settings.routing.policy),
+            load_balancing.Policy(settings.routing.policy),
             rng,
         )
         self._parts = parts_module.Parts(
@@ -156,13 +156,13 @@
         )
         return outcomes.to_forward_reply(request.request_id, outcome)
 
-    def stop_taking(self) -> None:
+    def stop_accepting(self) -> None:
         """Refuses every new request; those in progress go on."""
         self._stopping.set()
 
-    def update_listed(self, listed: hosts.HostList) -> None:
+    def update_host_list(self, listed: hosts.HostList) -> None:
         """Takes the platform's list of hosts, as often as it is fetched."""
-        self._drained(self._table.leaving.update_listed(listed), "listed")
+        self._drained(self._table.leaving.update_host_list(listed), "listed")
 
     def leaving_endpoints(self) -> frozenset[str]:
         """Endpoints this host has seen leave, for its heartbeats."""
@@ -233,7 +233,7 @@
                     metrics_module.Counter.OUTCOMES,
                     reasons.Outcome.ANSWERED.value,
                 )
-                self._parts.journal.note(
+                self._parts.journal.record(
                     reasons.Subject.REQUEST,
                     request_id,
                     reasons.Outcome.ANSWERED.value,
@@ -247,7 +247,7 @@
                 word = reasons.Outcome.UNKNOWN
         metrics.count(metrics_module.Counter.OUTCOMES, word.value)
         metrics.count(metrics_module.Counter.REFUSALS, outcome.reason.value)
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.REQUEST,
             request_id,
             outcome.reason.value,
@@ -286,7 +286,7 @@
 
     def _trim_connections(self) -> None:
         """Closes connections that a smaller share no longer allows."""
-        share = self._parts.slots.share_connections
+        share = self._parts.slots.connection_share
         self._parts.client.trim(
             {
                 address: share(endpoint)
@@ -304,6 +304,6 @@
                 self._note_endpoint(endpoint, "leaving", f"{how}: {sign}")
 
     def _note_endpoint(self, endpoint: str, reason: str, sentence: str) -> None:
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.ENDPOINT, endpoint, reason, sentence
         )
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -18,7 +18,7 @@
 from comfreylatch._process import reasons
 from comfreylatch._process import shares
 from comfreylatch._process.routing import admission
-from comfreylatch._process.routing import choice
+from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import retry_budget
 from comfreylatch._request import call as call_module
 from comfreylatch._request import observations
@@ -147,7 +147,7 @@
         state = self._state
         slots = self._parts.slots
         endpoint = state.chooser.choose(
-            choice.Choice(
+            load_balancing.Choice(
                 endpoints=state.usable,
                 free=slots.free,
                 idempotent=self._call.idempotent,
@@ -158,7 +158,7 @@
             if state.usable:
                 slots.want(self._parts.rng.choice(state.usable))
             return None
-        hold_ms = shares.SEND_WITHIN_MS + self._parts.table.longest_request_ms
+        hold_ms = shares.MAX_SEND_DELAY_MS + self._parts.table.max_request_ms
         # Read first, so that a pause in between can't make the slot look
         # younger than its ledger counts it.
         now_ms = self._parts.clock.monotonic_ms()
@@ -222,13 +222,13 @@
     ) -> result.Result[sent_try.SentTry, exchange.EndpointError]:
         self._tries += 1
         parts = self._parts
-        send_by_ms = self._taken_ms + shares.SEND_WITHIN_MS
+        send_by_ms = self._taken_ms + shares.MAX_SEND_DELAY_MS
         started_s = time.monotonic()
         limits = exchange.TryLimits(
             deadline_ms=self._call.deadline_ms,
             send_by_ms=send_by_ms,
-            hold_until_ms=send_by_ms + parts.table.longest_request_ms,
-            max_connections=parts.slots.share_connections(endpoint),
+            hold_until_ms=send_by_ms + parts.table.max_request_ms,
+            max_connections=parts.slots.connection_share(endpoint),
         )
         begun = parts.client.begin(
             self._state.addresses.get(endpoint, ""),
@@ -390,7 +390,7 @@
 
     def _note_retry(self, reason: reasons.RetryReason, sentence: str) -> None:
         self._count_retry(reason)
-        self._parts.journal.note(
+        self._parts.journal.record(
             reasons.Subject.REQUEST,
             self._call.request_id,
             reason.value,
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -34,7 +34,7 @@
 
 Key = tuple[objects.ObjectKind, str]
 Listener = Callable[[configuration.Configuration], None]
-TicketListener = Callable[[verdicts.TicketLine], None]
+TicketListener = Callable[[verdicts.TicketEntry], None]
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
 class _Snapshot:
     offset: int
     objects: tuple[_ObjectLine, ...]
-    tickets: tuple[verdicts.TicketLine, ...]
+    tickets: tuple[verdicts.TicketEntry, ...]
 
 
 _FIELD_BY_KIND: Mapping[objects.ObjectKind, str] = types.MappingProxyType(
@@ -76,7 +76,7 @@
 
     def __init__(self) -> None:
         self._objects: dict[Key, configuration.Versioned] = {}
-        self._tickets: dict[int, verdicts.TicketLine] = {}
+        self._tickets: dict[int, verdicts.TicketEntry] = {}
         self._sum = 0
         self._current = configuration.Configuration(digest=_hex(0))
         self._listeners: list[Listener] = []
@@ -95,10 +95,10 @@
         self._listeners.append(listener)
 
     def age_ms(self) -> int:
-        """See `ConfigurationSource.age_ms`; needs `use_age_source` first."""
+        """See `ConfigurationSource.age_ms`; needs `set_age_source` first."""
         return self._age_source()
 
-    def use_age_source(self, age_ms: Callable[[], int]) -> None:
+    def set_age_source(self, age_ms: Callable[[], int]) -> None:
         """Sets where `age_ms` comes from: the follower of the stream."""
         self._age_source = age_ms
 
@@ -176,11 +176,11 @@
         """Calls `listener` with every later verdict, in order."""
         self._ticket_listeners.append(listener)
 
-    def ticket(self, number: int) -> verdicts.TicketLine | None:
+    def ticket(self, number: int) -> verdicts.TicketEntry | None:
         """What was decided about a ticket; None when it is not known."""
         return self._tickets.get(number)
 
-    def tickets(self) -> tuple[verdicts.TicketLine, ...]:
+    def tickets(self) -> tuple[verdicts.TicketEntry, ...]:
         """The tickets remembered, in the order of their offsets."""
         return tuple(self._tickets.copy().values())
 
@@ -188,7 +188,9 @@
         """A copy of all objects, with those removed not long ago."""
         return self._objects.copy()
 
-    def judge(self, offset: int, ticket: tickets.Ticket) -> verdicts.TicketLine:
+    def evaluate(
+        self, offset: int, ticket: tickets.Ticket
+    ) -> verdicts.TicketEntry:
         """What the verdict would be if the ticket stood at `offset`."""
         conflicts = self._conflicts(ticket)
         broken: list[str] = []
@@ -199,7 +201,7 @@
             broken = reference_rules.broken_references(ticket, self._current)
             if broken:
                 verdict = verdicts.Verdict.BROKEN_REFERENCE
-        return verdicts.TicketLine(
+        return verdicts.TicketEntry(
             number=ticket.number,
             content_hash=tickets.content_hash(ticket),
             author=ticket.author,
@@ -235,12 +237,12 @@
 
     def _fold_ticket(
         self, offset: int, ticket: tickets.Ticket
-    ) -> verdicts.TicketLine | None:
+    ) -> verdicts.TicketEntry | None:
         """Decides on a ticket; None when its number is taken."""
         if ticket.number in self._tickets:
             # The number belongs to its first record, whatever follows.
             return None
-        line = self.judge(offset, ticket)
+        line = self.evaluate(offset, ticket)
         self._remember(line)
         if line.accepted:
             self._put_in_force(offset, ticket)
@@ -248,25 +250,25 @@
 
     def _fold_malformed(
         self, offset: int, value: Mapping[str, Any], problems: Any
-    ) -> verdicts.TicketLine | None:
+    ) -> verdicts.TicketEntry | None:
         """Remembers a malformed ticket by its number, if it has one."""
         self._ignored += 1
         number = value.get("number")
         if not tickets.is_number(number) or number in self._tickets:
             return None
-        line = verdicts.TicketLine(
+        line = verdicts.TicketEntry(
             number=number,
             content_hash="",
             author="",
             reason="",
             offset=offset,
             verdict=verdicts.Verdict.MALFORMED,
-            detail=tickets.describe(problems)[:MAX_DETAIL_CHARACTERS],
+            detail=tickets.format_problems(problems)[:MAX_DETAIL_CHARACTERS],
         )
         self._remember(line)
         return line
 
-    def _remember(self, line: verdicts.TicketLine) -> None:
+    def _remember(self, line: verdicts.TicketEntry) -> None:
         self._tickets[line.number] = line
         self._sum += _ticket_hash(line)
         while len(self._tickets) > MAX_TICKETS:
@@ -339,7 +341,7 @@
             listener(news)
         except Exception:
             # The state is right; one faulty listener must not stop it.
-            logs.failure(_events, "listener-failed")
+            logs.exception(_events, "listener-failed")
 
 
 _FIELDS = tuple(_FIELD_BY_KIND.items())
@@ -358,7 +360,7 @@
     return xxhash.xxh3_64_intdigest(msgspec.json.encode((key, versioned)))
 
 
-def _ticket_hash(line: verdicts.TicketLine) -> int:
+def _ticket_hash(line: verdicts.TicketEntry) -> int:
     return xxhash.xxh3_64_intdigest(msgspec.json.encode(line))
 
 
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -25,12 +25,14 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import metrics_text
 from comfreylatch._process.cell import claiming
-from comfreylatch._process.cell import intake as intake_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import job_api as job_api_module
+from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import owner_dependencies
+from comfreylatch._process.cell import ownership as ownership_module
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import tail as tail_module
-from comfreylatch._process.cell import tenure as tenure_module
-from comfreylatch._process.cell import tenure_parts
 from comfreylatch.platform import advice
 from comfreylatch.platform import callers
 from comfreylatch.platform import configuration
@@ -123,12 +125,12 @@
         self._store = store.StoreClient(settings.store.address)
         self._configured = views.ConfigurationView()
         self._waves = views.WavesView()
-        self._book = job_book.JobBook(self._clock)
-        self._jobs_tail = self._tail(records.JOBS_TOPIC, self._book.apply)
-        self._keeper = intake_module.RecordKeeper(
+        self._replica = job_replica.JobReplica(self._clock)
+        self._jobs_reader = self._tail(records.JOBS_TOPIC, self._replica.apply)
+        self._appender = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
-        self._tenure = self._make_tenure()
+        self._ownership = self._make_ownership()
         self._callers = self._make_callers()
         self._readiness = http_server.HttpServer(
             settings.listen.readiness,
@@ -147,9 +149,9 @@
                 CONFIGURATION_WAIT_MS,
             )
         )
-        enter(self._jobs_tail)
-        enter(self._keeper)
-        self._tenure.start()
+        enter(self._jobs_reader)
+        enter(self._appender)
+        self._ownership.start()
         enter(self._readiness)
         enter(self._callers)
         return self
@@ -163,34 +165,34 @@
         self._stack.__exit__(exc_type, exc, traceback)
 
     def _apply_operators_records(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        self._configured.apply(batch, is_whole)
-        self._waves.apply(batch, is_whole)
+        self._configured.apply(batch, is_complete)
+        self._waves.apply(batch, is_complete)
 
     def _tail(
         self,
         topic: str,
-        apply: tail_module.Apply,
-        wait_ms: int = tail_module.READ_WAIT_MS,
-    ) -> tail_module.Tail:
-        return tail_module.Tail(
+        apply: partition_reader_module.ApplyRecords,
+        wait_ms: int = partition_reader_module.READ_WAIT_MS,
+    ) -> partition_reader_module.PartitionReader:
+        return partition_reader_module.PartitionReader(
             self._store, topic, CELL, apply, self._clock, wait_ms
         )
 
-    def _make_tenure(self) -> tenure_module.Tenure:
+    def _make_ownership(self) -> ownership_module.Ownership:
         settings = self._settings
         host = claiming.HostIdentity(
             name=settings.name,
             boot=uuid.uuid4().hex,
             zone=settings.zone,
-            core_share=settings.limits.cpu_share * settings.limits.cores,
+            cpu_cores=settings.limits.cpu_share * settings.limits.cores,
         )
         logs.event(_logger, "starting", host=host.name, boot=host.boot)
         keep_ended_s = settings.bounds.status_s * KEEP_FACTOR
-        adviser = None
+        advice_service = None
         if settings.advice_address:
-            adviser = self._stack.enter_context(
+            advice_service = self._stack.enter_context(
                 advice.AdviceClient(settings.advice_address)
             )
         api = None
@@ -200,12 +202,12 @@
                     settings.machine_api.address, self._store
                 )
             )
-        return tenure_module.Tenure(
-            tenure_parts.TenureParts(
+        return ownership_module.Ownership(
+            owner_dependencies.OwnerDependencies(
                 cell=CELL,
                 store=self._store,
-                book=self._book,
-                jobs_tail=self._jobs_tail,
+                replica=self._replica,
+                jobs_reader=self._jobs_reader,
                 connect=workers.WorkerClient,
                 follow_workers=lambda tell: self._tail(
                     WORKERS_TOPIC, views.WorkersView(tell).apply
@@ -214,7 +216,7 @@
                 keep_ended_ms=int(keep_ended_s * 1_000),
                 metrics=self._metrics,
                 clock=self._clock,
-                adviser=adviser,
+                advice_service=advice_service,
                 machines=api,
                 waves=self._waves.current,
                 handover_ms=int(settings.bounds.handover_ms),
@@ -223,16 +225,16 @@
         )
 
     def _make_callers(self) -> http_server.HttpServer:
-        intake = intake_module.Intake(
-            self._book,
-            self._jobs_tail,
-            self._keeper,
+        job_api = job_api_module.JobApi(
+            self._replica,
+            self._jobs_reader,
+            self._appender,
             self._metrics,
             self._clock,
         )
         pages = callers.CallerPages(
             lambda: self._configured.current,
-            intake,
+            job_api,
             self._metrics,
             self._clock,
         )
@@ -248,7 +250,7 @@
         return (
             not self._stopping.is_set()
             and self._configured.current is not None
-            and self._jobs_tail.age_ms < OLDEST_READY_VIEW_MS
+            and self._jobs_reader.age_ms < OLDEST_READY_VIEW_MS
         )
 
     def _answer_readiness(self, request: http.HttpRequest) -> http.HttpReply:
@@ -260,6 +262,6 @@
     def stop(self) -> None:
         """Gives the cell up, leaves the rotation and answers what has come."""
         self._callers.close_after_replies()
-        self._tenure.stop(RELEASE_MS)
+        self._ownership.stop(RELEASE_MS)
         time.sleep(LEAVE_ROTATION_MS / 1_000)
         self._callers.drain(DRAIN_MS)
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -13,10 +13,10 @@
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import stream_state
 from comfreylatch._process.batch import capacity
-from comfreylatch._process.batch import dispatcher
+from comfreylatch._process.batch import job_scheduler
 from comfreylatch._process.batch import placement
-from comfreylatch._process.batch import usage_intake
-from comfreylatch._process.batch import zone_books
+from comfreylatch._process.batch import scheduling_state
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._version import job_records
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
@@ -31,7 +31,7 @@
 WRITER = "zone-0-1-0a1b2c3d"
 HOST = workers.Resources(32_000, 128_000, 0)
 SIZE = workers.Resources(1_000, 2_048, 0)
-BOUNDS = job_records.HoldBounds(6_000, 6_000, 60_000, 2_000, 500)
+BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 CLASSES = 20
 # Placed on each worker before starts are measured.
 TASKS_PER_WORKER = 24
@@ -60,7 +60,9 @@
         queued_bytes=_memory(f"{name}, queued", _queued),
         running_bytes=_memory(f"{name}, running", _running),
         ended_bytes=_memory(f"{name}, ended", _ended),
-        books_bytes=_memory("owner's queue and ledgers", _books),
+        books_bytes=_memory(
+            "owner's queue and ledgers", _populated_scheduling_state
+        ),
         record_us=slope.fit(
             "one record of a job decoded and folded",
             "running jobs",
@@ -112,7 +114,7 @@
     def take(self, payload: bytes) -> None:
         """Folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
-        taken = self.state.take([entry], stream_state.EntrySource.LOG)
+        taken = self.state.apply([entry], stream_state.EntrySource.LOG)
         assert taken
 
     def fold_all(self, bodies: Iterator[object]) -> None:
@@ -192,49 +194,55 @@
 SESSION = Session()
 
 
-def make_books(
+def make_scheduling_state(
     workers_known: int, fold: zone_fold.ZoneFold | None = None
-) -> zone_books.ZoneBooks:
+) -> scheduling_state.SchedulingState:
     """An owner's books with workers and teams, and no job."""
-    books = zone_books.ZoneBooks(
+    scheduling = scheduling_state.SchedulingState(
         "zone-0",
         TERM,
         fold or zone_fold.ZoneFold(),
         Sink(),
-        usage_intake.UsageIntake(),
+        usage_analyzer.UsageAnalyzer(),
         placement.Policy.PREDICTED_COST,
         metrics_module.Metrics(),
     )
     quota = objects.Team(workers.Resources(10**9, 10**9, 0))
-    books.queue.set_teams({f"team-{index}": quota for index in range(TEAMS)})
+    scheduling.queue.set_teams(
+        {f"team-{index}": quota for index in range(TEAMS)}
+    )
     for index in range(workers_known):
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
-        books.ledger.set_worker(name, rack, HOST, capacity.NOTHING, True)
-        books.mix.set_worker(name, HOST.processors_milli)
-    return books
+        scheduling.ledger.set_worker(
+            name, rack, HOST, capacity.NO_RESOURCES, True
+        )
+        scheduling.cost_model.set_worker(name, HOST.processors_milli)
+    return scheduling
 
 
-def _books(count: int) -> zone_books.ZoneBooks:
-    books = make_books(workers_known=count // TASKS_PER_WORKER + 1)
+def _populated_scheduling_state(count: int) -> scheduling_state.SchedulingState:
+    scheduling = make_scheduling_state(
+        workers_known=count // TASKS_PER_WORKER + 1
+    )
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
-        books.sync_job(job_of(index, worker), 0)
-    return books
+        scheduling.sync_job(job_of(index, worker), 0)
+    return scheduling
 
 
 def _start_us(workers_known: int) -> float:
-    books = make_books(workers_known)
+    scheduling = make_scheduling_state(workers_known)
     first = workers_known * TASKS_PER_WORKER
     for index in range(first):
-        books.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
-    starts = dispatcher.MAX_STARTS_PER_ROUND
+        scheduling.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
+    starts = job_scheduler.MAX_STARTS_PER_ROUND
     fresh = itertools.count(first)
 
     def one_round() -> None:
         for index in itertools.islice(fresh, starts):
-            books.sync_job(job_of(index, ""), 0)
-        decided = books.dispatcher.run_round(TERM, 4)
+            scheduling.sync_job(job_of(index, ""), 0)
+        decided = scheduling.scheduler.run_round(TERM, 4)
         assert len(decided.assigned) == starts, decided
 
     return slope.cpu_us(one_round, 1) / starts
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -6,7 +6,7 @@
 
 from comfreylatch._process import journal
 from comfreylatch._process import settings
-from comfreylatch._process.batch import attempt_table
+from comfreylatch._process.batch import attempt_tracker
 from comfreylatch._process.batch import ownership
 from comfreylatch._process.batch import zone_owner
 from comfreylatch._request import dispatch_guard
@@ -167,7 +167,7 @@
         keep_s = settings.RoutingSettings().mark_keep_ms / MS_PER_S
         held = (
             self.size.host_non_idempotent_per_s
-            * dispatch_guard.HOLDERS
+            * dispatch_guard.HOLDERS_PER_ID
             * keep_s
         )
         slope = self.slopes.process.mark_bytes
@@ -197,7 +197,7 @@
     def zone_records_per_s(self) -> dict[str, float]:
         """Records on one zone's stream at the peak, by kind."""
         starts = self.size.zone_starts_per_s
-        interval_s = attempt_table.CHECKPOINT_EVERY_MS / MS_PER_S
+        interval_s = attempt_tracker.CHECKPOINT_INTERVAL_MS / MS_PER_S
         return {
             "admissions": starts,
             "assignments": starts,
@@ -217,7 +217,7 @@
         The owner's loop appends twice a step at most, ends and checkpoints
         apart from assignments; each admission is one for itself at worst.
         """
-        steps = MS_PER_S / zone_owner.STEP_MS
+        steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
         return 2 * steps + self.size.zone_starts_per_s + self.renewals_per_s()
 
     def zone_bytes_per_s(self) -> float:
@@ -314,7 +314,7 @@
     def steps(self) -> costs.Cost:
         """The owner's loop when there is nothing to decide."""
         step_us = self.slopes.owner.step_us.at(self.size.zone_workers)
-        steps = MS_PER_S / zone_owner.STEP_MS
+        steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
         return costs.Cost("owner's loop", cpu_us_per_s=steps * step_us)
 
 
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -11,7 +11,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import ownership
-from comfreylatch._process.batch import usage_intake
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._process.batch import worker_session
 from comfreylatch._process.batch import zone_owner
 from comfreylatch._version import configuration
@@ -76,12 +76,12 @@
 
     host_id = batch_slopes.WRITER
 
-    def hold(self) -> ownership.Hold:
-        return ownership.Hold(
+    def permissions(self) -> ownership.OwnerPermissions:
+        return ownership.OwnerPermissions(
             batch_slopes.TERM, batch_slopes.BOUNDS, FAR_MS, FAR_MS
         )
 
-    def guard_until_ms(self) -> int:
+    def predecessor_tasks_until_ms(self) -> int:
         return 0
 
 
@@ -116,11 +116,11 @@
         metrics_module.Metrics(),
         clock,
     )
-    owner.update_listed(_host_list(workers_known))
+    owner.update_host_list(_host_list(workers_known))
     owner.step()
 
     def step() -> None:
-        clock.advance(zone_owner.STEP_MS)
+        clock.advance(zone_owner.STEP_INTERVAL_MS)
         owner.step()
 
     # The attempts' starts are asked for once, in the first steps.
@@ -130,10 +130,10 @@
 
 def _report_us(tasks: int) -> float:
     zone = batch_slopes.running_zone(tasks, 1)
-    books = batch_slopes.make_books(1, zone.fold)
-    usage = usage_intake.UsageIntake()
+    scheduling = batch_slopes.make_scheduling_state(1, zone.fold)
+    usage = usage_analyzer.UsageAnalyzer()
     for state in zone.fold.jobs():
-        books.sync_job(state, 0)
+        scheduling.sync_job(state, 0)
     now_ms = 0
 
     def take() -> None:
@@ -143,9 +143,9 @@
         event = worker_session.Reported(
             "worker-0", batch_slopes.TERM, report, (), now_ms, False
         )
-        books.table.on_reported(event, batch_slopes.BOUNDS, now_ms)
-        attempts = books.table.on_worker("worker-0")
-        usage.take(report, zone.fold.job, attempts, now_ms)
+        scheduling.attempts.on_reported(event, batch_slopes.BOUNDS, now_ms)
+        attempts = scheduling.attempts.on_worker("worker-0")
+        usage.process(report, zone.fold.job, attempts, now_ms)
 
     made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
     return max(slope.cpu_us(take, STEPS) - made_us, 0.0)
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -36,9 +36,9 @@
     share_milli: int = 1_000
     fails: bool = False
 
-    def line(self) -> workers.TaskLine:
+    def line(self) -> workers.TaskStatus:
         """As reported."""
-        return workers.TaskLine(
+        return workers.TaskStatus(
             self.start.job,
             self.start.attempt,
             self.state,
@@ -150,9 +150,9 @@
 
     def used(self) -> workers.Resources:
         """What running tasks hold."""
-        total = capacity.NOTHING
+        total = capacity.NO_RESOURCES
         for task in self.running():
-            total = capacity.plus(total, task.start.resources)
+            total = capacity.add(total, task.start.resources)
         return total
 
     def _refusal(
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -135,7 +135,7 @@
             log_port.LogEntry(start + index, payload)
             for index, payload in enumerate(self._stream.payloads[start:])
         ]
-        self._state.take(entries, stream_state.EntrySource.LOG)
+        self._state.apply(entries, stream_state.EntrySource.LOG)
         self._read_ms = self._clock.now_ms
 
     def offset(self) -> int:
@@ -278,8 +278,8 @@
     def exchange(self, session: worker_session.WorkerSession) -> None:
         """Makes the exchange that is due with one worker, if any."""
         for _ in range(2):
-            hold = self.ownership.hold()
-            if session.due_in_ms(hold, self._clock.now_ms):
+            permissions = self.ownership.permissions()
+            if session.due_in_ms(permissions, self._clock.now_ms):
                 return
             event = worker_link.exchange_once(
                 session, self._port, self.ownership, self._clock
@@ -362,7 +362,7 @@
             self.clock,
             self.policy,
         )
-        host.owner.update_listed(self.host_list)
+        host.owner.update_host_list(self.host_list)
         return host
 
     def run(self, elapsed_ms: int, tick_ms: int = TICK_MS) -> None:
@@ -375,7 +375,7 @@
     def owner(self) -> FakeHost | None:
         """The host that may start work now."""
         for host in self.hosts:
-            if host.ownership.hold().may_start(self.clock.now_ms):
+            if host.ownership.permissions().may_start(self.clock.now_ms):
                 return host
         return None
 
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -21,8 +21,8 @@
 from comfreylatch._ports import workers
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process.batch import placement
-from comfreylatch._process.batch import usage_intake
-from comfreylatch._process.batch import zone_books
+from comfreylatch._process.batch import scheduling_state
+from comfreylatch._process.batch import usage_analyzer
 from comfreylatch._version import configuration as configuration_module
 from comfreylatch._version import job_records
 from comfreylatch._version import objects
@@ -36,7 +36,7 @@
 TEAMS = 240
 CLASSES = 20
 QUEUED = 200
-BOUNDS = job_records.HoldBounds(6_000, 6_000, 60_000, 2_000, 500)
+BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 
 
 @attrs.frozen
@@ -65,12 +65,12 @@
         self.fold = zone_fold.ZoneFold()
         self._offset = 0
         self._jobs = 0
-        self.books = zone_books.ZoneBooks(
+        self.scheduling = scheduling_state.SchedulingState(
             fake_zone.ZONE,
             1,
             self.fold,
             fake_zone.FakePool("bench"),
-            usage_intake.UsageIntake(),
+            usage_analyzer.UsageAnalyzer(),
             policy,
             metrics_module.Metrics(),
         )
@@ -93,17 +93,17 @@
         teams = {
             f"team-{index}": objects.Team(AMOUNT) for index in range(TEAMS)
         }
-        self.books.workers.set_list(hosts.HostList(listed))
-        self.books.workers.set_configuration(
+        self.scheduling.workers.set_list(hosts.HostList(listed))
+        self.scheduling.workers.set_configuration(
             configuration_module.Configuration(
                 worker_classes={"standard": objects.WorkerClass(AMOUNT)},
                 teams=teams,
             )
         )
-        self.books.queue.set_teams(teams)
-        self.books.refresh_workers()
+        self.scheduling.queue.set_teams(teams)
+        self.scheduling.refresh_workers()
         for host in listed:
-            self.books.ledger.set_open(host.name, True)
+            self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
         """Encodes, decodes and folds one record, as the log would carry it."""
@@ -130,17 +130,17 @@
 
     def sync(self) -> None:
         """Brings the books up to the fold."""
-        changed = self.fold.take_changes()
+        changed = self.fold.drain_changes()
         if changed is None:
             changed = tuple(state.spec.id for state in self.fold.jobs())
         for job in changed:
             state = self.fold.job(job)
             if state is not None:
-                self.books.sync_job(state, 0)
+                self.scheduling.sync_job(state, 0)
 
     def place(self) -> list[str]:
         """One round: chooses, appends and folds; returns the jobs placed."""
-        made = self.books.dispatcher.run_round(1, 4)
+        made = self.scheduling.scheduler.run_round(1, 4)
         for body in made.assigned:
             self.append(body)
         self.sync()
@@ -179,7 +179,7 @@
     while done < starts:
         source.shuffle(running)
         ending = [running.pop() for _ in range(8)]
-        while bench.books.dispatcher.queued < QUEUED:
+        while bench.scheduling.scheduler.queued < QUEUED:
             bench.submit()
             bench.sync()
         began = time.process_time()
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -29,7 +29,7 @@
 
 STREAM = "history"
 HOSTS = 2
-# Longer than every backoff and spacing.
+# Longer than every backoff and append interval.
 STEP_MS = 3_000
 MAX_HEAL_ROUNDS = 200
 
@@ -145,7 +145,7 @@
             f"writer-{self._starts}",
             self._metrics,
             self._clock,
-            source=random.Random(self._starts),
+            rng=random.Random(self._starts),
         )
         reader = follower.StreamFollower(
             self.log,
@@ -168,7 +168,7 @@
                 host.follower.step()
             case ActionKind.GIVE_UP:
                 for pending in host.pending.values():
-                    host.appender.give_up(pending)
+                    host.appender.abandon(pending)
             case ActionKind.RESTART:
                 self._abandoned.update(host.pending)
                 self._hosts[action.host % HOSTS] = self._start()
@@ -207,7 +207,7 @@
             log_port.LogEntry(offset, payload)
             for offset, payload in enumerate(payloads)
         ]
-        host.follower.offer(entries[start % (len(entries) + 1) :])
+        host.follower.apply_from_peer(entries[start % (len(entries) + 1) :])
 
     def _snapshot(self, host: _Host) -> None:
         """Publishes a snapshot and lets the records in it expire."""
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -65,7 +65,7 @@
     def test_condition_on_the_end_is_told(self) -> None:
         self.append(new("a"))
         self.assertEqual(
-            store_port.WrongEnd(1), self.append(new("b"), at_offset=0)
+            store_port.EndOffsetMismatch(1), self.append(new("b"), at_offset=0)
         )
 
     def test_repeat_of_a_sequence_writes_once(self) -> None:
@@ -83,7 +83,7 @@
     def test_gap_in_the_sequence_names_the_next(self) -> None:
         self.append(new("a"), producer=store_port.Producer("cell-0", 3, 0))
         self.assertEqual(
-            store_port.SequenceExpected(1),
+            store_port.SequenceMismatch(1),
             self.append(new("b"), producer=store_port.Producer("cell-0", 3, 4)),
         )
 
--- a/tests/process/batch/test_job_desk.py
+++ b/tests/process/batch/test_job_handler.py
@@ -1,4 +1,4 @@
-"""Tests of submitting, showing and cancelling jobs."""
+"""Tests of the HTTP handler of jobs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from comfreylatch._connection import http
 from comfreylatch._ports import workers
-from comfreylatch._process.batch import job_desk
+from comfreylatch._process.batch import job_handler
 from comfreylatch._version import objects
 from testing.fakes import zone as fake_zone
 
@@ -23,10 +23,10 @@
 
 
 class JobDeskTest(testtools.TestCase):
-    """Answers of the desk."""
+    """Replies of the job handler."""
 
     def setUp(self) -> None:
-        """Makes a zone with a desk on its first host."""
+        """Creates a zone with a job handler on its first host."""
         super().setUp()
         teams = {
             "faculty": objects.Team(workers.Resources(10_000, 10_000)),
@@ -34,7 +34,7 @@
         }
         self.zone = fake_zone.FakeZone(host_count=1, teams=teams)
         self.host = self.zone.hosts[0]
-        self.desk = job_desk.JobDesk(
+        self.handler = job_handler.JobHandler(
             fake_zone.ZONE,
             self.host.appender,
             self.host.follower,
@@ -43,18 +43,18 @@
             self.host.journal,
             self.host.metrics,
         )
-        self.desk.update_listed(self.zone.host_list)
+        self.handler.update_host_list(self.zone.host_list)
 
     def _call(
         self, method: str, path: str = "/jobs", body: bytes = b""
     ) -> http.HttpReply:
-        return self.desk.handle(http.HttpRequest(method, path, {}, {}, body))
+        return self.handler.handle(http.HttpRequest(method, path, {}, {}, body))
 
     def _post(self, **changes: Any) -> http.HttpReply:
         return self._call("POST", body=msgspec.json.encode({**JOB, **changes}))
 
     def test_accepted_job_is_on_the_stream(self) -> None:
-        """Before it is acknowledged."""
+        """The record is appended before the job is acknowledged."""
         reply = self._post()
         self.assertEqual(200, reply.status)
         self.assertEqual(1, len(self.zone.stream.payloads))
@@ -64,20 +64,20 @@
         )
 
     def test_repeated_submission_is_the_same_job(self) -> None:
-        """The second one adds nothing."""
+        """The second submission appends nothing."""
         self._post()
         self.assertEqual(200, self._post().status)
         self.assertEqual(1, len(self.zone.stream.payloads))
 
     def test_other_content_under_an_id_is_refused(self) -> None:
-        """The id is taken."""
+        """The reply is a conflict."""
         self._post()
         reply = self._post(run_time_ms=2_000)
         self.assertEqual(409, reply.status)
         self.assertEqual("job-id-taken", reply.headers["X-Reason"])
 
     def test_log_down_is_refused_at_once(self) -> None:
-        """With a time to come back, and nothing is kept."""
+        """The reply has a retry delay and nothing is appended."""
         self.zone.stream.cut.add(self.host.name)
         reply = self._post()
         self.assertEqual(503, reply.status)
@@ -85,15 +85,15 @@
         self.assertEqual([], self.zone.stream.payloads)
 
     def test_lost_answer_is_unknown(self) -> None:
-        """The same submission, sent again, finds the job."""
+        """Repeating the same submission then finds the job."""
         self.host.appender.lose_next = True
         self.assertEqual(504, self._post().status)
         self.host.follower.read()
         self.assertEqual(200, self._post().status)
         self.assertEqual(1, len(self.zone.stream.payloads))
 
-    def test_too_large_job_is_told_by_dimension(self) -> None:
-        """What no worker can hold is refused at once."""
+    def test_too_large_job_names_its_dimensions(self) -> None:
+        """A job that fits no worker is refused at once."""
         size = {"processors_milli": 1_000, "memory_mib": 9_000}
         reply = self._post(resources=size)
         self.assertEqual(422, reply.status)
@@ -101,12 +101,12 @@
         self.assertNotIn(b"processors_milli", reply.body)
 
     def test_quota_without_borrowing_can_never_hold_it(self) -> None:
-        """It would wait for ever."""
+        """The job is refused, as it would wait forever."""
         reply = self._post(team="small")
         self.assertEqual("never-fits", reply.headers["X-Reason"])
 
-    def test_refusals_name_what_is_wrong(self) -> None:
-        """Each kind of mistake has its reason."""
+    def test_refusals_have_specific_reasons(self) -> None:
+        """Each kind of invalid job has its own reason."""
         expected = {
             "unknown-team": {"team": "nobody"},
             "unknown-zone": {"zone": "mars"},
@@ -118,7 +118,7 @@
             self.assertEqual(reason, reply.headers["X-Reason"])
 
     def test_bad_bodies_never_raise(self) -> None:
-        """They are answered as bad requests."""
+        """They are answered with status 400."""
         bodies = [b"", b"[]", b"{}", b"\xff", b"[" * 5_000, b'{"id": 1}']
         for amount in (-1, 0, 10**12, 10**30):
             size = {"processors_milli": amount, "memory_mib": 1}
@@ -128,7 +128,7 @@
             self.assertEqual(400, reply.status, body)
 
     def test_cancelled_job_is_shown_as_cancelled(self) -> None:
-        """Cancelling twice does no harm."""
+        """Cancelling twice has the same result."""
         self._post()
         for _ in range(2):
             reply = self._call("DELETE", "/jobs/stack-1")
@@ -136,16 +136,16 @@
             self.assertEqual("cancelled", page["phase"])
 
     def test_unknown_job(self) -> None:
-        """It is not found, whatever its id looks like."""
+        """Any unknown id is answered with status 404."""
         for path in ("/jobs/none", "/jobs/\udce9", "/jobs/a/b"):
             self.assertEqual(404, self._call("GET", path).status)
             self.assertEqual(404, self._call("DELETE", path).status)
 
     def test_list_by_phase(self) -> None:
-        """Only the jobs asked for are shown."""
+        """Only jobs of the requested phase are listed."""
         self._post()
         self._post(id="stack-2")
         self._call("DELETE", "/jobs/stack-1")
         request = http.HttpRequest("GET", "/jobs", {"phase": "queued"}, {}, b"")
-        page = msgspec.json.decode(self.desk.handle(request).body)
+        page = msgspec.json.decode(self.handler.handle(request).body)
         self.assertEqual(["stack-2"], [job["id"] for job in page["jobs"]])
--- a/tests/process/batch/test_job_refusal_explained.py
+++ b/tests/process/batch/test_job_refusal_explained.py
@@ -1,4 +1,4 @@
-"""Test that a refused job can be asked about."""
+"""Test that the journal explains a refused job."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import reasons
-from comfreylatch._process.batch import job_desk
+from comfreylatch._process.batch import job_handler
 from comfreylatch._version import configuration
 from comfreylatch._version import zone_fold
 from testing.fakes import clock as clock_fake
@@ -25,20 +25,20 @@
 
 
 class EmptySource:
-    """A configuration without any object."""
+    """Source of an empty configuration."""
 
     def current(self) -> configuration.Configuration:
         return configuration.Configuration(offset=0)
 
 
 class JobRefusalTest(testtools.TestCase):
-    """What the journal holds after a refusal."""
+    """Journal entries of refusals."""
 
     def test_refused_job_is_in_the_journal(self) -> None:
         journal = journal_module.Journal("h", clock_fake.FakeClock())
         unused: Any = None
         source: Any = EmptySource()
-        desk = job_desk.JobDesk(
+        handler = job_handler.JobHandler(
             "bole",
             unused,
             unused,
@@ -48,7 +48,7 @@
             metrics_module.Metrics(),
         )
         body = json.dumps(JOB).encode()
-        reply = desk.handle(http.HttpRequest("POST", "/jobs", {}, {}, body))
+        reply = handler.handle(http.HttpRequest("POST", "/jobs", {}, {}, body))
         self.assertEqual(422, reply.status)
         (decision,) = journal.about(reasons.Subject.JOB, "stack-1")
         self.assertEqual("unknown-team", decision.reason)
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -9,14 +9,14 @@
 
 from comfreylatch._ports import cell_workers
 from comfreylatch._process import metrics
-from comfreylatch._process.cell import disturbance
-from comfreylatch._process.cell import durations
+from comfreylatch._process.cell import duration_model
 from comfreylatch._process.cell import events
+from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import job_table
 from comfreylatch._process.cell import planner
 from comfreylatch._process.cell import ranking
-from comfreylatch._process.cell import run_control
-from comfreylatch._process.cell import run_orders
+from comfreylatch._process.cell import run_dispatcher
+from comfreylatch._process.cell import run_reconciler
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_table
 from testing.fakes import cell_workers as fake_workers
@@ -80,9 +80,9 @@
         del number
         self.paces.append((task, percent))
 
-    def acknowledge(self, seen_end: int) -> None:
+    def acknowledge(self, last_end: int) -> None:
         """Notes an acknowledgement."""
-        self.acknowledged = seen_end
+        self.acknowledged = last_end
 
 
 class Cell:
@@ -95,15 +95,15 @@
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
-        self.durations = durations.Durations()
-        self.model = disturbance.DisturbanceModel()
+        self.durations = duration_model.DurationModel()
+        self.model = interference.InterferenceModel()
         counted = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
-        self.orders = run_orders.RunOrders(
+        self.dispatcher = run_dispatcher.RunDispatcher(
             self.jobs, self.workers, self.model, counted, self.clock
         )
-        self.control = run_control.RunControl(
-            self.orders,
+        self.reconciler = run_reconciler.RunReconciler(
+            self.dispatcher,
             self.jobs,
             self.workers,
             self.durations,
@@ -116,10 +116,10 @@
             f"w{n}": fake_workers.entry(f"w{n}", cpu_millicores)
             for n in range(1, workers + 1)
         }
-        self.workers.list_workers(entries)
+        self.workers.apply_listing(entries)
         for worker_id in entries:
             self.hold(worker_id)
-        self.workers.allow_starts(self.workers.lives())
+        self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
         return self.sent.setdefault(entry.worker_id, _Sent())
@@ -128,7 +128,7 @@
         """Takes in a job."""
         added = self.jobs.add(spec)
         assert added is not None
-        self.ranker.note_job(added)
+        self.ranker.add_job(added)
         return added
 
     def place(self) -> list[Any]:
@@ -136,8 +136,8 @@
         now_ms = self.clock.monotonic_ms()
         placed = self.planner.place(self.jobs.ready_steps(), now_ms)
         for placement in placed:
-            self.orders.send_start(placement.run)
-            self.orders.take_start(
+            self.dispatcher.send_start(placement.run)
+            self.dispatcher.handle_start(
                 events.StartReturned(
                     placement.run, now_ms, 1, result.Ok(now_ms)
                 )
@@ -156,14 +156,14 @@
         event = events.HoldReturned(
             worker_id, 1, now_ms, now_ms, 0, result.Ok(answer)
         )
-        assert self.workers.take_hold(event)
-        self.control.take_hold(event, answer)
+        assert self.workers.handle_hold(event)
+        self.reconciler.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
         """A hold that got no answer."""
         now_ms = self.clock.monotonic_ms()
         error = cell_workers.OrderUnanswered("dark")
-        self.workers.take_hold(
+        self.workers.handle_hold(
             events.HoldReturned(
                 worker_id, 1, now_ms, now_ms, 0, result.Err(error)
             )
