--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -18,15 +18,17 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import metrics
 from comfreylatch._process.cell import claiming
-from comfreylatch._process.cell import intake as intake_module
-from comfreylatch._process.cell import job_book
+from comfreylatch._process.cell import fenced_writer as fenced_writer_module
+from comfreylatch._process.cell import job_api as job_api_module
+from comfreylatch._process.cell import job_replica
+from comfreylatch._process.cell import owner_dependencies
+from comfreylatch._process.cell import ownership as ownership_module
+from comfreylatch._process.cell import (
+    partition_reader as partition_reader_module,
+)
 from comfreylatch._process.cell import records
-from comfreylatch._process.cell import scribe as scribe_module
 from comfreylatch._process.cell import specs
-from comfreylatch._process.cell import tail as tail_module
 from comfreylatch._process.cell import takeover
-from comfreylatch._process.cell import tenure as tenure_module
-from comfreylatch._process.cell import tenure_parts
 from testing.fakes import cell_workers as fake_workers
 from testing.fakes import record_store
 from tests.process.cell import harness
@@ -87,12 +89,12 @@
 
 
 class OneAllowed:
-    """Implements `Adviser`: the policy allows one worker."""
+    """Implements `AdviceService`: the policy allows one worker."""
 
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
     ) -> result.Result[advice_port.Advice, advice_port.AdviceUnavailable]:
-        """See `Adviser.advise`."""
+        """See `AdviceService.advise`."""
         del timeout_ms
         tickets = {ALLOWED: f"{step}/{ALLOWED}"}
         allowed = {
@@ -114,36 +116,36 @@
         self.clock = clock = clock_port.SystemClock()
         self.is_dark = False
         self.store = HostStore(store)
-        self.book = job_book.JobBook(clock)
+        self.replica = job_replica.JobReplica(clock)
         self.tail = stack.enter_context(
-            tail_module.Tail(
-                self.store, records.JOBS_TOPIC, 0, self.book.apply, clock, 50
+            partition_reader_module.PartitionReader(
+                self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
         )
-        keeper = stack.enter_context(
-            intake_module.RecordKeeper(self.store, 0, clock)
+        appender = stack.enter_context(
+            job_api_module.BatchAppender(self.store, 0, clock)
         )
         counted = metrics.Metrics()
-        self.intake = intake_module.Intake(
-            self.book, self.tail, keeper, counted, clock
+        self.job_api = job_api_module.JobApi(
+            self.replica, self.tail, appender, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
-        self.parts = tenure_parts.TenureParts(
+        self.parts = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
-            book=self.book,
-            jobs_tail=self.tail,
+            replica=self.replica,
+            jobs_reader=self.tail,
             connect=lambda entry: HostWorker(self, workers[entry.worker_id]),
             follow_workers=lambda tell: Listing(entries, tell),
             lease_ms=LEASE_MS,
             keep_ended_ms=KEEP_ENDED_MS,
             metrics=counted,
             clock=clock,
-            adviser=OneAllowed(),
+            advice_service=OneAllowed(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
-        self.tenure = tenure_module.Tenure(self.parts, self.identity)
-        stack.callback(self.tenure.stop, 2_000)
+        self.ownership = ownership_module.Ownership(self.parts, self.identity)
+        stack.callback(self.ownership.stop, 2_000)
 
     def die(self) -> None:
         """From now on, nothing of this host reaches anything."""
@@ -166,9 +168,9 @@
         }
         self.first = Host("one", self.store, self.workers, self.stack)
         self.second = Host("two", self.store, self.workers, self.stack)
-        self.first.tenure.start()
-        self.wait_for(lambda: self.first.tenure.is_owner)
-        self.second.tenure.start()
+        self.first.ownership.start()
+        self.wait_for(lambda: self.first.ownership.is_owner)
+        self.second.ownership.start()
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
         """Waits until something holds."""
@@ -185,54 +187,54 @@
         return found
 
     def test_work_of_a_dead_owner_goes_on_and_is_not_run_again(self) -> None:
-        self.first.intake.submit(harness.job(harness.step(3)), 2_000)
+        self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         self.first.die()
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
         completed = records.JobState.COMPLETED
-        self.wait_for(lambda: self.second.intake.state(ID) is completed)
+        self.wait_for(lambda: self.second.job_api.state(ID) is completed)
         starts = [one for w in self.workers.values() for one in w.starts]
         self.assertEqual(3, len(starts))
 
     def test_owner_that_stops_hands_over_at_once(self) -> None:
         started_s = time.monotonic()
-        self.first.tenure.stop(2_000)
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.first.ownership.stop(2_000)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         elapsed_ms = (time.monotonic() - started_s) * 1_000
         self.assertLess(elapsed_ms, claiming.TAKEOVER_MS)
 
     def test_job_goes_to_the_owner_through_any_host(self) -> None:
-        self.second.intake.submit(harness.job(), 2_000)
+        self.second.job_api.submit(harness.job(), 2_000)
         self.wait_for(lambda: len(self.running()) == 1)
         running = records.JobState.RUNNING
-        self.wait_for(lambda: self.second.intake.state(ID) is running)
+        self.wait_for(lambda: self.second.job_api.state(ID) is running)
 
     def test_owner_cut_from_the_store_starts_nothing_new_at_the_end(
         self,
     ) -> None:
         self.first.store.is_cut = True
-        self.wait_for(lambda: self.second.tenure.is_owner)
-        self.second.intake.submit(harness.job(harness.step(2)), 2_000)
+        self.wait_for(lambda: self.second.ownership.is_owner)
+        self.second.job_api.submit(harness.job(harness.step(2)), 2_000)
         self.wait_for(lambda: len(self.running()) == 2)
         starts = [one for w in self.workers.values() for one in w.starts]
         self.assertEqual({2}, {one.token for one in starts})
 
     def test_ended_job_is_dropped_from_the_store_after_a_while(self) -> None:
-        self.first.intake.submit(harness.job(), 2_000)
+        self.first.job_api.submit(harness.job(), 2_000)
         self.wait_for(lambda: len(self.running()) == 1)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
-        gone = intake_module.Unknown()
-        self.wait_for(lambda: self.second.intake.state(ID) == gone)
+        gone = job_api_module.UnknownJob()
+        self.wait_for(lambda: self.second.job_api.state(ID) == gone)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         self.assertEqual(["owner"], [one.key for one in newest.records])
 
     def test_cancelled_job_stops_running(self) -> None:
-        self.first.intake.submit(harness.job(harness.step(2)), 2_000)
+        self.first.job_api.submit(harness.job(harness.step(2)), 2_000)
         self.wait_for(lambda: len(self.running()) == 2)
-        self.second.intake.cancel(ID, 2_000)
+        self.second.job_api.cancel(ID, 2_000)
         self.wait_for(lambda: not self.running())
 
     def test_steps_that_a_policy_is_for_start_with_their_tickets(self) -> None:
@@ -240,7 +242,7 @@
             harness.QUEUE, advice=specs.AdviceSpec(50.0, 5.0, 3_000.0)
         )
         job = attrs.evolve(harness.job(harness.step(3)), queue=queue)
-        self.first.intake.submit(job, 2_000)
+        self.first.job_api.submit(job, 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         starts = [one for w in self.workers.values() for one in w.starts]
         self.assertEqual({ALLOWED}, {one.worker_id for one in starts})
@@ -258,7 +260,7 @@
         )
         self.store.append(records.WORK_TOPIC, 0, (record,))
         heartbeat = records.HeartbeatRecord("two", "boot-two", 9)
-        with scribe_module.Scribe(
+        with fenced_writer_module.FencedWriter(
             self.second.store, 0, heartbeat, lambda _: None, self.second.clock
         ) as scribe:
             inheritance = takeover.take_over(
@@ -270,11 +272,11 @@
         # Found by a day: machines down for their maintenance kept the tasks
         # of a new owner waiting for as long as leases may last.
         self.workers["w2"].is_dark = True
-        self.first.intake.submit(harness.job(harness.step(3)), 2_000)
+        self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
         self.wait_for(lambda: self.recorded_workers() == {"w1"})
         self.first.die()
-        self.wait_for(lambda: self.second.tenure.is_owner)
+        self.wait_for(lambda: self.second.ownership.is_owner)
         started_s = time.monotonic()
         self.workers["w1"].end_all(cell_workers.RunEnd.STOPPED)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
@@ -285,6 +287,8 @@
         batch = self.store.newest(records.WORK_TOPIC, 0).unwrap()
         for record in batch.records:
             if record.key == records.WORKERS_KEY and record.value is not None:
-                lives = records.decode(records.WorkersRecord, record.value)
-                return set(lives.born_ms)
+                incarnations = records.decode(
+                    records.WorkersRecord, record.value
+                )
+                return set(incarnations.born_ms)
         return set()
--- a/tests/process/test_json_logs.py
+++ b/tests/process/test_json_logs.py
@@ -1,4 +1,4 @@
-"""Tests of logs that must not hold up the program."""
+"""Tests of JSON logs that must not block the program."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class JsonLogsTest(testtools.TestCase):
-    """Lines through a pipe."""
+    """Tests that write log lines to a pipe."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -27,7 +27,7 @@
         self.addCleanup(os.close, self.writer)
 
     def lines(self) -> list[Any]:
-        """What has been written."""
+        """Lines written so far."""
         text = os.read(self.reader, 1 << 20).decode()
         return [json.loads(line) for line in text.splitlines()]
 
@@ -39,9 +39,9 @@
             ("job-ended", "a", 7), (line["event"], line["job"], line["age_ms"])
         )
 
-    def test_repeats_are_folded_and_counted(self) -> None:
+    def test_lines_above_the_rate_limit_are_counted(self) -> None:
         with json_logs.JsonLogOutput("info", self.writer):
-            # All in one second, but where the second changes in between.
+            # Usually within one second; at most the second changes once.
             for _ in range(200):
                 logs.event(_logger, "pace", task="a")
         lines = self.lines()
@@ -52,37 +52,41 @@
         )
         written = sum(line["event"] == "pace" for line in lines)
         self.assertEqual(200, folded + written)
-        self.assertLessEqual(written, 2 * json_logs.FOLD_ABOVE)
+        self.assertLessEqual(written, 2 * json_logs.MAX_EVENT_LINES_PER_SECOND)
 
-    def test_stalled_output_blocks_nothing_and_drops_are_counted(
+    def test_stalled_output_does_not_block_and_drops_are_counted(
         self,
     ) -> None:
         output = json_logs.JsonLogOutput("info", self.writer)
         with output:
             started_s = time.monotonic()
-            for number in range(3 * json_logs.MOST_LINES):
+            for number in range(3 * json_logs.MAX_QUEUED_LINES):
                 logs.event(_logger, "job-ended", job=str(number), pad="x" * 90)
-                if number == json_logs.MOST_LINES // 2:
-                    # The writer is now stuck in a full pipe.
+                if number == json_logs.MAX_QUEUED_LINES // 2:
+                    # Give the writer time to block on the full pipe.
                     time.sleep(3 * json_logs.WRITE_INTERVAL_S)
             self.assertLess(time.monotonic() - started_s, 5)
-            found: list[Any] = []
-            reading = threading.Thread(target=self.drain, args=(found,))
+            received: list[Any] = []
+            reading = threading.Thread(
+                target=self.read_until_end, args=(received,)
+            )
             reading.start()
             time.sleep(5 * json_logs.WRITE_INTERVAL_S)
         logs_end = b'{"event":"end"}\n'
         os.write(self.writer, logs_end)
         reading.join(5)
-        dropped = [one for one in found if one["event"] == "lines-dropped"]
-        written = sum(one["event"] == "job-ended" for one in found)
-        counted = sum(one["by_event"]["job-ended"] for one in dropped)
-        self.assertEqual(3 * json_logs.MOST_LINES, written + counted)
+        dropped = [
+            line for line in received if line["event"] == "lines-dropped"
+        ]
+        written = sum(line["event"] == "job-ended" for line in received)
+        counted = sum(line["by_event"]["job-ended"] for line in dropped)
+        self.assertEqual(3 * json_logs.MAX_QUEUED_LINES, written + counted)
         self.assertGreater(counted, 0)
 
-    def drain(self, found: list[Any]) -> None:
-        """Reads lines until the last."""
+    def read_until_end(self, received: list[Any]) -> None:
+        """Reads lines up to the end marker."""
         rest = b""
-        while not found or found[-1]["event"] != "end":
+        while not received or received[-1]["event"] != "end":
             rest += os.read(self.reader, 1 << 16)
-            *whole, rest = rest.split(b"\n")
-            found.extend(json.loads(line) for line in whole)
+            *complete, rest = rest.split(b"\n")
+            received.extend(json.loads(line) for line in complete)
