--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -71,10 +71,10 @@
         self,
         inheritance: recovered_state_module.RecoveredState,
         scribe: fenced_writer_module.FencedWriter,
-        parts: owner_dependencies.OwnerDependencies,
+        deps: owner_dependencies.OwnerDependencies,
         host_name: str,
     ) -> None:
-        clock, metrics = parts.clock, parts.metrics
+        clock, metrics = deps.clock, deps.metrics
         self._inheritance = inheritance
         self._scribe = scribe
         self._metrics = metrics
@@ -84,11 +84,11 @@
         self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
         terms = worker_session.LeaseParameters(
-            inheritance.token, parts.lease_ms, scribe.may_act
+            inheritance.token, deps.lease_ms, scribe.may_act
         )
         self._workers = worker_table_module.WorkerTable(
             lambda entry: worker_session.WorkerSession(
-                entry, parts.connect(entry), terms, self._events.put, clock
+                entry, deps.connect(entry), terms, self._events.put, clock
             ),
             clock,
             inheritance.release_after_ms,
@@ -111,13 +111,13 @@
             self._workers, self._ranker, model
         )
         self._advice = advice_module.AdvicePlanner(metrics)
-        self._waves = parts.waves
+        self._waves = deps.waves
         self._maintenance = maintenance.MaintenancePlanner(
             inheritance.waves,
-            clock.monotonic_ms() + parts.handover_ms,
+            clock.monotonic_ms() + deps.handover_ms,
             metrics,
         )
-        self._open_desks(parts, host_name)
+        self._open_desks(deps, host_name)
         self._started_ms = clock.monotonic_ms()
         self._is_settled = False
         self._ticked_ms = 0
@@ -134,23 +134,23 @@
         )
 
     def _open_desks(
-        self, parts: owner_dependencies.OwnerDependencies, host_name: str
+        self, deps: owner_dependencies.OwnerDependencies, host_name: str
     ) -> None:
         """Opens those services of the platform that there are."""
         self._advice_fetcher = None
-        if parts.advice_service is not None:
+        if deps.advice_service is not None:
             self._advice_fetcher = advice_fetcher.AdviceFetcher(
-                parts.advice_service, self._events.put, parts.clock
+                deps.advice_service, self._events.put, deps.clock
             )
         self._machine_caller = None
-        if parts.machines is not None:
+        if deps.machines is not None:
             self._machine_caller = machine_caller.MachineCaller(
-                parts.machines,
+                deps.machines,
                 host_name,
                 self._inheritance.token,
                 self._scribe.may_act,
                 self._events.put,
-                parts.clock,
+                deps.clock,
             )
 
     def __enter__(self) -> Self:
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -48,14 +48,14 @@
 
     def __init__(
         self,
-        parts: owner_dependencies.OwnerDependencies,
+        deps: owner_dependencies.OwnerDependencies,
         host: claiming.HostIdentity,
     ) -> None:
-        self._parts = parts
+        self._deps = deps
         self._host = host
         self._stopping = threading.Event()
         self._finished = threading.Event()
-        self._started_ms = parts.clock.monotonic_ms()
+        self._started_ms = deps.clock.monotonic_ms()
         self._isolated_since_ms = 0
         self._disputed_offset = -1
         self._disputed_ms = 0
@@ -63,9 +63,9 @@
 
     def start(self) -> None:
         """Begins to watch the cell."""
-        self._parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
+        self._deps.jobs_reader.pause_ms = WATCH_PAUSE_MS
         threading.Thread(
-            target=self._watch, name=f"tenure-{self._parts.cell}", daemon=True
+            target=self._watch, name=f"tenure-{self._deps.cell}", daemon=True
         ).start()
 
     def stop(self, timeout_ms: int) -> None:
@@ -81,12 +81,12 @@
             self._finished.set()
 
     def _look(self) -> None:
-        parts = self._parts
+        deps = self._deps
         view = claiming.ClaimView(
-            now_ms=parts.clock.monotonic_ms(),
-            view_age_ms=parts.jobs_reader.age_ms,
-            reachable_ms=parts.jobs_reader.reachable_ms,
-            owner=parts.replica.owner,
+            now_ms=deps.clock.monotonic_ms(),
+            view_age_ms=deps.jobs_reader.age_ms,
+            reachable_ms=deps.jobs_reader.reachable_ms,
+            owner=deps.replica.owner,
             started_ms=self._started_ms,
         )
         reason = claiming.reason_to_claim(view, self._host)
@@ -99,37 +99,33 @@
         try:
             self._own(token, predecessor)
         except Exception:
-            logs.exception(
-                _logger, "owner-failed", cell=parts.cell, token=token
-            )
+            logs.exception(_logger, "owner-failed", cell=deps.cell, token=token)
         finally:
-            parts.replica.listen(None)
+            deps.replica.listen(None)
             self.is_owner = False
-            parts.jobs_reader.pause_ms = WATCH_PAUSE_MS
+            deps.jobs_reader.pause_ms = WATCH_PAUSE_MS
 
     def _claim(
         self, reason: reasons.ClaimReason, view: claiming.ClaimView
     ) -> int | None:
         """Tries to claim the cell; returns the fencing token."""
-        parts = self._parts
-        match parts.store.newest(
-            records.CLAIMS_TOPIC, records.CLAIMS_PARTITION
-        ):
+        deps = self._deps
+        match deps.store.newest(records.CLAIMS_TOPIC, records.CLAIMS_PARTITION):
             case result.Ok(claims):
                 pass
             case result.Err(_):
                 return None
-        key = f"cell/{parts.cell}"
+        key = f"cell/{deps.cell}"
         if self._is_disputed(claims.records, key):
             return None
         # The claims were read after the view was taken; a heartbeat that came
         # in between may be the one of their newest.
-        if claiming.is_outdated(view, parts.replica.owner):
+        if claiming.is_outdated(view, deps.replica.owner):
             return None
         claim = records.ClaimRecord(
-            parts.cell, self._host.name, self._host.boot, self._host.zone
+            deps.cell, self._host.name, self._host.boot, self._host.zone
         )
-        outcome = parts.store.append(
+        outcome = deps.store.append(
             records.CLAIMS_TOPIC,
             records.CLAIMS_PARTITION,
             (store_port.NewRecord(key, records.encode(claim)),),
@@ -139,12 +135,12 @@
         logs.event(
             _logger,
             "claim",
-            cell=parts.cell,
+            cell=deps.cell,
             reason=reason,
             at_offset=claims.end_offset,
             outcome=outcome,
         )
-        parts.metrics.count(metrics_module.Counter.CLAIMS, reason)
+        deps.metrics.count(metrics_module.Counter.CLAIMS, reason)
         match outcome:
             case result.Ok(offset):
                 return offset + 1
@@ -159,11 +155,11 @@
         for record in claims:
             if record.key != key or record.value is None:
                 continue
-            sighting = self._parts.replica.owner
+            sighting = self._deps.replica.owner
             seen_token = sighting.heartbeat.token if sighting else 0
             if record.offset + 1 <= seen_token:
                 return False
-            now_ms = self._parts.clock.monotonic_ms()
+            now_ms = self._deps.clock.monotonic_ms()
             if record.offset != self._disputed_offset:
                 self._disputed_offset = record.offset
                 self._disputed_ms = now_ms
@@ -178,7 +174,7 @@
 
     def _own_claim(self, key: str) -> int | None:
         """The token of a claim whose answer was lost, if it was made."""
-        match self._parts.store.newest(
+        match self._deps.store.newest(
             records.CLAIMS_TOPIC, records.CLAIMS_PARTITION
         ):
             case result.Ok(claims):
@@ -193,7 +189,7 @@
     def _own(
         self, token: int, predecessor: records.HeartbeatRecord | None
     ) -> None:
-        parts = self._parts
+        deps = self._deps
         heartbeat = records.HeartbeatRecord(
             self._host.name, self._host.boot, token, zone=self._host.zone
         )
@@ -204,18 +200,18 @@
                 post(events.Fenced(detail))
 
         with fenced_writer_module.FencedWriter(
-            parts.store, parts.cell, heartbeat, on_fenced, parts.clock
+            deps.store, deps.cell, heartbeat, on_fenced, deps.clock
         ) as scribe:
             inheritance = takeover.take_over(
-                parts, self._host, token, scribe, predecessor
+                deps, self._host, token, scribe, predecessor
             )
             if inheritance is None:
                 return
             with owner_module.Owner(
-                inheritance, scribe, parts, self._host.name
+                inheritance, scribe, deps, self._host.name
             ) as owner:
                 inbox.append(owner.post)
-                for entry in parts.replica.listen(owner.post_change):
+                for entry in deps.replica.listen(owner.post_change):
                     if entry.spec is None:
                         continue
                     owner.post_change(job_replica.JobAdded(entry.spec))
@@ -225,9 +221,9 @@
                         )
                 self.is_owner = True
                 forgetter = job_retention.JobRetention(
-                    parts.replica, scribe, parts.keep_ended_ms, parts.clock
+                    deps.replica, scribe, deps.keep_ended_ms, deps.clock
                 )
-                parts.jobs_reader.pause_ms = 0
+                deps.jobs_reader.pause_ms = 0
                 self._run(owner, scribe, heartbeat, forgetter)
 
     def _run(
@@ -247,17 +243,17 @@
             return self._reason_to_stop(owner, heartbeat)
 
         self._isolated_since_ms = 0
-        parts = self._parts
-        with parts.follow_workers(on_workers):
+        deps = self._deps
+        with deps.follow_workers(on_workers):
             reason = owner.run(must_stop)
         logs.event(
             _logger,
             "tenure-ended",
-            cell=parts.cell,
+            cell=deps.cell,
             token=heartbeat.token,
             reason=reason,
         )
-        parts.metrics.count(metrics_module.Counter.OWNERSHIPS_ENDED, reason)
+        deps.metrics.count(metrics_module.Counter.OWNERSHIPS_ENDED, reason)
         if reason in (
             reasons.OwnershipEnd.STOPPING,
             reasons.OwnershipEnd.ISOLATED,
@@ -276,10 +272,10 @@
     ) -> reasons.OwnershipEnd | None:
         if self._stopping.is_set():
             return reasons.OwnershipEnd.STOPPING
-        sighting = self._parts.replica.owner
+        sighting = self._deps.replica.owner
         if sighting and sighting.heartbeat.token > heartbeat.token:
             return reasons.OwnershipEnd.SUPERSEDED
-        now_ms = self._parts.clock.monotonic_ms()
+        now_ms = self._deps.clock.monotonic_ms()
         if not owner.is_isolated:
             self._isolated_since_ms = 0
         elif self._isolated_since_ms == 0:
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -30,38 +30,38 @@
 
 
 def take_over(
-    parts: owner_dependencies.OwnerDependencies,
+    deps: owner_dependencies.OwnerDependencies,
     host: claiming.HostIdentity,
     token: int,
     scribe: fenced_writer_module.FencedWriter,
     predecessor: records.HeartbeatRecord | None,
 ) -> recovered_state.RecoveredState | None:
     """Fences the owner before and reads what it has recorded."""
-    started_ms = parts.clock.monotonic_ms()
+    started_ms = deps.clock.monotonic_ms()
     first_offset = scribe.fence()
     if first_offset is None:
         return None
     # The book then has all that the owner before may have started.
-    if not parts.jobs_reader.wait_for(first_offset, CATCH_UP_MS):
+    if not deps.jobs_reader.wait_for(first_offset, CATCH_UP_MS):
         return None
-    work = _read_work(parts)
+    work = _read_work(deps)
     if work is None:
         return None
-    lease_ms = int(parts.lease_ms / (1 - worker_view.MAX_CLOCK_DRIFT))
+    lease_ms = int(deps.lease_ms / (1 - worker_view.MAX_CLOCK_DRIFT))
     release_after_ms = started_ms + lease_ms
     if predecessor is None:
         release_after_ms = started_ms
     elif not (predecessor.is_released or predecessor.host == host.name):
         release_after_ms += fenced_writer_module.AUTONOMY_MS
-    jobs = parts.replica.listen(None)
+    jobs = deps.replica.listen(None)
     logs.event(
         _logger,
         "takeover",
-        cell=parts.cell,
+        cell=deps.cell,
         token=token,
         predecessor=predecessor,
         jobs=len(jobs),
-        took_ms=parts.clock.monotonic_ms() - started_ms,
+        took_ms=deps.clock.monotonic_ms() - started_ms,
     )
     return recovered_state.RecoveredState(
         token,
@@ -74,9 +74,9 @@
     )
 
 
-def _read_work(parts: owner_dependencies.OwnerDependencies) -> _Work | None:
+def _read_work(deps: owner_dependencies.OwnerDependencies) -> _Work | None:
     """Reads what the owner before has recorded; None while it can't be."""
-    match parts.store.newest(records.WORK_TOPIC, parts.cell):
+    match deps.store.newest(records.WORK_TOPIC, deps.cell):
         case result.Ok(batch):
             pass
         case result.Err(_):
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -104,7 +104,7 @@
 
 
 class Host:
-    """A host's book, intake and tenure."""
+    """A host's book, intake and ownership."""
 
     def __init__(
         self,
@@ -130,7 +130,7 @@
             self.replica, self.tail, appender, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
-        self.parts = owner_dependencies.OwnerDependencies(
+        self.deps = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
             replica=self.replica,
@@ -144,7 +144,7 @@
             advice_service=OneAllowed(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
-        self.ownership = ownership_module.Ownership(self.parts, self.identity)
+        self.ownership = ownership_module.Ownership(self.deps, self.identity)
         stack.callback(self.ownership.stop, 2_000)
 
     def die(self) -> None:
@@ -264,7 +264,7 @@
             self.second.store, 0, heartbeat, lambda _: None, self.second.clock
         ) as scribe:
             inheritance = takeover.take_over(
-                self.second.parts, self.second.identity, 9, scribe, None
+                self.second.deps, self.second.identity, 9, scribe, None
             )
         self.assertEqual(learned, inheritance.learned)
 
