--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -39,19 +39,19 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 
 # Between two looks at what only time changes.
-TICK_MS = 100
+TICK_INTERVAL_MS = 100
 # Least time between two passes over many waiting steps, which all cost a
 # look; a pass over few is made at once.
-CROWDED_PASS_MS = 25
-CROWDED_STEPS = 24
+BUSY_PASS_INTERVAL_MS = 25
+BUSY_STEP_COUNT = 24
 # The same as a multiple of what the last pass took, so that answers of workers
 # are taken in for most of the time.
-PASS_PAUSE_FACTOR = 3
+PASS_INTERVAL_FACTOR = 3
 # Between two log lines on how full the cell is.
-REPORT_MS = 1_000
+REPORT_INTERVAL_MS = 1_000
 # Run numbers of a task rise by this much with each owner, so that one whose
 # predecessor's starts it can't know never uses a number twice.
-RUNS_PER_OWNER = 1_000
+RUN_NUMBERS_PER_TOKEN = 1_000
 
 _logger = logbook.Logger(__name__)
 
@@ -69,37 +69,37 @@
 
     def __init__(
         self,
-        inheritance: recovered_state_module.RecoveredState,
+        recovered: recovered_state_module.RecoveredState,
         scribe: fenced_writer_module.FencedWriter,
         deps: owner_dependencies.OwnerDependencies,
         host_name: str,
     ) -> None:
         clock, metrics = deps.clock, deps.metrics
-        self._inheritance = inheritance
+        self._recovered = recovered
         self._scribe = scribe
         self._metrics = metrics
         self._clock = clock
         self._events: queue.SimpleQueue[events.Event] = queue.SimpleQueue()
-        self._jobs = job_table_module.JobTable(inheritance.token, clock)
+        self._jobs = job_table_module.JobTable(recovered.token, clock)
         self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
         terms = worker_session.LeaseParameters(
-            inheritance.token, deps.lease_ms, scribe.may_act
+            recovered.token, deps.lease_ms, scribe.may_act
         )
         self._workers = worker_table_module.WorkerTable(
             lambda entry: worker_session.WorkerSession(
                 entry, deps.connect(entry), terms, self._events.put, clock
             ),
             clock,
-            inheritance.release_after_ms,
+            recovered.release_after_ms,
         )
         model = interference.InterferenceModel()
         self._model = model
-        self._orders = run_dispatcher.RunDispatcher(
+        self._dispatcher = run_dispatcher.RunDispatcher(
             self._jobs, self._workers, model, metrics, clock
         )
-        self._control = run_reconciler_module.RunReconciler(
-            self._orders,
+        self._reconciler = run_reconciler_module.RunReconciler(
+            self._dispatcher,
             self._jobs,
             self._workers,
             self._durations,
@@ -113,27 +113,27 @@
         self._advice = advice_module.AdvicePlanner(metrics)
         self._waves = deps.waves
         self._maintenance = maintenance.MaintenancePlanner(
-            inheritance.waves,
+            recovered.waves,
             clock.monotonic_ms() + deps.handover_ms,
             metrics,
         )
-        self._open_desks(deps, host_name)
+        self._create_platform_clients(deps, host_name)
         self._started_ms = clock.monotonic_ms()
         self._is_settled = False
-        self._ticked_ms = 0
-        self._reported_ms = 0
-        self._placed_ms = 0
-        self._pass_took_ms = 0
+        self._last_tick_ms = 0
+        self._last_report_ms = 0
+        self._last_pass_ms = 0
+        self._pass_duration_ms = 0
         self._stop_reason: reasons.OwnershipEnd | None = None
         self._must_acknowledge: set[str] = set()
-        self._lives = recorded_workers.RecordedWorkers(
-            self._workers, inheritance.known_workers, self._events.put
+        self._recorded_workers = recorded_workers.RecordedWorkers(
+            self._workers, recovered.known_workers, self._events.put
         )
         self._model_persistence = model_persistence.ModelPersistence(
-            model, self._durations, inheritance.learned, clock
+            model, self._durations, recovered.learned, clock
         )
 
-    def _open_desks(
+    def _create_platform_clients(
         self, deps: owner_dependencies.OwnerDependencies, host_name: str
     ) -> None:
         """Opens those services of the platform that there are."""
@@ -147,7 +147,7 @@
             self._machine_caller = machine_caller.MachineCaller(
                 deps.machines,
                 host_name,
-                self._inheritance.token,
+                self._recovered.token,
                 self._scribe.may_act,
                 self._events.put,
                 deps.clock,
@@ -155,11 +155,13 @@
 
     def __enter__(self) -> Self:
         self._workers.__enter__()
-        floor = self._inheritance.token * RUNS_PER_OWNER
-        for entry in self._inheritance.jobs:
+        run_number_floor = self._recovered.token * RUN_NUMBERS_PER_TOKEN
+        for entry in self._recovered.jobs:
             assert entry.spec is not None
-            progress = self._inheritance.progress.get(entry.spec.job_id)
-            job = self._jobs.add(entry.spec, floor, progress, entry.state)
+            progress = self._recovered.progress.get(entry.spec.job_id)
+            job = self._jobs.add(
+                entry.spec, run_number_floor, progress, entry.state
+            )
             if job is not None:
                 self._ranker.add_job(job)
             if entry.is_cancelled:
@@ -201,21 +203,21 @@
         `must_stop` is asked often, and says why or returns None.
         """
         while True:
-            self._take_events()
+            self._process_events()
             reason = self._stop_reason or must_stop()
             if reason is not None:
                 return reason
             now_ms = self._clock.monotonic_ms()
-            if now_ms - self._ticked_ms >= TICK_MS:
-                self._ticked_ms = now_ms
+            if now_ms - self._last_tick_ms >= TICK_INTERVAL_MS:
+                self._last_tick_ms = now_ms
                 self._tick(now_ms)
             self._place(now_ms)
-            self._record()
+            self._write_records()
 
-    def _take_events(self) -> None:
+    def _process_events(self) -> None:
         """Waits for an event and takes in all that are there."""
         try:
-            self._handle(self._events.get(timeout=TICK_MS / 1_000))
+            self._handle(self._events.get(timeout=TICK_INTERVAL_MS / 1_000))
             while True:
                 self._handle(self._events.get_nowait())
         except queue.Empty:
@@ -226,13 +228,15 @@
             case events.JobChanged(change):
                 self._handle_change(change)
             case events.WorkersListed(entries):
-                self._orders.handle_lost(self._workers.apply_listing(entries))
+                self._dispatcher.handle_lost(
+                    self._workers.apply_listing(entries)
+                )
             case events.HoldReturned():
                 self._handle_hold(event)
             case events.StartReturned() | events.StopReturned():
                 self._handle_order(event)
             case events.WorkersRecorded(born_ms):
-                self._lives.note_kept(born_ms)
+                self._recorded_workers.note_kept(born_ms)
             case events.AdviceReturned():
                 self._advice.handle_advice_returned(
                     event, self._clock.monotonic_ms()
@@ -251,9 +255,9 @@
     ) -> None:
         match event:
             case events.StartReturned():
-                self._orders.handle_start(event)
+                self._dispatcher.handle_start(event)
             case events.StopReturned():
-                self._orders.handle_stop(event)
+                self._dispatcher.handle_stop(event)
 
     def _handle_change(self, change: job_replica.JobChange) -> None:
         match change:
@@ -286,14 +290,14 @@
     def _cancel(self, job_id: str) -> None:
         job = self._jobs.cancel(job_id)
         if job is not None:
-            self._orders.stop_all(job)
+            self._dispatcher.stop_all(job)
 
     def _handle_hold(self, event: events.HoldReturned) -> None:
         if not self._workers.handle_hold(event):
             return
         match event.outcome:
             case result.Ok(answer):
-                if self._control.handle_hold(event, answer):
+                if self._reconciler.handle_hold(event, answer):
                     self._must_acknowledge.add(event.worker_id)
             case result.Err(cell_workers.OrderRefused(reason)):
                 if reason is cell_workers.Refusal.FENCED:
@@ -302,23 +306,23 @@
     def _tick(self, now_ms: int) -> None:
         self._jobs.open_due()
         for lost in self._workers.expire():
-            self._orders.handle_lost(lost)
-        self._maintain(now_ms)
-        self._control.move_runs(now_ms)
+            self._dispatcher.handle_lost(lost)
+        self._run_maintenance(now_ms)
+        self._reconciler.move_runs(now_ms)
         if self._is_settled and self._scribe.may_act():
             for copy in self._planner.place_speculative_runs(
                 self._jobs, now_ms
             ):
-                self._orders.send_start(copy.run)
-        if now_ms - self._reported_ms >= REPORT_MS:
-            self._reported_ms = now_ms
+                self._dispatcher.send_start(copy.run)
+        if now_ms - self._last_report_ms >= REPORT_INTERVAL_MS:
+            self._last_report_ms = now_ms
             self._report()
         if not self._is_settled:
             self._settle(now_ms)
 
     def _report(self) -> None:
         cell_report.write(
-            self._inheritance.token,
+            self._recovered.token,
             self._workers,
             self._jobs,
             self._model.summary(),
@@ -328,15 +332,15 @@
     def _settle(self, now_ms: int) -> None:
         """Sees whether all that the owner before started is known."""
         waited_ms = now_ms - self._started_ms
-        known = self._inheritance.known_workers
-        is_over = now_ms > self._inheritance.release_after_ms
+        known = self._recovered.known_workers
+        is_over = now_ms > self._recovered.release_after_ms
         if not is_over and self._workers.has_unknown(known):
             return
         self._is_settled = True
         logs.event(
             _logger,
             "takeover-settled",
-            token=self._inheritance.token,
+            token=self._recovered.token,
             waited_ms=waited_ms,
             workers=len(self._workers),
             jobs=len(self._jobs),
@@ -350,22 +354,24 @@
             steps = [step for step in steps if step.job.run_floor == 0]
         if not steps:
             return
-        since_ms = now_ms - self._placed_ms
-        pause_ms = max(CROWDED_PASS_MS, PASS_PAUSE_FACTOR * self._pass_took_ms)
-        if len(steps) > CROWDED_STEPS and since_ms < pause_ms:
+        since_ms = now_ms - self._last_pass_ms
+        pause_ms = max(
+            BUSY_PASS_INTERVAL_MS, PASS_INTERVAL_FACTOR * self._pass_duration_ms
+        )
+        if len(steps) > BUSY_STEP_COUNT and since_ms < pause_ms:
             return
-        self._placed_ms = now_ms
-        self._ask_advice(steps, now_ms)
+        self._last_pass_ms = now_ms
+        self._request_advice(steps, now_ms)
         for placement in self._planner.place(steps, now_ms):
-            self._orders.send_start(placement.run)
+            self._dispatcher.send_start(placement.run)
         left = [step for step in steps if step.pending_tasks]
         for victim in self._planner.choose_victims(left, now_ms):
-            self._orders.stop(victim, reasons.StopReason.SHORT_TASK)
+            self._dispatcher.stop(victim, reasons.StopReason.SHORT_TASK)
         for run in self._planner.clear_worker(left, now_ms):
-            self._orders.stop(run, reasons.StopReason.WORKER_CLEARED)
-        self._pass_took_ms = self._clock.monotonic_ms() - now_ms
+            self._dispatcher.stop(run, reasons.StopReason.WORKER_CLEARED)
+        self._pass_duration_ms = self._clock.monotonic_ms() - now_ms
 
-    def _ask_advice(
+    def _request_advice(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
         """Asks which workers may run steps that a policy is for."""
@@ -382,7 +388,7 @@
                 "the settings name no service for advice",
             )
 
-    def _maintain(self, now_ms: int) -> None:
+    def _run_maintenance(self, now_ms: int) -> None:
         """Takes the machines of waves through their maintenance."""
         waves = self._waves()
         if not waves or self._machine_caller is None:
@@ -392,7 +398,7 @@
         ):
             self._machine_caller.submit(action)
 
-    def _record_timer(self) -> Callable[[], None]:
+    def _end_recorded_timer(self) -> Callable[[], None]:
         """What measures the time until ends seen now are recorded."""
         seen_ms = self._clock.monotonic_ms()
 
@@ -404,14 +410,16 @@
 
         return observe
 
-    def _record(self) -> None:
+    def _write_records(self) -> None:
         writes = self._jobs.drain_writes()
         recorded: list[Callable[[], None]] = []
-        self._lives.add_writes(writes.work, recorded, self._is_settled)
+        self._recorded_workers.add_writes(
+            writes.work, recorded, self._is_settled
+        )
         self._model_persistence.add_writes(writes.work)
         writes.work.update(self._maintenance.drain_writes())
         if self._must_acknowledge:
-            recorded.append(self._record_timer())
+            recorded.append(self._end_recorded_timer())
         for worker_id in self._must_acknowledge:
             acknowledge = self._workers.acknowledger(worker_id)
             if acknowledge is not None:
