--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -24,17 +24,17 @@
 
 # Failures in a row, of different jobs' tasks, after which a worker is taken
 # to be at fault; by chance this happens once in ten thousand.
-FAILING_WORKER_RUNS = 3
-FAILING_WORKER_PAUSE_MS = 5_000
+FAILURES_BEFORE_AVOIDANCE = 3
+FAILING_WORKER_AVOIDANCE_MS = 5_000
 # An image's tasks vary by half; one that has made no progress for this long
 # while its worker reports others stands still.
-STALLED_MS = 2_500
-SLOW_MS = 1_200
+STALL_TIMEOUT_MS = 2_500
+SLOW_TIMEOUT_MS = 1_200
 # Smoothing of a worker's slowness over its tasks.
 SLOWNESS_SMOOTHING = 0.3
 # A hold answer lists at most this many ends, so that a full one proves
 # nothing of runs that it doesn't list.
-FULL_ENDS_LIST = 500
+MAX_LISTED_ENDS = 500
 
 _logger = logbook.Logger(__name__)
 
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        orders: run_dispatcher.RunDispatcher,
+        dispatcher: run_dispatcher.RunDispatcher,
         jobs: job_table_module.JobTable,
         workers: worker_table_module.WorkerTable,
         durations: duration_model_module.DurationModel,
@@ -53,7 +53,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
-        self._orders = orders
+        self._dispatcher = dispatcher
         self._jobs = jobs
         self._workers = workers
         self._durations = durations
@@ -70,19 +70,19 @@
         assert worker is not None
         ended = self._workers.new_ends(event.worker_id, answer)
         for end in ended:
-            self._take_end(worker, end)
+            self._handle_end(worker, end)
         listed = set()
         for task in answer.running:
             listed.add(worker_view.run_key(task.task, task.run))
-            self._take_running(worker, task, event.received_ms)
-        if len(answer.ended) < FULL_ENDS_LIST:
-            self._take_missing(worker, listed, event.sent_ms)
+            self._handle_running(worker, task, event.received_ms)
+        if len(answer.ended) < MAX_LISTED_ENDS:
+            self._handle_missing(worker, listed, event.sent_ms)
         self._interference.learn(worker, event.received_ms)
         worker.revision += 1
-        self._orders.set_paces(worker)
+        self._dispatcher.set_paces(worker)
         return bool(ended)
 
-    def _take_end(
+    def _handle_end(
         self, worker: worker_view.WorkerView, end: cell_workers.EndedRun
     ) -> None:
         run = worker.runs.get(worker_view.run_key(end.task, end.run))
@@ -104,18 +104,20 @@
         if task is None:
             return
         task.last_run = max(task.last_run, end.run)
-        is_open_job = self._jobs.find(task.step.job.spec.job_id) is not None
-        if task.is_done or not is_open_job:
+        is_unfinished_job = (
+            self._jobs.find(task.step.job.spec.job_id) is not None
+        )
+        if task.is_done or not is_unfinished_job:
             return
         match end.how:
             case cell_workers.RunEnd.DONE:
-                self._take_done(worker, task, run)
+                self._handle_done(worker, task, run)
             case cell_workers.RunEnd.FAILED:
-                self._take_failed(worker, task, end)
+                self._handle_failed(worker, task, end)
             case _:
                 self._jobs.note_checkpoint(task, end.checkpoint)
 
-    def _take_done(
+    def _handle_done(
         self,
         worker: worker_view.WorkerView,
         task: runs_module.Task,
@@ -124,16 +126,16 @@
         worker.recent_failures = 0
         self._jobs.note_started(task.step.job)
         if run is not None and not task.checkpoint:
-            self._learn(worker, run)
+            self._observe_duration(worker, run)
         self._jobs.note_done(task)
         for other in list(task.runs):
-            self._orders.stop(other, reasons.StopReason.DONE_ELSEWHERE)
+            self._dispatcher.stop(other, reasons.StopReason.DONE_ELSEWHERE)
         if task.step.spec.is_gang:
             for member in task.step.tasks:
                 for other in list(member.runs):
-                    self._orders.drop(other)
+                    self._dispatcher.drop(other)
 
-    def _learn(
+    def _observe_duration(
         self, worker: worker_view.WorkerView, run: runs_module.Run
     ) -> None:
         """Learns durations and slowness from a run from begin to end."""
@@ -150,7 +152,7 @@
                 took_ms / usual_ms - worker.slowness
             )
 
-    def _take_failed(
+    def _handle_failed(
         self,
         worker: worker_view.WorkerView,
         task: runs_module.Task,
@@ -158,24 +160,24 @@
     ) -> None:
         worker.recent_failures += 1
         task.avoided_workers |= {worker.worker_id}
-        if worker.recent_failures >= FAILING_WORKER_RUNS:
+        if worker.recent_failures >= FAILURES_BEFORE_AVOIDANCE:
             now_ms = self._clock.monotonic_ms()
-            worker.avoided_until_ms = now_ms + FAILING_WORKER_PAUSE_MS
+            worker.avoided_until_ms = now_ms + FAILING_WORKER_AVOIDANCE_MS
             logs.warning(
                 _logger,
                 "worker-avoided",
                 worker=worker.worker_id,
                 failures=worker.recent_failures,
-                for_ms=FAILING_WORKER_PAUSE_MS,
+                for_ms=FAILING_WORKER_AVOIDANCE_MS,
             )
         if end.checkpoint:
             self._jobs.note_checkpoint(task, end.checkpoint)
         job = task.step.job
         self._jobs.note_failed(task, end.run)
         if job.state.is_final:
-            self._orders.stop_all(job)
+            self._dispatcher.stop_all(job)
 
-    def _take_running(
+    def _handle_running(
         self,
         worker: worker_view.WorkerView,
         listed: cell_workers.RunningTask,
@@ -184,10 +186,10 @@
         key = worker_view.run_key(listed.task, listed.run)
         run = worker.runs.get(key)
         if run is None:
-            self._take_unknown(worker, listed, now_ms)
+            self._handle_unknown(worker, listed, now_ms)
             return
         if run.phase is runs_module.RunPhase.STARTING:
-            self._orders.confirm(run, now_ms)
+            self._dispatcher.confirm(run, now_ms)
         if listed.percent > run.percent or run.progressed_ms == 0:
             run.percent = listed.percent
             run.progressed_ms = now_ms
@@ -196,9 +198,9 @@
             run.task.checkpoint = listed.checkpoint
         if run.phase is runs_module.RunPhase.STOPPING and run.is_in_doubt:
             run.is_in_doubt = False
-            self._orders.send_stop(run)
+            self._dispatcher.send_stop(run)
 
-    def _take_unknown(
+    def _handle_unknown(
         self,
         worker: worker_view.WorkerView,
         listed: cell_workers.RunningTask,
@@ -238,7 +240,7 @@
         if session is not None:
             session.stop(None, listed.task, listed.run)
 
-    def _take_missing(
+    def _handle_missing(
         self,
         worker: worker_view.WorkerView,
         listed: set[str],
@@ -261,9 +263,9 @@
                     metrics_module.Counter.RUNS_LOST,
                     reasons.LossReason.NOT_LISTED,
                 )
-                self._orders.drop(run)
+                self._dispatcher.drop(run)
             elif run.is_in_doubt:
-                self._orders.resolve(run)
+                self._dispatcher.resolve(run)
 
     def move_runs(self, now_ms: int) -> None:
         """Stops runs that should go on elsewhere."""
@@ -271,11 +273,11 @@
             if not worker.is_answering:
                 continue
             for run in self._evacuation.runs_to_move(worker):
-                self._orders.stop(run, reasons.StopReason.WORKER_LEAVES)
+                self._dispatcher.stop(run, reasons.StopReason.WORKER_LEAVES)
             for run in list(worker.runs.values()):
                 reason = self._reason_to_move(run, now_ms)
                 if reason is not None:
-                    self._orders.stop(run, reason)
+                    self._dispatcher.stop(run, reason)
 
     def _reason_to_move(
         self, run: runs_module.Run, now_ms: int
@@ -288,7 +290,7 @@
             return reasons.StopReason.STALLED
         is_slow = (
             run.slow_since_ms > 0
-            and now_ms - run.slow_since_ms > SLOW_MS
+            and now_ms - run.slow_since_ms > SLOW_TIMEOUT_MS
             and run.task.step.spec.has_checkpoints
         )
         return reasons.StopReason.SLOWED_DOWN if is_slow else None
@@ -300,5 +302,5 @@
             and not spec.fills_idle
             and not spec.is_gang
             and run.progressed_ms > 0
-            and now_ms - run.progressed_ms > STALLED_MS
+            and now_ms - run.progressed_ms > STALL_TIMEOUT_MS
         )
