--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -25,7 +25,7 @@
 UNHEALTHY_PAUSE_MS = 1_000
 # A task that fills and has worked at this pace or less for so long is moved,
 # if it can go on from a checkpoint.
-SLOW_PACE = 20
+SLOW_PACE_PERCENT = 20
 
 _logger = logbook.Logger(__name__)
 
@@ -53,7 +53,7 @@
         step = run.task.step
         session = self._workers.session(run.worker_id)
         if session is None:
-            self.drop(run)
+            self.discard(run)
             return
         job = step.job
         now_ms = self._clock.monotonic_ms()
@@ -88,7 +88,7 @@
         )
         self._metrics.count(metrics_module.Counter.RUN_STARTS)
         if step.spec.fills_idle:
-            self.set_paces(worker)
+            self.update_paces(worker)
 
     def _observe(self, latency: metrics_module.Latency, took_ms: int) -> None:
         self._metrics.observe(latency, took_ms * 1_000)
@@ -157,10 +157,10 @@
             case result.Ok(_):
                 self.confirm(run, now_ms)
             case result.Err(cell_workers.OrderRefused(reason)):
-                self._take_refusal(run, worker, reason, event)
+                self._handle_refusal(run, worker, reason, event)
             case result.Err(cell_workers.OrderNotSent(detail)):
                 if event.tries <= 1 and not run.is_in_doubt:
-                    self.drop(run)
+                    self.discard(run)
                 else:
                     run.is_in_doubt = True
                 if event.tries:
@@ -187,7 +187,7 @@
             run.phase = runs_module.RunPhase.RUNNING
         self._jobs.note_started(run.task.step.job)
 
-    def _take_refusal(
+    def _handle_refusal(
         self,
         run: runs_module.Run,
         worker: worker_view.WorkerView,
@@ -223,9 +223,9 @@
             # An earlier sending may still be carried out.
             self.stop(run, reasons.StopReason.START_REFUSED, reason)
         else:
-            self.drop(run)
+            self.discard(run)
 
-    def drop(self, run: runs_module.Run) -> None:
+    def discard(self, run: runs_module.Run) -> None:
         """Forgets a run that is surely over, or never was."""
         worker = self._workers.find(run.worker_id)
         if worker is not None:
@@ -246,7 +246,7 @@
             case result.Err(_):
                 run.is_in_doubt = True
 
-    def set_paces(self, worker: worker_view.WorkerView) -> None:
+    def update_paces(self, worker: worker_view.WorkerView) -> None:
         """Slows tasks that fill where they disturb lasting ones too much."""
         session = self._workers.session(worker.worker_id)
         if session is None:
@@ -266,13 +266,13 @@
             )
             run.pace_percent = change.percent
             run.pace_changed_ms = self._clock.monotonic_ms()
-            if change.percent > SLOW_PACE:
+            if change.percent > SLOW_PACE_PERCENT:
                 run.slow_since_ms = 0
             elif run.slow_since_ms == 0:
                 run.slow_since_ms = self._clock.monotonic_ms()
             session.pace(run.task.name, run.number, change.percent)
 
-    def resolve(self, run: runs_module.Run) -> None:
+    def resolve_doubt(self, run: runs_module.Run) -> None:
         """Sends the order again whose answer did not come."""
         run.is_in_doubt = False
         if run.phase is runs_module.RunPhase.STOPPING:
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -79,7 +79,7 @@
             self._handle_missing(worker, listed, event.sent_ms)
         self._interference.learn(worker, event.received_ms)
         worker.revision += 1
-        self._dispatcher.set_paces(worker)
+        self._dispatcher.update_paces(worker)
         return bool(ended)
 
     def _handle_end(
@@ -133,7 +133,7 @@
         if task.step.spec.is_gang:
             for member in task.step.tasks:
                 for other in list(member.runs):
-                    self._dispatcher.drop(other)
+                    self._dispatcher.discard(other)
 
     def _observe_duration(
         self, worker: worker_view.WorkerView, run: runs_module.Run
@@ -263,9 +263,9 @@
                     metrics_module.Counter.RUNS_LOST,
                     reasons.LossReason.NOT_LISTED,
                 )
-                self._dispatcher.drop(run)
+                self._dispatcher.discard(run)
             elif run.is_in_doubt:
-                self._dispatcher.resolve(run)
+                self._dispatcher.resolve_doubt(run)
 
     def move_runs(self, now_ms: int) -> None:
         """Stops runs that should go on elsewhere."""
