--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -15,13 +15,13 @@
 from comfreylatch._process.cell import specs
 
 # A lasting task that ends at once each time is not started more often.
-LASTING_RESTART_MS = 50
+LASTING_RESTART_DELAY_MS = 50
 
 _logger = logbook.Logger(__name__)
 
 
 @attrs.frozen
-class Writes:
+class PendingWrites:
     """Records to be written, by key."""
 
     jobs: dict[str, bytes | None]
@@ -37,7 +37,7 @@
         self._clock = clock
         self._jobs: dict[str, runs_module.ActiveJob] = {}
         self._ready: dict[str, runs_module.StepInstance] = {}
-        self._timed: set[str] = set()
+        self._repeating: set[str] = set()
         self._state_writes: dict[str, bytes | None] = {}
         self._work_writes: dict[str, bytes | None] = {}
         self._dirty: set[str] = set()
@@ -64,14 +64,14 @@
             parts.occurrence < job.occurrence_count
         ):
             # Started by an earlier owner whose records are not all here.
-            job.open_occurrence(parts.occurrence)
-            self._note_ready(job, parts.occurrence)
+            job.create_occurrence(parts.occurrence)
+            self._add_ready_steps(job, parts.occurrence)
         return job.find(parts.occurrence, parts.step, parts.index)
 
     def add(
         self,
         spec: specs.JobSpec,
-        run_floor: int = 0,
+        run_number_floor: int = 0,
         progress: records.ProgressRecord | None = None,
         state: records.JobState = records.JobState.QUEUED,
     ) -> runs_module.ActiveJob | None:
@@ -81,26 +81,29 @@
         now_ms = self._clock.monotonic_ms()
         age_ms = max(self._clock.wall_ms() - spec.accepted_wall_ms, 0)
         job = runs_module.ActiveJob(
-            spec, now_ms - age_ms, run_floor=run_floor, state=state
+            spec,
+            now_ms - age_ms,
+            run_number_floor=run_number_floor,
+            state=state,
         )
         self._jobs[spec.job_id] = job
         if spec.repetitions:
-            self._timed.add(spec.job_id)
+            self._repeating.add(spec.job_id)
         else:
-            job.open_occurrence(0)
+            job.create_occurrence(0)
         if progress is not None:
             job.restore(progress)
-        self.open_due()
+        self.create_due_occurrences()
         for occurrence in job.steps:
-            self._note_ready(job, occurrence)
+            self._add_ready_steps(job, occurrence)
         if job.is_complete:
             self.finish(job, records.JobState.COMPLETED)
         return job
 
-    def open_due(self) -> None:
+    def create_due_occurrences(self) -> None:
         """Opens the repetitions whose time has come."""
         now_ms = self._clock.wall_ms()
-        for job_id in list(self._timed):
+        for job_id in list(self._repeating):
             job = self._jobs[job_id]
             while (
                 job.next_occurrence < job.occurrence_count
@@ -110,12 +113,14 @@
                 if occurrence in job.steps:
                     job.next_occurrence += 1
                     continue
-                job.open_occurrence(occurrence)
-                self._note_ready(job, occurrence)
+                job.create_occurrence(occurrence)
+                self._add_ready_steps(job, occurrence)
             if job.next_occurrence >= job.occurrence_count:
-                self._timed.discard(job_id)
+                self._repeating.discard(job_id)
 
-    def _note_ready(self, job: runs_module.ActiveJob, occurrence: int) -> None:
+    def _add_ready_steps(
+        self, job: runs_module.ActiveJob, occurrence: int
+    ) -> None:
         for step in job.steps[occurrence]:
             if step.unfinished_count and job.is_ready(step):
                 step.ready_ms = step.ready_ms or self._clock.monotonic_ms()
@@ -137,21 +142,21 @@
             for step in job.all_steps()
             if step.unfinished_count
             and not job.is_ready(step)
-            and job.is_soon(step)
+            and job.is_nearly_ready(step)
         ]
 
-    def note_started(self, job: runs_module.ActiveJob) -> None:
+    def mark_started(self, job: runs_module.ActiveJob) -> None:
         """A worker has begun a task of a job."""
         if job.state is records.JobState.QUEUED:
             job.state = records.JobState.RUNNING
             self._record_state(job)
 
-    def note_done(self, task: runs_module.Task) -> None:
+    def mark_done(self, task: runs_module.Task) -> None:
         """A task, or with one member its whole gang, is done."""
         step = task.step
         members = step.tasks if step.spec.is_gang else [task]
         for member in members:
-            step.note_done(member)
+            step.mark_done(member)
         job = step.job
         self._dirty.add(job.spec.job_id)
         if step.unfinished_count:
@@ -160,14 +165,16 @@
         if job.is_complete:
             self.finish(job, records.JobState.COMPLETED)
         else:
-            self._note_ready(job, step.occurrence)
+            self._add_ready_steps(job, step.occurrence)
 
-    def note_failed(self, task: runs_module.Task, run: int) -> None:
+    def record_failure(self, task: runs_module.Task, run: int) -> None:
         """A run of a task has failed by itself."""
         step = task.step
         job = step.job
         if step.spec.is_lasting:
-            task.not_before_ms = self._clock.monotonic_ms() + LASTING_RESTART_MS
+            task.not_before_ms = (
+                self._clock.monotonic_ms() + LASTING_RESTART_DELAY_MS
+            )
             return
         members = step.tasks if step.spec.is_gang else [task]
         for member in members:
@@ -176,7 +183,9 @@
         if task.failures >= job.spec.queue.max_attempts:
             self.finish(job, records.JobState.FAILED)
 
-    def note_checkpoint(self, task: runs_module.Task, checkpoint: str) -> None:
+    def record_checkpoint(
+        self, task: runs_module.Task, checkpoint: str
+    ) -> None:
         """A run has ended before its time and left a checkpoint."""
         if checkpoint and checkpoint != task.checkpoint:
             members = task.step.tasks if task.step.spec.is_gang else [task]
@@ -200,7 +209,7 @@
         if self._jobs.pop(job_id, None) is None:
             return
         job.state = state
-        self._timed.discard(job_id)
+        self._repeating.discard(job_id)
         for step in job.all_steps():
             self._ready.pop(step.name, None)
         self._dirty.discard(job_id)
@@ -226,14 +235,14 @@
         key = records.STATE_PREFIX + job.spec.job_id
         self._state_writes[key] = records.encode(record)
 
-    def drain_writes(self) -> Writes:
+    def drain_writes(self) -> PendingWrites:
         """What has to be recorded since the last call."""
         for job_id in self._dirty:
             job = self._jobs.get(job_id)
             if job is not None:
                 self._work_writes[job_id] = records.encode(job.progress())
         self._dirty.clear()
-        writes = Writes(self._state_writes, self._work_writes)
+        writes = PendingWrites(self._state_writes, self._work_writes)
         self._state_writes = {}
         self._work_writes = {}
         return writes
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -304,7 +304,7 @@
                     self._stop_reason = reasons.OwnershipEnd.FENCED
 
     def _tick(self, now_ms: int) -> None:
-        self._jobs.open_due()
+        self._jobs.create_due_occurrences()
         for lost in self._workers.expire():
             self._dispatcher.handle_lost(lost)
         self._run_maintenance(now_ms)
@@ -351,7 +351,7 @@
             return
         steps = self._jobs.ready_steps()
         if not self._is_settled:
-            steps = [step for step in steps if step.job.run_floor == 0]
+            steps = [step for step in steps if step.job.run_number_floor == 0]
         if not steps:
             return
         since_ms = now_ms - self._last_pass_ms
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -185,7 +185,7 @@
         run.progressed_ms = now_ms
         if run.phase is runs_module.RunPhase.STARTING:
             run.phase = runs_module.RunPhase.RUNNING
-        self._jobs.note_started(run.task.step.job)
+        self._jobs.mark_started(run.task.step.job)
 
     def _handle_refusal(
         self,
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -115,7 +115,7 @@
             case cell_workers.RunEnd.FAILED:
                 self._handle_failed(worker, task, end)
             case _:
-                self._jobs.note_checkpoint(task, end.checkpoint)
+                self._jobs.record_checkpoint(task, end.checkpoint)
 
     def _handle_done(
         self,
@@ -124,10 +124,10 @@
         run: runs_module.Run | None,
     ) -> None:
         worker.recent_failures = 0
-        self._jobs.note_started(task.step.job)
+        self._jobs.mark_started(task.step.job)
         if run is not None and not task.checkpoint:
             self._observe_duration(worker, run)
-        self._jobs.note_done(task)
+        self._jobs.mark_done(task)
         for other in list(task.runs):
             self._dispatcher.stop(other, reasons.StopReason.DONE_ELSEWHERE)
         if task.step.spec.is_gang:
@@ -171,9 +171,9 @@
                 for_ms=FAILING_WORKER_AVOIDANCE_MS,
             )
         if end.checkpoint:
-            self._jobs.note_checkpoint(task, end.checkpoint)
+            self._jobs.record_checkpoint(task, end.checkpoint)
         job = task.step.job
-        self._jobs.note_failed(task, end.run)
+        self._jobs.record_failure(task, end.run)
         if job.state.is_final:
             self._dispatcher.stop_all(job)
 
@@ -227,7 +227,7 @@
             task.last_run = max(task.last_run, listed.run)
             task.step.add_run(run)
             worker.add(run)
-            self._jobs.note_started(task.step.job)
+            self._jobs.mark_started(task.step.job)
             return
         logs.event(
             _logger,
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -15,10 +15,10 @@
 
 # Of tasks that fill, before they have shown theirs; what a day of readings gave
 # on average: three fifths of them near 1, the others near two thirds.
-USUAL_INTENSITY = 0.88
+DEFAULT_INTENSITY = 0.88
 
 # A lasting task is at work when it reports so much.
-FULL_PERCENT = 100.0
+FULL_PROGRESS_PERCENT = 100.0
 
 
 class RunPhase(enum.Enum):
@@ -79,7 +79,7 @@
     reading: int = 0
     pace_percent: int = 100
     slow_since_ms: int = 0
-    intensity: float = USUAL_INTENSITY
+    intensity: float = DEFAULT_INTENSITY
     pace_changed_ms: int = 0
     unanswered: int = 0
     is_in_doubt: bool = False
@@ -127,7 +127,7 @@
         return len(self.failed_runs)
 
     @property
-    def is_open(self) -> bool:
+    def is_pending(self) -> bool:
         """Whether it needs a run and has none."""
         return not self.is_done and not self.runs
 
@@ -167,7 +167,8 @@
         """How many of its tasks are not at work, for whatever cause."""
         return sum(
             not any(
-                run.phase is RunPhase.RUNNING and run.percent >= FULL_PERCENT
+                run.phase is RunPhase.RUNNING
+                and run.percent >= FULL_PROGRESS_PERCENT
                 for run in task.runs
             )
             for task in self.tasks
@@ -208,11 +209,11 @@
             self.runs_per_worker[run.worker_id] = left
         else:
             self.runs_per_worker.pop(run.worker_id, None)
-        if task.is_open:
+        if task.is_pending:
             task.pending_since_ms = now_ms
             self.pending_tasks[task.index] = task
 
-    def note_done(self, task: Task) -> None:
+    def mark_done(self, task: Task) -> None:
         """Counts the end of a task."""
         if not task.is_done:
             task.is_done = True
@@ -244,7 +245,7 @@
     state: records.JobState = records.JobState.QUEUED
     is_cancelled: bool = False
     is_dirty: bool = False
-    run_floor: int = 0
+    run_number_floor: int = 0
     first_start_ms: int = 0
 
     @property
@@ -258,7 +259,7 @@
             return 0
         return self.spec.first_due_ms + occurrence * self.spec.interval_ms
 
-    def open_occurrence(self, occurrence: int) -> list[StepInstance]:
+    def create_occurrence(self, occurrence: int) -> list[StepInstance]:
         """Creates the steps of a repetition."""
         steps = []
         for number, spec in enumerate(self.spec.steps):
@@ -267,7 +268,7 @@
                 step.tickets = {}
             for index in range(spec.task_count):
                 name = f"{step.name}.{index}"
-                task = Task(name, index, step, last_run=self.run_floor)
+                task = Task(name, index, step, last_run=self.run_number_floor)
                 step.tasks.append(task)
                 step.pending_tasks[index] = task
             step.unfinished_count = spec.task_count
@@ -311,7 +312,7 @@
             if number < len(siblings)
         )
 
-    def is_soon(self, step: StepInstance) -> bool:
+    def is_nearly_ready(self, step: StepInstance) -> bool:
         """Whether all tasks that a step waits for are more than half done."""
         siblings = self.steps[step.occurrence]
         return all(
@@ -352,11 +353,11 @@
         """Takes over what an earlier owner recorded."""
         for part in progress.steps:
             if part.occurrence not in self.steps:
-                self.open_occurrence(part.occurrence)
+                self.create_occurrence(part.occurrence)
             for index in part.done:
                 task = self.find(part.occurrence, part.step, index)
                 if task is not None:
-                    task.step.note_done(task)
+                    task.step.mark_done(task)
             for index, failed_runs in part.failed_runs.items():
                 task = self.find(part.occurrence, part.step, index)
                 if task is not None:
