--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -28,12 +28,12 @@
     def __init__(
         self,
         replica: job_replica.JobReplica,
-        scribe: fenced_writer_module.FencedWriter,
+        writer: fenced_writer_module.FencedWriter,
         keep_ms: int,
         clock: clock_port.Clock,
     ) -> None:
         self._replica = replica
-        self._scribe = scribe
+        self._writer = writer
         self._keep_ms = keep_ms
         self._clock = clock
         self._looked_ms = clock.monotonic_ms()
@@ -57,5 +57,5 @@
                 records.STATE_PREFIX,
             ):
                 drops[prefix + job_id] = None
-        self._scribe.write(drops, {}, ())
+        self._writer.write(drops, {}, ())
         logs.event(_logger, "jobs-forgotten", count=len(ended))
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -70,13 +70,13 @@
     def __init__(
         self,
         recovered: recovered_state_module.RecoveredState,
-        scribe: fenced_writer_module.FencedWriter,
+        writer: fenced_writer_module.FencedWriter,
         deps: owner_dependencies.OwnerDependencies,
         host_name: str,
     ) -> None:
         clock, metrics = deps.clock, deps.metrics
         self._recovered = recovered
-        self._scribe = scribe
+        self._writer = writer
         self._metrics = metrics
         self._clock = clock
         self._events: queue.SimpleQueue[events.Event] = queue.SimpleQueue()
@@ -84,7 +84,7 @@
         self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
         terms = worker_session.LeaseParameters(
-            recovered.token, deps.lease_ms, scribe.may_act
+            recovered.token, deps.lease_ms, writer.may_act
         )
         self._workers = worker_table_module.WorkerTable(
             lambda entry: worker_session.WorkerSession(
@@ -148,7 +148,7 @@
                 deps.machines,
                 host_name,
                 self._recovered.token,
-                self._scribe.may_act,
+                self._writer.may_act,
                 self._events.put,
                 deps.clock,
             )
@@ -309,7 +309,7 @@
             self._dispatcher.handle_lost(lost)
         self._run_maintenance(now_ms)
         self._reconciler.move_runs(now_ms)
-        if self._is_settled and self._scribe.may_act():
+        if self._is_settled and self._writer.may_act():
             for copy in self._planner.place_speculative_runs(
                 self._jobs, now_ms
             ):
@@ -326,7 +326,7 @@
             self._workers,
             self._jobs,
             self._model.summary(),
-            self._scribe.append_age_ms,
+            self._writer.append_age_ms,
         )
 
     def _settle(self, now_ms: int) -> None:
@@ -347,7 +347,7 @@
         )
 
     def _place(self, now_ms: int) -> None:
-        if not self._scribe.may_act():
+        if not self._writer.may_act():
             return
         steps = self._jobs.ready_steps()
         if not self._is_settled:
@@ -425,4 +425,4 @@
             if acknowledge is not None:
                 recorded.append(acknowledge)
         self._must_acknowledge.clear()
-        self._scribe.write(writes.jobs, writes.work, recorded)
+        self._writer.write(writes.jobs, writes.work, recorded)
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -201,14 +201,14 @@
 
         with fenced_writer_module.FencedWriter(
             deps.store, deps.cell, heartbeat, on_fenced, deps.clock
-        ) as scribe:
+        ) as writer:
             inheritance = takeover.take_over(
-                deps, self._host, token, scribe, predecessor
+                deps, self._host, token, writer, predecessor
             )
             if inheritance is None:
                 return
             with owner_module.Owner(
-                inheritance, scribe, deps, self._host.name
+                inheritance, writer, deps, self._host.name
             ) as owner:
                 inbox.append(owner.post)
                 for entry in deps.replica.listen(owner.post_change):
@@ -221,15 +221,15 @@
                         )
                 self.is_owner = True
                 forgetter = job_retention.JobRetention(
-                    deps.replica, scribe, deps.keep_ended_ms, deps.clock
+                    deps.replica, writer, deps.keep_ended_ms, deps.clock
                 )
                 deps.jobs_reader.pause_ms = 0
-                self._run(owner, scribe, heartbeat, forgetter)
+                self._run(owner, writer, heartbeat, forgetter)
 
     def _run(
         self,
         owner: owner_module.Owner,
-        scribe: fenced_writer_module.FencedWriter,
+        writer: fenced_writer_module.FencedWriter,
         heartbeat: records.HeartbeatRecord,
         forgetter: job_retention.JobRetention,
     ) -> None:
@@ -263,7 +263,7 @@
                 is_released=True,
                 is_isolated=reason is reasons.OwnershipEnd.ISOLATED,
             )
-            scribe.release(last)
+            writer.release(last)
 
     def _reason_to_stop(
         self,
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -33,12 +33,12 @@
     deps: owner_dependencies.OwnerDependencies,
     host: claiming.HostIdentity,
     token: int,
-    scribe: fenced_writer_module.FencedWriter,
+    writer: fenced_writer_module.FencedWriter,
     predecessor: records.HeartbeatRecord | None,
 ) -> recovered_state.RecoveredState | None:
     """Fences the owner before and reads what it has recorded."""
     started_ms = deps.clock.monotonic_ms()
-    first_offset = scribe.fence()
+    first_offset = writer.fence()
     if first_offset is None:
         return None
     # The book then has all that the owner before may have started.
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -23,7 +23,7 @@
         self.store = record_store.MemoryStore()
         self.fenced = threading.Event()
 
-    def scribe(self, token: int) -> fenced_writer_module.FencedWriter:
+    def writer(self, token: int) -> fenced_writer_module.FencedWriter:
         """A scribe that has not begun."""
         return fenced_writer_module.FencedWriter(
             self.store,
@@ -34,18 +34,18 @@
         )
 
     def write(
-        self, scribe: fenced_writer_module.FencedWriter, key: str
+        self, writer: fenced_writer_module.FencedWriter, key: str
     ) -> bool:
         """Writes a record; returns whether it was reported as kept."""
         kept = threading.Event()
-        scribe.write({key: b"{}"}, {}, [kept.set])
+        writer.write({key: b"{}"}, {}, [kept.set])
         return kept.wait(WAIT_S)
 
     def test_lost_answer_writes_once(self) -> None:
-        with self.scribe(1) as scribe:
-            scribe.fence()
+        with self.writer(1) as writer:
+            writer.fence()
             self.store.lose_answers = 1
-            self.assertTrue(self.write(scribe, "state/a"))
+            self.assertTrue(self.write(writer, "state/a"))
         keys = self.store.keys(records.JOBS_TOPIC, 0)
         self.assertEqual(1, keys.count("state/a"))
 
@@ -53,24 +53,24 @@
         # Found by an incident: two lost answers in a row kept the owner from
         # writing for longer than others wait before they take over.
         self.store.lose_answers = 3
-        with self.scribe(1) as scribe:
-            scribe.fence()
+        with self.writer(1) as writer:
+            writer.fence()
         lost_ms = sum(self.store.timeouts_ms[:3])
         self.assertLess(lost_ms, claiming.TAKEOVER_MS)
 
     def test_outage_is_waited_out(self) -> None:
-        with self.scribe(1) as scribe:
-            scribe.fence()
+        with self.writer(1) as writer:
+            writer.fence()
             self.store.is_down = True
             threading.Timer(
                 0.3, setattr, (self.store, "is_down", False)
             ).start()
-            self.assertTrue(self.write(scribe, "state/a"))
+            self.assertTrue(self.write(writer, "state/a"))
 
     def test_higher_epoch_ends_the_writing(self) -> None:
-        with self.scribe(1) as old:
+        with self.writer(1) as old:
             old.fence()
-            with self.scribe(2) as new:
+            with self.writer(2) as new:
                 new.fence()
                 old.write({"state/a": b"{}"}, {}, [])
                 self.assertTrue(self.fenced.wait(WAIT_S))
@@ -79,10 +79,10 @@
         self.assertNotIn("state/a", self.store.keys(records.JOBS_TOPIC, 0))
 
     def test_release_is_the_last_heartbeat(self) -> None:
-        with self.scribe(1) as scribe:
-            scribe.fence()
+        with self.writer(1) as writer:
+            writer.fence()
             last = records.HeartbeatRecord("bole-1", "boot", 1, True)
-            scribe.release(last)
+            writer.release(last)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         (beat,) = newest.records
         assert beat.value is not None
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -262,9 +262,9 @@
         heartbeat = records.HeartbeatRecord("two", "boot-two", 9)
         with fenced_writer_module.FencedWriter(
             self.second.store, 0, heartbeat, lambda _: None, self.second.clock
-        ) as scribe:
+        ) as writer:
             inheritance = takeover.take_over(
-                self.second.deps, self.second.identity, 9, scribe, None
+                self.second.deps, self.second.identity, 9, writer, None
             )
         self.assertEqual(learned, inheritance.learned)
 
