--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -24,7 +24,7 @@
 HEARTBEAT_INTERVAL_MS = 500
 # The store answers in 4 ms, and in 240 on its slowest days. A lost answer must
 # not keep the owner silent for long; later tries leave a slow store more time.
-FIRST_TIMEOUT_MS = 350
+SHORT_APPEND_TIMEOUT_MS = 350
 APPEND_TIMEOUT_MS = 800
 # Tries with the short timeout before the long one.
 SHORT_TRIES = 3
@@ -38,7 +38,7 @@
 
 
 @attrs.define(eq=False)
-class _Pending:
+class _PendingRecords:
     """What the next round of appends carries."""
 
     jobs: dict[str, bytes | None] = attrs.field(factory=dict)
@@ -80,11 +80,11 @@
         self._name = f"cell-{cell}"
         self._sequences = {records.JOBS_TOPIC: 0, records.WORK_TOPIC: 0}
         self._condition = threading.Condition()
-        self._pending = _Pending()
-        self._ended = False
+        self._pending = _PendingRecords()
+        self._is_closing = False
         self._is_fenced = False
         self._appended_ms = clock.monotonic_ms()
-        self._beat_ms = 0
+        self._last_heartbeat_ms = 0
         self._thread = threading.Thread(
             target=self._run, name=f"scribe-{cell}", daemon=True
         )
@@ -100,7 +100,7 @@
         traceback: types.TracebackType | None,
     ) -> None:
         with self._condition:
-            self._ended = True
+            self._is_closing = True
             self._condition.notify_all()
         self._thread.join(2 * APPEND_TIMEOUT_MS / 1_000)
 
@@ -131,9 +131,9 @@
         """Writes that the cell is given up, as the last of all."""
         with self._condition:
             self._heartbeat = last
-            self._beat_ms = 0
+            self._last_heartbeat_ms = 0
             self._pending.recorded.append(lambda: None)
-            self._ended = True
+            self._is_closing = True
             self._condition.notify_all()
 
     def write(
@@ -154,9 +154,11 @@
     def _run(self) -> None:
         while True:
             with self._condition:
-                self._condition.wait_for(self._is_due, self._until_beat_s())
-                pending, self._pending = self._pending, _Pending()
-                is_last = self._ended
+                self._condition.wait_for(
+                    self._is_due, self._until_heartbeat_s()
+                )
+                pending, self._pending = self._pending, _PendingRecords()
+                is_last = self._is_closing
             if self._is_fenced or (is_last and pending.is_empty):
                 return
             self._write_round(pending)
@@ -164,16 +166,16 @@
                 return
 
     def _is_due(self) -> bool:
-        return self._ended or not self._pending.is_empty
+        return self._is_closing or not self._pending.is_empty
 
-    def _until_beat_s(self) -> float:
-        next_ms = self._beat_ms + HEARTBEAT_INTERVAL_MS
+    def _until_heartbeat_s(self) -> float:
+        next_ms = self._last_heartbeat_ms + HEARTBEAT_INTERVAL_MS
         return max(next_ms - self._clock.monotonic_ms(), 0) / 1_000
 
-    def _write_round(self, pending: _Pending) -> None:
+    def _write_round(self, pending: _PendingRecords) -> None:
         now_ms = self._clock.monotonic_ms()
-        if now_ms - self._beat_ms >= HEARTBEAT_INTERVAL_MS:
-            self._beat_ms = now_ms
+        if now_ms - self._last_heartbeat_ms >= HEARTBEAT_INTERVAL_MS:
+            self._last_heartbeat_ms = now_ms
             pending.jobs[records.HEARTBEAT_KEY] = records.encode(
                 self._heartbeat
             )
@@ -181,17 +183,20 @@
             (records.JOBS_TOPIC, pending.jobs),
             (records.WORK_TOPIC, pending.work),
         ):
-            new = tuple(
+            new_records = tuple(
                 store_port.NewRecord(key, value)
                 for key, value in values.items()
             )
-            if new and self._append_until_known(topic, new) is None:
+            if (
+                new_records
+                and self._append_until_known(topic, new_records) is None
+            ):
                 return
         for recorded in pending.recorded:
             recorded()
 
     def _append_until_known(
-        self, topic: str, new: tuple[store_port.NewRecord, ...]
+        self, topic: str, new_records: tuple[store_port.NewRecord, ...]
     ) -> int | None:
         """Appends, repeating with the same sequence until it is known.
 
@@ -208,13 +213,15 @@
             match self._store.append(
                 topic,
                 self._cell,
-                new,
+                new_records,
                 producer=producer,
-                timeout_ms=FIRST_TIMEOUT_MS if is_short else APPEND_TIMEOUT_MS,
+                timeout_ms=SHORT_APPEND_TIMEOUT_MS
+                if is_short
+                else APPEND_TIMEOUT_MS,
             ):
                 case result.Ok(offset):
                     self._appended_ms = max(sent_ms, self._appended_ms)
-                    if new:
+                    if new_records:
                         self._sequences[topic] += 1
                     return offset
                 case result.Err(store_port.ProducerFenced(detail)):
@@ -229,7 +236,7 @@
                     logs.debug(
                         _logger, "append-retried", topic=topic, error=error
                     )
-            if self._ended and self.append_age_ms > 2 * APPEND_TIMEOUT_MS:
+            if self._is_closing and self.append_age_ms > 2 * APPEND_TIMEOUT_MS:
                 return None
             time.sleep(RETRY_PAUSE_MS / 1_000)
         return None
