--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -32,11 +32,11 @@
 from comfreylatch._process.cell import takeover
 
 # For how long most workers must be out of reach before the owner gives up.
-ISOLATION_MS = 900
-LOOK_INTERVAL_MS = 40
+ISOLATION_TIMEOUT_MS = 900
+CHECK_INTERVAL_MS = 40
 # Between two reads of the topic of jobs on a host that doesn't own the cell.
 # Callers may be shown what is two seconds old; each read has its price.
-WATCH_PAUSE_MS = 120
+STANDBY_READ_PAUSE_MS = 120
 CLAIM_TIMEOUT_MS = 800
 
 _logger = logbook.Logger(__name__)
@@ -57,13 +57,13 @@
         self._finished = threading.Event()
         self._started_ms = deps.clock.monotonic_ms()
         self._isolated_since_ms = 0
-        self._disputed_offset = -1
-        self._disputed_ms = 0
+        self._other_claim_offset = -1
+        self._other_claim_seen_ms = 0
         self.is_owner = False
 
     def start(self) -> None:
         """Begins to watch the cell."""
-        self._deps.jobs_reader.pause_ms = WATCH_PAUSE_MS
+        self._deps.jobs_reader.pause_ms = STANDBY_READ_PAUSE_MS
         threading.Thread(
             target=self._watch, name=f"tenure-{self._deps.cell}", daemon=True
         ).start()
@@ -75,12 +75,12 @@
 
     def _watch(self) -> None:
         try:
-            while not self._stopping.wait(LOOK_INTERVAL_MS / 1_000):
-                self._look()
+            while not self._stopping.wait(CHECK_INTERVAL_MS / 1_000):
+                self._check_owner()
         finally:
             self._finished.set()
 
-    def _look(self) -> None:
+    def _check_owner(self) -> None:
         deps = self._deps
         view = claiming.ClaimView(
             now_ms=deps.clock.monotonic_ms(),
@@ -92,20 +92,20 @@
         reason = claiming.reason_to_claim(view, self._host)
         if reason is None:
             return
-        token = self._claim(reason, view)
+        token = self._try_claim(reason, view)
         if token is None:
             return
         predecessor = view.owner.heartbeat if view.owner else None
         try:
-            self._own(token, predecessor)
+            self._run_owner(token, predecessor)
         except Exception:
             logs.exception(_logger, "owner-failed", cell=deps.cell, token=token)
         finally:
             deps.replica.listen(None)
             self.is_owner = False
-            deps.jobs_reader.pause_ms = WATCH_PAUSE_MS
+            deps.jobs_reader.pause_ms = STANDBY_READ_PAUSE_MS
 
-    def _claim(
+    def _try_claim(
         self, reason: reasons.ClaimReason, view: claiming.ClaimView
     ) -> int | None:
         """Tries to claim the cell; returns the fencing token."""
@@ -116,7 +116,7 @@
             case result.Err(_):
                 return None
         key = f"cell/{deps.cell}"
-        if self._is_disputed(claims.records, key):
+        if self._has_recent_claim(claims.records, key):
             return None
         # The claims were read after the view was taken; a heartbeat that came
         # in between may be the one of their newest.
@@ -145,34 +145,34 @@
             case result.Ok(offset):
                 return offset + 1
             case result.Err(store_port.StoreAnswerLost(_)):
-                return self._own_claim(key)
+                return self._find_own_claim(key)
         return None
 
-    def _is_disputed(
+    def _has_recent_claim(
         self, claims: tuple[store_port.StoredRecord, ...], key: str
     ) -> bool:
         """Whether another host has claimed since the newest heartbeat."""
         for record in claims:
             if record.key != key or record.value is None:
                 continue
-            sighting = self._deps.replica.owner
-            seen_token = sighting.heartbeat.token if sighting else 0
+            observed = self._deps.replica.owner
+            seen_token = observed.heartbeat.token if observed else 0
             if record.offset + 1 <= seen_token:
                 return False
             now_ms = self._deps.clock.monotonic_ms()
-            if record.offset != self._disputed_offset:
-                self._disputed_offset = record.offset
-                self._disputed_ms = now_ms
+            if record.offset != self._other_claim_offset:
+                self._other_claim_offset = record.offset
+                self._other_claim_seen_ms = now_ms
             # The claimant gets as long to show itself as a silent owner.
             claim = records.decode(records.ClaimRecord, record.value)
             is_mine = claim.host == self._host.name
             return (
                 not is_mine
-                and now_ms - self._disputed_ms < claiming.TAKEOVER_MS
+                and now_ms - self._other_claim_seen_ms < claiming.TAKEOVER_MS
             )
         return False
 
-    def _own_claim(self, key: str) -> int | None:
+    def _find_own_claim(self, key: str) -> int | None:
         """The token of a claim whose answer was lost, if it was made."""
         match self._deps.store.newest(
             records.CLAIMS_TOPIC, records.CLAIMS_PARTITION
@@ -186,17 +186,17 @@
                         return record.offset + 1
         return None
 
-    def _own(
+    def _run_owner(
         self, token: int, predecessor: records.HeartbeatRecord | None
     ) -> None:
         deps = self._deps
         heartbeat = records.HeartbeatRecord(
             self._host.name, self._host.boot, token, zone=self._host.zone
         )
-        inbox: list[Callable[[events.Event], None]] = []
+        event_handlers: list[Callable[[events.Event], None]] = []
 
         def on_fenced(detail: str) -> None:
-            for post in inbox:
+            for post in event_handlers:
                 post(events.Fenced(detail))
 
         with fenced_writer_module.FencedWriter(
@@ -210,7 +210,7 @@
             with owner_module.Owner(
                 inheritance, writer, deps, self._host.name
             ) as owner:
-                inbox.append(owner.post)
+                event_handlers.append(owner.post)
                 for entry in deps.replica.listen(owner.post_change):
                     if entry.spec is None:
                         continue
@@ -220,18 +220,18 @@
                             job_replica.JobCancelled(entry.spec.job_id)
                         )
                 self.is_owner = True
-                forgetter = job_retention.JobRetention(
+                retention = job_retention.JobRetention(
                     deps.replica, writer, deps.keep_ended_ms, deps.clock
                 )
                 deps.jobs_reader.pause_ms = 0
-                self._run(owner, writer, heartbeat, forgetter)
+                self._run_until_stopped(owner, writer, heartbeat, retention)
 
-    def _run(
+    def _run_until_stopped(
         self,
         owner: owner_module.Owner,
         writer: fenced_writer_module.FencedWriter,
         heartbeat: records.HeartbeatRecord,
-        forgetter: job_retention.JobRetention,
+        retention: job_retention.JobRetention,
     ) -> None:
         def on_workers(
             entries: dict[str, cell_workers.WorkerEntry],
@@ -239,7 +239,7 @@
             owner.post(events.WorkersListed(entries))
 
         def must_stop() -> reasons.OwnershipEnd | None:
-            forgetter.forget()
+            retention.drop_expired()
             return self._reason_to_stop(owner, heartbeat)
 
         self._isolated_since_ms = 0
@@ -272,14 +272,14 @@
     ) -> reasons.OwnershipEnd | None:
         if self._stopping.is_set():
             return reasons.OwnershipEnd.STOPPING
-        sighting = self._deps.replica.owner
-        if sighting and sighting.heartbeat.token > heartbeat.token:
+        observed = self._deps.replica.owner
+        if observed and observed.heartbeat.token > heartbeat.token:
             return reasons.OwnershipEnd.SUPERSEDED
         now_ms = self._deps.clock.monotonic_ms()
         if not owner.is_isolated:
             self._isolated_since_ms = 0
         elif self._isolated_since_ms == 0:
             self._isolated_since_ms = now_ms
-        elif now_ms - self._isolated_since_ms > ISOLATION_MS:
+        elif now_ms - self._isolated_since_ms > ISOLATION_TIMEOUT_MS:
             return reasons.OwnershipEnd.ISOLATED
         return None
