--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -13,7 +13,7 @@
 from comfreylatch._process.cell import records
 
 # Between two looks for jobs to be dropped.
-LOOK_INTERVAL_MS = 5_000
+PASS_INTERVAL_MS = 5_000
 
 _logger = logbook.Logger(__name__)
 
@@ -29,22 +29,22 @@
         self,
         replica: job_replica.JobReplica,
         writer: fenced_writer_module.FencedWriter,
-        keep_ms: int,
+        retention_ms: int,
         clock: clock_port.Clock,
     ) -> None:
         self._replica = replica
         self._writer = writer
-        self._keep_ms = keep_ms
+        self._retention_ms = retention_ms
         self._clock = clock
-        self._looked_ms = clock.monotonic_ms()
+        self._last_pass_ms = clock.monotonic_ms()
 
-    def forget(self) -> None:
+    def drop_expired(self) -> None:
         """Drops what is due; may be called at any time."""
         now_ms = self._clock.monotonic_ms()
-        if now_ms - self._looked_ms < LOOK_INTERVAL_MS:
+        if now_ms - self._last_pass_ms < PASS_INTERVAL_MS:
             return
-        self._looked_ms = now_ms
-        ended = self._replica.ended_before(now_ms - self._keep_ms)
+        self._last_pass_ms = now_ms
+        ended = self._replica.ended_before(now_ms - self._retention_ms)
         if not ended:
             return
         drops: dict[str, bytes | None] = {}
