--- a/src/comfreylatch/_process/cell/claiming.py
+++ b/src/comfreylatch/_process/cell/claiming.py
@@ -10,12 +10,12 @@
 
 # Three heartbeats. Shorter, and a slow append of the owner would cost it its
 # cell; longer, and the work of a dead owner waits.
-TAKEOVER_MS = 1_500
+OWNER_TIMEOUT_MS = 1_500
 # Hosts come forward one after the other, so that few claims collide.
-LONGEST_TURN_MS = 240
+MAX_CLAIM_DELAY_MS = 240
 # Hosts of the zone of an owner that gave up as it reached few workers wait
 # this much longer than others.
-ISOLATED_ZONE_WAIT_MS = 2_000
+ISOLATED_ZONE_DELAY_MS = 2_000
 
 
 @attrs.frozen
@@ -35,11 +35,11 @@
     cpu_cores: float
 
     @property
-    def turn_ms(self) -> int:
+    def claim_delay_ms(self) -> int:
         """How long it lets others go first."""
         spread = xxhash.xxh32_intdigest(self.name.encode()) % 100 / 100
         weakness = 1 / (1 + self.cpu_cores)
-        return int(LONGEST_TURN_MS * (0.5 * spread + 0.5 * weakness))
+        return int(MAX_CLAIM_DELAY_MS * (0.5 * spread + 0.5 * weakness))
 
 
 @attrs.frozen
@@ -65,25 +65,25 @@
     view: ClaimView, host: HostIdentity
 ) -> reasons.ClaimReason | None:
     """Why a host should claim a cell now; None when it should not."""
-    if view.view_age_ms > TAKEOVER_MS:
+    if view.view_age_ms > OWNER_TIMEOUT_MS:
         return None
-    sighting = view.owner
-    if sighting is None:
+    observed = view.owner
+    if observed is None:
         waited_ms = view.now_ms - view.started_ms
-        if waited_ms >= host.turn_ms:
+        if waited_ms >= host.claim_delay_ms:
             return reasons.ClaimReason.NO_OWNER
         return None
-    beat = sighting.heartbeat
-    silent_ms = view.now_ms - sighting.seen_ms
-    if beat.host == host.name and beat.boot != host.boot:
+    heartbeat = observed.heartbeat
+    silent_ms = view.now_ms - observed.seen_ms
+    if heartbeat.host == host.name and heartbeat.boot != host.boot:
         return reasons.ClaimReason.RESTARTED
-    if beat.is_released:
-        is_cut_off = beat.is_isolated and beat.zone == host.zone
-        wait_ms = ISOLATED_ZONE_WAIT_MS if is_cut_off else 0
-        is_over = silent_ms >= wait_ms + host.turn_ms
-        return reasons.ClaimReason.RELEASED if is_over else None
+    if heartbeat.is_released:
+        is_isolated_zone = heartbeat.is_isolated and heartbeat.zone == host.zone
+        wait_ms = ISOLATED_ZONE_DELAY_MS if is_isolated_zone else 0
+        is_due = silent_ms >= wait_ms + host.claim_delay_ms
+        return reasons.ClaimReason.RELEASED if is_due else None
     quiet_ms = min(silent_ms, view.reachable_ms)
-    if quiet_ms >= TAKEOVER_MS + host.turn_ms:
+    if quiet_ms >= OWNER_TIMEOUT_MS + host.claim_delay_ms:
         return reasons.ClaimReason.OWNER_SILENT
     return None
 
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -168,7 +168,8 @@
             is_mine = claim.host == self._host.name
             return (
                 not is_mine
-                and now_ms - self._other_claim_seen_ms < claiming.TAKEOVER_MS
+                and now_ms - self._other_claim_seen_ms
+                < claiming.OWNER_TIMEOUT_MS
             )
         return False
 
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -56,7 +56,7 @@
         with self.writer(1) as writer:
             writer.fence()
         lost_ms = sum(self.store.timeouts_ms[:3])
-        self.assertLess(lost_ms, claiming.TAKEOVER_MS)
+        self.assertLess(lost_ms, claiming.OWNER_TIMEOUT_MS)
 
     def test_outage_is_waited_out(self) -> None:
         with self.writer(1) as writer:
@@ -84,7 +84,7 @@
             last = records.HeartbeatRecord("bole-1", "boot", 1, True)
             writer.release(last)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
-        (beat,) = newest.records
-        assert beat.value is not None
-        found = records.decode(records.HeartbeatRecord, beat.value)
+        (heartbeat,) = newest.records
+        assert heartbeat.value is not None
+        found = records.decode(records.HeartbeatRecord, heartbeat.value)
         self.assertTrue(found.is_released)
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -16,13 +16,15 @@
 BEAT = records.HeartbeatRecord("entoto-1", "boot-1", 7, zone="entoto")
 
 
-def view(silent_ms: int, beat: records.HeartbeatRecord, **fields: Any) -> Any:
+def view(
+    silent_ms: int, heartbeat: records.HeartbeatRecord, **fields: Any
+) -> Any:
     """What a host sees when the owner's heartbeat is so old."""
     seen = claiming.ClaimView(
         now_ms=100_000,
         view_age_ms=50,
         reachable_ms=60_000,
-        owner=job_replica.ObservedHeartbeat(beat, 100_000 - silent_ms),
+        owner=job_replica.ObservedHeartbeat(heartbeat, 100_000 - silent_ms),
         started_ms=0,
     )
     return attrs.evolve(seen, **fields)
@@ -35,7 +37,9 @@
         self.assertIs(None, claiming.reason_to_claim(view(600, BEAT), HOST))
 
     def test_silent_owner_is_replaced(self) -> None:
-        seen = view(claiming.TAKEOVER_MS + claiming.LONGEST_TURN_MS, BEAT)
+        seen = view(
+            claiming.OWNER_TIMEOUT_MS + claiming.MAX_CLAIM_DELAY_MS, BEAT
+        )
         self.assertIs(
             reasons.ClaimReason.OWNER_SILENT,
             claiming.reason_to_claim(seen, HOST),
@@ -59,7 +63,7 @@
         released = attrs.evolve(BEAT, is_released=True)
         self.assertIs(
             reasons.ClaimReason.RELEASED,
-            claiming.reason_to_claim(view(HOST.turn_ms, released), HOST),
+            claiming.reason_to_claim(view(HOST.claim_delay_ms, released), HOST),
         )
 
     def test_isolated_zone_leaves_the_cell_to_others(self) -> None:
@@ -67,16 +71,19 @@
             BEAT, is_released=True, is_isolated=True, zone="bole"
         )
         self.assertIs(
-            None, claiming.reason_to_claim(view(HOST.turn_ms, released), HOST)
+            None,
+            claiming.reason_to_claim(view(HOST.claim_delay_ms, released), HOST),
+        )
+        later = view(
+            HOST.claim_delay_ms + claiming.ISOLATED_ZONE_DELAY_MS, released
         )
-        later = view(HOST.turn_ms + claiming.ISOLATED_ZONE_WAIT_MS, released)
         self.assertIs(
             reasons.ClaimReason.RELEASED, claiming.reason_to_claim(later, HOST)
         )
 
     def test_hosts_with_more_processors_come_first(self) -> None:
         strong = attrs.evolve(HOST, cpu_cores=2.15)
-        self.assertLess(strong.turn_ms, HOST.turn_ms)
+        self.assertLess(strong.claim_delay_ms, HOST.claim_delay_ms)
 
 
 class OutdatedViewTest(testtools.TestCase):
@@ -86,7 +93,7 @@
         # Found by an incident: each handover had two claims, as the second
         # claimant had read of the first one's tenure only after its look.
         released = attrs.evolve(BEAT, is_released=True)
-        seen = view(HOST.turn_ms, released)
+        seen = view(HOST.claim_delay_ms, released)
         newer = attrs.evolve(BEAT, host="kality-1", token=8)
         self.assertTrue(
             claiming.is_outdated(
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -203,7 +203,7 @@
         self.first.ownership.stop(2_000)
         self.wait_for(lambda: self.second.ownership.is_owner)
         elapsed_ms = (time.monotonic() - started_s) * 1_000
-        self.assertLess(elapsed_ms, claiming.TAKEOVER_MS)
+        self.assertLess(elapsed_ms, claiming.OWNER_TIMEOUT_MS)
 
     def test_job_goes_to_the_owner_through_any_host(self) -> None:
         self.second.job_api.submit(harness.job(), 2_000)
