--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -29,13 +29,13 @@
 APPEND_TIMEOUT_MS = 700
 RETRY_PAUSE_MS = 50
 # Records of one append; far below what the store takes in a call.
-MOST_RECORDS = 64
+MAX_BATCH_RECORDS = 64
 # A caller that was refused comes back after this; the store's outages last
 # seconds, and a host that can't reach it is out of rotation by then.
 RETRY_AFTER_MS = 1_000
 # Views older than this are not answered from; callers may be shown what is
 # two seconds old.
-OLDEST_VIEW_MS = 1_900
+MAX_VIEW_AGE_MS = 1_900
 
 _logger = logbook.Logger(__name__)
 
@@ -59,17 +59,17 @@
     detail: str
 
 
-KeepOutcome = Kept | NotKept | PerhapsKept
+AppendOutcome = Kept | NotKept | PerhapsKept
 
 
 @attrs.define(eq=False)
-class _Waiting:
+class _PendingRecord:
     """A record that a caller waits for."""
 
     record: store_port.NewRecord
     deadline_ms: int
     done: threading.Event = attrs.field(factory=threading.Event)
-    outcome: KeepOutcome = PerhapsKept("no answer in time")
+    outcome: AppendOutcome = PerhapsKept("no answer in time")
 
 
 @final
@@ -90,7 +90,9 @@
         self._store = store
         self._cell = cell
         self._clock = clock
-        self._queue: queue.SimpleQueue[_Waiting | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[_PendingRecord | None] = (
+            queue.SimpleQueue()
+        )
         self._thread = threading.Thread(
             target=self._run, name=f"keeper-{cell}", daemon=True
         )
@@ -107,12 +109,12 @@
     ) -> None:
         self._queue.put(None)
 
-    def keep(
+    def append(
         self, record: store_port.NewRecord, deadline_ms: int
-    ) -> KeepOutcome:
+    ) -> AppendOutcome:
         """Appends a record; waits for what came of it."""
-        count_queued = _Waiting(record, deadline_ms)
-        self._queue.put(count_queued)
+        waiting = _PendingRecord(record, deadline_ms)
+        self._queue.put(waiting)
         left_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
         count_queued.done.wait(left_ms / 1_000)
         return count_queued.outcome
@@ -123,7 +125,7 @@
             if first is None:
                 return
             batch = [first]
-            while len(batch) < MOST_RECORDS:
+            while len(batch) < MAX_BATCH_RECORDS:
                 try:
                     more = self._queue.get_nowait()
                 except queue.Empty:
@@ -133,31 +135,35 @@
                 batch.append(more)
             self._append(batch)
 
-    def _append(self, batch: list[_Waiting]) -> None:
-        may_be_kept = False
+    def _append(self, batch: list[_PendingRecord]) -> None:
+        may_be_stored = False
         while True:
             outcome = self._try(batch)
             match outcome:
                 case Kept():
                     break
                 case PerhapsKept():
-                    may_be_kept = True
-                case NotKept() if not may_be_kept:
+                    may_be_stored = True
+                case NotKept() if not may_be_stored:
                     break
             now_ms = self._clock.monotonic_ms()
-            late = [one for one in batch if one.deadline_ms <= now_ms]
-            batch = [one for one in batch if one.deadline_ms > now_ms]
-            _settle(late, PerhapsKept("no answer in time"))
+            late = [
+                pending for pending in batch if pending.deadline_ms <= now_ms
+            ]
+            batch = [
+                pending for pending in batch if pending.deadline_ms > now_ms
+            ]
+            _complete(late, PerhapsKept("no answer in time"))
             if not batch:
                 return
             time.sleep(RETRY_PAUSE_MS / 1_000)
-        _settle(batch, outcome)
+        _complete(batch, outcome)
 
-    def _try(self, batch: Sequence[_Waiting]) -> KeepOutcome:
+    def _try(self, batch: Sequence[_PendingRecord]) -> AppendOutcome:
         match self._store.append(
             records.JOBS_TOPIC,
             self._cell,
-            tuple(one.record for one in batch),
+            tuple(pending.record for pending in batch),
             timeout_ms=APPEND_TIMEOUT_MS,
         ):
             case result.Ok(_):
@@ -168,10 +174,10 @@
                 return NotKept(str(error))
 
 
-def _settle(batch: list[_Waiting], outcome: KeepOutcome) -> None:
-    for one in batch:
-        one.outcome = outcome
-        one.done.set()
+def _complete(batch: list[_PendingRecord], outcome: AppendOutcome) -> None:
+    for pending in batch:
+        pending.outcome = outcome
+        pending.done.set()
 
 
 @attrs.frozen
@@ -216,16 +222,16 @@
     def __init__(
         self,
         replica: job_replica.JobReplica,
-        tail: partition_reader_module.PartitionReader,
+        reader: partition_reader_module.PartitionReader,
         appender: BatchAppender,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
         self._replica = replica
-        self._tail = tail
+        self._reader = reader
         self._appender = appender
         self._metrics = metrics
-        self._shown: dict[str, records.JobState] = {}
+        self._shown_states: dict[str, records.JobState] = {}
         self._clock = clock
 
     def submit(self, spec: specs.JobSpec, wait_ms: int) -> SubmitOutcome:
@@ -237,7 +243,7 @@
             records.JOB_PREFIX + spec.job_id, records.encode(spec)
         )
         started_ms = self._clock.monotonic_ms()
-        outcome = self._appender.keep(record, started_ms + wait_ms)
+        outcome = self._appender.append(record, started_ms + wait_ms)
         took_ms = self._clock.monotonic_ms() - started_ms
         logs.event(
             _logger,
@@ -248,7 +254,7 @@
             tasks=sum(step.task_count for step in spec.steps),
             outcome=type(outcome).__name__,
             took_ms=took_ms,
-            view_age_ms=self._tail.age_ms,
+            view_age_ms=self._reader.age_ms,
         )
         self._metrics.observe(
             metrics_module.Latency.ACCEPTANCE,
@@ -278,23 +284,23 @@
         if self._is_known(job_id):
             entry = self._replica.find(job_id)
             if entry is not None:
-                self._note_shown(job_id, entry.shown_state)
+                self._log_first_showing(job_id, entry.shown_state)
                 return entry.shown_state
-        if self._tail.age_ms > OLDEST_VIEW_MS:
-            return StaleView(self._tail.age_ms)
+        if self._reader.age_ms > MAX_VIEW_AGE_MS:
+            return StaleView(self._reader.age_ms)
         return UnknownJob()
 
-    def _note_shown(self, job_id: str, state: records.JobState) -> None:
+    def _log_first_showing(self, job_id: str, state: records.JobState) -> None:
         """Logs the first showing of a state on this host."""
-        if self._shown.get(job_id) is state:
+        if self._shown_states.get(job_id) is state:
             return
-        self._shown[job_id] = state
+        self._shown_states[job_id] = state
         logs.event(
             _logger,
             "job-shown",
             job=job_id,
             state=state,
-            view_age_ms=self._tail.age_ms,
+            view_age_ms=self._reader.age_ms,
         )
 
     def cancel(
@@ -305,7 +311,7 @@
         if entry is not None and (entry.is_cancelled or entry.state.is_final):
             return Accepted()
         if not self._is_known(job_id):
-            if self._tail.age_ms > OLDEST_VIEW_MS:
+            if self._reader.age_ms > MAX_VIEW_AGE_MS:
                 return Refused(reasons.Refusal.VIEW_TOO_OLD, RETRY_AFTER_MS)
             return UnknownJob()
         record = store_port.NewRecord(
@@ -313,7 +319,7 @@
             records.encode(records.CancelRecord(self._clock.wall_ms())),
         )
         deadline_ms = self._clock.monotonic_ms() + wait_ms
-        outcome = self._appender.keep(record, deadline_ms)
+        outcome = self._appender.append(record, deadline_ms)
         logs.event(
             _logger,
             "job-cancelled",
@@ -332,6 +338,6 @@
 
     def count_queued(self, queue: specs.QueueSpec) -> int | StaleView:
         """Accepted jobs of a queue of which nothing has started."""
-        if self._tail.age_ms > OLDEST_VIEW_MS:
-            return StaleView(self._tail.age_ms)
+        if self._reader.age_ms > MAX_VIEW_AGE_MS:
+            return StaleView(self._reader.age_ms)
         return self._replica.count_queued(queue.prefix, queue.host)
