--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -20,8 +20,8 @@
 READ_WAIT_MS = 700
 # First and longest pause after a failed read; the store's outages are
 # answered at once, so that an eager reader would use up its call rate.
-RETRY_FIRST_MS = 50
-RETRY_LONGEST_MS = 400
+MIN_RETRY_PAUSE_MS = 50
+MAX_RETRY_PAUSE_MS = 400
 
 ApplyRecords = Callable[[tuple[store_port.StoredRecord, ...], bool], None]
 
@@ -64,11 +64,11 @@
         self._read_wait_ms = read_wait_ms
         self.pause_ms = pause_ms
         self._next_offset = -1
-        self._current_ms = -(10**9)
+        self._synced_ms = -(10**9)
         self._reachable_since_ms = clock.monotonic_ms()
         self._is_reachable = True
-        self._ended = threading.Event()
-        self._moved = threading.Condition()
+        self._stopping = threading.Event()
+        self._offset_changed = threading.Condition()
         self._thread = threading.Thread(
             target=self._run, name=f"tail-{topic}-{partition}", daemon=True
         )
@@ -83,12 +83,12 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        self._ended.set()
+        self._stopping.set()
 
     @property
     def age_ms(self) -> int:
         """How long ago the view was known to be current."""
-        return self._clock.monotonic_ms() - self._current_ms
+        return self._clock.monotonic_ms() - self._synced_ms
 
     @property
     def reachable_ms(self) -> int:
@@ -104,25 +104,25 @@
 
     def wait_for(self, offset: int, timeout_ms: int) -> bool:
         """Waits until the record at an offset is applied."""
-        with self._moved:
-            return self._moved.wait_for(
+        with self._offset_changed:
+            return self._offset_changed.wait_for(
                 lambda: self._next_offset > offset, timeout_ms / 1_000
             )
 
     def _run(self) -> None:
-        retry_ms = RETRY_FIRST_MS
-        while not self._ended.is_set():
-            if self._step():
-                retry_ms = RETRY_FIRST_MS
+        retry_ms = MIN_RETRY_PAUSE_MS
+        while not self._stopping.is_set():
+            if self._read_once():
+                retry_ms = MIN_RETRY_PAUSE_MS
                 if self.pause_ms:
-                    self._ended.wait(self.pause_ms / 1_000)
+                    self._stopping.wait(self.pause_ms / 1_000)
                 continue
-            self._ended.wait(retry_ms / 1_000)
-            retry_ms = min(2 * retry_ms, RETRY_LONGEST_MS)
+            self._stopping.wait(retry_ms / 1_000)
+            retry_ms = min(2 * retry_ms, MAX_RETRY_PAUSE_MS)
 
-    def _step(self) -> bool:
+    def _read_once(self) -> bool:
         """One read; returns whether the store answered."""
-        asked_ms = self._clock.monotonic_ms()
+        sent_ms = self._clock.monotonic_ms()
         is_complete = self._next_offset < 0
         if is_complete:
             answer = self._store.newest(self._topic, self._partition)
@@ -135,7 +135,7 @@
             )
         match answer:
             case result.Ok(batch):
-                self._take(batch, is_complete, asked_ms)
+                self._apply_batch(batch, is_complete, sent_ms)
                 return True
             case result.Err(store_port.RecordsExpired(first_offset)):
                 logs.event(
@@ -149,11 +149,11 @@
                 self._next_offset = -1
                 return True
             case result.Err(error):
-                self._note_lost(error.detail)
+                self._mark_unreachable(error.detail)
                 return False
 
-    def _take(
-        self, batch: store_port.StoreBatch, is_complete: bool, asked_ms: int
+    def _apply_batch(
+        self, batch: store_port.StoreBatch, is_complete: bool, sent_ms: int
     ) -> None:
         if not self._is_reachable:
             now_ms = self._clock.monotonic_ms()
@@ -162,7 +162,7 @@
                 "store-regained",
                 topic=self._topic,
                 partition=self._partition,
-                away_ms=now_ms - self._current_ms,
+                away_ms=now_ms - self._synced_ms,
             )
             self._is_reachable = True
             self._reachable_since_ms = now_ms
@@ -172,17 +172,17 @@
             return
         if batch.records or is_complete:
             self._apply(batch.records, is_complete)
-        with self._moved:
+        with self._offset_changed:
             self._next_offset = batch.next_offset
-            self._moved.notify_all()
+            self._offset_changed.notify_all()
         # An answer without records waited for some until it came.
         is_current = batch.next_offset >= batch.end_offset
         if not batch.records:
-            self._current_ms = self._clock.monotonic_ms()
+            self._synced_ms = self._clock.monotonic_ms()
         elif is_current:
-            self._current_ms = max(asked_ms, self._current_ms)
+            self._synced_ms = max(sent_ms, self._synced_ms)
 
-    def _note_lost(self, detail: str) -> None:
+    def _mark_unreachable(self, detail: str) -> None:
         if not self._is_reachable:
             return
         self._is_reachable = False
