--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -236,7 +236,7 @@
             case events.StartReturned() | events.StopReturned():
                 self._handle_order(event)
             case events.WorkersRecorded(born_ms):
-                self._recorded_workers.note_kept(born_ms)
+                self._recorded_workers.mark_recorded(born_ms)
             case events.AdviceReturned():
                 self._advice.handle_advice_returned(
                     event, self._clock.monotonic_ms()
--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -25,18 +25,18 @@
     def __init__(
         self,
         workers: worker_table_module.WorkerTable,
-        inherited: dict[str, int],
+        predecessor_workers: dict[str, int],
         post: Callable[[events.Event], None],
     ) -> None:
         self._workers = workers
-        self._inherited = inherited
+        self._predecessor_workers = predecessor_workers
         self._post = post
         self._queued: dict[str, int] = {}
-        self._kept: dict[str, int] = {}
+        self._recorded: dict[str, int] = {}
 
-    def note_kept(self, born_ms: dict[str, int]) -> None:
+    def mark_recorded(self, born_ms: dict[str, int]) -> None:
         """A record is in the store."""
-        self._kept = born_ms
+        self._recorded = born_ms
 
     def add_writes(
         self,
@@ -51,10 +51,10 @@
         """
         born_ms = self._workers.incarnations()
         if not is_settled:
-            born_ms = {**self._inherited, **born_ms}
+            born_ms = {**self._predecessor_workers, **born_ms}
         if born_ms == self._queued:
             # A record says nothing once a newer one is queued.
-            if self._kept is self._queued:
+            if self._recorded is self._queued:
                 self._workers.allow_starts(born_ms)
             return
         self._queued = born_ms
