--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -154,15 +154,17 @@
                     self._jobs.pop(job_id, None)
             return
         if record.key == records.HEARTBEAT_KEY:
-            beat = records.decode(records.HeartbeatRecord, record.value)
-            self._owner = ObservedHeartbeat(beat, self._clock.monotonic_ms())
+            heartbeat = records.decode(records.HeartbeatRecord, record.value)
+            self._owner = ObservedHeartbeat(
+                heartbeat, self._clock.monotonic_ms()
+            )
         elif kind + "/" == records.JOB_PREFIX:
             self._add(records.decode(specs.JobSpec, record.value))
         elif kind + "/" == records.CANCEL_PREFIX:
             self._cancel(job_id)
         elif kind + "/" == records.STATE_PREFIX:
-            word = records.decode(records.StateRecord, record.value)
-            self._set_state(job_id, word.state)
+            state_record = records.decode(records.StateRecord, record.value)
+            self._set_state(job_id, state_record.state)
 
     def _add(self, spec: specs.JobSpec) -> None:
         with self._lock:
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -14,13 +14,13 @@
 from comfreylatch._process.cell import recovered_state
 from comfreylatch._process.cell import worker_view
 
-CATCH_UP_MS = 3_000
+CATCH_UP_TIMEOUT_MS = 3_000
 
 _logger = logbook.Logger(__name__)
 
 
 @attrs.define(eq=False)
-class _Work:
+class _RecordedWork:
     """What the owner before has recorded."""
 
     progress: dict[str, records.ProgressRecord] = attrs.field(factory=dict)
@@ -42,7 +42,7 @@
     if first_offset is None:
         return None
     # The book then has all that the owner before may have started.
-    if not deps.jobs_reader.wait_for(first_offset, CATCH_UP_MS):
+    if not deps.jobs_reader.wait_for(first_offset, CATCH_UP_TIMEOUT_MS):
         return None
     work = _read_work(deps)
     if work is None:
@@ -74,14 +74,16 @@
     )
 
 
-def _read_work(deps: owner_dependencies.OwnerDependencies) -> _Work | None:
+def _read_work(
+    deps: owner_dependencies.OwnerDependencies,
+) -> _RecordedWork | None:
     """Reads what the owner before has recorded; None while it can't be."""
     match deps.store.newest(records.WORK_TOPIC, deps.cell):
         case result.Ok(batch):
             pass
         case result.Err(_):
             return None
-    work = _Work()
+    work = _RecordedWork()
     for record in batch.records:
         if record.value is None:
             continue
