--- a/src/comfreylatch/_process/cell/cell_report.py
+++ b/src/comfreylatch/_process/cell/cell_report.py
@@ -13,7 +13,7 @@
 _logger = logbook.Logger(__name__)
 
 
-def write(
+def log_load(
     token: int,
     workers: Iterable[worker_view.WorkerView],
     jobs: job_table_module.JobTable,
