--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class _Sent:
+class _RecordedOrders:
     """Orders that would have gone to a worker."""
 
     starts: list[Any] = attrs.field(factory=list)
@@ -57,7 +57,7 @@
     latest_deadline_ms: int = 0
     acknowledged: int = 0
 
-    def __enter__(self) -> _Sent:
+    def __enter__(self) -> _RecordedOrders:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -91,16 +91,16 @@
     def __init__(self, workers: int = 2, cpu_millicores: int = 8_000) -> None:
         self.clock = fake_clock.FakeClock(START_MS)
         self.jobs = job_table.JobTable(1, self.clock)
-        self.sent: dict[str, _Sent] = {}
+        self.sent: dict[str, _RecordedOrders] = {}
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
         self.durations = duration_model.DurationModel()
         self.model = interference.InterferenceModel()
-        counted = metrics.Metrics()
+        test_metrics = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
         self.dispatcher = run_dispatcher.RunDispatcher(
-            self.jobs, self.workers, self.model, counted, self.clock
+            self.jobs, self.workers, self.model, test_metrics, self.clock
         )
         self.reconciler = run_reconciler.RunReconciler(
             self.dispatcher,
@@ -108,7 +108,7 @@
             self.workers,
             self.durations,
             self.model,
-            counted,
+            test_metrics,
             self.clock,
         )
         self.planner = planner.Planner(self.workers, self.ranker, self.model)
@@ -122,7 +122,7 @@
         self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
-        return self.sent.setdefault(entry.worker_id, _Sent())
+        return self.sent.setdefault(entry.worker_id, _RecordedOrders())
 
     def submit(self, spec: specs.JobSpec) -> Any:
         """Takes in a job."""
