--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -31,7 +31,7 @@
         clock = clock_port.SystemClock()
         self.store = record_store.MemoryStore()
         self.replica = job_replica.JobReplica(clock)
-        self.tail = stack.enter_context(
+        self.reader = stack.enter_context(
             partition_reader_module.PartitionReader(
                 self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
@@ -40,16 +40,16 @@
             job_api_module.BatchAppender(self.store, 0, clock)
         )
         self.job_api = job_api_module.JobApi(
-            self.replica, self.tail, appender, metrics.Metrics(), clock
+            self.replica, self.reader, appender, metrics.Metrics(), clock
         )
-        self.assertTrue(self.tail.wait_for(-1, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(-1, WAIT_MS))
 
     def submit(self) -> job_api_module.SubmitOutcome:
         return self.job_api.submit(harness.job(), WAIT_MS)
 
     def test_accepted_job_is_shown_as_queued(self) -> None:
         self.assertEqual(job_api_module.Accepted(), self.submit())
-        self.assertTrue(self.tail.wait_for(0, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         self.assertIs(records.JobState.QUEUED, self.job_api.state(ID))
         self.assertEqual(1, self.job_api.count_queued(harness.QUEUE))
 
@@ -69,18 +69,18 @@
 
     def test_repeat_of_a_known_job_writes_nothing(self) -> None:
         self.submit()
-        self.assertTrue(self.tail.wait_for(0, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         before = self.store.appends
         self.assertEqual(job_api_module.Accepted(), self.submit())
         self.assertEqual(before, self.store.appends)
 
     def test_cancelled_job_is_shown_so(self) -> None:
         self.submit()
-        self.assertTrue(self.tail.wait_for(0, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         self.assertEqual(
             job_api_module.Accepted(), self.job_api.cancel(ID, WAIT_MS)
         )
-        self.assertTrue(self.tail.wait_for(1, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(1, WAIT_MS))
         self.assertIs(records.JobState.CANCELLED, self.job_api.state(ID))
 
     def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
@@ -96,9 +96,9 @@
 
     def test_expired_records_are_read_anew(self) -> None:
         self.submit()
-        self.assertTrue(self.tail.wait_for(0, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         self.store.expire(records.JOBS_TOPIC, 0)
         other = harness.job(job_id="1" * 16)
         self.job_api.submit(other, WAIT_MS)
-        self.assertTrue(self.tail.wait_for(1, WAIT_MS))
+        self.assertTrue(self.reader.wait_for(1, WAIT_MS))
         self.assertIs(records.JobState.QUEUED, self.job_api.state("1" * 16))
--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -25,7 +25,7 @@
         )
         self.offset = 0
 
-    def tell(self, key: str, record: object | None) -> None:
+    def apply(self, key: str, record: object | None) -> None:
         """One more record."""
         value = None if record is None else records.encode(record)
         self.replica.apply(
@@ -35,40 +35,40 @@
 
     def end(self) -> None:
         """The job is accepted and completed."""
-        self.tell(JOB, harness.job())
+        self.apply(JOB, harness.job())
         completed = records.JobState.COMPLETED
-        self.tell(STATE, records.StateRecord(completed, 1))
+        self.apply(STATE, records.StateRecord(completed, 1))
 
-    def shown(self) -> records.JobState | None:
+    def shown_state(self) -> records.JobState | None:
         """The state that callers are told."""
         entry = self.replica.find(ID)
         return None if entry is None else entry.shown_state
 
     def test_state_outlives_the_text(self) -> None:
         self.end()
-        self.tell(JOB, None)
-        self.assertIs(records.JobState.COMPLETED, self.shown())
+        self.apply(JOB, None)
+        self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
     def test_host_that_starts_anew_knows_the_end_without_the_text(
         self,
     ) -> None:
         completed = records.JobState.COMPLETED
-        self.tell(STATE, records.StateRecord(completed, 1))
-        self.assertIs(completed, self.shown())
+        self.apply(STATE, records.StateRecord(completed, 1))
+        self.assertIs(completed, self.shown_state())
 
     def test_repeat_after_the_end_is_not_run_again(self) -> None:
         heard: list[object] = []
         self.end()
         self.replica.listen(heard.append)
-        self.tell(JOB, None)
-        self.tell(JOB, harness.job())
+        self.apply(JOB, None)
+        self.apply(JOB, harness.job())
         self.assertEqual([], heard)
-        self.assertIs(records.JobState.COMPLETED, self.shown())
+        self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
     def test_job_is_forgotten_with_its_state(self) -> None:
         self.end()
-        self.tell(STATE, None)
-        self.assertIsNone(self.shown())
+        self.apply(STATE, None)
+        self.assertIsNone(self.shown_state())
 
 
 class JobTableTest(testtools.TestCase):
