--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -113,11 +113,11 @@
         self, record: store_port.NewRecord, deadline_ms: int
     ) -> AppendOutcome:
         """Appends a record; waits for what came of it."""
-        waiting = _PendingRecord(record, deadline_ms)
-        self._queue.put(waiting)
+        pending = _PendingRecord(record, deadline_ms)
+        self._queue.put(pending)
         left_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
-        count_queued.done.wait(left_ms / 1_000)
-        return count_queued.outcome
+        pending.done.wait(left_ms / 1_000)
+        return pending.outcome
 
     def _run(self) -> None:
         while True:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -321,7 +321,7 @@
             self._settle(now_ms)
 
     def _report(self) -> None:
-        cell_report.write(
+        cell_report.log_load(
             self._recovered.token,
             self._workers,
             self._jobs,
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -23,7 +23,7 @@
         self.store = record_store.MemoryStore()
         self.fenced = threading.Event()
 
-    def writer(self, token: int) -> fenced_writer_module.FencedWriter:
+    def make_writer(self, token: int) -> fenced_writer_module.FencedWriter:
         """A scribe that has not begun."""
         return fenced_writer_module.FencedWriter(
             self.store,
@@ -42,7 +42,7 @@
         return kept.wait(WAIT_S)
 
     def test_lost_answer_writes_once(self) -> None:
-        with self.writer(1) as writer:
+        with self.make_writer(1) as writer:
             writer.fence()
             self.store.lose_answers = 1
             self.assertTrue(self.write(writer, "state/a"))
@@ -53,13 +53,13 @@
         # Found by an incident: two lost answers in a row kept the owner from
         # writing for longer than others wait before they take over.
         self.store.lose_answers = 3
-        with self.writer(1) as writer:
+        with self.make_writer(1) as writer:
             writer.fence()
         lost_ms = sum(self.store.timeouts_ms[:3])
         self.assertLess(lost_ms, claiming.OWNER_TIMEOUT_MS)
 
     def test_outage_is_waited_out(self) -> None:
-        with self.writer(1) as writer:
+        with self.make_writer(1) as writer:
             writer.fence()
             self.store.is_down = True
             threading.Timer(
@@ -68,9 +68,9 @@
             self.assertTrue(self.write(writer, "state/a"))
 
     def test_higher_epoch_ends_the_writing(self) -> None:
-        with self.writer(1) as old:
+        with self.make_writer(1) as old:
             old.fence()
-            with self.writer(2) as new:
+            with self.make_writer(2) as new:
                 new.fence()
                 old.write({"state/a": b"{}"}, {}, [])
                 self.assertTrue(self.fenced.wait(WAIT_S))
@@ -79,7 +79,7 @@
         self.assertNotIn("state/a", self.store.keys(records.JOBS_TOPIC, 0))
 
     def test_release_is_the_last_heartbeat(self) -> None:
-        with self.writer(1) as writer:
+        with self.make_writer(1) as writer:
             writer.fence()
             last = records.HeartbeatRecord("bole-1", "boot", 1, True)
             writer.release(last)
