--- a/src/comfreylatch/_process/cell/claiming.py
+++ b/src/comfreylatch/_process/cell/claiming.py
@@ -1,4 +1,4 @@
-"""Decides when a host should claim a cell, on what it sees of the owner."""
+"""Decides from the owner's heartbeats when a host should claim a cell."""
 
 from __future__ import annotations
 
@@ -8,25 +8,27 @@
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import reasons
 
-# Three heartbeats. Shorter, and a slow append of the owner would cost it its
-# cell; longer, and the work of a dead owner waits.
+# Three heartbeat intervals. With less, an owner would lose its cell to one slow
+# append; with more, the work of a failed owner waits longer.
 OWNER_TIMEOUT_MS = 1_500
-# Hosts come forward one after the other, so that few claims collide.
+# Longest delay of a claim. The delays of hosts differ, so that few claims
+# collide.
 MAX_CLAIM_DELAY_MS = 240
-# Hosts of the zone of an owner that gave up as it reached few workers wait
-# this much longer than others.
+# Additional delay of hosts in the zone of an owner that released the cell as it
+# could not reach most workers; a host of another zone should take over.
 ISOLATED_ZONE_DELAY_MS = 2_000
 
 
 @attrs.frozen
 class HostIdentity:
-    """This host and this life of its process.
+    """Identifies this host and the incarnation of its process.
 
     Attributes:
-        name: The host's name; a restarted process has the same.
-        boot: Differs with each life.
+        name: The host's name, which a restarted process keeps.
+        boot: Identifies the incarnation of the process.
         zone: Availability zone.
-        core_share: Processors it may use; hosts with more come first.
+        cpu_cores: Processors that the process may use; hosts with more claim
+            first.
     """
 
     name: str
@@ -36,38 +38,40 @@
 
     @property
     def claim_delay_ms(self) -> int:
-        """How long it lets others go first."""
-        spread = xxhash.xxh32_intdigest(self.name.encode()) % 100 / 100
-        weakness = 1 / (1 + self.cpu_cores)
-        return int(MAX_CLAIM_DELAY_MS * (0.5 * spread + 0.5 * weakness))
+        """Delay before this host claims a cell, in milliseconds."""
+        name_factor = xxhash.xxh32_intdigest(self.name.encode()) % 100 / 100
+        delay_factor = 1 / (1 + self.cpu_cores)
+        return int(
+            MAX_CLAIM_DELAY_MS * (0.5 * name_factor + 0.5 * delay_factor)
+        )
 
 
 @attrs.frozen
 class ClaimView:
-    """What the decision to claim a cell rests on.
+    """Inputs of the decision to claim a cell.
 
     Attributes:
         now_ms: Monotonic time.
-        view_age_ms: How long ago the topic of jobs was known to be current.
-        reachable_ms: For how long all reads have been answered.
-        owner: Newest heartbeat and when it was seen.
-        started_ms: When this process began to look.
+        view_age_ms: Time since the replica of the topic of jobs was current.
+        reachable_ms: Time for which the store has answered all reads.
+        last_heartbeat: Newest heartbeat of the owner; None before the first.
+        started_ms: Monotonic time at which this host began to watch the cell.
     """
 
     now_ms: int
     view_age_ms: int
     reachable_ms: int
-    owner: job_replica.ObservedHeartbeat | None
+    last_heartbeat: job_replica.ObservedHeartbeat | None
     started_ms: int
 
 
 def reason_to_claim(
     view: ClaimView, host: HostIdentity
 ) -> reasons.ClaimReason | None:
-    """Why a host should claim a cell now; None when it should not."""
+    """Returns why a host should claim a cell now; None if it should not."""
     if view.view_age_ms > OWNER_TIMEOUT_MS:
         return None
-    observed = view.owner
+    observed = view.last_heartbeat
     if observed is None:
         waited_ms = view.now_ms - view.started_ms
         if waited_ms >= host.claim_delay_ms:
@@ -89,7 +93,7 @@
 
 
 def is_outdated(
-    view: ClaimView, owner: job_replica.ObservedHeartbeat | None
+    view: ClaimView, last_heartbeat: job_replica.ObservedHeartbeat | None
 ) -> bool:
-    """Whether a heartbeat has come since a view was taken."""
-    return owner != view.owner
+    """Whether a heartbeat has arrived since a view was taken."""
+    return last_heartbeat != view.last_heartbeat
--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -1,4 +1,4 @@
-"""What the owner's thread is told by the threads around it."""
+"""Events that other threads queue for the owner's thread."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 @attrs.frozen
 class WorkersListed:
-    """The workers that the platform lists, whole."""
+    """The platform's complete list of workers has changed."""
 
     entries: dict[str, cell_workers.WorkerEntry]
 
 
 @attrs.frozen
 class HoldReturned:
-    """A worker answered a hold, or did not.
+    """A hold call, which renews a worker's lease, returned or failed.
 
     Attributes:
         worker_id: The worker.
-        born_ms: Its life.
+        born_ms: Identifies the worker's incarnation.
         sent_ms: Monotonic time before the call.
-        received_ms: Monotonic time after it.
-        deadline_ms: Lease end that was sent, on the worker's clock.
-        outcome: What came of it.
+        received_ms: Monotonic time after the call.
+        deadline_ms: Requested end of the lease, on the worker's clock.
+        outcome: The worker's answer or the error.
     """
 
     worker_id: str
@@ -49,7 +49,7 @@
 
 @attrs.frozen
 class StartReturned:
-    """A start was answered, or not. `tries` counts its sendings."""
+    """A start order returned or failed after a number of `tries`."""
 
     run: runs_module.Run
     sent_ms: int
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class StopReturned:
-    """A stop was answered, or not; `run` is None for what we don't know."""
+    """A stop order returned or failed; `run` is None for an unknown run."""
 
     worker_id: str
     run: runs_module.Run | None
@@ -68,14 +68,14 @@
 
 @attrs.frozen
 class AdviceReturned:
-    """A call for advice was answered, or not.
+    """A request for advice returned or failed.
 
     Attributes:
-        step: The step that it was about.
-        workers: Birth times of the workers named, by id.
+        step: The step that it was for.
+        workers: Incarnations of the candidate workers, by worker id.
         sent_ms: Monotonic time before the call.
-        received_ms: Monotonic time after it.
-        outcome: What came of it.
+        received_ms: Monotonic time after the call.
+        outcome: The advice or the error.
     """
 
     step: runs_module.StepInstance
@@ -87,7 +87,7 @@
 
 @attrs.frozen
 class MachinesListed:
-    """Machines were listed, or not. `sent_ms` is from before the call."""
+    """A listing of machines, sent at `sent_ms`, returned or failed."""
 
     sent_ms: int
     outcome: result.Result[
@@ -97,7 +97,7 @@
 
 @attrs.frozen
 class MaintenanceReturned:
-    """The order for a machine's maintenance was answered, or not."""
+    """The order for a machine's maintenance returned or failed."""
 
     machine_id: str
     wave: int
@@ -106,17 +106,17 @@
 
 @attrs.frozen
 class ReportFailed:
-    """The operators could not be told of a wave."""
+    """The report of a wave to the operators failed."""
 
     wave: int
 
 
 @attrs.frozen
 class WorkersRecorded:
-    """The store knows of the workers on which something may run.
+    """The record of the workers that may have runs is stored.
 
     Attributes:
-        born_ms: Their lives, by worker.
+        born_ms: Recorded incarnations, by worker id.
     """
 
     born_ms: dict[str, int]
@@ -124,7 +124,7 @@
 
 @attrs.frozen
 class Fenced:
-    """Another host owns the cell."""
+    """A higher fencing token is in force: another host owns the cell."""
 
     detail: str
 
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -83,7 +83,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._jobs: dict[str, JobEntry] = {}
-        self._owner: ObservedHeartbeat | None = None
+        self._last_heartbeat: ObservedHeartbeat | None = None
         self._listener: Listener | None = None
 
     def listen(self, listener: Listener | None) -> list[JobEntry]:
@@ -124,9 +124,9 @@
             )
 
     @property
-    def owner(self) -> ObservedHeartbeat | None:
+    def last_heartbeat(self) -> ObservedHeartbeat | None:
         """The owner's newest heartbeat."""
-        return self._owner
+        return self._last_heartbeat
 
     def apply(
         self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
@@ -155,7 +155,7 @@
             return
         if record.key == records.HEARTBEAT_KEY:
             heartbeat = records.decode(records.HeartbeatRecord, record.value)
-            self._owner = ObservedHeartbeat(
+            self._last_heartbeat = ObservedHeartbeat(
                 heartbeat, self._clock.monotonic_ms()
             )
         elif kind + "/" == records.JOB_PREFIX:
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -1,4 +1,4 @@
-"""Runs a cell: decides what runs where, and has it done and recorded."""
+"""Runs a cell as its owner: schedules tasks, dispatches and records them."""
 
 from __future__ import annotations
 
@@ -38,19 +38,21 @@
 from comfreylatch._process.cell import worker_session
 from comfreylatch._process.cell import worker_table as worker_table_module
 
-# Between two looks at what only time changes.
+# Interval between two checks of state that changes with time alone.
 TICK_INTERVAL_MS = 100
-# Least time between two passes over many waiting steps, which all cost a
-# look; a pass over few is made at once.
+# Shortest interval between two placement passes over more than
+# BUSY_STEP_COUNT steps, as the cost of a pass grows with the number of steps.
+# A pass over fewer steps is made at once.
 BUSY_PASS_INTERVAL_MS = 25
 BUSY_STEP_COUNT = 24
-# The same as a multiple of what the last pass took, so that answers of workers
-# are taken in for most of the time.
+# The same interval as a multiple of the duration of the last pass, so that the
+# thread spends most of its time on the answers of workers.
 PASS_INTERVAL_FACTOR = 3
-# Between two log lines on how full the cell is.
+# Interval between two log lines on the load of the cell.
 REPORT_INTERVAL_MS = 1_000
-# Run numbers of a task rise by this much with each owner, so that one whose
-# predecessor's starts it can't know never uses a number twice.
+# Run numbers reserved per fencing token. A new owner starts above the range of
+# its predecessor, whose starts it can't all know, so that no run number is
+# used twice.
 RUN_NUMBERS_PER_TOKEN = 1_000
 
 _logger = logbook.Logger(__name__)
@@ -58,12 +60,12 @@
 
 @final
 class Owner:
-    """One host's tenure over a cell. A context manager.
+    """Owns a cell on this host until it is stopped. A context manager.
 
     Args:
-        inheritance: What it starts from.
-        scribe: Writes its records.
-        parts: What the host gives it.
+        recovered: State recovered from the previous owner.
+        writer: Writes the owner's records.
+        deps: Collaborators that the host provides.
         host_name: Name of the host.
     """
 
@@ -136,7 +138,7 @@
     def _create_platform_clients(
         self, deps: owner_dependencies.OwnerDependencies, host_name: str
     ) -> None:
-        """Opens those services of the platform that there are."""
+        """Creates clients for those platform services that are configured."""
         self._advice_fetcher = None
         if deps.advice_service is not None:
             self._advice_fetcher = advice_fetcher.AdviceFetcher(
@@ -181,16 +183,16 @@
             self._machine_caller.__exit__(exc_type, exc, traceback)
 
     def post(self, event: events.Event) -> None:
-        """Tells the owner something; any thread may call it."""
+        """Queues an event for the owner. Thread-safe."""
         self._events.put(event)
 
     def post_change(self, change: job_replica.JobChange) -> None:
-        """Tells the owner of a job accepted or cancelled."""
+        """Queues the event that a job was accepted or cancelled."""
         self._events.put(events.JobChanged(change))
 
     @property
     def is_isolated(self) -> bool:
-        """Whether most workers are out of reach of this host."""
+        """Whether this host can't reach most of the listed workers."""
         listed = [view for view in self._workers if view.is_listed]
         failing = [view for view in listed if not view.is_answering]
         return bool(listed) and 2 * len(failing) > len(listed)
@@ -198,9 +200,14 @@
     def run(
         self, must_stop: Callable[[], reasons.OwnershipEnd | None]
     ) -> reasons.OwnershipEnd:
-        """Works until told to stop; returns why it stopped.
+        """Runs the owner's loop until it has to stop.
 
-        `must_stop` is asked often, and says why or returns None.
+        Args:
+            must_stop: Polled once per iteration; returns the reason to stop,
+                or None to continue.
+
+        Returns:
+            Why the loop ended.
         """
         while True:
             self._process_events()
@@ -215,7 +222,7 @@
             self._write_records()
 
     def _process_events(self) -> None:
-        """Waits for an event and takes in all that are there."""
+        """Waits for an event, then handles all that are queued."""
         try:
             self._handle(self._events.get(timeout=TICK_INTERVAL_MS / 1_000))
             while True:
@@ -330,7 +337,7 @@
         )
 
     def _settle(self, now_ms: int) -> None:
-        """Sees whether all that the owner before started is known."""
+        """Checks whether all runs of the previous owner are known."""
         waited_ms = now_ms - self._started_ms
         known = self._recovered.known_workers
         is_over = now_ms > self._recovered.release_after_ms
@@ -374,7 +381,7 @@
     def _request_advice(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
-        """Asks which workers may run steps that a policy is for."""
+        """Requests advice on workers for steps whose queue requires it."""
         wanted = steps + self._jobs.nearly_ready_steps()
         for request in self._advice.plan_requests(
             wanted, self._workers, now_ms
@@ -385,11 +392,11 @@
             self._advice.report_missing(
                 request.step,
                 reasons.MissingAdvice.NO_SERVICE,
-                "the settings name no service for advice",
+                "no advice service is configured",
             )
 
     def _run_maintenance(self, now_ms: int) -> None:
-        """Takes the machines of waves through their maintenance."""
+        """Advances the maintenance of machines in waves."""
         waves = self._waves()
         if not waves or self._machine_caller is None:
             return
@@ -399,7 +406,7 @@
             self._machine_caller.submit(action)
 
     def _end_recorded_timer(self) -> Callable[[], None]:
-        """What measures the time until ends seen now are recorded."""
+        """Returns a callback that measures the time until ends are recorded."""
         seen_ms = self._clock.monotonic_ms()
 
         def observe() -> None:
--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -1,4 +1,4 @@
-"""What a tenure over a cell needs of its host."""
+"""Collaborators that a host provides to the owner of a cell."""
 
 from __future__ import annotations
 
@@ -21,25 +21,28 @@
 
 @attrs.frozen
 class OwnerDependencies:
-    """What a tenure needs of its host.
+    """Collaborators and limits that a host provides to the owner of a cell.
 
     Attributes:
         cell: Number of the cell.
         store: The platform's store.
-        book: View of the cell's jobs.
-        jobs_tail: Feeds the book.
-        connect: Opens the orders to a worker.
-        adviser: Gives advice on steps; None where there is no such service.
-        machines: The machines under the workers; None where they can't be had.
-        waves: Waves of maintenance that operators want.
-        handover_ms: Time in which two hosts must not both order something of
-            one machine.
-        follow_workers: Makes a tail that reports all workers of the cell
+        replica: This host's replica of the cell's jobs.
+        jobs_reader: Reads the topic of jobs into the replica.
+        connect: Connects to a worker.
+        adviser: Advises on which workers may run a step; None if no such
+            service is configured.
+        machines: API for the machines under the workers; None if it is not
+            configured.
+        waves: Returns the maintenance waves that operators have requested.
+        handover_ms: Duration of the platform's lease on a machine, in which
+            two hosts must not both give orders for it; a new owner waits for
+            so long before its first maintenance order.
+        follow_workers: Creates a reader that reports all workers of the cell
             at each change.
-        lease_ms: Length of leases at workers.
-        keep_ended_ms: How long the state of an ended job is kept.
-        metrics: Counts claims, tenures and what the owner does.
-        clock: For all times.
+        lease_ms: Duration of a lease on a worker's runs.
+        keep_ended_ms: Retention time of the state of an ended job.
+        metrics: Counts claims, ownerships and the owner's decisions.
+        clock: Source of wall and monotonic time.
     """
 
     cell: int
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -1,9 +1,10 @@
-"""Decides when a host takes over a cell, and takes it over.
+"""Elects the owner of a cell and runs the owner on the host that wins.
 
-The owner writes a heartbeat to the topic of jobs. A host that has seen none
-for a while, though it reads the topic well, appends a claim at the end of the
-topic of claims, which only one host can. The claim's offset gives the fencing
-token, by which the store and the workers refuse the owner before.
+The owner writes a heartbeat to the topic of jobs. A host that reads the topic
+without errors, but has seen no heartbeat for OWNER_TIMEOUT_MS, appends a claim
+at the end offset of the topic of claims, where one append at most succeeds.
+The claim's offset gives the fencing token, by which the store and the workers
+refuse the previous owner.
 """
 
 from __future__ import annotations
@@ -31,11 +32,14 @@
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import takeover
 
-# For how long most workers must be out of reach before the owner gives up.
+# Time for which most workers must be unreachable before the owner releases the
+# cell.
 ISOLATION_TIMEOUT_MS = 900
+# Interval between two checks of whether to claim the cell.
 CHECK_INTERVAL_MS = 40
-# Between two reads of the topic of jobs on a host that doesn't own the cell.
-# Callers may be shown what is two seconds old; each read has its price.
+# Pause between two reads of the topic of jobs on a host that doesn't own the
+# cell. Each read costs a call to the store, and callers may be shown a state
+# that is two seconds old.
 STANDBY_READ_PAUSE_MS = 120
 CLAIM_TIMEOUT_MS = 800
 
@@ -44,7 +48,10 @@
 
 @final
 class Ownership:
-    """Watches a cell and owns it when it has to. Runs in its own thread."""
+    """Watches the owner of a cell and takes over when it fails.
+
+    Runs on a thread of its own.
+    """
 
     def __init__(
         self,
@@ -62,14 +69,16 @@
         self.is_owner = False
 
     def start(self) -> None:
-        """Begins to watch the cell."""
+        """Starts the thread that watches the owner."""
         self._deps.jobs_reader.pause_ms = STANDBY_READ_PAUSE_MS
         threading.Thread(
-            target=self._watch, name=f"tenure-{self._deps.cell}", daemon=True
+            target=self._watch,
+            name=f"ownership-{self._deps.cell}",
+            daemon=True,
         ).start()
 
     def stop(self, timeout_ms: int) -> None:
-        """Gives the cell up, if it is owned, and never claims it again."""
+        """Releases the cell, if this host owns it, and claims it no more."""
         self._stopping.set()
         self._finished.wait(timeout_ms / 1_000)
 
@@ -86,7 +95,7 @@
             now_ms=deps.clock.monotonic_ms(),
             view_age_ms=deps.jobs_reader.age_ms,
             reachable_ms=deps.jobs_reader.reachable_ms,
-            owner=deps.replica.owner,
+            last_heartbeat=deps.replica.last_heartbeat,
             started_ms=self._started_ms,
         )
         reason = claiming.reason_to_claim(view, self._host)
@@ -95,7 +104,9 @@
         token = self._try_claim(reason, view)
         if token is None:
             return
-        predecessor = view.owner.heartbeat if view.owner else None
+        predecessor = (
+            view.last_heartbeat.heartbeat if view.last_heartbeat else None
+        )
         try:
             self._run_owner(token, predecessor)
         except Exception:
@@ -118,9 +129,9 @@
         key = f"cell/{deps.cell}"
         if self._has_recent_claim(claims.records, key):
             return None
-        # The claims were read after the view was taken; a heartbeat that came
-        # in between may be the one of their newest.
-        if claiming.is_outdated(view, deps.replica.owner):
+        # The claims were read after the view was taken. A heartbeat that
+        # arrived in between may be from the winner of the newest claim.
+        if claiming.is_outdated(view, deps.replica.last_heartbeat):
             return None
         claim = records.ClaimRecord(
             deps.cell, self._host.name, self._host.boot, self._host.zone
@@ -151,11 +162,11 @@
     def _has_recent_claim(
         self, claims: tuple[store_port.StoredRecord, ...], key: str
     ) -> bool:
-        """Whether another host has claimed since the newest heartbeat."""
+        """Whether another host has a claim newer than the last heartbeat."""
         for record in claims:
             if record.key != key or record.value is None:
                 continue
-            observed = self._deps.replica.owner
+            observed = self._deps.replica.last_heartbeat
             seen_token = observed.heartbeat.token if observed else 0
             if record.offset + 1 <= seen_token:
                 return False
@@ -163,18 +174,19 @@
             if record.offset != self._other_claim_offset:
                 self._other_claim_offset = record.offset
                 self._other_claim_seen_ms = now_ms
-            # The claimant gets as long to show itself as a silent owner.
+            # The claimant has as long to write its first heartbeat as an owner
+            # between two.
             claim = records.decode(records.ClaimRecord, record.value)
-            is_mine = claim.host == self._host.name
+            is_own = claim.host == self._host.name
             return (
-                not is_mine
+                not is_own
                 and now_ms - self._other_claim_seen_ms
                 < claiming.OWNER_TIMEOUT_MS
             )
         return False
 
     def _find_own_claim(self, key: str) -> int | None:
-        """The token of a claim whose answer was lost, if it was made."""
+        """Returns the token of a claim whose answer was lost, if stored."""
         match self._deps.store.newest(
             records.CLAIMS_TOPIC, records.CLAIMS_PARTITION
         ):
@@ -203,13 +215,13 @@
         with fenced_writer_module.FencedWriter(
             deps.store, deps.cell, heartbeat, on_fenced, deps.clock
         ) as writer:
-            inheritance = takeover.take_over(
+            recovered = takeover.take_over(
                 deps, self._host, token, writer, predecessor
             )
-            if inheritance is None:
+            if recovered is None:
                 return
             with owner_module.Owner(
-                inheritance, writer, deps, self._host.name
+                recovered, writer, deps, self._host.name
             ) as owner:
                 event_handlers.append(owner.post)
                 for entry in deps.replica.listen(owner.post_change):
@@ -273,7 +285,7 @@
     ) -> reasons.OwnershipEnd | None:
         if self._stopping.is_set():
             return reasons.OwnershipEnd.STOPPING
-        observed = self._deps.replica.owner
+        observed = self._deps.replica.last_heartbeat
         if observed and observed.heartbeat.token > heartbeat.token:
             return reasons.OwnershipEnd.SUPERSEDED
         now_ms = self._deps.clock.monotonic_ms()
--- a/src/comfreylatch/_process/cell/reasons.py
+++ b/src/comfreylatch/_process/cell/reasons.py
@@ -1,4 +1,4 @@
-"""Typed reasons of a cell's decisions, as logged, counted and documented."""
+"""Reasons of a cell's decisions, as logged, counted and documented."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why a caller's request was not carried out."""
+    """Why a caller's request was refused."""
 
     NO_CONFIGURATION = "no-configuration"
     UNKNOWN_QUEUE = "unknown-queue"
@@ -21,7 +21,7 @@
 
 
 class StopReason(enum.StrEnum):
-    """Why the owner had a run stopped."""
+    """Why the owner stopped a run."""
 
     JOB_ENDED = "job-ended"
     DONE_ELSEWHERE = "done-elsewhere"
@@ -35,14 +35,14 @@
 
 
 class MissingAdvice(enum.StrEnum):
-    """Why it isn't known where a step may run."""
+    """Why there is no advice on where a step may run."""
 
     NO_SERVICE = "no-advice-service"
     NO_ANSWER = "no-advice"
 
 
 class LossReason(enum.StrEnum):
-    """Why a run is known to be over without an end."""
+    """Why a run is lost: it is over, but its worker reported no end."""
 
     REBORN = "reborn"
     WORKER_GONE = "worker-gone"
--- a/src/comfreylatch/_process/cell/recovered_state.py
+++ b/src/comfreylatch/_process/cell/recovered_state.py
@@ -1,4 +1,4 @@
-"""What a new owner of a cell takes over."""
+"""State of a cell that a new owner recovers from the store."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 
 @attrs.frozen
 class RecoveredState:
-    """What a new owner takes over.
+    """State that a new owner starts from.
 
     Attributes:
-        token: Its fencing token.
-        jobs: Unfinished jobs as the book has them.
+        token: Fencing token of the new owner.
+        jobs: Unfinished jobs in this host's replica.
         progress: Recorded progress by job.
-        release_after_ms: Monotonic time after which nothing that the owner
-            before started can run where this one reaches no worker.
-        known_workers: Birth times of the workers of the owner before.
-        learned: What it has learned.
-        waves: Waves of maintenance that it has seen, by number.
+        release_after_ms: Monotonic time after which no run of the previous
+            owner can remain on a worker that the new owner can't reach.
+        known_workers: Incarnations of the previous owner's workers, by worker
+            id.
+        learned: Models that the previous owner learned.
+        waves: Maintenance waves that the previous owner recorded, by number.
     """
 
     token: int
--- a/src/comfreylatch/_process/cell/takeover.py
+++ b/src/comfreylatch/_process/cell/takeover.py
@@ -1,4 +1,4 @@
-"""Takes a cell over: fences the owner before and reads what it recorded."""
+"""Takes over a cell: fences the previous owner and recovers its state."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @attrs.define(eq=False)
 class _RecordedWork:
-    """What the owner before has recorded."""
+    """Records of the previous owner in the topic of work."""
 
     progress: dict[str, records.ProgressRecord] = attrs.field(factory=dict)
     workers: records.WorkersRecord = records.WorkersRecord()
@@ -36,12 +36,17 @@
     writer: fenced_writer_module.FencedWriter,
     predecessor: records.HeartbeatRecord | None,
 ) -> recovered_state.RecoveredState | None:
-    """Fences the owner before and reads what it has recorded."""
+    """Fences the previous owner and recovers its state from the store.
+
+    Returns:
+        The recovered state; None if another host fenced this one, or the
+        store did not answer in time.
+    """
     started_ms = deps.clock.monotonic_ms()
     first_offset = writer.fence()
     if first_offset is None:
         return None
-    # The book then has all that the owner before may have started.
+    # The replica then has every job that the previous owner may have started.
     if not deps.jobs_reader.wait_for(first_offset, CATCH_UP_TIMEOUT_MS):
         return None
     work = _read_work(deps)
@@ -77,7 +82,7 @@
 def _read_work(
     deps: owner_dependencies.OwnerDependencies,
 ) -> _RecordedWork | None:
-    """Reads what the owner before has recorded; None while it can't be."""
+    """Reads the previous owner's records; None if the read fails."""
     match deps.store.newest(records.WORK_TOPIC, deps.cell):
         case result.Ok(batch):
             pass
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -24,7 +24,9 @@
         now_ms=100_000,
         view_age_ms=50,
         reachable_ms=60_000,
-        owner=job_replica.ObservedHeartbeat(heartbeat, 100_000 - silent_ms),
+        last_heartbeat=job_replica.ObservedHeartbeat(
+            heartbeat, 100_000 - silent_ms
+        ),
         started_ms=0,
     )
     return attrs.evolve(seen, **fields)
@@ -108,4 +110,4 @@
 
     def test_view_without_news_holds(self) -> None:
         seen = view(2_000, BEAT)
-        self.assertFalse(claiming.is_outdated(seen, seen.owner))
+        self.assertFalse(claiming.is_outdated(seen, seen.last_heartbeat))
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -263,10 +263,10 @@
         with fenced_writer_module.FencedWriter(
             self.second.store, 0, heartbeat, lambda _: None, self.second.clock
         ) as writer:
-            inheritance = takeover.take_over(
+            recovered = takeover.take_over(
                 self.second.deps, self.second.identity, 9, writer, None
             )
-        self.assertEqual(learned, inheritance.learned)
+        self.assertEqual(learned, recovered.learned)
 
     def test_worker_on_which_nothing_can_run_is_not_waited_for(self) -> None:
         # Found by a day: machines down for their maintenance kept the tasks
