--- a/src/comfreylatch/_process/cell/call_executor.py
+++ b/src/comfreylatch/_process/cell/call_executor.py
@@ -1,4 +1,4 @@
-"""Makes slow calls beside the owner's thread, one after the other."""
+"""Runs blocking calls off the owner's thread, one at a time."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @final
 class CallExecutor:
-    """A thread that makes calls in their order. A context manager.
+    """A thread that runs calls in the order of submission. A context manager.
 
-    The thread begins with the first call, as most tenures make none.
+    The thread is started by the first call, as most owners submit none.
     """
 
     def __init__(self, name: str) -> None:
@@ -36,7 +36,7 @@
         self._queue.put(None)
 
     def submit(self, call: Call) -> None:
-        """Queues a call; only the owner's thread may."""
+        """Queues a call. Only the owner's thread may call this."""
         if self._thread is None:
             self._thread = threading.Thread(
                 target=self._run, name=self._name, daemon=True
--- a/src/comfreylatch/_process/cell/cell_report.py
+++ b/src/comfreylatch/_process/cell/cell_report.py
@@ -1,4 +1,4 @@
-"""The log line that says how full a cell is."""
+"""The log line on the load of a cell."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
     pressures: dict[str, float],
     append_age_ms: int,
 ) -> None:
-    """Logs what is used, what is free, and what waits.
+    """Logs the used and free capacity and the pending work of a cell.
 
     Args:
         token: The owner's fencing token.
         workers: All workers.
         jobs: All unfinished jobs.
-        pressures: Coefficients of filling images.
-        append_age_ms: How long ago the last recorded append was sent.
+        pressures: Interference coefficients of filling images.
+        append_age_ms: Time since the last successful append was sent.
     """
     views = list(workers)
     answering = [view for view in views if view.is_answering]
--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -1,4 +1,4 @@
-"""Takes callers' jobs, cancellations and questions on any host."""
+"""Submits, cancels and looks up jobs for callers on any host."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 APPEND_TIMEOUT_MS = 700
 RETRY_PAUSE_MS = 50
-# Records of one append; far below what the store takes in a call.
+# Most records in one append; far below the store's limit per call.
 MAX_BATCH_RECORDS = 64
-# A caller that was refused comes back after this; the store's outages last
-# seconds, and a host that can't reach it is out of rotation by then.
+# Time after which a refused caller should retry. Outages of the store last
+# seconds, and a host that can't reach it has left the rotation by then.
 RETRY_AFTER_MS = 1_000
-# Views older than this are not answered from; callers may be shown what is
-# two seconds old.
+# Greatest age of a replica that callers are answered from, as they may be shown
+# a state that is two seconds old.
 MAX_VIEW_AGE_MS = 1_900
 
 _logger = logbook.Logger(__name__)
@@ -42,19 +42,19 @@
 
 @attrs.frozen
 class Kept:
-    """The record is in the store."""
+    """The record is stored."""
 
 
 @attrs.frozen
 class NotKept:
-    """The record is not in the store and never will be."""
+    """The record is not stored and won't be."""
 
     detail: str
 
 
 @attrs.frozen
 class PerhapsKept:
-    """The record may be in the store, or get there yet."""
+    """The record may be stored already, or may still be stored later."""
 
     detail: str
 
@@ -64,7 +64,7 @@
 
 @attrs.define(eq=False)
 class _PendingRecord:
-    """A record that a caller waits for."""
+    """A queued record whose caller waits for the outcome."""
 
     record: store_port.NewRecord
     deadline_ms: int
@@ -74,11 +74,11 @@
 
 @final
 class BatchAppender:
-    """Appends callers' records, many in one call. A context manager.
+    """Appends callers' records in batches. A context manager.
 
-    Records that could not be sent are refused at once; one whose answer was
-    lost is sent again until its caller's deadline, as a repeat of the same
-    key and value changes nothing.
+    A record that could not be sent is refused at once. One whose answer was
+    lost is sent again until its caller's deadline; appending the same key and
+    value again is idempotent.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
             queue.SimpleQueue()
         )
         self._thread = threading.Thread(
-            target=self._run, name=f"keeper-{cell}", daemon=True
+            target=self._run, name=f"appender-{cell}", daemon=True
         )
 
     def __enter__(self) -> Self:
@@ -112,7 +112,7 @@
     def append(
         self, record: store_port.NewRecord, deadline_ms: int
     ) -> AppendOutcome:
-        """Appends a record; waits for what came of it."""
+        """Appends a record and waits until the deadline for the outcome."""
         pending = _PendingRecord(record, deadline_ms)
         self._queue.put(pending)
         left_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
@@ -182,12 +182,12 @@
 
 @attrs.frozen
 class Accepted:
-    """The job is stored and will run."""
+    """The request is stored, or was carried out before."""
 
 
 @attrs.frozen
 class Refused:
-    """The job is not stored and never runs; come back later."""
+    """The request is not stored and has no effect; the caller may retry."""
 
     reason: reasons.Refusal
     retry_after_ms: int
@@ -195,7 +195,7 @@
 
 @attrs.frozen
 class Undecided:
-    """The job may be stored; handing it in again tells."""
+    """The request may be stored; repeating it is safe and tells."""
 
     detail: str
 
@@ -205,19 +205,19 @@
 
 @attrs.frozen
 class UnknownJob:
-    """No such job was ever accepted."""
+    """No job with this id has been accepted."""
 
 
 @attrs.frozen
 class StaleView:
-    """This host's view is too old to say."""
+    """This host's replica is too old to answer from."""
 
     view_age_ms: int
 
 
 @final
 class JobApi:
-    """Jobs of a cell as callers see them, on any host."""
+    """Callers' interface to the jobs of a cell, on any host."""
 
     def __init__(
         self,
@@ -235,7 +235,7 @@
         self._clock = clock
 
     def submit(self, spec: specs.JobSpec, wait_ms: int) -> SubmitOutcome:
-        """Accepts a job, once however often it is handed in."""
+        """Accepts a job; submitting the same id again is idempotent."""
         if self._is_known(spec.job_id):
             logs.event(_logger, "job-repeated", job=spec.job_id)
             return Accepted()
@@ -280,7 +280,7 @@
         )
 
     def state(self, job_id: str) -> records.JobState | UnknownJob | StaleView:
-        """The state of a job."""
+        """Returns the state of a job as shown to callers."""
         if self._is_known(job_id):
             entry = self._replica.find(job_id)
             if entry is not None:
@@ -291,7 +291,7 @@
         return UnknownJob()
 
     def _log_first_showing(self, job_id: str, state: records.JobState) -> None:
-        """Logs the first showing of a state on this host."""
+        """Logs when this host shows a state of a job for the first time."""
         if self._shown_states.get(job_id) is state:
             return
         self._shown_states[job_id] = state
@@ -306,7 +306,7 @@
     def cancel(
         self, job_id: str, wait_ms: int
     ) -> Accepted | Refused | Undecided | UnknownJob:
-        """Cancels a job; Accepted also when it has ended already."""
+        """Cancels a job; also returns `Accepted` if it has ended already."""
         entry = self._replica.find(job_id)
         if entry is not None and (entry.is_cancelled or entry.state.is_final):
             return Accepted()
@@ -337,7 +337,7 @@
                 return Undecided(detail)
 
     def count_queued(self, queue: specs.QueueSpec) -> int | StaleView:
-        """Accepted jobs of a queue of which nothing has started."""
+        """Counts accepted jobs of a queue of which no task has started."""
         if self._reader.age_ms > MAX_VIEW_AGE_MS:
             return StaleView(self._reader.age_ms)
         return self._replica.count_queued(queue.prefix, queue.host)
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -1,4 +1,4 @@
-"""Every host's view of the jobs of a cell, folded from the store."""
+"""Replica of a cell's jobs that every host builds from the store."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 @attrs.define(eq=False)
 class JobEntry:
-    """What is known of a job.
+    """State of a job in the replica.
 
     Attributes:
-        spec: None for a job that has ended, and for one of which only a later
-            record was seen.
-        state: State as the owner recorded it.
-        is_cancelled: A caller has cancelled it.
-        ended_ms: Monotonic time at which its end was seen here.
+        spec: The job as submitted; None for a job that has ended, and for one
+            of which only a later record was read.
+        state: State that the owner recorded.
+        is_cancelled: Whether a caller has cancelled it.
+        ended_ms: Monotonic time at which this host read that it has ended.
     """
 
     spec: specs.JobSpec | None = None
@@ -37,7 +37,7 @@
 
     @property
     def shown_state(self) -> records.JobState:
-        """The state that callers are told."""
+        """The state that callers are shown."""
         if self.is_cancelled and not self.state.is_final:
             return records.JobState.CANCELLED
         return self.state
@@ -45,14 +45,14 @@
 
 @attrs.frozen
 class ObservedHeartbeat:
-    """The newest heartbeat of the owner, and when it was seen here."""
+    """The owner's newest heartbeat and when this host read it."""
 
     heartbeat: records.HeartbeatRecord
     seen_ms: int
 
 
 class JobChange:
-    """Base of the changes that a listener is told."""
+    """Base class of the changes that a listener receives."""
 
 
 @attrs.frozen
@@ -74,9 +74,9 @@
 
 @final
 class JobReplica:
-    """Folds the topic of jobs. Thread-safe.
+    """Replica built from the topic of jobs. Thread-safe.
 
-    Only ids and states of ended jobs are kept; their text is dropped.
+    Of ended jobs, only ids and states are kept.
     """
 
     def __init__(self, clock: clock_port.Clock) -> None:
@@ -87,7 +87,10 @@
         self._listener: Listener | None = None
 
     def listen(self, listener: Listener | None) -> list[JobEntry]:
-        """Sets who is told of changes; returns the unfinished jobs so far."""
+        """Replaces the listener and returns the unfinished jobs so far.
+
+        No change is missed or duplicated between the two.
+        """
         with self._lock:
             self._listener = listener
             return [
@@ -97,13 +100,13 @@
             ]
 
     def find(self, job_id: str) -> JobEntry | None:
-        """The entry of an accepted job."""
+        """Returns a copy of a job's entry; None if there is none."""
         with self._lock:
             entry = self._jobs.get(job_id)
             return None if entry is None else attrs.evolve(entry)
 
     def ended_before(self, before_ms: int) -> list[str]:
-        """Jobs whose end was seen before a monotonic time."""
+        """Returns the jobs whose end was read before a monotonic time."""
         with self._lock:
             return [
                 job_id
@@ -112,7 +115,7 @@
             ]
 
     def count_queued(self, queue_prefix: str, queue_host: str) -> int:
-        """Accepted jobs of a queue for which no task has started."""
+        """Counts accepted jobs of a queue of which no task has started."""
         with self._lock:
             return sum(
                 1
@@ -125,14 +128,14 @@
 
     @property
     def last_heartbeat(self) -> ObservedHeartbeat | None:
-        """The owner's newest heartbeat."""
+        """The owner's newest heartbeat; None before the first."""
         return self._last_heartbeat
 
     def apply(
         self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        """Folds records in the order of their offsets."""
-        del is_complete  # Nothing is ever taken back by a whole reading.
+        """Applies records in the order of their offsets."""
+        del is_complete  # A complete read removes no entries.
         for record in batch:
             try:
                 self._apply_one(record)
@@ -148,7 +151,8 @@
     def _apply_one(self, record: store_port.StoredRecord) -> None:
         kind, _, job_id = record.key.partition("/")
         if record.value is None:
-            # The text of a job is dropped at its end, its state much later.
+            # The spec of a job is dropped when the job ends, its state only
+            # after the retention time.
             if record.key.startswith(records.STATE_PREFIX):
                 with self._lock:
                     self._jobs.pop(job_id, None)
--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -1,4 +1,4 @@
-"""The owner's unfinished jobs, what of them is ready, and what to record."""
+"""The owner's table of unfinished jobs, their ready steps and records."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import specs
 
-# A lasting task that ends at once each time is not started more often.
+# Delay before a lasting task that has ended is started again. It bounds the
+# rate of starts of a task that always ends at once.
 LASTING_RESTART_DELAY_MS = 50
 
 _logger = logbook.Logger(__name__)
@@ -22,7 +23,7 @@
 
 @attrs.frozen
 class PendingWrites:
-    """Records to be written, by key."""
+    """Records to be written to the topics of jobs and of work, by key."""
 
     jobs: dict[str, bytes | None]
     work: dict[str, bytes | None]
@@ -49,24 +50,24 @@
         return iter(self._jobs.values())
 
     def find(self, job_id: str) -> runs_module.ActiveJob | None:
-        """An unfinished job."""
+        """Returns an unfinished job; None if there is none with this id."""
         return self._jobs.get(job_id)
 
     def find_task(self, name: str) -> runs_module.Task | None:
-        """A task of an unfinished job."""
-        parts = runs_module.parse_task_name(name)
-        if parts is None:
+        """Returns a task of an unfinished job by its id; None if unknown."""
+        parsed = runs_module.parse_task_name(name)
+        if parsed is None:
             return None
-        job = self._jobs.get(parts.job_id)
+        job = self._jobs.get(parsed.job_id)
         if job is None:
             return None
-        if parts.occurrence not in job.steps and (
-            parts.occurrence < job.occurrence_count
+        if parsed.occurrence not in job.steps and (
+            parsed.occurrence < job.occurrence_count
         ):
-            # Started by an earlier owner whose records are not all here.
-            job.create_occurrence(parts.occurrence)
-            self._add_ready_steps(job, parts.occurrence)
-        return job.find(parts.occurrence, parts.step, parts.index)
+            # Started by a previous owner whose records are not all known here.
+            job.create_occurrence(parsed.occurrence)
+            self._add_ready_steps(job, parsed.occurrence)
+        return job.find(parsed.occurrence, parsed.step, parsed.index)
 
     def add(
         self,
@@ -75,7 +76,7 @@
         progress: records.ProgressRecord | None = None,
         state: records.JobState = records.JobState.QUEUED,
     ) -> runs_module.ActiveJob | None:
-        """Takes in an accepted job; None when it is here already."""
+        """Adds an accepted job; returns None if it is in the table already."""
         if spec.job_id in self._jobs:
             return None
         now_ms = self._clock.monotonic_ms()
@@ -101,7 +102,7 @@
         return job
 
     def create_due_occurrences(self) -> None:
-        """Opens the repetitions whose time has come."""
+        """Creates the steps of repetitions that are due."""
         now_ms = self._clock.wall_ms()
         for job_id in list(self._repeating):
             job = self._jobs[job_id]
@@ -127,13 +128,14 @@
                 self._ready[step.name] = step
 
     def ready_steps(self) -> list[runs_module.StepInstance]:
-        """Steps that may run and have tasks without a run."""
+        """Returns the steps that may run and have pending tasks."""
         return [step for step in self._ready.values() if step.pending_tasks]
 
     def nearly_ready_steps(self) -> list[runs_module.StepInstance]:
-        """Steps that wait only for tasks which are mostly done.
+        """Returns steps that wait only for tasks at least half done.
 
-        Looked for where a policy demands advice, which takes its time.
+        Only for queues that require advice, so that it can be requested before
+        the step is ready.
         """
         return [
             step
@@ -146,13 +148,13 @@
         ]
 
     def mark_started(self, job: runs_module.ActiveJob) -> None:
-        """A worker has begun a task of a job."""
+        """Marks a job as running once a worker has started one of its tasks."""
         if job.state is records.JobState.QUEUED:
             job.state = records.JobState.RUNNING
             self._record_state(job)
 
     def mark_done(self, task: runs_module.Task) -> None:
-        """A task, or with one member its whole gang, is done."""
+        """Marks a task as done; for a member of a gang, the whole gang."""
         step = task.step
         members = step.tasks if step.spec.is_gang else [task]
         for member in members:
@@ -168,7 +170,7 @@
             self._add_ready_steps(job, step.occurrence)
 
     def record_failure(self, task: runs_module.Task, run: int) -> None:
-        """A run of a task has failed by itself."""
+        """Records a failed run; fails the job after its last attempt."""
         step = task.step
         job = step.job
         if step.spec.is_lasting:
@@ -186,7 +188,7 @@
     def record_checkpoint(
         self, task: runs_module.Task, checkpoint: str
     ) -> None:
-        """A run has ended before its time and left a checkpoint."""
+        """Records the checkpoint of a run that ended before it was done."""
         if checkpoint and checkpoint != task.checkpoint:
             members = task.step.tasks if task.step.spec.is_gang else [task]
             for member in members:
@@ -194,7 +196,7 @@
             self._dirty.add(task.step.job.spec.job_id)
 
     def cancel(self, job_id: str) -> runs_module.ActiveJob | None:
-        """A caller has cancelled a job; returns it when it was unfinished."""
+        """Cancels a job; returns it if it was unfinished, else None."""
         job = self._jobs.get(job_id)
         if job is not None:
             job.is_cancelled = True
@@ -204,7 +206,7 @@
     def finish(
         self, job: runs_module.ActiveJob, state: records.JobState
     ) -> None:
-        """Ends a job for good; its runs may still be there."""
+        """Removes a job in its final state; its runs may not have ended yet."""
         job_id = job.spec.job_id
         if self._jobs.pop(job_id, None) is None:
             return
@@ -214,8 +216,8 @@
             self._ready.pop(step.name, None)
         self._dirty.discard(job_id)
         self._record_state(job)
-        # Behind its state in the same append: hosts that start anew then read
-        # the texts of unfinished jobs only.
+        # The spec is dropped after the state in the same append, so that hosts
+        # that restart read the specs of unfinished jobs only.
         self._state_writes[records.JOB_PREFIX + job_id] = None
         self._work_writes[job_id] = None
         logs.event(
@@ -236,7 +238,7 @@
         self._state_writes[key] = records.encode(record)
 
     def drain_writes(self) -> PendingWrites:
-        """What has to be recorded since the last call."""
+        """Returns the records to be written since the last call."""
         for job_id in self._dirty:
             job = self._jobs.get(job_id)
             if job is not None:
--- a/src/comfreylatch/_process/cell/recovered_state.py
+++ b/src/comfreylatch/_process/cell/recovered_state.py
@@ -1,4 +1,4 @@
-"""State of a cell that a new owner recovers from the store."""
+"""What a new owner of a cell recovers from the store."""
 
 from __future__ import annotations
 
@@ -13,15 +13,14 @@
     """State that a new owner starts from.
 
     Attributes:
-        token: Fencing token of the new owner.
-        jobs: Unfinished jobs in this host's replica.
+        token: Its fencing token.
+        jobs: Unfinished jobs as the replica has them.
         progress: Recorded progress by job.
         release_after_ms: Monotonic time after which no run of the previous
-            owner can remain on a worker that the new owner can't reach.
-        known_workers: Incarnations of the previous owner's workers, by worker
-            id.
-        learned: Models that the previous owner learned.
-        waves: Maintenance waves that the previous owner recorded, by number.
+            owner can remain on a worker that this one can't reach.
+        known_workers: Incarnations of the previous owner's workers, by id.
+        learned: Models that the previous owner has learned.
+        waves: Waves of maintenance that it has recorded, by number.
     """
 
     token: int
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -1,6 +1,6 @@
-"""The owner's state of jobs, their tasks, and the runs of these.
+"""The owner's state of unfinished jobs, their steps, tasks and runs.
 
-Only the owner's own thread touches these objects.
+Only the owner's thread uses these objects, except where stated.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
 
-# Of tasks that fill, before they have shown theirs; what a day of readings gave
-# on average: three fifths of them near 1, the others near two thirds.
+# Intensity assumed of a filling task until its usage has been reported: the
+# average over a day of readings. Three fifths of the tasks were near 1, the
+# others near two thirds.
 DEFAULT_INTENSITY = 0.88
 
-# A lasting task is at work when it reports so much.
+# Progress, in percent, that a lasting task reports while it is serving.
 FULL_PROGRESS_PERCENT = 100.0
 
 
 class RunPhase(enum.Enum):
-    """Where a run of a task stands."""
+    """Phase of a run."""
 
     STARTING = "starting"
     RUNNING = "running"
@@ -31,12 +32,12 @@
 
 @attrs.frozen
 class Ticket:
-    """Lets the tasks of a step start on one life of a worker.
+    """Permits starts of a step's tasks on one incarnation of a worker.
 
     Attributes:
-        text: What a start has to carry.
-        born_ms: Identifies the life of the worker.
-        until_ms: Monotonic time from which it is not used any more.
+        text: Token that a start order has to carry.
+        born_ms: Identifies the incarnation of the worker.
+        until_ms: Monotonic time from which the ticket is no longer used.
     """
 
     text: str
@@ -86,27 +87,28 @@
 
     @property
     def should_start(self) -> bool:
-        """Whether it should be started, if it hasn't been; any thread asks."""
+        """Whether it is to be started if it hasn't been. Thread-safe."""
         return self.phase is not RunPhase.STOPPING and not self.task.is_done
 
 
 @attrs.define(eq=False)
 class Task:
-    """A task, with the runs that have not ended.
+    """A task with its runs that have not ended.
 
     Attributes:
         name: Its id, `job.occurrence.step.index`.
-        index: Its number within the step.
+        index: Its index within the step.
         step: The step it belongs to.
         last_run: Highest run number used.
-        checkpoint: Where a new run goes on from; empty for the beginning.
-        failed_runs: Numbers of the runs that ended as failed; an end may be
-            listed again to a later owner.
-        is_done: A run has ended as done.
-        runs: Runs that may still be there.
+        checkpoint: Checkpoint that the next run resumes from; empty to start
+            from the beginning.
+        failed_runs: Numbers of the failed runs. A set, as a worker may report
+            the same end again to a later owner.
+        is_done: Whether a run has completed it.
+        runs: Runs that may not have ended.
         not_before_ms: Monotonic time before which it is not started again.
-        shunned: Workers on which it has failed.
-        open_since_ms: Since when it needs a run and has none.
+        avoided_workers: Workers on which it failed or stalled.
+        pending_since_ms: Monotonic time since which it has been pending.
     """
 
     name: str
@@ -123,12 +125,12 @@
 
     @property
     def failures(self) -> int:
-        """How many of its runs have failed."""
+        """Number of its runs that have failed."""
         return len(self.failed_runs)
 
     @property
     def is_pending(self) -> bool:
-        """Whether it needs a run and has none."""
+        """Whether it is not done and has no run."""
         return not self.is_done and not self.runs
 
 
@@ -140,14 +142,14 @@
         job: The job it belongs to.
         occurrence: Number of the repetition.
         number: Number of the step.
-        spec: What the caller asked for.
-        tasks: Its tasks by index.
-        open_tasks: Tasks that need a run and have none.
-        undone: Tasks that are not done.
-        per_worker: Runs by worker.
-        tickets: Tickets by worker where a policy demands them; else None.
+        spec: The step as submitted.
+        tasks: Its tasks in the order of their indexes.
+        pending_tasks: Tasks that are not done and have no run, by index.
+        unfinished_count: Number of tasks that are not done.
+        runs_per_worker: Number of runs by worker.
+        tickets: Tickets by worker if the queue requires advice, else None.
         ready_ms: Monotonic time since which it may run.
-        durations_ms: Durations of its undisturbed runs.
+        durations_ms: Durations of its completed runs.
     """
 
     job: ActiveJob
@@ -164,7 +166,7 @@
 
     @property
     def unavailable_count(self) -> int:
-        """How many of its tasks are not at work, for whatever cause."""
+        """Number of its tasks that are not serving, for whatever reason."""
         return sum(
             not any(
                 run.phase is RunPhase.RUNNING
@@ -176,7 +178,7 @@
 
     @property
     def oldest_pending_ms(self) -> int:
-        """Since when its longest waiting task has needed a run."""
+        """Monotonic time since which its oldest pending task has waited."""
         return min(
             (
                 max(task.pending_since_ms, self.ready_ms)
@@ -191,7 +193,7 @@
         return f"{self.job.spec.job_id}.{self.occurrence}.{self.number}"
 
     def add_run(self, run: Run) -> None:
-        """Counts a new run of one of its tasks."""
+        """Adds a run of one of its tasks."""
         run.task.runs.append(run)
         self.pending_tasks.pop(run.task.index, None)
         self.runs_per_worker[run.worker_id] = (
@@ -199,7 +201,7 @@
         )
 
     def remove_run(self, run: Run, now_ms: int) -> None:
-        """Forgets a run that has ended."""
+        """Removes a run that has ended; its task may become pending."""
         task = run.task
         if run not in task.runs:
             return
@@ -214,7 +216,7 @@
             self.pending_tasks[task.index] = task
 
     def mark_done(self, task: Task) -> None:
-        """Counts the end of a task."""
+        """Marks a task as done."""
         if not task.is_done:
             task.is_done = True
             self.unfinished_count -= 1
@@ -226,16 +228,17 @@
     """A job that has not ended.
 
     Attributes:
-        spec: What was submitted.
+        spec: The job as submitted.
         accepted_ms: When it was accepted, on this host's monotonic clock.
         steps: Steps of the occurrences that are due, by occurrence.
-        next_occurrence: The next repetition that is not due yet.
+        next_occurrence: The first occurrence that is not due yet.
         state: State as last recorded.
-        is_cancelled: A caller has cancelled it.
-        is_dirty: Its progress has to be recorded.
-        run_floor: Run numbers start above it; what an earlier owner may have
-            used lies below.
-        first_start_ms: When its first task was started; 0 before.
+        is_cancelled: Whether a caller has cancelled it.
+        is_dirty: Whether its progress has to be recorded.
+        run_number_floor: Run numbers start above it; previous owners may have
+            used the numbers up to it.
+        first_start_ms: Monotonic time at which its first task was started; 0
+            before.
     """
 
     spec: specs.JobSpec
@@ -250,7 +253,7 @@
 
     @property
     def occurrence_count(self) -> int:
-        """How often its steps run."""
+        """Number of times that its steps run."""
         return max(self.spec.repetitions, 1)
 
     def due_wall_ms(self, occurrence: int) -> int:
@@ -278,18 +281,18 @@
         return steps
 
     def all_steps(self) -> Iterator[StepInstance]:
-        """The steps of all repetitions that are due."""
+        """Yields the steps of all repetitions that are due."""
         for steps in self.steps.values():
             yield from steps
 
     def all_runs(self) -> Iterator[Run]:
-        """Every run that may still be there."""
+        """Yields all runs that may not have ended."""
         for step in self.all_steps():
             for task in step.tasks:
                 yield from task.runs
 
     def find(self, occurrence: int, step: int, index: int) -> Task | None:
-        """A task by its numbers."""
+        """Returns a task by its numbers; None if there is none."""
         steps = self.steps.get(occurrence)
         if steps is None or not 0 <= step < len(steps):
             return None
@@ -304,7 +307,7 @@
         return all(step.unfinished_count == 0 for step in self.all_steps())
 
     def is_ready(self, step: StepInstance) -> bool:
-        """Whether all that a step depends on is done."""
+        """Whether all steps that a step depends on are done."""
         siblings = self.steps[step.occurrence]
         return all(
             siblings[number].unfinished_count == 0
@@ -313,7 +316,7 @@
         )
 
     def is_nearly_ready(self, step: StepInstance) -> bool:
-        """Whether all tasks that a step waits for are more than half done."""
+        """Whether all tasks that a step waits for are at least half done."""
         siblings = self.steps[step.occurrence]
         return all(
             task.is_done or any(run.percent >= 50 for run in task.runs)
@@ -323,7 +326,7 @@
         )
 
     def progress(self) -> records.ProgressRecord:
-        """What a later owner has to know."""
+        """Returns the progress that the next owner needs."""
         steps = []
         for step in self.all_steps():
             done = tuple(task.index for task in step.tasks if task.is_done)
@@ -350,7 +353,7 @@
         return records.ProgressRecord(tuple(steps))
 
     def restore(self, progress: records.ProgressRecord) -> None:
-        """Takes over what an earlier owner recorded."""
+        """Restores the progress that a previous owner recorded."""
         for part in progress.steps:
             if part.occurrence not in self.steps:
                 self.create_occurrence(part.occurrence)
@@ -370,7 +373,7 @@
 
 @attrs.frozen
 class TaskName:
-    """A task's id in its parts."""
+    """The components of a task's id."""
 
     job_id: str
     occurrence: int
@@ -379,7 +382,7 @@
 
 
 def parse_task_name(name: str) -> TaskName | None:
-    """The parts of a task's id; None for what is not one."""
+    """Parses a task's id; returns None if it is malformed."""
     parts = name.split(".")
     if len(parts) != 4 or not all(part.isdigit() for part in parts[1:]):
         return None
