--- a/src/comfreylatch/_process/cell/__init__.py
+++ b/src/comfreylatch/_process/cell/__init__.py
@@ -1,3 +1,3 @@
-"""Jobs of dependent steps on cells of workers, each run by one owner host."""
+"""Schedules jobs of dependent steps on cells of workers, one owner per cell."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -1,4 +1,4 @@
-"""Writes what the owner decides, fenced by its token."""
+"""Writes the owner's records to the store under its fencing token."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 from comfreylatch._process import logs
 from comfreylatch._process.cell import records
 
-# The owner is alive as far as others can tell while they see one of these;
-# a third of the time after which they take over.
+# A third of the time without a heartbeat after which another host takes over.
 HEARTBEAT_INTERVAL_MS = 500
-# The store answers in 4 ms, and in 240 on its slowest days. A lost answer must
-# not keep the owner silent for long; later tries leave a slow store more time.
+# The store answers in 4 ms, and in 240 ms on its slowest days. The first tries
+# time out early, so that a lost answer doesn't delay the heartbeat for long;
+# later ones leave a slow store more time.
 SHORT_APPEND_TIMEOUT_MS = 350
 APPEND_TIMEOUT_MS = 800
-# Tries with the short timeout before the long one.
+# Number of tries with the short timeout.
 SHORT_TRIES = 3
 RETRY_PAUSE_MS = 60
-# After this long without a recorded append the owner starts and renews
-# nothing. Longer than most outages of the store, as until then nobody else
-# can have restarted what runs at workers that they can't reach.
+# Time without a successful append after which the owner starts no runs and
+# renews no leases. It exceeds most outages of the store. A new owner waits for
+# it before it restarts runs on workers that it can't reach.
 AUTONOMY_MS = 4_500
 
 _logger = logbook.Logger(__name__)
@@ -39,7 +39,7 @@
 
 @attrs.define(eq=False)
 class _PendingRecords:
-    """What the next round of appends carries."""
+    """Records and callbacks of the next round of appends."""
 
     jobs: dict[str, bytes | None] = attrs.field(factory=dict)
     work: dict[str, bytes | None] = attrs.field(factory=dict)
@@ -52,16 +52,17 @@
 
 @final
 class FencedWriter:
-    """A thread that appends the owner's records, one round after the other.
+    """A thread that appends the owner's records, in rounds.
 
-    A context manager; leaving it writes what is pending, for a bounded time.
+    A context manager; leaving it waits, for a bounded time, until pending
+    records are written.
 
     Args:
-        store: Where to write.
-        cell: Partition of both topics.
-        heartbeat: Written at each interval.
-        on_fenced: Called once when another host's epoch is higher.
-        clock: For intervals and the owner's autonomy.
+        store: The store to write to.
+        cell: Number of the cell, which is the partition of both topics.
+        heartbeat: The heartbeat, written at each interval.
+        on_fenced: Called once when the store has seen a higher epoch.
+        clock: Source of monotonic time.
     """
 
     def __init__(
@@ -86,7 +87,7 @@
         self._appended_ms = clock.monotonic_ms()
         self._last_heartbeat_ms = 0
         self._thread = threading.Thread(
-            target=self._run, name=f"scribe-{cell}", daemon=True
+            target=self._run, name=f"fenced-writer-{cell}", daemon=True
         )
 
     def __enter__(self) -> Self:
@@ -105,17 +106,20 @@
         self._thread.join(2 * APPEND_TIMEOUT_MS / 1_000)
 
     def fence(self) -> int | None:
-        """Sets the epoch on both topics; None when another is higher.
+        """Sets the epoch on both topics and writes the first heartbeat.
 
-        Returns the offset of the first heartbeat. An owner before reads it
-        ahead of all jobs that follow, so that it starts none of those.
+        A previous owner reads this heartbeat ahead of all jobs that follow it,
+        so that it starts none of those.
+
+        Returns:
+            The offset of the heartbeat; None if another epoch is higher.
         """
         if self._append_until_known(records.WORK_TOPIC, ()) is None:
             return None
-        beat = store_port.NewRecord(
+        first = store_port.NewRecord(
             records.HEARTBEAT_KEY, records.encode(self._heartbeat)
         )
-        return self._append_until_known(records.JOBS_TOPIC, (beat,))
+        return self._append_until_known(records.JOBS_TOPIC, (first,))
 
     def may_act(self) -> bool:
         """Whether the owner may start tasks and renew leases."""
@@ -124,11 +128,11 @@
 
     @property
     def append_age_ms(self) -> int:
-        """How long ago the last recorded append was sent."""
+        """Time since the last successful append was sent."""
         return self._clock.monotonic_ms() - self._appended_ms
 
     def release(self, last: records.HeartbeatRecord) -> None:
-        """Writes that the cell is given up, as the last of all."""
+        """Queues the heartbeat that releases the cell, as the last record."""
         with self._condition:
             self._heartbeat = last
             self._last_heartbeat_ms = 0
@@ -142,7 +146,7 @@
         work: dict[str, bytes | None],
         recorded: Sequence[Callable[[], None]],
     ) -> None:
-        """Queues records by key, and what to call when they are kept."""
+        """Queues records by key, and callbacks for when they are stored."""
         if not (jobs or work or recorded):
             return
         with self._condition:
@@ -198,9 +202,11 @@
     def _append_until_known(
         self, topic: str, new_records: tuple[store_port.NewRecord, ...]
     ) -> int | None:
-        """Appends, repeating with the same sequence until it is known.
+        """Appends, with the same sequence number, until the outcome is known.
 
-        Returns the first record's offset; None when it may not be known.
+        Returns:
+            The offset of the first record; None if this writer is fenced or
+            closed before.
         """
         producer = store_port.Producer(
             self._name, self._heartbeat.token, self._sequences[topic]
--- a/src/comfreylatch/_process/cell/job_retention.py
+++ b/src/comfreylatch/_process/cell/job_retention.py
@@ -1,4 +1,4 @@
-"""Drops jobs from the store some time after they have ended."""
+"""Drops ended jobs from the store after their retention time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from comfreylatch._process.cell import job_replica
 from comfreylatch._process.cell import records
 
-# Between two looks for jobs to be dropped.
+# Interval between two passes that drop expired jobs.
 PASS_INTERVAL_MS = 5_000
 
 _logger = logbook.Logger(__name__)
@@ -20,7 +20,7 @@
 
 @final
 class JobRetention:
-    """Drops the records of ended jobs, so that store and hosts don't fill up.
+    """Drops the records of ended jobs to bound the size of store and replicas.
 
     Only the owner's thread uses it.
     """
@@ -39,7 +39,7 @@
         self._last_pass_ms = clock.monotonic_ms()
 
     def drop_expired(self) -> None:
-        """Drops what is due; may be called at any time."""
+        """Drops expired jobs if the interval since the last pass is over."""
         now_ms = self._clock.monotonic_ms()
         if now_ms - self._last_pass_ms < PASS_INTERVAL_MS:
             return
@@ -49,8 +49,8 @@
             return
         drops: dict[str, bytes | None] = {}
         for job_id in ended:
-            # Its text was dropped when it ended, but may have been kept once
-            # more for a host that had not yet heard of it.
+            # The spec was dropped when the job ended, but a host that had not
+            # read of the job yet may have stored it once more.
             for prefix in (
                 records.JOB_PREFIX,
                 records.CANCEL_PREFIX,
--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -1,4 +1,4 @@
-"""Follows one partition of the store and hands on what changes."""
+"""Reads one partition of the store continuously."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch._process import logs
 
-# Bounds how old a view that sees no changes can be: half of the two seconds
-# after which callers must not be answered from it.
+# How long a read waits for a record. It bounds the age of a view without
+# changes; below half of the two seconds after which callers must not be
+# answered from it.
 READ_WAIT_MS = 700
-# First and longest pause after a failed read; the store's outages are
-# answered at once, so that an eager reader would use up its call rate.
+# First and longest pause after a failed read. During an outage the store fails
+# calls at once, so retries without a pause would use up the call rate.
 MIN_RETRY_PAUSE_MS = 50
 MAX_RETRY_PAUSE_MS = 400
 
@@ -30,20 +31,20 @@
 
 @final
 class PartitionReader:
-    """A thread that reads a partition from its newest records on.
+    """A thread that reads a partition's newest records and all that follow.
 
-    A context manager: entering starts the thread, leaving ends it.
+    A context manager: entering starts the thread, leaving stops it.
 
     Args:
-        store: Where the partition is.
-        topic: Its topic.
-        partition: Its number.
-        apply: Called with records in rising order of offset; the flag is set
-            where they are the newest of each key, all that there is.
-        clock: For ages.
+        store: The store.
+        topic: Topic of the partition.
+        partition: Number of the partition.
+        apply: Called with records in rising order of offset. The flag is set
+            if they are complete: the newest record of each key.
+        clock: Source of monotonic time.
         read_wait_ms: How long a read waits for a record.
-        pause_ms: Time between two reads, so that one brings several records;
-            may be changed at any time.
+        pause_ms: Pause between two reads, so that one read returns several
+            records; may be changed at any time.
     """
 
     def __init__(
@@ -87,12 +88,12 @@
 
     @property
     def age_ms(self) -> int:
-        """How long ago the view was known to be current."""
+        """Time since the applied records were known to be current."""
         return self._clock.monotonic_ms() - self._synced_ms
 
     @property
     def reachable_ms(self) -> int:
-        """For how long every read has been answered; 0 when the last wasn't."""
+        """Time for which all reads have succeeded; 0 if the last one failed."""
         if not self._is_reachable:
             return 0
         return self._clock.monotonic_ms() - self._reachable_since_ms
@@ -121,7 +122,7 @@
             retry_ms = min(2 * retry_ms, MAX_RETRY_PAUSE_MS)
 
     def _read_once(self) -> bool:
-        """One read; returns whether the store answered."""
+        """Makes one read; returns whether the store answered."""
         sent_ms = self._clock.monotonic_ms()
         is_complete = self._next_offset < 0
         if is_complete:
@@ -167,7 +168,7 @@
             self._is_reachable = True
             self._reachable_since_ms = now_ms
         if not is_complete and batch.end_offset < self._next_offset:
-            # The store has forgotten records that it gave us; start anew.
+            # The store has lost records that it returned before; read all.
             self._next_offset = -1
             return
         if batch.records or is_complete:
@@ -175,7 +176,7 @@
         with self._offset_changed:
             self._next_offset = batch.next_offset
             self._offset_changed.notify_all()
-        # An answer without records waited for some until it came.
+        # A read without records waited for some until it returned.
         is_current = batch.next_offset >= batch.end_offset
         if not batch.records:
             self._synced_ms = self._clock.monotonic_ms()
--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -1,4 +1,4 @@
-"""Keeps the record of the workers on which an owner's tasks may run."""
+"""Maintains the record of the workers that may have runs of the owner."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 
 @final
 class RecordedWorkers:
-    """Has tasks started only where the next owner will ask what runs.
+    """Restricts starts to workers that the store has recorded.
 
-    Only the owner's thread uses it.
+    The next owner asks just the recorded workers for their runs. Only the
+    owner's thread uses it.
 
     Args:
-        workers: The workers; told where tasks may be started.
-        inherited: Lives that the owner before has recorded.
-        post: Tells the owner's thread that a record is kept.
+        workers: The table of workers, in which starts are allowed or forbidden.
+        predecessor_workers: Incarnations that the previous owner recorded.
+        post: Queues an event for the owner's thread.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         self._recorded: dict[str, int] = {}
 
     def mark_recorded(self, born_ms: dict[str, int]) -> None:
-        """A record is in the store."""
+        """Marks a record as stored."""
         self._recorded = born_ms
 
     def add_writes(
@@ -44,21 +45,21 @@
         recorded: list[Callable[[], None]],
         is_settled: bool,
     ) -> None:
-        """Adds the lives on which something may run, if they have changed.
+        """Adds the record of current incarnations if they have changed.
 
-        Until all is known that the owner before started, its lives stay among
-        them, so that an owner after this one asks there, too.
+        Until all runs of the previous owner are known, the record includes its
+        workers, so that the next owner asks them, too.
         """
         born_ms = self._workers.incarnations()
         if not is_settled:
             born_ms = {**self._predecessor_workers, **born_ms}
         if born_ms == self._queued:
-            # A record says nothing once a newer one is queued.
+            # The stored record counts only if no newer one is queued.
             if self._recorded is self._queued:
                 self._workers.allow_starts(born_ms)
             return
         self._queued = born_ms
-        # From now on either record may be the newest.
+        # Until the new record is stored, either may be the newest in the store.
         self._workers.forbid_starts(born_ms)
         work[records.WORKERS_KEY] = records.encode(
             records.WorkersRecord(born_ms)
--- a/src/comfreylatch/_process/cell/records.py
+++ b/src/comfreylatch/_process/cell/records.py
@@ -1,9 +1,10 @@
 """Records of a cell in the store, and their keys.
 
-Topic `jobs` is read by every host: jobs, cancellations, states and the
-owner's heartbeat. Topic `work` is read by a new owner: progress of each job.
-Topic `claims` has one partition for all cells, so that the offset of a claim
-is a fencing token that rises over all of them.
+Every host reads the topic `jobs`: jobs, cancellations, states and the owner's
+heartbeat. A new owner reads the topic `work`: the progress of each job, the
+workers in use, learned models and maintenance waves. The topic `claims` has one
+partition for all cells, so that the offset of a claim is a fencing token that
+increases over all of them.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 
 @attrs.frozen
 class StateRecord:
-    """The owner's word on a job."""
+    """State of a job as the owner recorded it."""
 
     state: JobState
     token: int
@@ -64,12 +65,12 @@
 
 @attrs.frozen
 class ClaimRecord:
-    """A host takes over a cell, or gives it up.
+    """A host claims a cell.
 
     Attributes:
         cell: Number of the cell.
         host: Name of the host.
-        boot: Identifies the life of the host's process.
+        boot: Identifies the incarnation of the host's process.
         zone: Zone of the host.
     """
 
@@ -81,16 +82,17 @@
 
 @attrs.frozen
 class HeartbeatRecord:
-    """The owner of a cell is alive and can write.
+    """Heartbeat of a cell's owner, which shows that it can write.
 
     Attributes:
         host: Name of the host.
-        boot: Identifies the life of the host's process.
+        boot: Identifies the incarnation of the host's process.
         token: The owner's fencing token.
-        is_released: The host gives the cell up; anyone may take it at once.
+        is_released: Whether the host releases the cell, so that others may
+            claim it at once.
         zone: Zone of the host.
-        is_isolated: Released as most workers are out of the host's reach, so
-            hosts of the same zone should leave it to others.
+        is_isolated: Whether the host releases the cell as it can't reach most
+            workers. Hosts of other zones should then take over.
     """
 
     host: str
@@ -110,7 +112,7 @@
         step: Number of the step.
         done: Indexes of the tasks that are done.
         failed_runs: Numbers of the failed runs, by task index.
-        checkpoints: Checkpoint to go on from, by task index.
+        checkpoints: Checkpoint to resume from, by task index.
     """
 
     occurrence: int
@@ -122,17 +124,17 @@
 
 @attrs.frozen
 class ProgressRecord:
-    """All that must be known of a job's ended runs."""
+    """Progress of a job from its ended runs."""
 
     steps: tuple[StepProgress, ...]
 
 
 @attrs.frozen
 class WorkersRecord:
-    """Workers on which the owner's runs may be.
+    """Workers that may have runs of the owner.
 
     Attributes:
-        born_ms: Their present lives, by worker.
+        born_ms: Their current incarnations, by worker id.
     """
 
     born_ms: dict[str, int] = attrs.field(factory=dict)
@@ -140,7 +142,7 @@
 
 @attrs.frozen
 class LearnedPressure:
-    """Coefficient of a filling image, and the weight of what it rests on."""
+    """Interference coefficient of a filling image and weight of its samples."""
 
     filling: str
     coefficient: float
@@ -149,7 +151,7 @@
 
 @attrs.frozen
 class LearnedPair:
-    """What a pair of images has over the filling image's coefficient."""
+    """Excess of an image pair over the filling image's coefficient."""
 
     serving: str
     filling: str
@@ -159,13 +161,14 @@
 
 @attrs.frozen
 class LearnedRecord:
-    """What an owner has learned that the next one need not learn again.
+    """Learned models, which the next owner starts from.
 
     Attributes:
         pressures: Coefficients of filling images.
-        pairs: Their excesses on single serving images.
-        base_ms: Tails of serving images without load.
-        duration_ratios: Real to declared durations, by queue and image.
+        pairs: Their excesses on individual serving images.
+        base_ms: Tail latencies of serving images without interference.
+        duration_ratios: Ratios of measured to declared durations, by queue and
+            image.
     """
 
     pressures: tuple[LearnedPressure, ...] = ()
@@ -176,13 +179,13 @@
 
 @attrs.frozen
 class WaveRecord:
-    """How far a wave of maintenance has come.
+    """Progress of a maintenance wave.
 
     Attributes:
-        began_wall_ms: When it was first seen.
+        began_wall_ms: Wall time at which an owner first saw it.
         begun: Machines whose maintenance has begun.
-        finished: Machines that have had their maintenance, or have left.
-        is_completed: All have.
+        finished: Machines whose maintenance has finished, or that have left.
+        is_completed: Whether all its machines have finished.
     """
 
     began_wall_ms: int
@@ -192,7 +195,7 @@
 
 
 class BadRecordError(ValueError):
-    """A record does not have the form that its topic demands."""
+    """A record does not match the schema of its kind."""
 
 
 def encode(record: object) -> bytes:
@@ -221,7 +224,11 @@
 
 
 def decode(kind: type[_Record], value: bytes) -> _Record:
-    """Decodes a record; raises `BadRecordError`."""
+    """Decodes a record.
+
+    Raises:
+        BadRecordError: The value does not match the schema of the kind.
+    """
     try:
         return _DECODERS[kind].decode(value)
     except msgspec.MsgspecError as error:
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -1,4 +1,4 @@
-"""Orders to workers about runs, and what comes of them."""
+"""Sends orders for runs to workers and handles their outcomes."""
 
 from __future__ import annotations
 
@@ -19,12 +19,13 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# A worker that refuses for want of room that we think it has gets a pause to
-# report the ends that we don't know of.
+# Time for which a worker gets no new runs after it has refused one for lack of
+# capacity that the owner thought free. Until then the worker can report the
+# ends that the owner doesn't know of.
 NO_ROOM_PAUSE_MS = 300
 UNHEALTHY_PAUSE_MS = 1_000
-# A task that fills and has worked at this pace or less for so long is moved,
-# if it can go on from a checkpoint.
+# Pace, in percent, at or below which a filling task counts as slow. A run that
+# stays slow is moved if it can resume from a checkpoint.
 SLOW_PACE_PERCENT = 20
 
 _logger = logbook.Logger(__name__)
@@ -119,7 +120,7 @@
         self.send_stop(run)
 
     def send_stop(self, run: runs_module.Run) -> None:
-        """Sends the stop of a run, again if need be."""
+        """Sends the stop order of a run, which may be a repeat."""
         session = self._workers.session(run.worker_id)
         if session is not None:
             session.stop(run, run.task.name, run.number)
@@ -132,7 +133,7 @@
             self._interference.discard_step(step)
 
     def handle_lost(self, lost: worker_table_module.LostRuns) -> None:
-        """Takes in runs that are surely over, without an end."""
+        """Removes runs that are certainly over, but whose end is unknown."""
         for run in lost.runs:
             logs.event(
                 _logger,
@@ -147,7 +148,7 @@
             run.task.step.remove_run(run, self._clock.monotonic_ms())
 
     def handle_start(self, event: events.StartReturned) -> None:
-        """Takes in what came of a start order."""
+        """Handles the outcome of a start order."""
         run = event.run
         worker = self._workers.find(run.worker_id)
         if worker is None or run not in run.task.runs:
@@ -179,7 +180,7 @@
                 )
 
     def confirm(self, run: runs_module.Run, now_ms: int) -> None:
-        """The worker says that a run is there."""
+        """Marks a run as confirmed by its worker."""
         run.is_in_doubt = False
         run.confirmed_ms = now_ms
         run.progressed_ms = now_ms
@@ -207,33 +208,33 @@
         )
         match reason:
             case cell_workers.Refusal.OLD_RUN:
-                # It has run and ended there, or was stopped; the worker's
-                # next answer tells, and lists the end if there is one.
+                # The run has ended there or was stopped. The worker's next
+                # hold answer tells, and lists the end if there is one.
                 run.is_in_doubt = False
                 run.confirmed_ms = now_ms
                 return
             case cell_workers.Refusal.NO_TICKET:
-                # It has expired there; a new one is asked for.
+                # The ticket has expired; a new one is requested.
                 (run.task.step.tickets or {}).pop(run.worker_id, None)
             case cell_workers.Refusal.NO_ROOM:
                 worker.avoided_until_ms = now_ms + NO_ROOM_PAUSE_MS
             case cell_workers.Refusal.UNHEALTHY:
                 worker.avoided_until_ms = now_ms + UNHEALTHY_PAUSE_MS
         if event.tries > 1 or run.is_in_doubt:
-            # An earlier sending may still be carried out.
+            # The worker may still carry out an earlier try.
             self.stop(run, reasons.StopReason.START_REFUSED, reason)
         else:
             self.discard(run)
 
     def discard(self, run: runs_module.Run) -> None:
-        """Forgets a run that is surely over, or never was."""
+        """Removes a run that is certainly over or was never started."""
         worker = self._workers.find(run.worker_id)
         if worker is not None:
             worker.remove(run)
         run.task.step.remove_run(run, self._clock.monotonic_ms())
 
     def handle_stop(self, event: events.StopReturned) -> None:
-        """Takes in what came of a stop order."""
+        """Handles the outcome of a stop order."""
         run = event.run
         if run is None or run not in run.task.runs:
             return
@@ -247,7 +248,7 @@
                 run.is_in_doubt = True
 
     def update_paces(self, worker: worker_view.WorkerView) -> None:
-        """Slows tasks that fill where they disturb lasting ones too much."""
+        """Slows filling tasks that interfere too much with lasting tasks."""
         session = self._workers.session(worker.worker_id)
         if session is None:
             return
@@ -273,7 +274,7 @@
             session.pace(run.task.name, run.number, change.percent)
 
     def resolve_doubt(self, run: runs_module.Run) -> None:
-        """Sends the order again whose answer did not come."""
+        """Resolves an unanswered order: stops a start, repeats a stop."""
         run.is_in_doubt = False
         if run.phase is runs_module.RunPhase.STOPPING:
             self.send_stop(run)
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -1,4 +1,4 @@
-"""Follows each run by what its worker reports, to its recorded end."""
+"""Reconciles the owner's state of runs with what workers report."""
 
 from __future__ import annotations
 
@@ -22,18 +22,20 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# Failures in a row, of different jobs' tasks, after which a worker is taken
-# to be at fault; by chance this happens once in ten thousand.
+# Consecutive failed runs, of tasks of different jobs, after which a worker is
+# considered faulty and avoided for a while. By chance, this happens once in ten
+# thousand.
 FAILURES_BEFORE_AVOIDANCE = 3
 FAILING_WORKER_AVOIDANCE_MS = 5_000
-# An image's tasks vary by half; one that has made no progress for this long
-# while its worker reports others stands still.
+# Time without progress after which a run is considered stalled, although its
+# worker reports. The durations of an image's tasks vary by half.
 STALL_TIMEOUT_MS = 2_500
+# Time at a low pace after which a run with checkpoints is moved.
 SLOW_TIMEOUT_MS = 1_200
-# Smoothing of a worker's slowness over its tasks.
+# Weight of a new run in the moving average of a worker's slowness.
 SLOWNESS_SMOOTHING = 0.3
-# A hold answer lists at most this many ends, so that a full one proves
-# nothing of runs that it doesn't list.
+# Most ends in one hold answer. A run missing from an answer with so many may
+# have ended without being listed.
 MAX_LISTED_ENDS = 500
 
 _logger = logbook.Logger(__name__)
@@ -41,7 +43,10 @@
 
 @final
 class RunReconciler:
-    """Keeps runs, workers and jobs in step. Only the owner's thread uses it."""
+    """Reconciles runs with what workers report.
+
+    Only the owner's thread uses it.
+    """
 
     def __init__(
         self,
@@ -65,7 +70,11 @@
     def handle_hold(
         self, event: events.HoldReturned, answer: cell_workers.HoldAnswer
     ) -> bool:
-        """Takes in a worker's lists; whether there are ends to record."""
+        """Processes a worker's lists of running tasks and ends.
+
+        Returns:
+            Whether there are new ends to record.
+        """
         worker = self._workers.find(event.worker_id)
         assert worker is not None
         ended = self._workers.new_ends(event.worker_id, answer)
@@ -138,7 +147,10 @@
     def _observe_duration(
         self, worker: worker_view.WorkerView, run: runs_module.Run
     ) -> None:
-        """Learns durations and slowness from a run from begin to end."""
+        """Updates the duration model and the slowness of the worker.
+
+        Only from runs without interruptions, of tasks with a fixed duration.
+        """
         step = run.task.step
         if step.spec.fills_idle or step.spec.is_gang or not run.confirmed_ms:
             return
@@ -206,7 +218,7 @@
         listed: cell_workers.RunningTask,
         now_ms: int,
     ) -> None:
-        """Takes over a run that an earlier owner started, or stops it."""
+        """Adopts a run that a previous owner started, or stops it."""
         task = self._jobs.find_task(listed.task)
         wanted = (
             task is not None
@@ -246,7 +258,7 @@
         listed: set[str],
         sent_ms: int,
     ) -> None:
-        """Deals with runs that the worker lists neither way."""
+        """Handles runs that the worker lists neither as running nor ended."""
         for key, run in list(worker.runs.items()):
             if key in listed:
                 continue
@@ -268,7 +280,7 @@
                 self._dispatcher.resolve_doubt(run)
 
     def move_runs(self, now_ms: int) -> None:
-        """Stops runs that should go on elsewhere."""
+        """Stops runs that should continue on another worker."""
         for worker in self._workers:
             if not worker.is_answering:
                 continue
@@ -282,7 +294,7 @@
     def _reason_to_move(
         self, run: runs_module.Run, now_ms: int
     ) -> reasons.StopReason | None:
-        """Why a run should go on elsewhere; None when it should not."""
+        """Returns why a run should move to another worker; None if not."""
         if run.phase is not runs_module.RunPhase.RUNNING:
             return None
         if self._is_stalled(run, now_ms):
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -50,23 +50,25 @@
     """One run of a task on a worker, until it is known to have ended.
 
     Attributes:
-        task: What is run.
+        task: The task.
         number: Run number; rises with each run of the task.
-        worker_id: Where it runs.
-        phase: Where it stands.
+        worker_id: The worker that it was placed on.
+        phase: Its phase.
         since_ms: Monotonic time of its start order.
-        confirmed_ms: When the worker first said that it runs; 0 before.
+        confirmed_ms: Monotonic time at which the worker confirmed the current
+            start or stop order; 0 before.
         percent: Progress as last reported.
-        moved_ms: When the progress last rose.
-        reading: Last figure of its usage or tail.
-        pace_percent: Pace it was last told.
-        slow_since_ms: Since when its pace is so low that it hardly works; 0
-            while it isn't.
-        intensity: Share of what it asks for that a task that fills uses at
-            full pace; tasks change between heavy and light phases.
-        paced_ms: When it was last told another pace; 0 before.
-        unanswered: Orders in a row that got no answer.
-        is_in_doubt: An order may be carried out without our knowledge.
+        progressed_ms: Monotonic time at which the progress last rose.
+        reading: Usage, or tail latency of a lasting task, as last reported.
+        pace_percent: Pace that was last ordered.
+        slow_since_ms: Monotonic time since which its pace has been too low for
+            useful progress; 0 while it isn't.
+        intensity: Share of its request that a filling task uses at full pace;
+            tasks alternate between heavy and light phases.
+        pace_changed_ms: Monotonic time of the last change of pace; 0 before.
+        unanswered: Consecutive orders without an answer.
+        is_in_doubt: Whether the worker may have carried out an order, or may
+            still do so, without a confirmation.
     """
 
     task: Task
@@ -149,7 +151,8 @@
         runs_per_worker: Number of runs by worker.
         tickets: Tickets by worker if the queue requires advice, else None.
         ready_ms: Monotonic time since which it may run.
-        durations_ms: Durations of its completed runs.
+        durations_ms: Durations of its runs that ran from start to end without
+            an interruption.
     """
 
     job: ActiveJob
--- a/src/comfreylatch/_process/cell/specs.py
+++ b/src/comfreylatch/_process/cell/specs.py
@@ -1,4 +1,4 @@
-"""What callers submit and operators configure."""
+"""Specifications that callers submit and operators configure."""
 
 from __future__ import annotations
 
@@ -9,28 +9,30 @@
 
 @attrs.frozen
 class StepSpec:
-    """A step of a job: tasks that are alike.
+    """A step of a job: a number of equal tasks.
 
     Attributes:
         task_count: Number of its tasks.
-        cpu_millicores: Need of one task.
-        memory_mb: Need of one task.
-        gpus: Need of one task.
-        estimated_ms: Declared duration of a task; often far off.
+        cpu_millicores: Processor request of one task.
+        memory_mb: Memory request of one task.
+        gpus: GPU request of one task.
+        estimated_ms: Declared duration of a task; often inaccurate.
         depends_on: Earlier steps whose tasks must all be done first.
-        has_checkpoints: Tasks save their progress as they run.
-        is_gang: Tasks work only while all of them run, and end together.
-        needs_one_rack: Tasks are slower when they run on several racks.
+        has_checkpoints: Whether tasks save checkpoints as they run.
+        is_gang: Whether tasks make progress only while all of them run, and
+            end together.
+        needs_one_rack: Whether tasks are slower when spread over racks.
         required_label: Label that a worker must have; empty for any.
         data_rack: Rack on which tasks are faster; empty for none.
-        max_per_worker: Most tasks of the step on a worker; 0 for no bound.
-        is_speculative: Several runs of a task may overlap.
-        is_lasting: Tasks run until the job is cancelled.
-        image: What the tasks run; tasks of an image behave alike.
-        tail_target_ms: Bound for the tail latency of a lasting task's users.
-        fills_idle: Uses what other tasks leave idle, and is not counted
-            against a worker's processors.
-        max_unavailable: Most tasks that may be away at once by our orders.
+        max_per_worker: Most tasks of the step on a worker; 0 for no limit.
+        is_speculative: Whether several runs of a task may overlap.
+        is_lasting: Whether tasks run until the job is cancelled.
+        image: Image that the tasks run; tasks of an image behave alike.
+        tail_target_ms: Target for the tail latency of a lasting task.
+        fills_idle: Whether tasks use processors that others leave idle; they
+            don't count against a worker's processor capacity.
+        max_unavailable: Most tasks that the owner's orders may make
+            unavailable at once.
     """
 
     task_count: int
@@ -64,12 +66,12 @@
 
 @attrs.frozen
 class AdviceSpec:
-    """A queue whose steps may run only on workers that are advised.
+    """Advice policy of a queue: its steps run only on advised workers.
 
     Attributes:
-        decision_ms: Time of one call for advice.
-        per_worker_ms: Time added for each worker named in the call.
-        valid_ms: How long a ticket from the answer is good.
+        decision_ms: Duration of one request for advice.
+        per_worker_ms: Additional duration per candidate worker.
+        valid_ms: Validity of a ticket from the answer.
     """
 
     decision_ms: float
@@ -79,18 +81,19 @@
 
 @attrs.frozen
 class QueueSpec:
-    """Where jobs are handed in, and how those of the queue are treated.
+    """A queue that jobs are submitted to, and its scheduling policy.
 
     Attributes:
         name: Name of the queue.
         host: `Host` header of its callers.
-        prefix: Start of the paths that belong to it.
+        prefix: Prefix of the paths that belong to it.
         service: Pool of workers that runs its tasks.
-        priority: 0 comes first and may preempt others.
-        max_attempts: Failed runs of a task after which its job has failed.
-        slack_factor: Times the longest chain that a job may take in time.
-        target_ms: Added to that time.
-        advice: Set where advice has to be asked for.
+        priority: 0 is the highest and may preempt others.
+        max_attempts: Failed runs of a task after which its job fails.
+        slack_factor: Multiple of its longest chain of steps in which a job
+            should complete.
+        target_ms: Time added to that.
+        advice: Advice policy; None if none is required.
     """
 
     name: str
@@ -110,8 +113,9 @@
 
     Attributes:
         name: Name of the pool.
-        guards_capacity: Workers refuse what does not fit.
-        is_standby: Its machines are off.
+        guards_capacity: Whether workers refuse tasks that exceed their
+            capacity.
+        is_standby: Whether its machines are powered off.
     """
 
     name: str
@@ -121,14 +125,14 @@
 
 @attrs.frozen
 class FleetConfiguration:
-    """All that operators have configured, at one version."""
+    """The operators' configuration at one version."""
 
     version: int
     queues: tuple[QueueSpec, ...]
     services: tuple[ServiceSpec, ...]
 
     def find_queue(self, host: str, path: str) -> QueueSpec | None:
-        """The queue with the longest prefix of a path."""
+        """Returns the queue with the longest matching prefix, or None."""
         found = None
         for queue in self.queues:
             if queue.host != host or not path.startswith(queue.prefix):
@@ -140,17 +144,17 @@
 
 @attrs.frozen
 class JobSpec:
-    """A job as accepted, with its queue as configured then.
+    """A job as accepted, with the configuration of its queue at that time.
 
     Attributes:
-        job_id: The caller's id for it.
-        queue: The queue that took it.
-        payload: Text handed to each task.
+        job_id: Id that the caller gave it.
+        queue: The queue that accepted it.
+        payload: Text passed to each task.
         steps: Its steps, in the order of their numbers.
-        repetitions: How often the steps run; 0 for once, at once.
+        repetitions: Number of times that the steps run; 0 for once, at once.
         first_due_ms: Wall time at which the first repetition is due.
-        interval_ms: Time between two repetitions.
-        accepted_wall_ms: When it was accepted, by the accepting host's clock.
+        interval_ms: Interval between two repetitions.
+        accepted_wall_ms: Wall time of the accepting host at acceptance.
     """
 
     job_id: str
