--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -58,7 +58,7 @@
         lost_ms = sum(self.store.timeouts_ms[:3])
         self.assertLess(lost_ms, claiming.OWNER_TIMEOUT_MS)
 
-    def test_outage_is_waited_out(self) -> None:
+    def test_write_succeeds_after_an_outage(self) -> None:
         with self.make_writer(1) as writer:
             writer.fence()
             self.store.is_down = True
@@ -67,7 +67,7 @@
             ).start()
             self.assertTrue(self.write(writer, "state/a"))
 
-    def test_higher_epoch_ends_the_writing(self) -> None:
+    def test_higher_epoch_fences_the_writer(self) -> None:
         with self.make_writer(1) as old:
             old.fence()
             with self.make_writer(2) as new:
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -94,7 +94,7 @@
                 return
         self.fail("an old view still denied a job")
 
-    def test_expired_records_are_read_anew(self) -> None:
+    def test_expired_records_cause_a_complete_read(self) -> None:
         self.submit()
         self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         self.store.expire(records.JOBS_TOPIC, 0)
--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -44,12 +44,12 @@
         entry = self.replica.find(ID)
         return None if entry is None else entry.shown_state
 
-    def test_state_outlives_the_text(self) -> None:
+    def test_state_outlives_the_spec(self) -> None:
         self.end()
         self.apply(JOB, None)
         self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
-    def test_host_that_starts_anew_knows_the_end_without_the_text(
+    def test_restarted_host_reads_the_state_without_the_spec(
         self,
     ) -> None:
         completed = records.JobState.COMPLETED
@@ -57,15 +57,15 @@
         self.assertIs(completed, self.shown_state())
 
     def test_repeat_after_the_end_is_not_run_again(self) -> None:
-        heard: list[object] = []
+        received: list[object] = []
         self.end()
-        self.replica.listen(heard.append)
+        self.replica.listen(received.append)
         self.apply(JOB, None)
         self.apply(JOB, harness.job())
-        self.assertEqual([], heard)
+        self.assertEqual([], received)
         self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
-    def test_job_is_forgotten_with_its_state(self) -> None:
+    def test_job_is_removed_with_its_state(self) -> None:
         self.end()
         self.apply(STATE, None)
         self.assertIsNone(self.shown_state())
@@ -74,7 +74,7 @@
 class JobTableTest(testtools.TestCase):
     """What the owner records of a job's end."""
 
-    def test_text_is_dropped_behind_the_final_state(self) -> None:
+    def test_spec_is_dropped_after_the_final_state(self) -> None:
         cell = harness.Cell()
         cell.submit(harness.job())
         cell.jobs.cancel(ID)
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -13,7 +13,7 @@
 from comfreylatch._process.cell import records
 
 HOST = claiming.HostIdentity("bole-1", "boot-2", "bole", 0.43)
-BEAT = records.HeartbeatRecord("entoto-1", "boot-1", 7, zone="entoto")
+HEARTBEAT = records.HeartbeatRecord("entoto-1", "boot-1", 7, zone="entoto")
 
 
 def view(
@@ -35,12 +35,14 @@
 class ReasonToClaimTest(testtools.TestCase):
     """The decision, on what a host sees."""
 
-    def test_lively_owner_is_left_alone(self) -> None:
-        self.assertIs(None, claiming.reason_to_claim(view(600, BEAT), HOST))
+    def test_live_owner_is_not_replaced(self) -> None:
+        self.assertIs(
+            None, claiming.reason_to_claim(view(600, HEARTBEAT), HOST)
+        )
 
     def test_silent_owner_is_replaced(self) -> None:
         seen = view(
-            claiming.OWNER_TIMEOUT_MS + claiming.MAX_CLAIM_DELAY_MS, BEAT
+            claiming.OWNER_TIMEOUT_MS + claiming.MAX_CLAIM_DELAY_MS, HEARTBEAT
         )
         self.assertIs(
             reasons.ClaimReason.OWNER_SILENT,
@@ -48,21 +50,21 @@
         )
 
     def test_owner_gets_time_after_an_outage_of_the_store(self) -> None:
-        seen = view(9_000, BEAT, reachable_ms=300)
+        seen = view(9_000, HEARTBEAT, reachable_ms=300)
         self.assertIs(None, claiming.reason_to_claim(seen, HOST))
 
-    def test_old_view_claims_nothing(self) -> None:
-        seen = view(9_000, BEAT, view_age_ms=2_000)
+    def test_stale_view_claims_nothing(self) -> None:
+        seen = view(9_000, HEARTBEAT, view_age_ms=2_000)
         self.assertIs(None, claiming.reason_to_claim(seen, HOST))
 
     def test_restarted_owner_claims_at_once(self) -> None:
-        seen = view(0, attrs.evolve(BEAT, host="bole-1"))
+        seen = view(0, attrs.evolve(HEARTBEAT, host="bole-1"))
         self.assertIs(
             reasons.ClaimReason.RESTARTED, claiming.reason_to_claim(seen, HOST)
         )
 
-    def test_released_cell_is_taken_in_turn(self) -> None:
-        released = attrs.evolve(BEAT, is_released=True)
+    def test_released_cell_is_claimed_after_the_delay(self) -> None:
+        released = attrs.evolve(HEARTBEAT, is_released=True)
         self.assertIs(
             reasons.ClaimReason.RELEASED,
             claiming.reason_to_claim(view(HOST.claim_delay_ms, released), HOST),
@@ -70,7 +72,7 @@
 
     def test_isolated_zone_leaves_the_cell_to_others(self) -> None:
         released = attrs.evolve(
-            BEAT, is_released=True, is_isolated=True, zone="bole"
+            HEARTBEAT, is_released=True, is_isolated=True, zone="bole"
         )
         self.assertIs(
             None,
@@ -83,7 +85,7 @@
             reasons.ClaimReason.RELEASED, claiming.reason_to_claim(later, HOST)
         )
 
-    def test_hosts_with_more_processors_come_first(self) -> None:
+    def test_hosts_with_more_processors_claim_first(self) -> None:
         strong = attrs.evolve(HOST, cpu_cores=2.15)
         self.assertLess(strong.claim_delay_ms, HOST.claim_delay_ms)
 
@@ -94,9 +96,9 @@
     def test_heartbeat_of_a_new_owner_ends_the_claim(self) -> None:
         # Found by an incident: each handover had two claims, as the second
         # claimant had read of the first one's tenure only after its look.
-        released = attrs.evolve(BEAT, is_released=True)
+        released = attrs.evolve(HEARTBEAT, is_released=True)
         seen = view(HOST.claim_delay_ms, released)
-        newer = attrs.evolve(BEAT, host="kality-1", token=8)
+        newer = attrs.evolve(HEARTBEAT, host="kality-1", token=8)
         self.assertTrue(
             claiming.is_outdated(
                 seen, job_replica.ObservedHeartbeat(newer, 100_000)
@@ -104,10 +106,10 @@
         )
 
     def test_heartbeat_of_the_silent_owner_ends_the_claim(self) -> None:
-        seen = view(2_000, BEAT)
-        again = job_replica.ObservedHeartbeat(BEAT, 100_000)
+        seen = view(2_000, HEARTBEAT)
+        again = job_replica.ObservedHeartbeat(HEARTBEAT, 100_000)
         self.assertTrue(claiming.is_outdated(seen, again))
 
-    def test_view_without_news_holds(self) -> None:
-        seen = view(2_000, BEAT)
+    def test_view_without_new_heartbeat_is_current(self) -> None:
+        seen = view(2_000, HEARTBEAT)
         self.assertFalse(claiming.is_outdated(seen, seen.last_heartbeat))
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -97,7 +97,7 @@
         self.assertIs(records.JobState.COMPLETED, job.state)
 
 
-class DoubtTest(testtools.TestCase):
+class InDoubtTest(testtools.TestCase):
     """Orders without an answer, and runs without a sign."""
 
     def test_unanswered_start_is_stopped_before_another(self) -> None:
@@ -165,7 +165,7 @@
         )
         self.assertEqual([(name, 1)], cell.sent["w1"].stops)
 
-    def test_still_run_is_moved(self) -> None:
+    def test_stalled_run_is_moved(self) -> None:
         cell = harness.Cell()
         cell.submit(harness.job())
         (run,) = cell.place()
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -46,11 +46,13 @@
     def __init__(self, store: record_store.MemoryStore) -> None:
         self.is_cut = False
         self._store = store
-        self._nothing = record_store.MemoryStore()
-        self._nothing.is_down = True
+        self._unreachable_store = record_store.MemoryStore()
+        self._unreachable_store.is_down = True
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._nothing if self.is_cut else self._store, name)
+        return getattr(
+            self._unreachable_store if self.is_cut else self._store, name
+        )
 
 
 class HostWorker:
@@ -69,26 +71,26 @@
         return getattr(self._dark if is_dark else self._worker, name)
 
 
-class Listing:
+class FixedWorkerList:
     """Tells the workers once."""
 
     def __init__(
         self,
         entries: dict[str, cell_workers.WorkerEntry],
-        tell: Callable[[dict[str, cell_workers.WorkerEntry]], None],
+        report: Callable[[dict[str, cell_workers.WorkerEntry]], None],
     ) -> None:
         self._entries = entries
-        self._tell = tell
+        self._report = report
 
-    def __enter__(self) -> Listing:
-        self._tell(self._entries)
+    def __enter__(self) -> FixedWorkerList:
+        self._report(self._entries)
         return self
 
     def __exit__(self, *_: object) -> None:
         return
 
 
-class OneAllowed:
+class SingleWorkerAdviser:
     """Implements `AdviceService`: the policy allows one worker."""
 
     def advise(
@@ -117,7 +119,7 @@
         self.is_dark = False
         self.store = HostStore(store)
         self.replica = job_replica.JobReplica(clock)
-        self.tail = stack.enter_context(
+        self.reader = stack.enter_context(
             partition_reader_module.PartitionReader(
                 self.store, records.JOBS_TOPIC, 0, self.replica.apply, clock, 50
             )
@@ -127,27 +129,27 @@
         )
         counted = metrics.Metrics()
         self.job_api = job_api_module.JobApi(
-            self.replica, self.tail, appender, counted, clock
+            self.replica, self.reader, appender, counted, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
         self.deps = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
             replica=self.replica,
-            jobs_reader=self.tail,
+            jobs_reader=self.reader,
             connect=lambda entry: HostWorker(self, workers[entry.worker_id]),
-            follow_workers=lambda tell: Listing(entries, tell),
+            follow_workers=lambda report: FixedWorkerList(entries, report),
             lease_ms=LEASE_MS,
             keep_ended_ms=KEEP_ENDED_MS,
             metrics=counted,
             clock=clock,
-            advice_service=OneAllowed(),
+            advice_service=SingleWorkerAdviser(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
         self.ownership = ownership_module.Ownership(self.deps, self.identity)
         stack.callback(self.ownership.stop, 2_000)
 
-    def die(self) -> None:
+    def disconnect(self) -> None:
         """From now on, nothing of this host reaches anything."""
         self.is_dark = True
         self.store.is_cut = True
@@ -186,10 +188,10 @@
             found.update(worker.running)
         return found
 
-    def test_work_of_a_dead_owner_goes_on_and_is_not_run_again(self) -> None:
+    def test_runs_of_a_failed_owner_are_adopted_and_not_repeated(self) -> None:
         self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
-        self.first.die()
+        self.first.disconnect()
         self.wait_for(lambda: self.second.ownership.is_owner)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
@@ -226,8 +228,8 @@
         self.wait_for(lambda: len(self.running()) == 1)
         for worker in self.workers.values():
             worker.end_all(cell_workers.RunEnd.DONE)
-        gone = job_api_module.UnknownJob()
-        self.wait_for(lambda: self.second.job_api.state(ID) == gone)
+        unknown = job_api_module.UnknownJob()
+        self.wait_for(lambda: self.second.job_api.state(ID) == unknown)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         self.assertEqual(["owner"], [one.key for one in newest.records])
 
@@ -237,7 +239,7 @@
         self.second.job_api.cancel(ID, 2_000)
         self.wait_for(lambda: not self.running())
 
-    def test_steps_that_a_policy_is_for_start_with_their_tickets(self) -> None:
+    def test_steps_that_require_advice_start_with_tickets(self) -> None:
         queue = attrs.evolve(
             harness.QUEUE, advice=specs.AdviceSpec(50.0, 5.0, 3_000.0)
         )
@@ -250,7 +252,7 @@
             {f"{ID}.0.0/{ALLOWED}"}, {one.ticket for one in starts}
         )
 
-    def test_new_owner_takes_over_what_was_learned(self) -> None:
+    def test_new_owner_restores_learned_models(self) -> None:
         learned = records.LearnedRecord(
             (records.LearnedPressure("press", 2.0, 0.5),),
             base_ms={"serve": 4.0},
@@ -268,14 +270,14 @@
             )
         self.assertEqual(learned, recovered.learned)
 
-    def test_worker_on_which_nothing_can_run_is_not_waited_for(self) -> None:
+    def test_takeover_does_not_wait_for_workers_without_runs(self) -> None:
         # Found by a day: machines down for their maintenance kept the tasks
         # of a new owner waiting for as long as leases may last.
         self.workers["w2"].is_dark = True
         self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
         self.wait_for(lambda: self.recorded_workers() == {"w1"})
-        self.first.die()
+        self.first.disconnect()
         self.wait_for(lambda: self.second.ownership.is_owner)
         started_s = time.monotonic()
         self.workers["w1"].end_all(cell_workers.RunEnd.STOPPED)
