--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -1,4 +1,4 @@
-"""Jobs, workers and control of runs for tests without threads."""
+"""A cell's scheduling components for tests without threads."""
 
 from __future__ import annotations
 
@@ -42,14 +42,14 @@
 def job(
     *steps: specs.StepSpec, job_id: str = "0" * 16, **fields: Any
 ) -> specs.JobSpec:
-    """A job of some steps, accepted when the cell's clock starts."""
+    """A job of these steps, accepted when the cell's clock starts."""
     fields.setdefault("accepted_wall_ms", START_MS)
     return specs.JobSpec(job_id, QUEUE, "text", steps or (step(),), **fields)
 
 
 @attrs.define
 class _RecordedOrders:
-    """Orders that would have gone to a worker."""
+    """Implements a worker session that records orders."""
 
     starts: list[Any] = attrs.field(factory=list)
     stops: list[tuple[str, int]] = attrs.field(factory=list)
@@ -66,27 +66,27 @@
     def start(
         self, run: Any, payload: str, checkpoint: str, ticket: str
     ) -> None:
-        """Notes a start."""
+        """Records a start order."""
         del payload, checkpoint, ticket
         self.starts.append(run)
 
     def stop(self, run: Any, task: str, number: int) -> None:
-        """Notes a stop."""
+        """Records a stop order."""
         del run
         self.stops.append((task, number))
 
     def pace(self, task: str, number: int, percent: int) -> None:
-        """Notes a pace."""
+        """Records a pace order."""
         del number
         self.paces.append((task, percent))
 
-    def acknowledge(self, last_end: int) -> None:
-        """Notes an acknowledgement."""
-        self.acknowledged = last_end
+    def acknowledge(self, acknowledged_end: int) -> None:
+        """Records an acknowledgement."""
+        self.acknowledged = acknowledged_end
 
 
 class Cell:
-    """An owner's parts, without its threads."""
+    """The components of an owner, without its threads."""
 
     def __init__(self, workers: int = 2, cpu_millicores: int = 8_000) -> None:
         self.clock = fake_clock.FakeClock(START_MS)
@@ -97,10 +97,10 @@
         )
         self.durations = duration_model.DurationModel()
         self.model = interference.InterferenceModel()
-        test_metrics = metrics.Metrics()
+        metrics_registry = metrics.Metrics()
         self.ranker = ranking.Ranker(self.durations)
         self.dispatcher = run_dispatcher.RunDispatcher(
-            self.jobs, self.workers, self.model, test_metrics, self.clock
+            self.jobs, self.workers, self.model, metrics_registry, self.clock
         )
         self.reconciler = run_reconciler.RunReconciler(
             self.dispatcher,
@@ -108,7 +108,7 @@
             self.workers,
             self.durations,
             self.model,
-            test_metrics,
+            metrics_registry,
             self.clock,
         )
         self.planner = planner.Planner(self.workers, self.ranker, self.model)
@@ -125,14 +125,14 @@
         return self.sent.setdefault(entry.worker_id, _RecordedOrders())
 
     def submit(self, spec: specs.JobSpec) -> Any:
-        """Takes in a job."""
+        """Adds a job."""
         added = self.jobs.add(spec)
         assert added is not None
         self.ranker.add_job(added)
         return added
 
     def place(self) -> list[Any]:
-        """Places what is ready and confirms its starts."""
+        """Places the tasks of ready steps and confirms their starts."""
         now_ms = self.clock.monotonic_ms()
         placed = self.planner.place(self.jobs.ready_steps(), now_ms)
         for placement in placed:
@@ -150,7 +150,7 @@
         running: tuple[cell_workers.RunningTask, ...] = (),
         ended: tuple[cell_workers.EndedRun, ...] = (),
     ) -> None:
-        """Takes in a worker's lists."""
+        """Processes a worker's lists of running tasks and ends."""
         now_ms = self.clock.monotonic_ms()
         answer = cell_workers.HoldAnswer(now_ms, running, ended)
         event = events.HoldReturned(
@@ -160,7 +160,7 @@
         self.reconciler.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
-        """A hold that got no answer."""
+        """Processes a hold call without an answer."""
         now_ms = self.clock.monotonic_ms()
         error = cell_workers.OrderUnanswered("dark")
         self.workers.handle_hold(
@@ -171,7 +171,7 @@
 
 
 def listed(run: Any, percent: float = 50.0, reading: int = 0) -> Any:
-    """How a worker lists a run that goes on."""
+    """A worker's report of a run in progress."""
     return cell_workers.RunningTask(
         run.task.name, run.number, "", percent, reading
     )
@@ -180,7 +180,7 @@
 def ended(
     run: Any, how: cell_workers.RunEnd, number: int = 1, checkpoint: str = ""
 ) -> cell_workers.EndedRun:
-    """How a worker lists a run that has ended."""
+    """A worker's report of a run that has ended."""
     return cell_workers.EndedRun(
         number, run.task.name, run.number, how, checkpoint
     )
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -1,4 +1,4 @@
-"""Tests of the owner's writing under lost answers, outages and fencing."""
+"""Tests of the fenced writer under lost answers, outages and fencing."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 WAIT_S = 5
 
 
-class ScribeTest(testtools.TestCase):
-    """One scribe on a store in memory."""
+class FencedWriterTest(testtools.TestCase):
+    """A fenced writer on a store in memory."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -24,7 +24,7 @@
         self.fenced = threading.Event()
 
     def make_writer(self, token: int) -> fenced_writer_module.FencedWriter:
-        """A scribe that has not begun."""
+        """A writer that has not been started."""
         return fenced_writer_module.FencedWriter(
             self.store,
             0,
@@ -36,7 +36,7 @@
     def write(
         self, writer: fenced_writer_module.FencedWriter, key: str
     ) -> bool:
-        """Writes a record; returns whether it was reported as kept."""
+        """Writes a record; returns whether it was reported as stored."""
         kept = threading.Event()
         writer.write({key: b"{}"}, {}, [kept.set])
         return kept.wait(WAIT_S)
@@ -50,8 +50,8 @@
         self.assertEqual(1, keys.count("state/a"))
 
     def test_first_try_of_an_append_is_short(self) -> None:
-        # Found by an incident: two lost answers in a row kept the owner from
-        # writing for longer than others wait before they take over.
+        # Guards against the loss of a cell to lost answers: two in a row kept
+        # the owner from writing for longer than OWNER_TIMEOUT_MS.
         self.store.lose_answers = 3
         with self.make_writer(1) as writer:
             writer.fence()
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -1,4 +1,4 @@
-"""Tests of what callers are told, under faults of the store."""
+"""Tests of the answers to callers under faults of the store."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ID = "0" * 16
 
 
-class IntakeTest(testtools.TestCase):
-    """An intake with its tail on a store in memory."""
+class JobApiTest(testtools.TestCase):
+    """A job API and its partition reader on a store in memory."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -1,4 +1,4 @@
-"""What hosts know of jobs from the records of a cell."""
+"""Tests of the jobs' states that hosts read from the records of a cell."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class JobBookTest(testtools.TestCase):
-    """A book that is told records."""
+    """Records applied to a replica."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -26,7 +26,7 @@
         self.offset = 0
 
     def apply(self, key: str, record: object | None) -> None:
-        """One more record."""
+        """Applies a record at the next offset."""
         value = None if record is None else records.encode(record)
         self.replica.apply(
             (store_port.StoredRecord(self.offset, key, value),), False
@@ -34,13 +34,13 @@
         self.offset += 1
 
     def end(self) -> None:
-        """The job is accepted and completed."""
+        """Applies the records of a job that is accepted and completed."""
         self.apply(JOB, harness.job())
         completed = records.JobState.COMPLETED
         self.apply(STATE, records.StateRecord(completed, 1))
 
     def shown_state(self) -> records.JobState | None:
-        """The state that callers are told."""
+        """The state that callers are shown."""
         entry = self.replica.find(ID)
         return None if entry is None else entry.shown_state
 
@@ -72,7 +72,7 @@
 
 
 class JobTableTest(testtools.TestCase):
-    """What the owner records of a job's end."""
+    """Records that the owner writes when a job ends."""
 
     def test_spec_is_dropped_after_the_final_state(self) -> None:
         cell = harness.Cell()
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of when a host claims a cell."""
+"""Tests of the decision to claim a cell."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def view(
     silent_ms: int, heartbeat: records.HeartbeatRecord, **fields: Any
 ) -> Any:
-    """What a host sees when the owner's heartbeat is so old."""
+    """A view in which the owner's last heartbeat is `silent_ms` old."""
     seen = claiming.ClaimView(
         now_ms=100_000,
         view_age_ms=50,
@@ -33,7 +33,7 @@
 
 
 class ReasonToClaimTest(testtools.TestCase):
-    """The decision, on what a host sees."""
+    """Conditions under which a host claims a cell."""
 
     def test_live_owner_is_not_replaced(self) -> None:
         self.assertIs(
@@ -91,11 +91,11 @@
 
 
 class OutdatedViewTest(testtools.TestCase):
-    """The owner's heartbeat changes between the look and the claim."""
+    """Heartbeats that arrive between the decision and the claim."""
 
     def test_heartbeat_of_a_new_owner_ends_the_claim(self) -> None:
-        # Found by an incident: each handover had two claims, as the second
-        # claimant had read of the first one's tenure only after its look.
+        # Guards against a second claim at each handover: a host had decided to
+        # claim before it read the first heartbeat of the new owner.
         released = attrs.evolve(HEARTBEAT, is_released=True)
         seen = view(HOST.claim_delay_ms, released)
         newer = attrs.evolve(HEARTBEAT, host="kality-1", token=8)
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -1,4 +1,4 @@
-"""Tests of what becomes of runs: answers, ends, and answers that don't come."""
+"""Tests of how runs follow reported ends and unanswered orders."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndTest(testtools.TestCase):
-    """Ends that workers list."""
+    """Ends that workers report."""
 
     def test_job_completes_with_its_last_task(self) -> None:
         cell = harness.Cell()
@@ -47,8 +47,8 @@
         self.assertIs(records.JobState.FAILED, job.state)
 
     def test_failure_counts_once_over_two_owners(self) -> None:
-        # Found by a hunt: an end that was recorded, but not acknowledged,
-        # was listed to the next owner and counted again.
+        # Guards against counting a failure twice: a worker reports an end
+        # again to the next owner if it was recorded, but not acknowledged.
         before = harness.Cell()
         job = before.submit(harness.job())
         (run,) = before.place()
@@ -98,7 +98,7 @@
 
 
 class InDoubtTest(testtools.TestCase):
-    """Orders without an answer, and runs without a sign."""
+    """Unanswered orders, unreachable workers, unknown and stalled runs."""
 
     def test_unanswered_start_is_stopped_before_another(self) -> None:
         cell = harness.Cell()
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of a cell's way from one owner to the next, with real threads."""
+"""Tests of takeovers of a cell between two hosts, with real threads."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class HostStore:
-    """One host's way to the store; a test can cut it."""
+    """One host's connection to the store, which a test can cut."""
 
     def __init__(self, store: record_store.MemoryStore) -> None:
         self.is_cut = False
@@ -56,7 +56,7 @@
 
 
 class HostWorker:
-    """One host's way to a worker; a test can cut it."""
+    """One host's connection to a worker, which a test can cut."""
 
     def __init__(self, host: Host, worker: fake_workers.FakeWorker) -> None:
         self._host = host
@@ -72,7 +72,7 @@
 
 
 class FixedWorkerList:
-    """Tells the workers once."""
+    """Reports a fixed list of workers once."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
 
 
 class SingleWorkerAdviser:
-    """Implements `AdviceService`: the policy allows one worker."""
+    """Implements `AdviceService` with a policy that allows one worker."""
 
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
@@ -106,7 +106,7 @@
 
 
 class Host:
-    """A host's book, intake and ownership."""
+    """A host's job replica, job API and ownership."""
 
     def __init__(
         self,
@@ -127,9 +127,9 @@
         appender = stack.enter_context(
             job_api_module.BatchAppender(self.store, 0, clock)
         )
-        counted = metrics.Metrics()
+        metrics_registry = metrics.Metrics()
         self.job_api = job_api_module.JobApi(
-            self.replica, self.reader, appender, counted, clock
+            self.replica, self.reader, appender, metrics_registry, clock
         )
         entries = {name: one.entry for name, one in workers.items()}
         self.deps = owner_dependencies.OwnerDependencies(
@@ -141,7 +141,7 @@
             follow_workers=lambda report: FixedWorkerList(entries, report),
             lease_ms=LEASE_MS,
             keep_ended_ms=KEEP_ENDED_MS,
-            metrics=counted,
+            metrics=metrics_registry,
             clock=clock,
             advice_service=SingleWorkerAdviser(),
         )
@@ -150,7 +150,7 @@
         stack.callback(self.ownership.stop, 2_000)
 
     def disconnect(self) -> None:
-        """From now on, nothing of this host reaches anything."""
+        """Cuts the host from the store and all workers."""
         self.is_dark = True
         self.store.is_cut = True
 
@@ -175,14 +175,14 @@
         self.second.ownership.start()
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
-        """Waits until something holds."""
+        """Waits until a condition holds."""
         until_s = time.monotonic() + WAIT_S
         while not condition():
             self.assertLess(time.monotonic(), until_s, "not in time")
             time.sleep(0.01)
 
     def running(self) -> dict[str, int]:
-        """What runs on all workers."""
+        """Tasks that run on any worker."""
         found: dict[str, int] = {}
         for worker in self.workers.values():
             found.update(worker.running)
@@ -271,8 +271,8 @@
         self.assertEqual(learned, recovered.learned)
 
     def test_takeover_does_not_wait_for_workers_without_runs(self) -> None:
-        # Found by a day: machines down for their maintenance kept the tasks
-        # of a new owner waiting for as long as leases may last.
+        # Guards against waiting for workers that can't have runs: machines in
+        # maintenance delayed the tasks of a new owner by the lease duration.
         self.workers["w2"].is_dark = True
         self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
@@ -285,7 +285,7 @@
         self.assertLess(time.monotonic() - started_s, 2.5)
 
     def recorded_workers(self) -> set[str]:
-        """Workers on which something may run, by the store."""
+        """Workers that may have runs according to the store."""
         batch = self.store.newest(records.WORK_TOPIC, 0).unwrap()
         for record in batch.records:
             if record.key == records.WORKERS_KEY and record.value is not None:
