--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -43,11 +43,11 @@
 
     jobs: dict[str, bytes | None] = attrs.field(factory=dict)
     work: dict[str, bytes | None] = attrs.field(factory=dict)
-    recorded: list[Callable[[], None]] = attrs.field(factory=list)
+    on_stored: list[Callable[[], None]] = attrs.field(factory=list)
 
     @property
     def is_empty(self) -> bool:
-        return not (self.jobs or self.work or self.recorded)
+        return not (self.jobs or self.work or self.on_stored)
 
 
 @final
@@ -136,7 +136,7 @@
         with self._condition:
             self._heartbeat = last
             self._last_heartbeat_ms = 0
-            self._pending.recorded.append(lambda: None)
+            self._pending.on_stored.append(lambda: None)
             self._is_closing = True
             self._condition.notify_all()
 
@@ -144,15 +144,15 @@
         self,
         jobs: dict[str, bytes | None],
         work: dict[str, bytes | None],
-        recorded: Sequence[Callable[[], None]],
+        on_stored: Sequence[Callable[[], None]],
     ) -> None:
         """Queues records by key, and callbacks for when they are stored."""
-        if not (jobs or work or recorded):
+        if not (jobs or work or on_stored):
             return
         with self._condition:
             self._pending.jobs.update(jobs)
             self._pending.work.update(work)
-            self._pending.recorded.extend(recorded)
+            self._pending.on_stored.extend(on_stored)
             self._condition.notify_all()
 
     def _run(self) -> None:
@@ -196,8 +196,8 @@
                 and self._append_until_known(topic, new_records) is None
             ):
                 return
-        for recorded in pending.recorded:
-            recorded()
+        for on_stored in pending.on_stored:
+            on_stored()
 
     def _append_until_known(
         self, topic: str, new_records: tuple[store_port.NewRecord, ...]
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -85,18 +85,22 @@
         self._jobs = job_table_module.JobTable(recovered.token, clock)
         self._durations = duration_model_module.DurationModel()
         self._ranker = ranking_module.Ranker(self._durations)
-        terms = worker_session.LeaseParameters(
+        lease_parameters = worker_session.LeaseParameters(
             recovered.token, deps.lease_ms, writer.may_act
         )
         self._workers = worker_table_module.WorkerTable(
             lambda entry: worker_session.WorkerSession(
-                entry, deps.connect(entry), terms, self._events.put, clock
+                entry,
+                deps.connect(entry),
+                lease_parameters,
+                self._events.put,
+                clock,
             ),
             clock,
             recovered.release_after_ms,
         )
         model = interference.InterferenceModel()
-        self._model = model
+        self._interference = model
         self._dispatcher = run_dispatcher.RunDispatcher(
             self._jobs, self._workers, model, metrics, clock
         )
@@ -112,9 +116,9 @@
         self._planner = planner_module.Planner(
             self._workers, self._ranker, model
         )
-        self._advice = advice_module.AdvicePlanner(metrics)
+        self._advice_planner = advice_module.AdvicePlanner(metrics)
         self._waves = deps.waves
-        self._maintenance = maintenance.MaintenancePlanner(
+        self._maintenance_planner = maintenance.MaintenancePlanner(
             recovered.waves,
             clock.monotonic_ms() + deps.handover_ms,
             metrics,
@@ -127,7 +131,7 @@
         self._last_pass_ms = 0
         self._pass_duration_ms = 0
         self._stop_reason: reasons.OwnershipEnd | None = None
-        self._must_acknowledge: set[str] = set()
+        self._unacknowledged_workers: set[str] = set()
         self._recorded_workers = recorded_workers.RecordedWorkers(
             self._workers, recovered.known_workers, self._events.put
         )
@@ -218,7 +222,7 @@
             if now_ms - self._last_tick_ms >= TICK_INTERVAL_MS:
                 self._last_tick_ms = now_ms
                 self._tick(now_ms)
-            self._place(now_ms)
+            self._run_placement_pass(now_ms)
             self._write_records()
 
     def _process_events(self) -> None:
@@ -245,7 +249,7 @@
             case events.WorkersRecorded(born_ms):
                 self._recorded_workers.mark_recorded(born_ms)
             case events.AdviceReturned():
-                self._advice.handle_advice_returned(
+                self._advice_planner.handle_advice_returned(
                     event, self._clock.monotonic_ms()
                 )
             case (
@@ -284,15 +288,15 @@
         now_ms = self._clock.monotonic_ms()
         match event:
             case events.MachinesListed():
-                self._maintenance.handle_machines_listed(
+                self._maintenance_planner.handle_machines_listed(
                     event, self._workers.by_id(), now_ms
                 )
             case events.MaintenanceReturned():
-                self._maintenance.handle_maintenance_returned(
+                self._maintenance_planner.handle_maintenance_returned(
                     event, self._workers.by_id(), now_ms
                 )
             case events.ReportFailed(wave):
-                self._maintenance.handle_report_failed(wave)
+                self._maintenance_planner.handle_report_failed(wave)
 
     def _cancel(self, job_id: str) -> None:
         job = self._jobs.cancel(job_id)
@@ -305,7 +309,7 @@
         match event.outcome:
             case result.Ok(answer):
                 if self._reconciler.handle_hold(event, answer):
-                    self._must_acknowledge.add(event.worker_id)
+                    self._unacknowledged_workers.add(event.worker_id)
             case result.Err(cell_workers.OrderRefused(reason)):
                 if reason is cell_workers.Refusal.FENCED:
                     self._stop_reason = reasons.OwnershipEnd.FENCED
@@ -323,25 +327,25 @@
                 self._dispatcher.send_start(copy.run)
         if now_ms - self._last_report_ms >= REPORT_INTERVAL_MS:
             self._last_report_ms = now_ms
-            self._report()
+            self._log_load()
         if not self._is_settled:
-            self._settle(now_ms)
+            self._check_settled(now_ms)
 
-    def _report(self) -> None:
+    def _log_load(self) -> None:
         cell_report.log_load(
             self._recovered.token,
             self._workers,
             self._jobs,
-            self._model.summary(),
+            self._interference.summary(),
             self._writer.append_age_ms,
         )
 
-    def _settle(self, now_ms: int) -> None:
+    def _check_settled(self, now_ms: int) -> None:
         """Checks whether all runs of the previous owner are known."""
         waited_ms = now_ms - self._started_ms
         known = self._recovered.known_workers
-        is_over = now_ms > self._recovered.release_after_ms
-        if not is_over and self._workers.has_unknown(known):
+        is_timed_out = now_ms > self._recovered.release_after_ms
+        if not is_timed_out and self._workers.has_unknown(known):
             return
         self._is_settled = True
         logs.event(
@@ -353,7 +357,7 @@
             jobs=len(self._jobs),
         )
 
-    def _place(self, now_ms: int) -> None:
+    def _run_placement_pass(self, now_ms: int) -> None:
         if not self._writer.may_act():
             return
         steps = self._jobs.ready_steps()
@@ -362,19 +366,19 @@
         if not steps:
             return
         since_ms = now_ms - self._last_pass_ms
-        pause_ms = max(
+        interval_ms = max(
             BUSY_PASS_INTERVAL_MS, PASS_INTERVAL_FACTOR * self._pass_duration_ms
         )
-        if len(steps) > BUSY_STEP_COUNT and since_ms < pause_ms:
+        if len(steps) > BUSY_STEP_COUNT and since_ms < interval_ms:
             return
         self._last_pass_ms = now_ms
         self._request_advice(steps, now_ms)
         for placement in self._planner.place(steps, now_ms):
             self._dispatcher.send_start(placement.run)
-        left = [step for step in steps if step.pending_tasks]
-        for victim in self._planner.choose_victims(left, now_ms):
+        remaining = [step for step in steps if step.pending_tasks]
+        for victim in self._planner.choose_victims(remaining, now_ms):
             self._dispatcher.stop(victim, reasons.StopReason.SHORT_TASK)
-        for run in self._planner.clear_worker(left, now_ms):
+        for run in self._planner.clear_worker(remaining, now_ms):
             self._dispatcher.stop(run, reasons.StopReason.WORKER_CLEARED)
         self._pass_duration_ms = self._clock.monotonic_ms() - now_ms
 
@@ -383,13 +387,13 @@
     ) -> None:
         """Requests advice on workers for steps whose queue requires it."""
         wanted = steps + self._jobs.nearly_ready_steps()
-        for request in self._advice.plan_requests(
+        for request in self._advice_planner.plan_requests(
             wanted, self._workers, now_ms
         ):
             if self._advice_fetcher is not None:
                 self._advice_fetcher.fetch(request)
                 continue
-            self._advice.report_missing(
+            self._advice_planner.report_missing(
                 request.step,
                 reasons.MissingAdvice.NO_SERVICE,
                 "no advice service is configured",
@@ -400,7 +404,7 @@
         waves = self._waves()
         if not waves or self._machine_caller is None:
             return
-        for action in self._maintenance.plan(
+        for action in self._maintenance_planner.plan(
             waves, self._workers.by_id(), now_ms, self._clock.wall_ms()
         ):
             self._machine_caller.submit(action)
@@ -419,17 +423,17 @@
 
     def _write_records(self) -> None:
         writes = self._jobs.drain_writes()
-        recorded: list[Callable[[], None]] = []
+        on_stored: list[Callable[[], None]] = []
         self._recorded_workers.add_writes(
-            writes.work, recorded, self._is_settled
+            writes.work, on_stored, self._is_settled
         )
         self._model_persistence.add_writes(writes.work)
-        writes.work.update(self._maintenance.drain_writes())
-        if self._must_acknowledge:
-            recorded.append(self._end_recorded_timer())
-        for worker_id in self._must_acknowledge:
+        writes.work.update(self._maintenance_planner.drain_writes())
+        if self._unacknowledged_workers:
+            on_stored.append(self._end_recorded_timer())
+        for worker_id in self._unacknowledged_workers:
             acknowledge = self._workers.acknowledger(worker_id)
             if acknowledge is not None:
-                recorded.append(acknowledge)
-        self._must_acknowledge.clear()
-        self._writer.write(writes.jobs, writes.work, recorded)
+                on_stored.append(acknowledge)
+        self._unacknowledged_workers.clear()
+        self._writer.write(writes.jobs, writes.work, on_stored)
--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -42,7 +42,7 @@
     def add_writes(
         self,
         work: dict[str, bytes | None],
-        recorded: list[Callable[[], None]],
+        on_stored: list[Callable[[], None]],
         is_settled: bool,
     ) -> None:
         """Adds the record of current incarnations if they have changed.
@@ -64,4 +64,4 @@
         work[records.WORKERS_KEY] = records.encode(
             records.WorkersRecord(born_ms)
         )
-        recorded.append(lambda: self._post(events.WorkersRecorded(born_ms)))
+        on_stored.append(lambda: self._post(events.WorkersRecorded(born_ms)))
