--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -133,12 +133,12 @@
                 if more is None:
                     return
                 batch.append(more)
-            self._append(batch)
+            self._append_batch(batch)
 
-    def _append(self, batch: list[_PendingRecord]) -> None:
+    def _append_batch(self, batch: list[_PendingRecord]) -> None:
         may_be_stored = False
         while True:
-            outcome = self._try(batch)
+            outcome = self._append_once(batch)
             match outcome:
                 case Kept():
                     break
@@ -147,19 +147,19 @@
                 case NotKept() if not may_be_stored:
                     break
             now_ms = self._clock.monotonic_ms()
-            late = [
+            expired = [
                 pending for pending in batch if pending.deadline_ms <= now_ms
             ]
             batch = [
                 pending for pending in batch if pending.deadline_ms > now_ms
             ]
-            _complete(late, PerhapsKept("no answer in time"))
+            _complete(expired, PerhapsKept("no answer in time"))
             if not batch:
                 return
             time.sleep(RETRY_PAUSE_MS / 1_000)
         _complete(batch, outcome)
 
-    def _try(self, batch: Sequence[_PendingRecord]) -> AppendOutcome:
+    def _append_once(self, batch: Sequence[_PendingRecord]) -> AppendOutcome:
         match self._store.append(
             records.JOBS_TOPIC,
             self._cell,
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -159,9 +159,9 @@
         self._durations.observe(queue, step.spec, took_ms)
         step.durations_ms.append(took_ms)
         if len(step.durations_ms) >= 3:
-            usual_ms = max(statistics.median(step.durations_ms), 1)
+            median_ms = max(statistics.median(step.durations_ms), 1)
             worker.slowness += SLOWNESS_SMOOTHING * (
-                took_ms / usual_ms - worker.slowness
+                took_ms / median_ms - worker.slowness
             )
 
     def _handle_failed(
@@ -220,12 +220,12 @@
     ) -> None:
         """Adopts a run that a previous owner started, or stops it."""
         task = self._jobs.find_task(listed.task)
-        wanted = (
+        should_adopt = (
             task is not None
             and not task.is_done
             and (not task.runs or task.step.spec.is_speculative)
         )
-        if task is not None and wanted:
+        if task is not None and should_adopt:
             run = runs_module.Run(
                 task,
                 listed.run,
