--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -75,7 +75,7 @@
             cell.clock.advance(1_000)
         self.assertIs(records.JobState.RUNNING, job.state)
 
-    def test_stopped_run_goes_on_from_its_checkpoint(self) -> None:
+    def test_stopped_run_resumes_from_its_checkpoint(self) -> None:
         cell = harness.Cell()
         cell.submit(harness.job(harness.step(1, has_checkpoints=True)))
         (run,) = cell.place()
@@ -123,7 +123,7 @@
         (again,) = cell.place()
         self.assertEqual(2, again.number)
 
-    def test_unanswered_start_that_is_listed_goes_on(self) -> None:
+    def test_unanswered_start_that_is_listed_continues(self) -> None:
         cell = harness.Cell()
         cell.submit(harness.job())
         now_ms = cell.clock.monotonic_ms()
@@ -146,7 +146,7 @@
         (lost,) = cell.workers.expire()
         self.assertEqual((run,), lost.runs)
 
-    def test_run_of_an_earlier_owner_is_taken_over(self) -> None:
+    def test_run_of_a_previous_owner_is_adopted(self) -> None:
         cell = harness.Cell()
         job = cell.submit(harness.job())
         (task,) = job.steps[0][0].tasks
