--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -196,8 +196,8 @@
                 and self._append_until_known(topic, new_records) is None
             ):
                 return
-        for on_stored in pending.on_stored:
-            on_stored()
+        for callback in pending.on_stored:
+            callback()
 
     def _append_until_known(
         self, topic: str, new_records: tuple[store_port.NewRecord, ...]
--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -195,7 +195,7 @@
 
 @attrs.frozen
 class Undecided:
-    """The request may be stored; repeating it is safe and tells."""
+    """The request may be stored; the caller can safely repeat it."""
 
     detail: str
 
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -89,7 +89,7 @@
     def listen(self, listener: Listener | None) -> list[JobEntry]:
         """Replaces the listener and returns the unfinished jobs so far.
 
-        No change is missed or duplicated between the two.
+        Both under one lock, so that no change in between is missed.
         """
         with self._lock:
             self._listener = listener
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -78,7 +78,7 @@
         ).start()
 
     def stop(self, timeout_ms: int) -> None:
-        """Releases the cell, if this host owns it, and claims it no more."""
+        """Releases the cell, if this host owns it, and stops claiming it."""
         self._stopping.set()
         self._finished.wait(timeout_ms / 1_000)
 
@@ -174,8 +174,7 @@
             if record.offset != self._other_claim_offset:
                 self._other_claim_offset = record.offset
                 self._other_claim_seen_ms = now_ms
-            # The claimant has as long to write its first heartbeat as an owner
-            # between two.
+            # The claimant gets OWNER_TIMEOUT_MS to write its first heartbeat.
             claim = records.decode(records.ClaimRecord, record.value)
             is_own = claim.host == self._host.name
             return (
--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -16,8 +16,8 @@
 from comfreylatch._process import logs
 
 # How long a read waits for a record. It bounds the age of a view without
-# changes; below half of the two seconds after which callers must not be
-# answered from it.
+# changes, and is below half of the two seconds after which callers must not be
+# answered from the view.
 READ_WAIT_MS = 700
 # First and longest pause after a failed read. During an outage the store fails
 # calls at once, so retries without a pause would use up the call rate.
@@ -71,7 +71,7 @@
         self._stopping = threading.Event()
         self._offset_changed = threading.Condition()
         self._thread = threading.Thread(
-            target=self._run, name=f"tail-{topic}-{partition}", daemon=True
+            target=self._run, name=f"reader-{topic}-{partition}", daemon=True
         )
 
     def __enter__(self) -> Self:
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -27,8 +27,8 @@
 # thousand.
 FAILURES_BEFORE_AVOIDANCE = 3
 FAILING_WORKER_AVOIDANCE_MS = 5_000
-# Time without progress after which a run is considered stalled, although its
-# worker reports. The durations of an image's tasks vary by half.
+# Time without progress after which a run is considered stalled while its worker
+# still answers. The durations of an image's tasks vary by half.
 STALL_TIMEOUT_MS = 2_500
 # Time at a low pace after which a run with checkpoints is moved.
 SLOW_TIMEOUT_MS = 1_200
@@ -149,7 +149,7 @@
     ) -> None:
         """Updates the duration model and the slowness of the worker.
 
-        Only from runs without interruptions, of tasks with a fixed duration.
+        The run must not have been interrupted. Skips filling tasks and gangs.
         """
         step = run.task.step
         if step.spec.fills_idle or step.spec.is_gang or not run.confirmed_ms:
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -357,19 +357,19 @@
 
     def restore(self, progress: records.ProgressRecord) -> None:
         """Restores the progress that a previous owner recorded."""
-        for part in progress.steps:
-            if part.occurrence not in self.steps:
-                self.create_occurrence(part.occurrence)
-            for index in part.done:
-                task = self.find(part.occurrence, part.step, index)
+        for recorded in progress.steps:
+            if recorded.occurrence not in self.steps:
+                self.create_occurrence(recorded.occurrence)
+            for index in recorded.done:
+                task = self.find(recorded.occurrence, recorded.step, index)
                 if task is not None:
                     task.step.mark_done(task)
-            for index, failed_runs in part.failed_runs.items():
-                task = self.find(part.occurrence, part.step, index)
+            for index, failed_runs in recorded.failed_runs.items():
+                task = self.find(recorded.occurrence, recorded.step, index)
                 if task is not None:
                     task.failed_runs = frozenset(failed_runs)
-            for index, checkpoint in part.checkpoints.items():
-                task = self.find(part.occurrence, part.step, index)
+            for index, checkpoint in recorded.checkpoints.items():
+                task = self.find(recorded.occurrence, recorded.step, index)
                 if task is not None:
                     task.checkpoint = checkpoint
 
