--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -365,11 +365,11 @@
             steps = [step for step in steps if step.job.run_number_floor == 0]
         if not steps:
             return
-        since_ms = now_ms - self._last_pass_ms
+        since_last_pass_ms = now_ms - self._last_pass_ms
         interval_ms = max(
             BUSY_PASS_INTERVAL_MS, PASS_INTERVAL_FACTOR * self._pass_duration_ms
         )
-        if len(steps) > BUSY_STEP_COUNT and since_ms < interval_ms:
+        if len(steps) > BUSY_STEP_COUNT and since_last_pass_ms < interval_ms:
             return
         self._last_pass_ms = now_ms
         self._request_advice(steps, now_ms)
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -35,9 +35,9 @@
     """Permits starts of a step's tasks on one incarnation of a worker.
 
     Attributes:
-        text: Token that a start order has to carry.
+        text: Opaque text that a start order has to carry.
         born_ms: Identifies the incarnation of the worker.
-        until_ms: Monotonic time from which the ticket is no longer used.
+        expires_ms: Monotonic time from which the ticket is no longer used.
     """
 
     text: str
@@ -54,7 +54,7 @@
         number: Run number; rises with each run of the task.
         worker_id: The worker that it was placed on.
         phase: Its phase.
-        since_ms: Monotonic time of its start order.
+        ordered_ms: Monotonic time of its start order.
         confirmed_ms: Monotonic time at which the worker confirmed the current
             start or stop order; 0 before.
         percent: Progress as last reported.
