--- a/src/comfreylatch/_process/cell/owner_dependencies.py
+++ b/src/comfreylatch/_process/cell/owner_dependencies.py
@@ -29,7 +29,7 @@
         replica: This host's replica of the cell's jobs.
         jobs_reader: Reads the topic of jobs into the replica.
         connect: Connects to a worker.
-        adviser: Advises on which workers may run a step; None if no such
+        advice_service: Advises on which workers may run a step; None if no such
             service is configured.
         machines: API for the machines under the workers; None if it is not
             configured.
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -80,9 +80,9 @@
         del number
         self.paces.append((task, percent))
 
-    def acknowledge(self, acknowledged_end: int) -> None:
+    def acknowledge(self, last_end: int) -> None:
         """Records an acknowledgement."""
-        self.acknowledged = acknowledged_end
+        self.acknowledged = last_end
 
 
 class Cell:
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -90,7 +90,7 @@
         return
 
 
-class SingleWorkerAdviser:
+class SingleWorkerAdvice:
     """Implements `AdviceService` with a policy that allows one worker."""
 
     def advise(
@@ -143,7 +143,7 @@
             keep_ended_ms=KEEP_ENDED_MS,
             metrics=metrics_registry,
             clock=clock,
-            advice_service=SingleWorkerAdviser(),
+            advice_service=SingleWorkerAdvice(),
         )
         self.identity = claiming.HostIdentity(name, f"boot-{name}", "bole", 1.0)
         self.ownership = ownership_module.Ownership(self.deps, self.identity)
