--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -235,7 +235,7 @@
     request: exchange.EndpointRequest,
     remaining_ms: int,
 ) -> None:
-    headers = endpoint_headers.of_request(request.headers)
+    headers = endpoint_headers.filter_request_headers(request.headers)
     headers[endpoint_headers.ID_HEADER] = request.request_id
     headers[endpoint_headers.REMAINING_HEADER] = str(remaining_ms)
     headers.setdefault("accept-encoding", "identity")
--- a/src/comfreylatch/_connection/endpoint_headers.py
+++ b/src/comfreylatch/_connection/endpoint_headers.py
@@ -28,7 +28,7 @@
 )
 
 
-def of_request(headers: Mapping[str, str]) -> dict[str, str]:
+def filter_request_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """The headers of a request, in lower case, that go on to an endpoint."""
     named = _named_by_connection(headers.get("connection", ""))
     return {
--- a/src/comfreylatch/_request/call.py
+++ b/src/comfreylatch/_request/call.py
@@ -171,7 +171,7 @@
         service_name=call.state.name,
         path=request.target,
         method=request.method,
-        headers=endpoint_headers.of_request(request.headers),
+        headers=endpoint_headers.filter_request_headers(request.headers),
         body=request.body,
         remaining_ms=remaining_ms,
         idempotent=request.idempotent,
