--- a/src/comfreylatch/_connection/endpoint_headers.py
+++ b/src/comfreylatch/_connection/endpoint_headers.py
@@ -40,7 +40,7 @@
     }
 
 
-def of_answer(headers: Any) -> dict[str, str]:
+def filter_answer_headers(headers: Any) -> dict[str, str]:
     """The headers of an answer that go on to the caller."""
     named = _named_by_connection(headers.get("connection", ""))
     kept: dict[str, str] = {}
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -164,7 +164,7 @@
                     body[:200].decode("utf-8", "replace"), closing
                 )
             )
-        headers = endpoint_headers.of_answer(response.headers)
+        headers = endpoint_headers.filter_answer_headers(response.headers)
         return result.Ok(
             exchange.EndpointAnswer(response.status, headers, body, closing)
         )
