--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -102,7 +102,7 @@
         self._socket.open()
         self._socket.setTimeout(timeout_ms)
         peer_transport.send_at_once(self._socket)
-        self.client = Peer.Client(peer_transport.protocol_over(self._socket))
+        self.client = Peer.Client(peer_transport.make_protocol(self._socket))
 
     def usable(self, timeout_ms: int) -> bool:
         """Whether the peer still holds it open; sets the call's timeout."""
--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -97,7 +97,7 @@
         transport.setHandle(connection)
         transport.setTimeout(IDLE_TIMEOUT_MS)
         peer_transport.send_at_once(transport)
-        protocol = peer_transport.protocol_over(transport)
+        protocol = peer_transport.make_protocol(transport)
         try:
             while True:
                 self._processor.process(protocol, protocol)
--- a/src/comfreylatch/_connection/peer_transport.py
+++ b/src/comfreylatch/_connection/peer_transport.py
@@ -11,7 +11,7 @@
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 
 
-def protocol_over(
+def make_protocol(
     transport: TTransport.TTransportBase,
 ) -> TCompactProtocol.TCompactProtocolAccelerated:
     """The protocol both sides speak over a socket.
--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -243,7 +243,7 @@
 
 def _encoded(message: Any) -> int:
     buffer = TTransport.TMemoryBuffer()
-    protocol = peer_transport.protocol_over(buffer)
+    protocol = peer_transport.make_protocol(buffer)
     message.write(protocol)
     protocol.trans.flush()
     return len(buffer.getvalue())
