--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -151,7 +151,7 @@
             self._connection.close()
         if self._channel is not None:
             self._channel.close()
-        self.forget()
+        self.mark_closed()
 
     def hand_over(self) -> socket.socket:
         """The socket, out of this object's care; it stays counted."""
@@ -160,7 +160,7 @@
         self.connection.sock = None
         return handed
 
-    def forget(self) -> None:
+    def mark_closed(self) -> None:
         """Stops counting the connection; something else closes it."""
         self._pools.count_closed(self._address)
 
