--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -93,7 +93,7 @@
         self._late.watch(
             watched,
             self._limits.hold_until_ms,
-            _both(lease.forget, self._ended),
+            _both(lease.mark_closed, self._ended),
         )
 
     def _lost(self, loss: exchange.Loss, detail: str) -> exchange.TryResult:
