--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -232,7 +232,7 @@
         for connection in useless:
             connection.close()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the unused connections to an address."""
         with self._lock:
             pool = self._pools.get(address)
@@ -246,4 +246,4 @@
     def close(self) -> None:
         """Closes every unused connection."""
         for address in list(self._pools):
-            self.forget(address)
+            self.close_idle(address)
--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -138,9 +138,9 @@
         """Closes unused connections beyond the limits, given by address."""
         self._pools.trim(limits)
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Closes the unused connections to an address."""
-        self._pools.forget(address)
+        self._pools.close_idle(address)
 
     def open_connections(self, address: str) -> int:
         """Connections held to an address now."""
--- a/src/comfreylatch/_request/observations.py
+++ b/src/comfreylatch/_request/observations.py
@@ -107,7 +107,7 @@
 
     def _drain_endpoint(self, endpoint: str, sentence: str) -> None:
         self._parts.table.leaving_changed()
-        self._parts.client.forget(self._state.addresses.get(endpoint, ""))
+        self._parts.client.close_idle(self._state.addresses.get(endpoint, ""))
         self._parts.journal.record(
             reasons.Subject.ENDPOINT, endpoint, "leaving", sentence
         )
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -299,7 +299,7 @@
         self._table.leaving_changed()
         for state in self._table.all():
             for endpoint in endpoints & state.addresses.keys():
-                self._parts.client.forget(state.addresses[endpoint])
+                self._parts.client.close_idle(state.addresses[endpoint])
                 sign = self._table.leaving.sign(endpoint)
                 self._note_endpoint(endpoint, "leaving", f"{how}: {sign}")
 
