--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -121,7 +121,7 @@
             )
         )
 
-    def accepts(self, address: str) -> bool:
+    def can_connect(self, address: str) -> bool:
         """Whether an address takes connections; sends nothing."""
         parsed = address_module.parse(address).unwrap()
         timeout_s = self._connect_timeout_ms / 1_000
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -278,7 +278,7 @@
         }
         for endpoint in self._table.leaving.to_probe():
             address = addresses.get(endpoint)
-            if address is None or not self._parts.client.accepts(address):
+            if address is None or not self._parts.client.can_connect(address):
                 continue
             self._table.leaving.accepts_again(endpoint)
             self._table.leaving_changed()
