--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -15,7 +15,7 @@
 
 from comfreylatch._commands import trace as trace_module
 from testing import checker
-from testing import fault_plan
+from testing import fault_injection
 from testing import fleet
 from testing import fleet_plan
 from testing import traces
@@ -50,7 +50,7 @@
     delays: bool
     speed: float
     label: str
-    fault: fault_plan.Fault
+    fault: fault_injection.Fault
     with_jobs: bool
     as_json: bool
 
@@ -61,7 +61,7 @@
     links: set[fleet_plan.Link] = set()
     if experiment.delays:
         links |= {fleet_plan.Link.PEERS, fleet_plan.Link.CALLERS}
-    if experiment.fault is fault_plan.Fault.CUT_ZONE:
+    if experiment.fault is fault_injection.Fault.CUT_ZONE:
         links |= {fleet_plan.Link.PEERS, fleet_plan.Link.PLATFORM}
     options = fleet_plan.FleetOptions(
         links=frozenset(links),
@@ -80,7 +80,7 @@
     trace = maker.make(experiment.with_jobs)
     with fleet.Fleet(workload.deployment, options) as running:
         running.put_in_force()
-        faults = fault_plan.FaultPlan(
+        faults = fault_injection.FaultPlan(
             running, experiment.fault, experiment.duration_ms
         )
         with faults:
@@ -169,9 +169,9 @@
     parser.add_argument("--label", default="")
     parser.add_argument(
         "--fault",
-        type=fault_plan.Fault,
-        choices=list(fault_plan.Fault),
-        default=fault_plan.Fault.NONE,
+        type=fault_injection.Fault,
+        choices=list(fault_injection.Fault),
+        default=fault_injection.Fault.NONE,
     )
     parser.add_argument("--no-delays", dest="delays", action="store_false")
     parser.add_argument("--no-jobs", dest="with_jobs", action="store_false")
