--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -80,7 +80,7 @@
     trace = maker.make(experiment.with_jobs)
     with fleet.Fleet(workload.deployment, options) as running:
         running.put_in_force()
-        faults = fault_injection.FaultPlan(
+        faults = fault_injection.FaultInjector(
             running, experiment.fault, experiment.duration_ms
         )
         with faults:
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -29,7 +29,7 @@
     FAILING_WORKER = "failing-worker"
 
 
-class FaultPlan:
+class FaultInjector:
     """Strikes once and heals once, on a thread of its own.
 
     The first zone's first seat, endpoint or worker is the victim.
@@ -49,7 +49,7 @@
         self._endpoint = deployment.endpoint_names()[0]
         self._worker = deployment.worker_names()[0]
 
-    def __enter__(self) -> FaultPlan:
+    def __enter__(self) -> FaultInjector:
         self._thread.start()
         return self
 
