--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -157,7 +157,7 @@
     """Waits for the end of all jobs; asserts that every promise was kept."""
     seat = next(iter(running.hosts))
     job_checks.settle(running, submitted, seat)
-    found = job_checks.breaches(running, submitted, seat, faulty)
+    found = job_checks.find_violations(running, submitted, seat, faulty)
     test.assertEqual([], found)
     running.wait_until(
         lambda: hosts_agree(running), "all hosts know the same jobs", 5.0
--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -81,7 +81,7 @@
     pages: Mapping[str, Mapping[str, Any]]
 
 
-def breaches(
+def find_violations(
     fleet: fleet_module.Fleet,
     submitter: job_load.JobSubmitter,
     seat: str,
