--- a/testing/callers.py
+++ b/testing/callers.py
@@ -118,7 +118,7 @@
         return one
 
 
-def breaches(
+def find_violations(
     fleet: fleet_module.Fleet, sent: Sequence[checker.Sent]
 ) -> list[checker.Breach]:
     """What the endpoints' own records show of broken promises."""
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -188,7 +188,7 @@
             sent.extend(one.sent for one in replies)
             print(_line(policy.value, phase.name, replies, tries), flush=True)
             time.sleep(1.0)
-        broken = callers.breaches(running, sent)
+        broken = callers.find_violations(running, sent)
     print(f"policy={policy.value} promises_broken={len(broken)}", flush=True)
 
 
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -43,7 +43,7 @@
         if one.answer.outcome in ("lost", "unknown")
     ]
     test.assertEqual([], cut_off)
-    test.assertEqual([], callers.breaches(running, sending.sent))
+    test.assertEqual([], callers.find_violations(running, sending.sent))
 
 
 def assert_mostly_answered(
@@ -75,7 +75,7 @@
             time.sleep(2.0)
             running.signal_host(seats[0], signal.SIGCONT)
             time.sleep(1.0)
-        self.assertEqual([], callers.breaches(running, sending.sent))
+        self.assertEqual([], callers.find_violations(running, sending.sent))
         self.assertGreater(sending.count("answered"), 100)
 
     def test_endpoints_slower_than_callers_wait(self) -> None:
@@ -86,7 +86,7 @@
             time.sleep(1.0)
             running.endpoints.control(endpoint="ex-1", slow=30.0)
             time.sleep(4.0)
-        self.assertEqual([], callers.breaches(running, sending.sent))
+        self.assertEqual([], callers.find_violations(running, sending.sent))
         self.assertGreater(sending.count("answered"), 50)
 
     def test_hosts_of_a_zone_cut_from_each_other(self) -> None:
@@ -99,7 +99,7 @@
             time.sleep(3.0)
             running.network.set("peer/*", cut=False)
             time.sleep(2.0)
-        self.assertEqual([], callers.breaches(running, sending.sent))
+        self.assertEqual([], callers.find_violations(running, sending.sent))
 
 
 @pytest.mark.xdist_group("fleet-2")
@@ -116,7 +116,7 @@
                 running.endpoints.control(endpoint="*", truncate=1, reset=1)
                 sending.wait_answered(hundreds * 100, 30.0)
         self.assertGreaterEqual(sending.count("answered"), 10_000)
-        self.assertEqual([], callers.breaches(running, sending.sent))
+        self.assertEqual([], callers.find_violations(running, sending.sent))
 
 
 @pytest.mark.xdist_group("fleet-2")
@@ -141,7 +141,7 @@
                 running.start_host(victim)
                 running.wait_ready(victim)
                 time.sleep(0.5)
-        self.assertEqual([], callers.breaches(running, sending.sent))
+        self.assertEqual([], callers.find_violations(running, sending.sent))
         self.assertGreater(sending.count("answered"), 200)
 
 
