--- a/testing/checker.py
+++ b/testing/checker.py
@@ -105,13 +105,15 @@
 
 def answers_whole(sent: Iterable[Sent]) -> list[Breach]:
     """Every answer is whole and belongs to the request it was given for."""
-    breaches = []
+    violations = []
     for one in sent:
         if one.answer.outcome == ANSWERED:
             detail = _wrong_answer(one)
             if detail:
-                breaches.append(Breach("answers-whole", one.request_id, detail))
-    return breaches
+                violations.append(
+                    Breach("answers-whole", one.request_id, detail)
+                )
+    return violations
 
 
 @attrs.frozen
@@ -198,14 +200,14 @@
     by_job: dict[str, list[Span]] = collections.defaultdict(list)
     for span in spans(events):
         by_job[span.job].append(span)
-    breaches = []
+    violations = []
     for job, found in by_job.items():
         found.sort(key=lambda span: span.start_ms)
         for earlier, later in itertools.pairwise(found):
             if later.start_ms < earlier.end_ms:
                 detail = f"{_where(earlier)} and {_where(later)}"
-                breaches.append(Breach("never-in-two-places", job, detail))
-    return breaches
+                violations.append(Breach("never-in-two-places", job, detail))
+    return violations
 
 
 def _where(span: Span) -> str:
@@ -249,7 +251,7 @@
 def resumed_from_checkpoint(events: Iterable[WorkerEvent]) -> list[Breach]:
     """No attempt resumed further on than the job's last checkpoint."""
     reached: dict[str, int] = {}
-    breaches = []
+    violations = []
     for event in events:
         if event.kind == "checkpoint":
             reached[event.job] = max(
@@ -259,10 +261,10 @@
             last_ms = reached.get(event.job, 0)
             if event.progress_ms > last_ms:
                 detail = f"at {event.progress_ms} ms, checkpoint {last_ms} ms"
-                breaches.append(
+                violations.append(
                     Breach("resumed-from-checkpoint", event.job, detail)
                 )
-    return breaches
+    return violations
 
 
 def finished_once(
@@ -276,13 +278,13 @@
             started.add(event.job)
         elif event.kind == "end" and event.detail == "finished":
             finished[event.job] += 1
-    breaches = [
+    violations = [
         Breach("finished-once", job, f"finished {finished[job]} times")
         for job in sorted(accepted)
         if finished[job] != 1
     ]
-    breaches += [
+    violations += [
         Breach("finished-once", job, "ran without being accepted")
         for job in sorted(started - set(accepted))
     ]
-    return breaches
+    return violations
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -189,16 +189,16 @@
 
     def check_records(self) -> None:
         """Checks the promises against the stand-ins' records."""
-        breaches = checker.check_requests(
+        violations = checker.check_requests(
             self._sent, self._fleet.endpoint_events()
         )
-        breaches += checker.check_jobs(self._fleet.worker_events(), {JOB})
+        violations += checker.check_jobs(self._fleet.worker_events(), {JOB})
         _say(
-            f"Records of endpoints and workers: {len(breaches)} promises "
+            f"Records of endpoints and workers: {len(violations)} promises "
             "broken."
         )
-        if breaches:
-            raise DemoError(str(breaches[:3]))
+        if violations:
+            raise DemoError(str(violations[:3]))
 
     def _request(self, seat: str, name: str) -> None:
         self._sent.append(self._send(seat, name))
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -87,11 +87,11 @@
             code = _replay(running, trace, experiment)
         print(f"workers: {_worker_words(running.worker_events())}")
         print(f"tasks: {_stretch_words(running.worker_events())}")
-        breaches = _breaches(running)
-        for breach in breaches[:SHOWN_BREACHES]:
+        violations = _breaches(running)
+        for breach in violations[:SHOWN_BREACHES]:
             print(f"BROKEN {breach.rule}: {breach.subject}: {breach.detail}")
-        print(f"promises broken, by the stand-ins' records: {len(breaches)}")
-    return 1 if code or breaches else 0
+        print(f"promises broken, by the stand-ins' records: {len(violations)}")
+    return 1 if code or violations else 0
 
 
 def _replay(
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -55,8 +55,8 @@
     return attrs.evolve(event, **changes)
 
 
-def rules(breaches: list[checker.Breach]) -> list[str]:
-    return [breach.rule for breach in breaches]
+def rules(violations: list[checker.Breach]) -> list[str]:
+    return [breach.rule for breach in violations]
 
 
 class RequestChecksTest(testtools.TestCase):
