--- a/testing/callers.py
+++ b/testing/callers.py
@@ -120,6 +120,6 @@
 
 def find_violations(
     fleet: fleet_module.Fleet, sent: Sequence[checker.Sent]
-) -> list[checker.Breach]:
+) -> list[checker.Violation]:
     """What the endpoints' own records show of broken promises."""
     return checker.check_requests(sent, fleet.endpoint_events())
--- a/testing/checker.py
+++ b/testing/checker.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Breach:
+class Violation:
     """One promise found broken.
 
     Attributes:
@@ -67,7 +67,7 @@
 
 def check_requests(
     sent: Sequence[Sent], events: Sequence[EndpointEvent]
-) -> list[Breach]:
+) -> list[Violation]:
     """All checks about requests."""
     return [
         *limits_kept(events),
@@ -79,7 +79,7 @@
 
 def check_jobs(
     events: Sequence[WorkerEvent], accepted: Collection[str]
-) -> list[Breach]:
+) -> list[Violation]:
     """All checks about batch work, once every accepted job has ended."""
     return [
         *capacity_kept(events),
@@ -90,10 +90,10 @@
     ]
 
 
-def limits_kept(events: Iterable[EndpointEvent]) -> list[Breach]:
+def limits_kept(events: Iterable[EndpointEvent]) -> list[Violation]:
     """No endpoint had more requests or connections than it bears."""
     return [
-        Breach(
+        Violation(
             "limits-kept",
             event.endpoint,
             f"{event.kind}: {event.running} at once ({event.request_id})",
@@ -103,7 +103,7 @@
     ]
 
 
-def answers_whole(sent: Iterable[Sent]) -> list[Breach]:
+def answers_whole(sent: Iterable[Sent]) -> list[Violation]:
     """Every answer is whole and belongs to the request it was given for."""
     violations = []
     for one in sent:
@@ -111,7 +111,7 @@
             detail = _wrong_answer(one)
             if detail:
                 violations.append(
-                    Breach("answers-whole", one.request_id, detail)
+                    Violation("answers-whole", one.request_id, detail)
                 )
     return violations
 
@@ -138,7 +138,7 @@
 
 def not_run_never_ran(
     sent: Iterable[Sent], events: Iterable[EndpointEvent]
-) -> list[Breach]:
+) -> list[Violation]:
     """A request said to be not run was run by no endpoint.
 
     An id that was sent several times counts as run if any sending was.
@@ -146,7 +146,7 @@
     ran = _runs(events)
     said_ran = {one.request_id for one in sent if one.answer.outcome != NOT_RUN}
     return [
-        Breach(
+        Violation(
             "not-run-never-ran",
             one.request_id,
             f"ran on {ran[one.request_id][0].endpoint}",
@@ -160,12 +160,12 @@
 
 def ran_at_most_once(
     sent: Iterable[Sent], events: Iterable[EndpointEvent]
-) -> list[Breach]:
+) -> list[Violation]:
     """A non-idempotent request ran at most once, however often it was sent."""
     ran = _runs(events)
     names = {one.request_id for one in sent if not one.idempotent}
     return [
-        Breach(
+        Violation(
             "ran-at-most-once",
             name,
             "ran on " + ", ".join(run.endpoint for run in ran[name]),
@@ -185,17 +185,19 @@
     return dict(runs)
 
 
-def capacity_kept(events: Iterable[WorkerEvent]) -> list[Breach]:
+def capacity_kept(events: Iterable[WorkerEvent]) -> list[Violation]:
     """No worker held more than it has, in any dimension."""
     return [
-        Breach("capacity-kept", event.worker, f"{event.used} after {event.job}")
+        Violation(
+            "capacity-kept", event.worker, f"{event.used} after {event.job}"
+        )
         for event in events
         if event.kind == "start"
         and not worker_model.fits(event.used, event.capacity)
     ]
 
 
-def never_in_two_places(events: Iterable[WorkerEvent]) -> list[Breach]:
+def never_in_two_places(events: Iterable[WorkerEvent]) -> list[Violation]:
     """No two attempts of a job ran at the same time, anywhere."""
     by_job: dict[str, list[Span]] = collections.defaultdict(list)
     for span in spans(events):
@@ -206,7 +208,7 @@
         for earlier, later in itertools.pairwise(found):
             if later.start_ms < earlier.end_ms:
                 detail = f"{_where(earlier)} and {_where(later)}"
-                violations.append(Breach("never-in-two-places", job, detail))
+                violations.append(Violation("never-in-two-places", job, detail))
     return violations
 
 
@@ -236,19 +238,21 @@
     return Span(start.job, start.attempt, start.worker, start.at_ms, end_ms)
 
 
-def attempts_start_once(events: Iterable[WorkerEvent]) -> list[Breach]:
+def attempts_start_once(events: Iterable[WorkerEvent]) -> list[Violation]:
     """Each number of attempt was started once."""
     starts = collections.Counter(
         (event.job, event.attempt) for event in events if event.kind == "start"
     )
     return [
-        Breach("attempts-start-once", job, f"attempt {attempt}: {count} starts")
+        Violation(
+            "attempts-start-once", job, f"attempt {attempt}: {count} starts"
+        )
         for (job, attempt), count in starts.items()
         if count > 1
     ]
 
 
-def resumed_from_checkpoint(events: Iterable[WorkerEvent]) -> list[Breach]:
+def resumed_from_checkpoint(events: Iterable[WorkerEvent]) -> list[Violation]:
     """No attempt resumed further on than the job's last checkpoint."""
     reached: dict[str, int] = {}
     violations = []
@@ -262,14 +266,14 @@
             if event.progress_ms > last_ms:
                 detail = f"at {event.progress_ms} ms, checkpoint {last_ms} ms"
                 violations.append(
-                    Breach("resumed-from-checkpoint", event.job, detail)
+                    Violation("resumed-from-checkpoint", event.job, detail)
                 )
     return violations
 
 
 def finished_once(
     events: Iterable[WorkerEvent], accepted: Collection[str]
-) -> list[Breach]:
+) -> list[Violation]:
     """Each accepted job finished exactly once, and no other one ran."""
     finished: collections.Counter[str] = collections.Counter()
     started = set()
@@ -279,12 +283,12 @@
         elif event.kind == "end" and event.detail == "finished":
             finished[event.job] += 1
     violations = [
-        Breach("finished-once", job, f"finished {finished[job]} times")
+        Violation("finished-once", job, f"finished {finished[job]} times")
         for job in sorted(accepted)
         if finished[job] != 1
     ]
     violations += [
-        Breach("finished-once", job, "ran without being accepted")
+        Violation("finished-once", job, "ran without being accepted")
         for job in sorted(started - set(accepted))
     ]
     return violations
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -146,7 +146,7 @@
     return f"ran {median:.2f} times their work at p50, {p99:.2f} at p99"
 
 
-def _breaches(running: fleet.Fleet) -> list[checker.Breach]:
+def _breaches(running: fleet.Fleet) -> list[checker.Violation]:
     workers = running.worker_events()
     return [
         *checker.limits_kept(running.endpoint_events()),
--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -18,7 +18,7 @@
 ENDED = frozenset({"finished", "cancelled", "parked"})
 SETTLE_S = 25.0
 
-Breach = checker.Breach
+Violation = checker.Violation
 
 
 def settle(
@@ -86,7 +86,7 @@
     submitter: job_load.JobSubmitter,
     seat: str,
     faulty: Collection[str] = (),
-) -> list[Breach]:
+) -> list[Violation]:
     """Everything found broken, once all accepted jobs have ended.
 
     Args:
@@ -116,7 +116,7 @@
 
 def resumed_at_checkpoint(
     events: Sequence[checker.WorkerEvent], faulty: Collection[str]
-) -> list[Breach]:
+) -> list[Violation]:
     """An attempt after a kept checkpoint starts exactly there."""
     kept_ms: dict[str, int] = {}
     found = []
@@ -127,7 +127,9 @@
             last_ms = kept_ms.get(event.job, 0)
             if event.progress_ms < last_ms:
                 detail = f"at {event.progress_ms} ms, not {last_ms} ms"
-                found.append(Breach("resumed-at-checkpoint", event.job, detail))
+                found.append(
+                    Violation("resumed-at-checkpoint", event.job, detail)
+                )
     return found
 
 
@@ -135,7 +137,7 @@
     events: Sequence[checker.WorkerEvent],
     ends: Ends,
     faulty: Collection[str],
-) -> list[Breach]:
+) -> list[Violation]:
     """Jobs ended once, as their pages say, and refused ones never ran."""
     started = {event.job for event in events if event.kind == "start"}
     finished: dict[str, list[str]] = collections.defaultdict(list)
@@ -143,18 +145,18 @@
         if event.kind == "end" and event.detail == "finished":
             finished[event.job].append(event.worker)
     found = [
-        Breach("refused-never-ran", job, "ran or is kept")
+        Violation("refused-never-ran", job, "ran or is kept")
         for job in ends.refused
         if job in started or job in ends.pages
     ]
     found += [
-        Breach("ran-unasked", job, "ran without being accepted")
+        Violation("ran-unasked", job, "ran without being accepted")
         for job in started - set(ends.accepted)
     ]
     for job in ends.accepted:
         detail = _wrong_end(job, finished[job], ends, faulty)
         if detail:
-            found.append(Breach("ended-as-said", job, detail))
+            found.append(Violation("ended-as-said", job, detail))
     return found
 
 
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -55,7 +55,7 @@
     return attrs.evolve(event, **changes)
 
 
-def rules(violations: list[checker.Breach]) -> list[str]:
+def rules(violations: list[checker.Violation]) -> list[str]:
     return [breach.rule for breach in violations]
 
 
