--- a/testing/callers.py
+++ b/testing/callers.py
@@ -48,7 +48,7 @@
     def __init__(
         self, fleet: fleet_module.Fleet, load: Load, name: str = "r"
     ) -> None:
-        self.sent: list[checker.Sent] = []
+        self.sent: list[checker.SentRequest] = []
         self._fleet = fleet
         self._load = load
         self._name = name
@@ -103,7 +103,7 @@
 
     def _send(
         self, turn: int, request_id: str, body: bytes, idempotent: bool
-    ) -> checker.Sent:
+    ) -> checker.SentRequest:
         seat = self._load.seats[turn % len(self._load.seats)]
         answer = self._fleet.request(
             seat,
@@ -113,13 +113,13 @@
             timeout_ms=self._load.timeout_ms,
             work_ms=self._load.work_ms,
         )
-        one = checker.Sent(request_id, body, idempotent, answer)
+        one = checker.SentRequest(request_id, body, idempotent, answer)
         self.sent.append(one)
         return one
 
 
 def find_violations(
-    fleet: fleet_module.Fleet, sent: Sequence[checker.Sent]
+    fleet: fleet_module.Fleet, sent: Sequence[checker.SentRequest]
 ) -> list[checker.Violation]:
     """What the endpoints' own records show of broken promises."""
     return checker.check_requests(sent, fleet.endpoint_events())
--- a/testing/checker.py
+++ b/testing/checker.py
@@ -45,7 +45,7 @@
 
 
 @attrs.frozen
-class Sent:
+class SentRequest:
     """One request as its caller saw it."""
 
     request_id: str
@@ -66,7 +66,7 @@
 
 
 def check_requests(
-    sent: Sequence[Sent], events: Sequence[EndpointEvent]
+    sent: Sequence[SentRequest], events: Sequence[EndpointEvent]
 ) -> list[Violation]:
     """All checks about requests."""
     return [
@@ -103,7 +103,7 @@
     ]
 
 
-def answers_whole(sent: Iterable[Sent]) -> list[Violation]:
+def answers_whole(sent: Iterable[SentRequest]) -> list[Violation]:
     """Every answer is whole and belongs to the request it was given for."""
     violations = []
     for one in sent:
@@ -122,7 +122,7 @@
     digest: str
 
 
-def _wrong_answer(one: Sent) -> str:
+def _wrong_answer(one: SentRequest) -> str:
     try:
         body = msgspec.json.decode(one.answer.body, type=_EndpointBody)
     except msgspec.MsgspecError as error:
@@ -137,7 +137,7 @@
 
 
 def not_run_never_ran(
-    sent: Iterable[Sent], events: Iterable[EndpointEvent]
+    sent: Iterable[SentRequest], events: Iterable[EndpointEvent]
 ) -> list[Violation]:
     """A request said to be not run was run by no endpoint.
 
@@ -159,7 +159,7 @@
 
 
 def ran_at_most_once(
-    sent: Iterable[Sent], events: Iterable[EndpointEvent]
+    sent: Iterable[SentRequest], events: Iterable[EndpointEvent]
 ) -> list[Violation]:
     """A non-idempotent request ran at most once, however often it was sent."""
     ran = _runs(events)
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -71,7 +71,7 @@
 
     def __init__(self, running: fleet.Fleet) -> None:
         self._fleet = running
-        self._sent: list[checker.Sent] = []
+        self._sent: list[checker.SentRequest] = []
 
     def put_configuration_in_force(self) -> None:
         """Submits the first ticket."""
@@ -177,7 +177,9 @@
                 f"stop of {seat} was not graceful: {_failures(cut)}"
             )
 
-    def _load(self, seat: str, caller: int, until: float) -> list[checker.Sent]:
+    def _load(
+        self, seat: str, caller: int, until: float
+    ) -> list[checker.SentRequest]:
         """Sends until the host says that it stops, as a balancer would."""
         sent = []
         while time.monotonic() < until:
@@ -203,10 +205,10 @@
     def _request(self, seat: str, name: str) -> None:
         self._sent.append(self._send(seat, name))
 
-    def _send(self, seat: str, name: str) -> checker.Sent:
+    def _send(self, seat: str, name: str) -> checker.SentRequest:
         body = name.encode()
         answer = self._fleet.request(seat, name, body)
-        return checker.Sent(name, body, idempotent=False, answer=answer)
+        return checker.SentRequest(name, body, idempotent=False, answer=answer)
 
     def _explain(self, subject: str, name: str) -> None:
         arguments = ["explain", subject, name]
@@ -227,11 +229,11 @@
             )
 
 
-def _is_answered(one: checker.Sent) -> bool:
+def _is_answered(one: checker.SentRequest) -> bool:
     return one.answer.outcome == "answered" and one.answer.status == 200
 
 
-def _failures(sent: list[checker.Sent]) -> str:
+def _failures(sent: list[checker.SentRequest]) -> str:
     return ", ".join(
         f"{one.request_id} {one.answer.outcome} {one.answer.reason}"
         for one in sent
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -39,7 +39,7 @@
 class Reply:
     """What became of one request, and when, counted from when it was due."""
 
-    sent: checker.Sent
+    sent: checker.SentRequest
     elapsed_ms: float
 
 
@@ -135,7 +135,7 @@
             idempotent=idempotent,
             timeout_ms=TIMEOUT_MS,
         )
-        sent = checker.Sent(request_id, b"body", idempotent, answer)
+        sent = checker.SentRequest(request_id, b"body", idempotent, answer)
         return Reply(sent, (time.monotonic() - due_s) * 1_000)
 
 
@@ -174,7 +174,7 @@
             policy=policy.value, seed=given.seed
         ),
     )
-    sent: list[checker.Sent] = []
+    sent: list[checker.SentRequest] = []
     with fleet_module.Fleet(deployment, options) as running:
         running.put_in_force()
         offer = Offer(running, given.per_s, given.seed)
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -33,9 +33,9 @@
     return attrs.evolve(event, **changes)
 
 
-def sent(name: str, outcome: str, body: bytes = b"") -> checker.Sent:
+def sent(name: str, outcome: str, body: bytes = b"") -> checker.SentRequest:
     answer = client.Answer(200, outcome, "", name, body, {}, 1.0)
-    return checker.Sent(name, b"q", False, answer)
+    return checker.SentRequest(name, b"q", False, answer)
 
 
 def worker_event(kind: str, at_ms: float, **changes: Any) -> Any:
