--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -156,7 +156,7 @@
 ) -> None:
     """Waits for the end of all jobs; asserts that every promise was kept."""
     seat = next(iter(running.hosts))
-    job_checks.settle(running, submitted, seat)
+    job_checks.wait_all_ended(running, submitted, seat)
     found = job_checks.find_violations(running, submitted, seat, faulty)
     test.assertEqual([], found)
     running.wait_until(
--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -21,7 +21,7 @@
 Violation = checker.Violation
 
 
-def settle(
+def wait_all_ended(
     fleet: fleet_module.Fleet,
     submitter: job_load.JobSubmitter,
     seat: str,
