--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -63,11 +63,11 @@
         fleet_module.Fleet(deployment(**changes), options)
     )
     running.put_in_force()
-    wait_limits(running)
+    wait_limits_applied(running)
     return running
 
 
-def wait_limits(running: fleet_module.Fleet) -> None:
+def wait_limits_applied(running: fleet_module.Fleet) -> None:
     """Waits until the zone is owned under the limits put in force."""
     lease_ms = running.deployment.limits.lease_ms
     running.wait_until(
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -42,7 +42,7 @@
         )
         with fleet_module.Fleet(deployment, options) as running:
             running.put_in_force()
-            batch_fleet.wait_limits(running)
+            batch_fleet.wait_limits_applied(running)
             seed = given.seed + run
             with batch_fleet.submitter(running, seed=seed):
                 batch_fleet.wait_started(running, STEADY_STARTS)
