--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -62,7 +62,7 @@
     running = test.enterContext(
         fleet_module.Fleet(deployment(**changes), options)
     )
-    running.put_in_force()
+    running.apply_first_ticket()
     wait_limits_applied(running)
     return running
 
--- a/testing/bench.py
+++ b/testing/bench.py
@@ -258,7 +258,7 @@
         running.start_host(seat)
         running.wait_ready(seat)
         ready_ms = (time.monotonic() - started_s) * 1_000
-        running.put_in_force()
+        running.apply_first_ticket()
         idle = _idle_lines(running, ready_ms)
         rounds = _run(running, options)
     for line in (*idle, *summary(rounds, options.callers)):
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -76,7 +76,7 @@
     def put_configuration_in_force(self) -> None:
         """Submits the first ticket."""
         started = time.monotonic()
-        self._fleet.put_in_force()
+        self._fleet.apply_first_ticket()
         elapsed_ms = (time.monotonic() - started) * 1_000
         _say(
             f"Ticket 1 is in force on {len(self._fleet.hosts)} hosts "
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -79,7 +79,7 @@
     )
     trace = maker.make(experiment.with_jobs)
     with fleet.Fleet(workload.deployment, options) as running:
-        running.put_in_force()
+        running.apply_first_ticket()
         faults = fault_injection.FaultInjector(
             running, experiment.fault, experiment.duration_ms
         )
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -293,7 +293,7 @@
         """Submits a ticket through one host."""
         return self.client.post_json(self._operator(seat), "/tickets", ticket)
 
-    def put_in_force(self, number: int = 1) -> None:
+    def apply_first_ticket(self, number: int = 1) -> None:
         """Submits the first ticket and waits until every host has it."""
         ticket = deployments.first_ticket(
             self.deployment, self.endpoint_addresses, number
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -41,7 +41,7 @@
             links=batch_fleet.LINKS, seed=given.seed + run
         )
         with fleet_module.Fleet(deployment, options) as running:
-            running.put_in_force()
+            running.apply_first_ticket()
             batch_fleet.wait_limits_applied(running)
             seed = given.seed + run
             with batch_fleet.submitter(running, seed=seed):
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -176,7 +176,7 @@
     )
     sent: list[checker.SentRequest] = []
     with fleet_module.Fleet(deployment, options) as running:
-        running.put_in_force()
+        running.apply_first_ticket()
         offer = Offer(running, given.per_s, given.seed)
         offer.run("warm", given.seconds / 2)
         for phase in PHASES:
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -27,7 +27,7 @@
     deployment = deployments.small(zones, **changes)
     options = fleet_plan.FleetOptions(links=links)
     running = test.enterContext(fleet_module.Fleet(deployment, options))
-    running.put_in_force()
+    running.apply_first_ticket()
     return running
 
 
