--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -37,7 +37,7 @@
 
 
 @final
-class FixedSource:
+class FakeConfigurationSource:
     """Implements `ConfigurationSource` with a version that tests set."""
 
     def __init__(self, given: configuration_module.Configuration) -> None:
@@ -224,7 +224,7 @@
         name: str,
         stream: FakeStream,
         network: fake_workers.FakeNetwork,
-        source: FixedSource,
+        source: FakeConfigurationSource,
         clock: fake_clock.FakeClock,
         policy: placement.Policy = placement.Policy.PREDICTED_COST,
     ) -> None:
@@ -321,7 +321,7 @@
             for index in range(worker_count)
         }
         self.network = fake_workers.FakeNetwork(self.fleet)
-        self.source = FixedSource(
+        self.source = FakeConfigurationSource(
             configuration_module.Configuration(
                 offset=1,
                 teams=teams
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -232,7 +232,7 @@
             settings_module.Settings("seat", ZONE, "", "", "", platform),
             f"host-{policy}",
             fake_log.FakeLog(),
-            fake_zone.FixedSource(
+            fake_zone.FakeConfigurationSource(
                 configuration(count if services else 0, limits)
             ),
             self.port,
--- a/tests/process/batch/test_service.py
+++ b/tests/process/batch/test_service.py
@@ -113,7 +113,7 @@
         platform = settings_module.PlatformSettings("", "")
         seat = f"seat-{index}"
         settings = settings_module.Settings(seat, ZONE, "", "", "", platform)
-        source = fake_zone.FixedSource(
+        source = fake_zone.FakeConfigurationSource(
             configuration_module.Configuration(
                 offset=1,
                 teams={"faculty": objects.Team(AMOUNT)},
