--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -153,7 +153,7 @@
 
 
 @final
-class FakePool:
+class FakeLinkPool:
     """`LinkPool` without threads."""
 
     def __init__(self, host: str) -> None:
@@ -236,7 +236,7 @@
         self.follower = FakeFollower(stream, name, self.fold, clock)
         self.metrics = metrics_module.Metrics()
         self.journal = journal_module.Journal(name, clock)
-        self.pool = FakePool(name)
+        self.pool = FakeLinkPool(name)
         self._port = network.port(name)
         self._clock = clock
         self.ownership = ownership_module.Ownership(
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -69,7 +69,7 @@
             fake_zone.ZONE,
             1,
             self.fold,
-            fake_zone.FakePool("bench"),
+            fake_zone.FakeLinkPool("bench"),
             usage_analyzer.UsageAnalyzer(),
             policy,
             metrics_module.Metrics(),
