--- a/testing/fakes/cell_workers.py
+++ b/testing/fakes/cell_workers.py
@@ -56,7 +56,7 @@
         self, entry: cell_workers.WorkerEntry, clock: clock_port.Clock
     ) -> None:
         self.entry = entry
-        self.is_dark = False
+        self.is_unreachable = False
         self.starts: list[StartSeen] = []
         self.deadlines_ms: list[int] = []
         self._clock = clock
@@ -70,7 +70,7 @@
     def _refused(
         self, token: int
     ) -> result.Err[cell_workers.OrderError] | None:
-        if self.is_dark:
+        if self.is_unreachable:
             return result.Err(cell_workers.OrderUnanswered("dark"))
         if token < self._token:
             return result.Err(
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -64,11 +64,11 @@
         self._dark = fake_workers.FakeWorker(
             worker.entry, clock_port.SystemClock()
         )
-        self._dark.is_dark = True
+        self._dark.is_unreachable = True
 
     def __getattr__(self, name: str) -> Any:
-        is_dark = self._host.is_dark
-        return getattr(self._dark if is_dark else self._worker, name)
+        is_unreachable = self._host.is_unreachable
+        return getattr(self._dark if is_unreachable else self._worker, name)
 
 
 class FixedWorkerList:
@@ -116,7 +116,7 @@
         stack: contextlib.ExitStack,
     ) -> None:
         self.clock = clock = clock_port.SystemClock()
-        self.is_dark = False
+        self.is_unreachable = False
         self.store = HostStore(store)
         self.replica = job_replica.JobReplica(clock)
         self.reader = stack.enter_context(
@@ -151,7 +151,7 @@
 
     def disconnect(self) -> None:
         """Cuts the host from the store and all workers."""
-        self.is_dark = True
+        self.is_unreachable = True
         self.store.is_cut = True
 
 
@@ -273,7 +273,7 @@
     def test_takeover_does_not_wait_for_workers_without_runs(self) -> None:
         # Guards against waiting for workers that can't have runs: machines in
         # maintenance delayed the tasks of a new owner by the lease duration.
-        self.workers["w2"].is_dark = True
+        self.workers["w2"].is_unreachable = True
         self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
         self.wait_for(lambda: len(self.workers["w1"].running) == 3)
         self.wait_for(lambda: self.recorded_workers() == {"w1"})
--- a/tests/process/cell/test_worker_session.py
+++ b/tests/process/cell/test_worker_session.py
@@ -59,7 +59,7 @@
         # Each failed call used to extend the lease deadline, so that the runs
         # of a worker that was gone were never counted as lost.
         self.wait_for(lambda: self.worker.deadlines_ms)
-        self.worker.is_dark = True
+        self.worker.is_unreachable = True
         self.wait_for(lambda: len(self.holds(result.Err)) >= 1)
         before_ms = self.session.latest_deadline_ms
         failed_count = len(self.holds(result.Err))
