--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -128,7 +128,9 @@
         return {
             "id": f"{self._name}-{count}",
             "team": teams[0] if urgent else chance.choice(teams),
-            "job_class": worker_model.NEVER_WORKS if never_works else "stack",
+            "job_class": worker_model.FAILING_JOB_MARKER
+            if never_works
+            else "stack",
             "resources": {
                 "processors_milli": chance.randrange(500, 3_001, 250),
                 "memory_mib": chance.randrange(512, 8_193, 512),
--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -14,7 +14,7 @@
 FULL_SHARE_MILLI = 1_000
 HASH_STEPS = 1_000
 MAX_PAIR_SLOWDOWN = 1.2
-NEVER_WORKS = "never-works"
+FAILING_JOB_MARKER = "never-works"
 
 
 @functools.cache
@@ -121,4 +121,6 @@
 
 def never_works(start: workers.StartTask) -> bool:
     """Whether an attempt fails wherever it runs."""
-    return start.job_class == NEVER_WORKS or NEVER_WORKS in start.job
+    return (
+        start.job_class == FAILING_JOB_MARKER or FAILING_JOB_MARKER in start.job
+    )
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -227,7 +227,7 @@
         job_class = self._random.choice(deployment.job_classes)
         drawn = self._random.random()
         if drawn < NEVER_WORKS_CHANCE:
-            job_class = worker_model.NEVER_WORKS
+            job_class = worker_model.FAILING_JOB_MARKER
         elif drawn < NEVER_WORKS_CHANCE + NEVER_FITS_CHANCE:
             processors_milli = deployment.worker_capacity.processors_milli * 2
         run_time_ms = workload.job_run_time_ms * self._random.lognormvariate(
@@ -288,7 +288,7 @@
         if not accepted:
             return None
         working = sum(
-            one.job_class != worker_model.NEVER_WORKS for one in accepted
+            one.job_class != worker_model.FAILING_JOB_MARKER for one in accepted
         )
         return math.floor(1_000 * working / len(accepted)) / 10
 
