--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -40,12 +40,14 @@
 class FakeConfigurationSource:
     """Implements `ConfigurationSource` with a version that tests set."""
 
-    def __init__(self, given: configuration_module.Configuration) -> None:
-        self.given = given
+    def __init__(
+        self, configuration: configuration_module.Configuration
+    ) -> None:
+        self.configuration = configuration
 
     def current(self) -> configuration_module.Configuration:
         """See `ConfigurationSource.current`."""
-        return self.given
+        return self.configuration
 
     def on_change(self, listener: Any) -> None:
         """See `ConfigurationSource.on_change`; never calls it."""
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -16,10 +16,10 @@
 
 
 def owned_zone(
-    **given: object,
+    **configuration: object,
 ) -> tuple[fake_zone.FakeZone, fake_zone.FakeHost]:
     """Returns a zone with an owner, and that owner."""
-    zone = fake_zone.FakeZone(**given)
+    zone = fake_zone.FakeZone(**configuration)
     zone.run(3_000)
     owner = zone.owner()
     assert owner is not None
@@ -44,11 +44,11 @@
     def test_zone_that_is_not_configured_is_not_claimed(self) -> None:
         """A first claim with default bounds would delay its successor."""
         zone = fake_zone.FakeZone()
-        configured = zone.source.given
-        zone.source.given = attrs.evolve(configured, zones={})
+        configured = zone.source.configuration
+        zone.source.configuration = attrs.evolve(configured, zones={})
         zone.run(10_000)
         self.assertIsNone(zone.owner())
-        zone.source.given = configured
+        zone.source.configuration = configured
         zone.run(3_000)
         self.assertIsNotNone(zone.owner())
 
@@ -175,7 +175,9 @@
 
     def change_limits(self, zone: fake_zone.FakeZone) -> None:
         limits = objects.Limits(lease_ms=3_000, claim_ms=3_000)
-        zone.source.given = attrs.evolve(zone.source.given, limits=limits)
+        zone.source.configuration = attrs.evolve(
+            zone.source.configuration, limits=limits
+        )
 
     def test_owner_applies_them_in_a_new_term(self) -> None:
         """The same host stays owner and the attempt keeps running."""
