--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -63,11 +63,11 @@
     def __init__(
         self,
         name: str,
-        amount: workers.Resources,
+        worker_capacity: workers.Resources,
         clock: fake_clock.FakeClock,
     ) -> None:
         self.name = name
-        self.amount = amount
+        self.worker_capacity = worker_capacity
         self.checks_term = True
         self.checks_staleness = True
         self.fail_all = False
@@ -138,7 +138,7 @@
             report=self._report,
             highest_term=self._term,
             lease_left_ms=max(0, self._lease_until_ms - now_ms),
-            capacity=self.amount,
+            capacity=self.worker_capacity,
             tasks=tuple(task.line() for task in self.tasks.values()),
             usage=self.usage,
             statuses=statuses,
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -307,18 +307,20 @@
         self,
         worker_count: int = 3,
         host_count: int = 2,
-        amount: workers.Resources | None = None,
+        worker_capacity: workers.Resources | None = None,
         limits: objects.Limits | None = None,
         teams: dict[str, objects.Team] | None = None,
         policy: placement.Policy = placement.Policy.PREDICTED_COST,
     ) -> None:
         self.clock = fake_clock.FakeClock()
         self.stream = FakeStream()
-        self.amount = amount or workers.Resources(2_000, 2_000, 0)
+        self.worker_capacity = worker_capacity or workers.Resources(
+            2_000, 2_000, 0
+        )
         self.policy = policy
         self.fleet = {
             f"w{index}": fake_workers.FakeWorker(
-                f"w{index}", self.amount, self.clock
+                f"w{index}", self.worker_capacity, self.clock
             )
             for index in range(worker_count)
         }
@@ -328,7 +330,9 @@
                 offset=1,
                 teams=teams
                 or {"faculty": objects.Team(workers.Resources(10**6, 10**6))},
-                worker_classes={"standard": objects.WorkerClass(self.amount)},
+                worker_classes={
+                    "standard": objects.WorkerClass(self.worker_capacity)
+                },
                 zones={ZONE: objects.Zone(("a", "b"), autonomy_ms=8_000)},
                 limits=limits or objects.Limits(lease_ms=6_000),
             )
--- a/tests/process/batch/test_ownership_model.py
+++ b/tests/process/batch/test_ownership_model.py
@@ -227,7 +227,9 @@
         checkpoints = set()
         for worker in self.zone.fleet.values():
             used = worker.used()
-            assert capacity.fits(used, worker.amount), f"{worker.name} {used}"
+            assert capacity.fits(used, worker.worker_capacity), (
+                f"{worker.name} {used}"
+            )
             checkpoints |= worker.kept
         for name, worker in self.zone.fleet.items():
             for start in worker.started:
