--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -78,7 +78,7 @@
         zone_offset, zone_digest = _position(self._zone_stream)
         router = self._router
         return ttypes.Heartbeat(
-            protocol=membership_module.PROTOCOL,
+            protocol=membership_module.PROTOCOL_VERSION,
             seat=self._seat,
             host_id=self.host_id,
             zone=self._zone,
--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -28,7 +28,7 @@
 from comfreylatch._process import settings as settings_module
 from comfreylatch._wire.gen.peer import ttypes
 
-PROTOCOL = 1
+PROTOCOL_VERSION = 1
 MISSED_HEARTBEATS = 3
 OTHER_ZONE_FACTOR = 2
 SUPERSEDED = "superseded"
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -59,9 +59,10 @@
 
     def heartbeat(self, beat: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
         """Answers with this host's state and the caller's predecessor."""
-        if beat.protocol != membership_module.PROTOCOL:
+        if beat.protocol != membership_module.PROTOCOL_VERSION:
             raise ttypes.PeerRefused(
-                "protocol", f"this host speaks {membership_module.PROTOCOL}"
+                "protocol",
+                f"this host speaks {membership_module.PROTOCOL_VERSION}",
             )
         held = self._membership.remember(
             beat.seat, beat.host_id, bool(beat.drained)
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -32,7 +32,7 @@
 def beat(
     host_id: str,
     seat: str = "bole-1",
-    protocol: int = membership.PROTOCOL,
+    protocol: int = membership.PROTOCOL_VERSION,
     drained: bool = False,
 ) -> ttypes.Heartbeat:
     return ttypes.Heartbeat(
