--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -29,7 +29,7 @@
 from comfreylatch._wire.gen.peer import ttypes
 
 PROTOCOL_VERSION = 1
-MISSED_HEARTBEATS = 3
+MAX_MISSED_HEARTBEATS = 3
 OTHER_ZONE_FACTOR = 2
 SUPERSEDED = "superseded"
 MAX_RETIRED_PER_SEAT = 64
@@ -119,7 +119,7 @@
                 member.view,
                 reachable=member.view.heard_ms >= 0
                 and now_ms - member.view.heard_ms
-                <= member.interval_ms * MISSED_HEARTBEATS + timeout_ms,
+                <= member.interval_ms * MAX_MISSED_HEARTBEATS + timeout_ms,
             )
             for member in self._members.values()
         )
