--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -30,7 +30,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_MISSED_HEARTBEATS = 3
-OTHER_ZONE_FACTOR = 2
+REMOTE_ZONE_INTERVAL_FACTOR = 2
 SUPERSEDED = "superseded"
 MAX_RETIRED_PER_SEAT = 64
 # Below the shortest time for which a host without its zone's word keeps its
@@ -278,7 +278,9 @@
         timing = settings.timing
         self._timing = timing
         # The zone's own hosts share slots and so must know of each other soon.
-        factor = 1 if peer.zone == settings.zone else OTHER_ZONE_FACTOR
+        factor = (
+            1 if peer.zone == settings.zone else REMOTE_ZONE_INTERVAL_FACTOR
+        )
         self.interval_ms = timing.heartbeat_ms * factor
         self._source = source
         self._metrics = metrics
