--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -32,7 +32,7 @@
 MAX_MISSED_HEARTBEATS = 3
 REMOTE_ZONE_INTERVAL_FACTOR = 2
 SUPERSEDED = "superseded"
-MAX_RETIRED_PER_SEAT = 64
+MAX_PREDECESSORS_PER_SEAT = 64
 # Below the shortest time for which a host without its zone's word keeps its
 # seat closed, `loans.MIN_LOAN_MS` and more.
 DRAINED_VALID_MS = 5_000
@@ -137,7 +137,7 @@
         """
         with self._lock:
             retired = self._retired.setdefault(
-                seat, collections.deque(maxlen=MAX_RETIRED_PER_SEAT)
+                seat, collections.deque(maxlen=MAX_PREDECESSORS_PER_SEAT)
             )
             if any(memory.host_id == host_id for memory in retired):
                 return False
