--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -136,16 +136,16 @@
             stays, however late messages of the former one arrive.
         """
         with self._lock:
-            retired = self._retired.setdefault(
+            predecessors = self._retired.setdefault(
                 seat, collections.deque(maxlen=MAX_PREDECESSORS_PER_SEAT)
             )
-            if any(memory.host_id == host_id for memory in retired):
+            if any(memory.host_id == host_id for memory in predecessors):
                 return False
             now_ms = self._clock.monotonic_ms()
             known = self._seats.get(seat)
             if known is None or known.host_id != host_id:
                 if known is not None:
-                    retired.append(_as_retired(known, now_ms))
+                    predecessors.append(_as_retired(known, now_ms))
                 known = SeatMemory(host_id, drained=False)
             if drained and not known.drained:
                 known = SeatMemory(host_id, True, now_ms)
@@ -155,8 +155,8 @@
     def predecessor(self, seat: str) -> SeatMemory | None:
         """The process that filled a seat before the present one."""
         with self._lock:
-            retired = self._retired.get(seat)
-            return retired[-1] if retired else None
+            predecessors = self._retired.get(seat)
+            return predecessors[-1] if predecessors else None
 
     @property
     def superseded(self) -> threading.Event:
