--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -90,7 +90,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._seats: dict[str, SeatMemory] = {}
-        self._retired: dict[str, collections.deque[SeatMemory]] = {}
+        self._predecessors: dict[str, collections.deque[SeatMemory]] = {}
         self._predecessor_drained: dict[str, bool] = {}
         self._superseded = threading.Event()
         self._listeners: list[Callable[[peers.PeerView], None]] = []
@@ -136,7 +136,7 @@
             stays, however late messages of the former one arrive.
         """
         with self._lock:
-            predecessors = self._retired.setdefault(
+            predecessors = self._predecessors.setdefault(
                 seat, collections.deque(maxlen=MAX_PREDECESSORS_PER_SEAT)
             )
             if any(memory.host_id == host_id for memory in predecessors):
@@ -155,7 +155,7 @@
     def predecessor(self, seat: str) -> SeatMemory | None:
         """The process that filled a seat before the present one."""
         with self._lock:
-            predecessors = self._retired.get(seat)
+            predecessors = self._predecessors.get(seat)
             return predecessors[-1] if predecessors else None
 
     @property
