--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -65,7 +65,7 @@
     drained_ms: int = 0
 
 
-def _as_retired(known: SeatMemory, now_ms: int) -> SeatMemory:
+def _to_predecessor(known: SeatMemory, now_ms: int) -> SeatMemory:
     """What is remembered of a process once another has its seat.
 
     After a longer gap a third process, which this host never met, may have
@@ -145,7 +145,7 @@
             known = self._seats.get(seat)
             if known is None or known.host_id != host_id:
                 if known is not None:
-                    predecessors.append(_as_retired(known, now_ms))
+                    predecessors.append(_to_predecessor(known, now_ms))
                 known = SeatMemory(host_id, drained=False)
             if drained and not known.drained:
                 known = SeatMemory(host_id, True, now_ms)
