--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -35,7 +35,7 @@
 MAX_PREDECESSORS_PER_SEAT = 64
 # Below the shortest time for which a host without its zone's word keeps its
 # seat closed, `loans.MIN_LOAN_MS` and more.
-DRAINED_VALID_MS = 5_000
+DRAINED_VALIDITY_MS = 5_000
 MAX_PUSHED_ENTRIES = 1_000
 
 _logger = logbook.Logger(__name__)
@@ -71,7 +71,7 @@
     After a longer gap a third process, which this host never met, may have
     filled the seat in between and left requests running.
     """
-    is_fresh = now_ms - known.drained_ms < DRAINED_VALID_MS
+    is_fresh = now_ms - known.drained_ms < DRAINED_VALIDITY_MS
     return attrs.evolve(known, drained=known.drained and is_fresh)
 
 
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -98,7 +98,7 @@
 
     def test_drain_long_ago_says_nothing_of_who_came_between(self) -> None:
         self.send(beat("bole-1-a", drained=True))
-        self.clock.advance(membership.DRAINED_VALID_MS)
+        self.clock.advance(membership.DRAINED_VALIDITY_MS)
         self.assertFalse(self.send(beat("bole-1-b")).predecessor_drained)
 
     def test_only_the_whole_zone_can_vouch_for_a_predecessor(self) -> None:
