--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -36,7 +36,7 @@
 # Below the shortest time for which a host without its zone's word keeps its
 # seat closed, `loans.MIN_LOAN_MS` and more.
 DRAINED_VALIDITY_MS = 5_000
-MAX_PUSHED_ENTRIES = 1_000
+MAX_QUEUED_ENTRIES = 1_000
 
 _logger = logbook.Logger(__name__)
 
@@ -288,7 +288,7 @@
         self._wake = threading.Condition()
         self._stopping = False
         self._queue: collections.deque[tuple[str, ttypes.StreamEntry]] = (
-            collections.deque(maxlen=MAX_PUSHED_ENTRIES)
+            collections.deque(maxlen=MAX_QUEUED_ENTRIES)
         )
         self._thread = threading.Thread(
             target=self._run, name=f"peer-{peer.seat}", daemon=True
