--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class SeatMemory:
+class SeatOccupant:
     """The last process this host knew in a seat.
 
     Attributes:
@@ -65,7 +65,7 @@
     drained_ms: int = 0
 
 
-def _to_predecessor(known: SeatMemory, now_ms: int) -> SeatMemory:
+def _to_predecessor(known: SeatOccupant, now_ms: int) -> SeatOccupant:
     """What is remembered of a process once another has its seat.
 
     After a longer gap a third process, which this host never met, may have
@@ -89,8 +89,8 @@
         self._settings = settings
         self._clock = clock
         self._lock = threading.Lock()
-        self._seats: dict[str, SeatMemory] = {}
-        self._predecessors: dict[str, collections.deque[SeatMemory]] = {}
+        self._seats: dict[str, SeatOccupant] = {}
+        self._predecessors: dict[str, collections.deque[SeatOccupant]] = {}
         self._predecessor_drained: dict[str, bool] = {}
         self._superseded = threading.Event()
         self._listeners: list[Callable[[peers.PeerView], None]] = []
@@ -146,13 +146,13 @@
             if known is None or known.host_id != host_id:
                 if known is not None:
                     predecessors.append(_to_predecessor(known, now_ms))
-                known = SeatMemory(host_id, drained=False)
+                known = SeatOccupant(host_id, drained=False)
             if drained and not known.drained:
-                known = SeatMemory(host_id, True, now_ms)
+                known = SeatOccupant(host_id, True, now_ms)
             self._seats[seat] = known
             return True
 
-    def predecessor(self, seat: str) -> SeatMemory | None:
+    def predecessor(self, seat: str) -> SeatOccupant | None:
         """The process that filled a seat before the present one."""
         with self._lock:
             predecessors = self._predecessors.get(seat)
