--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -128,7 +128,7 @@
         """Calls `listener` after each heartbeat that was answered."""
         self._listeners.append(listener)
 
-    def remember(self, seat: str, host_id: str, drained: bool) -> bool:
+    def observe_occupant(self, seat: str, host_id: str, drained: bool) -> bool:
         """Notes which process fills a seat, from either side's heartbeat.
 
         Returns:
@@ -331,7 +331,7 @@
                 self._metrics.count(
                     metrics_module.Counter.PEER_MESSAGES, "heartbeat"
                 )
-                self._membership.remember(
+                self._membership.observe_occupant(
                     self._peer.seat, reply.host_id, drained=False
                 )
                 self._membership.note_own_predecessor(
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -64,7 +64,7 @@
                 "protocol",
                 f"this host speaks {membership_module.PROTOCOL_VERSION}",
             )
-        held = self._membership.remember(
+        held = self._membership.observe_occupant(
             beat.seat, beat.host_id, bool(beat.drained)
         )
         if not held:
