--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -152,7 +152,7 @@
             self._seats[seat] = known
             return True
 
-    def predecessor(self, seat: str) -> SeatOccupant | None:
+    def find_predecessor(self, seat: str) -> SeatOccupant | None:
         """The process that filled a seat before the present one."""
         with self._lock:
             predecessors = self._predecessors.get(seat)
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -73,7 +73,7 @@
                 f"another process has taken seat {beat.seat}",
             )
         own = self._own.heartbeat()
-        before = self._membership.predecessor(beat.seat)
+        before = self._membership.find_predecessor(beat.seat)
         return ttypes.HeartbeatReply(
             protocol=own.protocol,
             host_id=own.host_id,
