--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -163,7 +163,7 @@
         """Set once a peer says that another process has this host's seat."""
         return self._superseded
 
-    def note_own_predecessor(self, told_by: str, drained: bool) -> None:
+    def record_predecessor_report(self, told_by: str, drained: bool) -> None:
         """Notes what the host in a seat said of the process before this."""
         with self._lock:
             self._predecessor_drained[told_by] = drained
@@ -334,7 +334,7 @@
                 self._membership.observe_occupant(
                     self._peer.seat, reply.host_id, drained=False
                 )
-                self._membership.note_own_predecessor(
+                self._membership.record_predecessor_report(
                     self._peer.seat, bool(reply.predecessor_drained)
                 )
                 self.view = self._membership.note_reply(self.view, reply)
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -112,9 +112,9 @@
         members = membership.Membership(
             given, _Own(), metrics.Metrics(), self.clock
         )
-        members.note_own_predecessor("bole-1", drained=True)
+        members.record_predecessor_report("bole-1", drained=True)
         self.assertFalse(members.is_predecessor_drained())
-        members.note_own_predecessor("bole-3", drained=True)
+        members.record_predecessor_report("bole-3", drained=True)
         self.assertTrue(members.is_predecessor_drained())
 
     def test_successor_of_a_killed_process_hears_no_drain(self) -> None:
