--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -91,7 +91,7 @@
         self._lock = threading.Lock()
         self._seats: dict[str, SeatOccupant] = {}
         self._predecessors: dict[str, collections.deque[SeatOccupant]] = {}
-        self._predecessor_drained: dict[str, bool] = {}
+        self._predecessor_reports: dict[str, bool] = {}
         self._superseded = threading.Event()
         self._listeners: list[Callable[[peers.PeerView], None]] = []
         self._members = {
@@ -166,7 +166,7 @@
     def record_predecessor_report(self, told_by: str, drained: bool) -> None:
         """Notes what the host in a seat said of the process before this."""
         with self._lock:
-            self._predecessor_drained[told_by] = drained
+            self._predecessor_reports[told_by] = drained
 
     def is_predecessor_drained(self) -> bool:
         """Whether every other host of the zone says so.
@@ -180,7 +180,7 @@
             if peer.zone == self._settings.zone
         ]
         with self._lock:
-            told = [self._predecessor_drained.get(seat) for seat in zone_seats]
+            told = [self._predecessor_reports.get(seat) for seat in zone_seats]
         return bool(told) and all(told)
 
     def note_reply(
