--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -163,10 +163,12 @@
         """Set once a peer says that another process has this host's seat."""
         return self._superseded
 
-    def record_predecessor_report(self, told_by: str, drained: bool) -> None:
+    def record_predecessor_report(
+        self, reporter_seat: str, drained: bool
+    ) -> None:
         """Notes what the host in a seat said of the process before this."""
         with self._lock:
-            self._predecessor_reports[told_by] = drained
+            self._predecessor_reports[reporter_seat] = drained
 
     def is_predecessor_drained(self) -> bool:
         """Whether every other host of the zone says so.
