--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -182,8 +182,10 @@
             if peer.zone == self._settings.zone
         ]
         with self._lock:
-            told = [self._predecessor_reports.get(seat) for seat in zone_seats]
-        return bool(told) and all(told)
+            reports = [
+                self._predecessor_reports.get(seat) for seat in zone_seats
+            ]
+        return bool(reports) and all(reports)
 
     def note_reply(
         self, view: peers.PeerView, reply: ttypes.HeartbeatReply
