--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -187,7 +187,7 @@
             ]
         return bool(reports) and all(reports)
 
-    def note_reply(
+    def apply_reply(
         self, view: peers.PeerView, reply: ttypes.HeartbeatReply
     ) -> peers.PeerView:
         """Turns a heartbeat's answer into the new view of a peer."""
@@ -341,7 +341,7 @@
                 self._membership.record_predecessor_report(
                     self._peer.seat, bool(reply.predecessor_drained)
                 )
-                self.view = self._membership.note_reply(self.view, reply)
+                self.view = self._membership.apply_reply(self.view, reply)
             case result.Err(peers.PeerRefusal() as refusal):
                 if refusal.reason == SUPERSEDED:
                     self._membership.superseded.set()
