--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -248,7 +248,7 @@
         for member in self._members.values():
             member.apply_from_peer(stream, entries)
 
-    def say_drained(self) -> None:
+    def announce_drained(self) -> None:
         """Tells every peer at once that this process has ended its work."""
         for member in self._members.values():
             member.beat()
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -58,7 +58,7 @@
     is_idle = _wait_idle(parts, timeout_ms)
     if is_idle and parts.gate.is_open.is_set():
         parts.state.drained.set()
-    parts.membership.say_drained()
+    parts.membership.announce_drained()
     logs.event(_logger, "stopped", host=host_id, idle=is_idle)
     return finished
 
