--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -107,7 +107,7 @@
 
     def __exit__(self, *_: object) -> None:
         for member in self._members.values():
-            member.ask_to_stop()
+            member.request_stop()
         self._stack.close()
 
     def views(self) -> tuple[peers.PeerView, ...]:
@@ -306,11 +306,11 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self.ask_to_stop()
+        self.request_stop()
         self._thread.join(self._timing.peer_timeout_ms * 2 / 1_000)
         self.link.__exit__()
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Lets the thread end without waiting for it."""
         with self._wake:
             self._stopping = True
