--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -246,7 +246,7 @@
     ) -> None:
         """See `Peers.push`."""
         for member in self._members.values():
-            member.apply_from_peer(stream, entries)
+            member.enqueue(stream, entries)
 
     def announce_drained(self) -> None:
         """Tells every peer at once that this process has ended its work."""
@@ -316,7 +316,7 @@
             self._stopping = True
             self._wake.notify()
 
-    def apply_from_peer(
+    def enqueue(
         self, stream: str, entries: tuple[ttypes.StreamEntry, ...]
     ) -> None:
         """Queues records to be pushed; the oldest give way when it's full."""
