--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -251,7 +251,7 @@
     def announce_drained(self) -> None:
         """Tells every peer at once that this process has ended its work."""
         for member in self._members.values():
-            member.beat()
+            member.send_heartbeat()
 
     def _call(
         self,
@@ -324,11 +324,12 @@
             self._queue.extend((stream, entry) for entry in entries)
             self._wake.notify()
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Sends one heartbeat and takes in the answer."""
-        beat = self._source.heartbeat()
+        send_heartbeat = self._source.heartbeat()
         answer = self.link.call(
-            lambda client: client.heartbeat(beat), self._timing.peer_timeout_ms
+            lambda client: client.heartbeat(send_heartbeat),
+            self._timing.peer_timeout_ms,
         )
         match answer:
             case result.Ok(reply):
@@ -353,7 +354,7 @@
 
     def _run(self) -> None:
         while True:
-            self.beat()
+            self.send_heartbeat()
             if not self._wait():
                 return
 
