--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -355,10 +355,10 @@
     def _run(self) -> None:
         while True:
             self.send_heartbeat()
-            if not self._wait():
+            if not self._push_until_next_heartbeat():
                 return
 
-    def _wait(self) -> bool:
+    def _push_until_next_heartbeat(self) -> bool:
         """Pushes what is queued until the next heartbeat; False to stop."""
         deadline_ms = self._clock.monotonic_ms() + self.interval_ms
         while True:
