--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -124,7 +124,9 @@
             for member in self._members.values()
         )
 
-    def on_heard(self, listener: Callable[[peers.PeerView], None]) -> None:
+    def on_heartbeat_reply(
+        self, listener: Callable[[peers.PeerView], None]
+    ) -> None:
         """Calls `listener` after each heartbeat that was answered."""
         self._listeners.append(listener)
 
