--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -291,7 +291,7 @@
         self._source = source
         self._metrics = metrics
         self._membership = membership
-        self._wake = threading.Condition()
+        self._condition = threading.Condition()
         self._stopping = False
         self._queue: collections.deque[tuple[str, ttypes.StreamEntry]] = (
             collections.deque(maxlen=MAX_QUEUED_ENTRIES)
@@ -314,17 +314,17 @@
 
     def request_stop(self) -> None:
         """Lets the thread end without waiting for it."""
-        with self._wake:
+        with self._condition:
             self._stopping = True
-            self._wake.notify()
+            self._condition.notify()
 
     def enqueue(
         self, stream: str, entries: tuple[ttypes.StreamEntry, ...]
     ) -> None:
         """Queues records to be pushed; the oldest give way when it's full."""
-        with self._wake:
+        with self._condition:
             self._queue.extend((stream, entry) for entry in entries)
-            self._wake.notify()
+            self._condition.notify()
 
     def send_heartbeat(self) -> None:
         """Sends one heartbeat and takes in the answer."""
@@ -364,12 +364,12 @@
         """Pushes what is queued until the next heartbeat; False to stop."""
         deadline_ms = self._clock.monotonic_ms() + self.interval_ms
         while True:
-            with self._wake:
+            with self._condition:
                 while not self._queue and not self._stopping:
                     left_ms = deadline_ms - self._clock.monotonic_ms()
                     if left_ms <= 0:
                         return True
-                    self._wake.wait(left_ms / 1_000)
+                    self._condition.wait(left_ms / 1_000)
                 if self._stopping:
                     return False
                 queued = list(self._queue)
