--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -65,14 +65,14 @@
     drained_ms: int = 0
 
 
-def _to_predecessor(known: SeatOccupant, now_ms: int) -> SeatOccupant:
+def _to_predecessor(current: SeatOccupant, now_ms: int) -> SeatOccupant:
     """What is remembered of a process once another has its seat.
 
     After a longer gap a third process, which this host never met, may have
     filled the seat in between and left requests running.
     """
-    is_fresh = now_ms - known.drained_ms < DRAINED_VALIDITY_MS
-    return attrs.evolve(known, drained=known.drained and is_fresh)
+    is_fresh = now_ms - current.drained_ms < DRAINED_VALIDITY_MS
+    return attrs.evolve(current, drained=current.drained and is_fresh)
 
 
 @final
@@ -144,14 +144,14 @@
             if any(memory.host_id == host_id for memory in predecessors):
                 return False
             now_ms = self._clock.monotonic_ms()
-            known = self._seats.get(seat)
-            if known is None or known.host_id != host_id:
-                if known is not None:
-                    predecessors.append(_to_predecessor(known, now_ms))
-                known = SeatOccupant(host_id, drained=False)
-            if drained and not known.drained:
-                known = SeatOccupant(host_id, True, now_ms)
-            self._seats[seat] = known
+            current = self._seats.get(seat)
+            if current is None or current.host_id != host_id:
+                if current is not None:
+                    predecessors.append(_to_predecessor(current, now_ms))
+                current = SeatOccupant(host_id, drained=False)
+            if drained and not current.drained:
+                current = SeatOccupant(host_id, True, now_ms)
+            self._seats[seat] = current
             return True
 
     def find_predecessor(self, seat: str) -> SeatOccupant | None:
