--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -141,7 +141,9 @@
             predecessors = self._predecessors.setdefault(
                 seat, collections.deque(maxlen=MAX_PREDECESSORS_PER_SEAT)
             )
-            if any(memory.host_id == host_id for memory in predecessors):
+            if any(
+                predecessor.host_id == host_id for predecessor in predecessors
+            ):
                 return False
             now_ms = self._clock.monotonic_ms()
             current = self._seats.get(seat)
