--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -89,7 +89,7 @@
         self._settings = settings
         self._clock = clock
         self._lock = threading.Lock()
-        self._seats: dict[str, SeatOccupant] = {}
+        self._occupants: dict[str, SeatOccupant] = {}
         self._predecessors: dict[str, collections.deque[SeatOccupant]] = {}
         self._predecessor_reports: dict[str, bool] = {}
         self._superseded = threading.Event()
@@ -146,14 +146,14 @@
             ):
                 return False
             now_ms = self._clock.monotonic_ms()
-            current = self._seats.get(seat)
+            current = self._occupants.get(seat)
             if current is None or current.host_id != host_id:
                 if current is not None:
                     predecessors.append(_to_predecessor(current, now_ms))
                 current = SeatOccupant(host_id, drained=False)
             if drained and not current.drained:
                 current = SeatOccupant(host_id, True, now_ms)
-            self._seats[seat] = current
+            self._occupants[seat] = current
             return True
 
     def find_predecessor(self, seat: str) -> SeatOccupant | None:
