--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -29,7 +29,7 @@
 )
 
 
-def beat(
+def make_heartbeat(
     host_id: str,
     seat: str = "bole-1",
     protocol: int = membership.PROTOCOL_VERSION,
@@ -51,7 +51,7 @@
     """What the asked host says of itself."""
 
     def heartbeat(self) -> ttypes.Heartbeat:
-        return beat("bole-2-a", seat="bole-2")
+        return make_heartbeat("bole-2-a", seat="bole-2")
 
 
 class SeatTest(testtools.TestCase):
@@ -87,19 +87,23 @@
         return refusal.reason
 
     def test_first_process_has_no_predecessor(self) -> None:
-        self.assertIsNone(self.send(beat("bole-1-a")).predecessor_host_id)
+        self.assertIsNone(
+            self.send(make_heartbeat("bole-1-a")).predecessor_host_id
+        )
 
     def test_successor_hears_that_its_predecessor_drained(self) -> None:
-        self.send(beat("bole-1-a"))
-        self.send(beat("bole-1-a", drained=True))
-        reply = self.send(beat("bole-1-b"))
+        self.send(make_heartbeat("bole-1-a"))
+        self.send(make_heartbeat("bole-1-a", drained=True))
+        reply = self.send(make_heartbeat("bole-1-b"))
         self.assertEqual("bole-1-a", reply.predecessor_host_id)
         self.assertTrue(reply.predecessor_drained)
 
     def test_drain_long_ago_says_nothing_of_who_came_between(self) -> None:
-        self.send(beat("bole-1-a", drained=True))
+        self.send(make_heartbeat("bole-1-a", drained=True))
         self.clock.advance(membership.DRAINED_VALIDITY_MS)
-        self.assertFalse(self.send(beat("bole-1-b")).predecessor_drained)
+        self.assertFalse(
+            self.send(make_heartbeat("bole-1-b")).predecessor_drained
+        )
 
     def test_only_the_whole_zone_can_vouch_for_a_predecessor(self) -> None:
         given = attrs.evolve(
@@ -118,17 +122,25 @@
         self.assertTrue(members.is_predecessor_drained())
 
     def test_successor_of_a_killed_process_hears_no_drain(self) -> None:
-        self.send(beat("bole-1-a"))
-        self.assertFalse(self.send(beat("bole-1-b")).predecessor_drained)
+        self.send(make_heartbeat("bole-1-a"))
+        self.assertFalse(
+            self.send(make_heartbeat("bole-1-b")).predecessor_drained
+        )
 
     def test_woken_process_is_told_that_its_seat_is_taken(self) -> None:
-        self.send(beat("bole-1-a"))
-        self.send(beat("bole-1-b"))
-        self.assertEqual(membership.SUPERSEDED, self.refused(beat("bole-1-a")))
+        self.send(make_heartbeat("bole-1-a"))
+        self.send(make_heartbeat("bole-1-b"))
+        self.assertEqual(
+            membership.SUPERSEDED, self.refused(make_heartbeat("bole-1-a"))
+        )
 
     def test_other_protocol_is_refused_plainly(self) -> None:
-        self.assertEqual("protocol", self.refused(beat("bole-1-a", protocol=0)))
-        self.assertEqual("bole-2-a", self.send(beat("bole-1-a")).host_id)
+        self.assertEqual(
+            "protocol", self.refused(make_heartbeat("bole-1-a", protocol=0))
+        )
+        self.assertEqual(
+            "bole-2-a", self.send(make_heartbeat("bole-1-a")).host_id
+        )
 
     def test_unknown_stream_is_refused(self) -> None:
         request = ttypes.CatchUpRequest("zone.nowhere", -1)
