--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -21,7 +21,7 @@
 from comfreylatch._version import configuration
 from comfreylatch._version import objects
 
-RECHECK_MS = 100
+INCREASE_CHECK_INTERVAL_MS = 100
 # Time from taking a slot within which its request must be sent.
 MAX_SEND_DELAY_MS = 500
 
@@ -266,7 +266,7 @@
         if now_ms < self._next_check_ms:
             return
         with self._lock:
-            self._next_check_ms = now_ms + RECHECK_MS
+            self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
             wait_ms = max_request_ms(self._configuration)
             for held in self._held.values():
                 gain = held.gain
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -98,7 +98,7 @@
         self.assertEqual(4, held.free("ex-1"))
         self.clock.now_ms += LONGEST_MS - 1
         self.assertEqual(4, held.free("ex-1"))
-        self.clock.now_ms += 1 + shares.RECHECK_MS
+        self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
         self.assertEqual(8, held.free("ex-1"))
 
     def test_gain_waits_until_other_seats_have_applied_it(self) -> None:
@@ -110,9 +110,9 @@
         self.clock.now_ms += LONGEST_MS * 10
         self.assertLess(held.free("ex-1"), 4)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=2),)
-        self.clock.now_ms += shares.RECHECK_MS
+        self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
         held.free("ex-1")
-        self.clock.now_ms += LONGEST_MS + shares.RECHECK_MS
+        self.clock.now_ms += LONGEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
         self.assertEqual(4, held.free("ex-1"))
 
     def test_changed_gain_starts_its_wait_anew(self) -> None:
