--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -52,12 +52,12 @@
     count = len(zone.seats)
     shift = xxhash.xxh32_intdigest(endpoint_name.encode()) % count
     turn = (zone.seats.index(seat) + shift) % count
-    slots = _part(endpoint.slots, count, turn)
-    connections = _part(endpoint.connections, count, turn)
+    slots = _divide(endpoint.slots, count, turn)
+    connections = _divide(endpoint.connections, count, turn)
     return Share(min(slots, connections), connections)
 
 
-def _part(total: int, count: int, turn: int) -> int:
+def _divide(total: int, count: int, turn: int) -> int:
     return total // count + (1 if turn < total % count else 0)
 
 
