--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -76,7 +76,7 @@
 
 
 @attrs.define(eq=False)
-class _Gain:
+class _PendingIncrease:
     """A larger share that may not be used yet.
 
     Attributes:
@@ -98,7 +98,7 @@
 
     usable: Share = NO_SHARE
     taken: int = 0
-    gain: _Gain | None = None
+    gain: _PendingIncrease | None = None
 
 
 @final
@@ -251,7 +251,7 @@
         if held.usable == target:
             held.gain = None
         elif held.gain is None or held.gain.target != target:
-            held.gain = _Gain(target, offset, removed_seats)
+            held.gain = _PendingIncrease(target, offset, removed_seats)
 
     def _is_gone(self, endpoint: str, held: _Held) -> bool:
         return (
@@ -275,12 +275,14 @@
                     held.gain = None
             self._gaining = any(held.gain for held in self._held.values())
 
-    def _is_due(self, gain: _Gain, now_ms: int, wait_ms: int) -> bool:
+    def _is_due(
+        self, gain: _PendingIncrease, now_ms: int, wait_ms: int
+    ) -> bool:
         if gain.applied_ms < 0 and self._is_applied_by_all(gain):
             gain.applied_ms = now_ms
         return gain.applied_ms >= 0 and now_ms >= gain.applied_ms + wait_ms
 
-    def _is_applied_by_all(self, gain: _Gain) -> bool:
+    def _is_applied_by_all(self, gain: _PendingIncrease) -> bool:
         if self._peers is None:
             return True
         return all(
@@ -290,7 +292,7 @@
             if view.zone == self._zone and self._matters(view.seat, gain)
         )
 
-    def _matters(self, seat: str, gain: _Gain) -> bool:
+    def _matters(self, seat: str, gain: _PendingIncrease) -> bool:
         zone = self._configuration.zones.get(self._zone, objects.Zone(()))
         return seat in zone.seats or seat in gain.removed_seats
 
