--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -98,7 +98,7 @@
 
     usable: Share = NO_SHARE
     taken: int = 0
-    gain: _PendingIncrease | None = None
+    pending: _PendingIncrease | None = None
 
 
 @final
@@ -212,7 +212,7 @@
                 self._change(held, target, new.offset, removed, is_new)
                 if held.taken == 0 and self._is_gone(endpoint, held):
                     del self._held[endpoint]
-            self._gaining = any(held.gain for held in self._held.values())
+            self._gaining = any(held.pending for held in self._held.values())
 
     def _targets(self, new: configuration.Configuration) -> dict[str, Share]:
         zone = new.zones.get(self._zone)
@@ -242,20 +242,21 @@
         if is_new and held.taken == 0:
             # No host used it before, so there is nobody to wait for.
             held.usable = target
-            held.gain = None
+            held.pending = None
             return
         held.usable = Share(
             min(held.usable.slots, target.slots),
             min(held.usable.connections, target.connections),
         )
         if held.usable == target:
-            held.gain = None
-        elif held.gain is None or held.gain.target != target:
-            held.gain = _PendingIncrease(target, offset, removed_seats)
+            held.pending = None
+        elif held.pending is None or held.pending.target != target:
+            held.pending = _PendingIncrease(target, offset, removed_seats)
 
     def _is_gone(self, endpoint: str, held: _Held) -> bool:
         return (
-            endpoint not in self._configuration.endpoints and held.gain is None
+            endpoint not in self._configuration.endpoints
+            and held.pending is None
         )
 
     def _check_gains(self) -> None:
@@ -269,32 +270,36 @@
             self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
             wait_ms = max_request_ms(self._configuration)
             for held in self._held.values():
-                gain = held.gain
-                if gain is not None and self._is_due(gain, now_ms, wait_ms):
-                    held.usable = gain.target
-                    held.gain = None
-            self._gaining = any(held.gain for held in self._held.values())
+                pending = held.pending
+                if pending is not None and self._is_due(
+                    pending, now_ms, wait_ms
+                ):
+                    held.usable = pending.target
+                    held.pending = None
+            self._gaining = any(held.pending for held in self._held.values())
 
     def _is_due(
-        self, gain: _PendingIncrease, now_ms: int, wait_ms: int
+        self, pending: _PendingIncrease, now_ms: int, wait_ms: int
     ) -> bool:
-        if gain.applied_ms < 0 and self._is_applied_by_all(gain):
-            gain.applied_ms = now_ms
-        return gain.applied_ms >= 0 and now_ms >= gain.applied_ms + wait_ms
+        if pending.applied_ms < 0 and self._is_applied_by_all(pending):
+            pending.applied_ms = now_ms
+        return (
+            pending.applied_ms >= 0 and now_ms >= pending.applied_ms + wait_ms
+        )
 
-    def _is_applied_by_all(self, gain: _PendingIncrease) -> bool:
+    def _is_applied_by_all(self, pending: _PendingIncrease) -> bool:
         if self._peers is None:
             return True
         return all(
-            view.config_offset >= gain.offset
-            or (view.seat in gain.removed_seats and not view.reachable)
+            view.config_offset >= pending.offset
+            or (view.seat in pending.removed_seats and not view.reachable)
             for view in self._peers.views()
-            if view.zone == self._zone and self._matters(view.seat, gain)
+            if view.zone == self._zone and self._matters(view.seat, pending)
         )
 
-    def _matters(self, seat: str, gain: _PendingIncrease) -> bool:
+    def _matters(self, seat: str, pending: _PendingIncrease) -> bool:
         zone = self._configuration.zones.get(self._zone, objects.Zone(()))
-        return seat in zone.seats or seat in gain.removed_seats
+        return seat in zone.seats or seat in pending.removed_seats
 
     def _tell(self, endpoint: str) -> None:
         for listener in self._listeners:
