--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -134,7 +134,7 @@
         self._listeners: list[Callable[[str], None]] = []
         self._closed_until_ms = clock.monotonic_ms() + start_after_ms
         self._next_check_ms = 0
-        self._gaining = False
+        self._has_pending = False
         self._configuration = configuration.Configuration()
         source.on_change(self._apply)
         self._apply(source.current())
@@ -212,7 +212,9 @@
                 self._change(held, target, new.offset, removed, is_new)
                 if held.taken == 0 and self._is_gone(endpoint, held):
                     del self._held[endpoint]
-            self._gaining = any(held.pending for held in self._held.values())
+            self._has_pending = any(
+                held.pending for held in self._held.values()
+            )
 
     def _targets(self, new: configuration.Configuration) -> dict[str, Share]:
         zone = new.zones.get(self._zone)
@@ -261,7 +263,7 @@
 
     def _check_gains(self) -> None:
         """Brings gains into use whose wait is over; cheap when none waits."""
-        if not self._gaining:
+        if not self._has_pending:
             return
         now_ms = self._clock.monotonic_ms()
         if now_ms < self._next_check_ms:
@@ -276,7 +278,9 @@
                 ):
                     held.usable = pending.target
                     held.pending = None
-            self._gaining = any(held.pending for held in self._held.values())
+            self._has_pending = any(
+                held.pending for held in self._held.values()
+            )
 
     def _is_due(
         self, pending: _PendingIncrease, now_ms: int, wait_ms: int
