--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -142,7 +142,7 @@
     def try_take(self, endpoint: str, duration_ms: int) -> bool:
         """See `SlotLedger.try_take`; a fixed share has no end."""
         del duration_ms
-        self._check_gains()
+        self._apply_due_increases()
         with self._lock:
             held = self._held.get(endpoint)
             if held is None or held.taken >= held.usable.slots:
@@ -168,7 +168,7 @@
 
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
-        self._check_gains()
+        self._apply_due_increases()
         held = self._held.get(endpoint)
         if held is None or self._clock.monotonic_ms() < self._closed_until_ms:
             return 0
@@ -261,7 +261,7 @@
             and held.pending is None
         )
 
-    def _check_gains(self) -> None:
+    def _apply_due_increases(self) -> None:
         """Brings gains into use whose wait is over; cheap when none waits."""
         if not self._has_pending:
             return
