--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -93,7 +93,7 @@
 
 
 @attrs.define(eq=False)
-class _Held:
+class _EndpointSlots:
     """What this host uses of one endpoint."""
 
     usable: Share = NO_SHARE
@@ -130,7 +130,7 @@
         self._clock = clock
         self._peers = peers
         self._lock = threading.Lock()
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _EndpointSlots] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._closed_until_ms = clock.monotonic_ms() + start_after_ms
         self._next_check_ms = 0
@@ -206,7 +206,7 @@
             removed = self._removed_seats(old, new)
             targets = self._targets(new)
             for endpoint in self._held.keys() | targets.keys():
-                held = self._held.setdefault(endpoint, _Held())
+                held = self._held.setdefault(endpoint, _EndpointSlots())
                 is_new = endpoint not in old.endpoints
                 target = targets.get(endpoint, NO_SHARE)
                 self._change(held, target, new.offset, removed, is_new)
@@ -235,7 +235,7 @@
 
     @staticmethod
     def _change(
-        held: _Held,
+        held: _EndpointSlots,
         target: Share,
         offset: int,
         removed_seats: frozenset[str],
@@ -255,7 +255,7 @@
         elif held.pending is None or held.pending.target != target:
             held.pending = _PendingIncrease(target, offset, removed_seats)
 
-    def _is_gone(self, endpoint: str, held: _Held) -> bool:
+    def _is_gone(self, endpoint: str, held: _EndpointSlots) -> bool:
         return (
             endpoint not in self._configuration.endpoints
             and held.pending is None
