--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -144,21 +144,26 @@
         del duration_ms
         self._apply_due_increases()
         with self._lock:
-            held = self._held.get(endpoint)
-            if held is None or held.taken >= held.usable.slots:
+            endpoint_slots = self._held.get(endpoint)
+            if (
+                endpoint_slots is None
+                or endpoint_slots.taken >= endpoint_slots.usable.slots
+            ):
                 return False
             if self._clock.monotonic_ms() < self._closed_until_ms:
                 return False
-            held.taken += 1
+            endpoint_slots.taken += 1
             return True
 
     def give_back(self, endpoint: str) -> None:
         """See `SlotLedger.give_back`."""
         with self._lock:
-            held = self._held[endpoint]
-            held.taken -= 1
-            is_free = held.taken < held.usable.slots
-            if held.taken == 0 and self._is_gone(endpoint, held):
+            endpoint_slots = self._held[endpoint]
+            endpoint_slots.taken -= 1
+            is_free = endpoint_slots.taken < endpoint_slots.usable.slots
+            if endpoint_slots.taken == 0 and self._is_gone(
+                endpoint, endpoint_slots
+            ):
                 del self._held[endpoint]
         if is_free:
             self._tell(endpoint)
@@ -169,19 +174,24 @@
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
         self._apply_due_increases()
-        held = self._held.get(endpoint)
-        if held is None or self._clock.monotonic_ms() < self._closed_until_ms:
+        endpoint_slots = self._held.get(endpoint)
+        if (
+            endpoint_slots is None
+            or self._clock.monotonic_ms() < self._closed_until_ms
+        ):
             return 0
-        return max(held.usable.slots - held.taken, 0)
+        return max(endpoint_slots.usable.slots - endpoint_slots.taken, 0)
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """See `SlotLedger.on_free`."""
         self._listeners.append(callback)
 
-    def connection_share(self, endpoint: str) -> int:
-        """See `SlotLedger.connection_share`."""
-        held = self._held.get(endpoint)
-        return 0 if held is None else held.usable.connections
+    def share_connections(self, endpoint: str) -> int:
+        """See `SlotLedger.share_connections`."""
+        endpoint_slots = self._held.get(endpoint)
+        return (
+            0 if endpoint_slots is None else endpoint_slots.usable.connections
+        )
 
     def open_now(self) -> None:
         """Ends the wait for a predecessor, which is known to be over."""
@@ -206,14 +216,20 @@
             removed = self._removed_seats(old, new)
             targets = self._targets(new)
             for endpoint in self._held.keys() | targets.keys():
-                held = self._held.setdefault(endpoint, _EndpointSlots())
+                endpoint_slots = self._held.setdefault(
+                    endpoint, _EndpointSlots()
+                )
                 is_new = endpoint not in old.endpoints
                 target = targets.get(endpoint, NO_SHARE)
-                self._change(held, target, new.offset, removed, is_new)
-                if held.taken == 0 and self._is_gone(endpoint, held):
+                self._change(
+                    endpoint_slots, target, new.offset, removed, is_new
+                )
+                if endpoint_slots.taken == 0 and self._is_gone(
+                    endpoint, endpoint_slots
+                ):
                     del self._held[endpoint]
             self._has_pending = any(
-                held.pending for held in self._held.values()
+                endpoint_slots.pending for endpoint_slots in self._held.values()
             )
 
     def _targets(self, new: configuration.Configuration) -> dict[str, Share]:
@@ -235,30 +251,35 @@
 
     @staticmethod
     def _change(
-        held: _EndpointSlots,
+        endpoint_slots: _EndpointSlots,
         target: Share,
         offset: int,
         removed_seats: frozenset[str],
         is_new: bool,
     ) -> None:
-        if is_new and held.taken == 0:
+        if is_new and endpoint_slots.taken == 0:
             # No host used it before, so there is nobody to wait for.
-            held.usable = target
-            held.pending = None
+            endpoint_slots.usable = target
+            endpoint_slots.pending = None
             return
-        held.usable = Share(
-            min(held.usable.slots, target.slots),
-            min(held.usable.connections, target.connections),
+        endpoint_slots.usable = Share(
+            min(endpoint_slots.usable.slots, target.slots),
+            min(endpoint_slots.usable.connections, target.connections),
         )
-        if held.usable == target:
-            held.pending = None
-        elif held.pending is None or held.pending.target != target:
-            held.pending = _PendingIncrease(target, offset, removed_seats)
+        if endpoint_slots.usable == target:
+            endpoint_slots.pending = None
+        elif (
+            endpoint_slots.pending is None
+            or endpoint_slots.pending.target != target
+        ):
+            endpoint_slots.pending = _PendingIncrease(
+                target, offset, removed_seats
+            )
 
-    def _is_gone(self, endpoint: str, held: _EndpointSlots) -> bool:
+    def _is_gone(self, endpoint: str, endpoint_slots: _EndpointSlots) -> bool:
         return (
             endpoint not in self._configuration.endpoints
-            and held.pending is None
+            and endpoint_slots.pending is None
         )
 
     def _apply_due_increases(self) -> None:
@@ -271,15 +292,15 @@
         with self._lock:
             self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
             wait_ms = max_request_ms(self._configuration)
-            for held in self._held.values():
-                pending = held.pending
+            for endpoint_slots in self._held.values():
+                pending = endpoint_slots.pending
                 if pending is not None and self._is_due(
                     pending, now_ms, wait_ms
                 ):
-                    held.usable = pending.target
-                    held.pending = None
+                    endpoint_slots.usable = pending.target
+                    endpoint_slots.pending = None
             self._has_pending = any(
-                held.pending for held in self._held.values()
+                endpoint_slots.pending for endpoint_slots in self._held.values()
             )
 
     def _is_due(
