--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -130,7 +130,7 @@
         self._clock = clock
         self._peers = peers
         self._lock = threading.Lock()
-        self._held: dict[str, _EndpointSlots] = {}
+        self._endpoints: dict[str, _EndpointSlots] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._closed_until_ms = clock.monotonic_ms() + start_after_ms
         self._next_check_ms = 0
@@ -144,7 +144,7 @@
         del duration_ms
         self._apply_due_increases()
         with self._lock:
-            endpoint_slots = self._held.get(endpoint)
+            endpoint_slots = self._endpoints.get(endpoint)
             if (
                 endpoint_slots is None
                 or endpoint_slots.taken >= endpoint_slots.usable.slots
@@ -158,13 +158,13 @@
     def give_back(self, endpoint: str) -> None:
         """See `SlotLedger.give_back`."""
         with self._lock:
-            endpoint_slots = self._held[endpoint]
+            endpoint_slots = self._endpoints[endpoint]
             endpoint_slots.taken -= 1
             is_free = endpoint_slots.taken < endpoint_slots.usable.slots
             if endpoint_slots.taken == 0 and self._is_gone(
                 endpoint, endpoint_slots
             ):
-                del self._held[endpoint]
+                del self._endpoints[endpoint]
         if is_free:
             self._tell(endpoint)
 
@@ -174,7 +174,7 @@
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
         self._apply_due_increases()
-        endpoint_slots = self._held.get(endpoint)
+        endpoint_slots = self._endpoints.get(endpoint)
         if (
             endpoint_slots is None
             or self._clock.monotonic_ms() < self._closed_until_ms
@@ -188,7 +188,7 @@
 
     def share_connections(self, endpoint: str) -> int:
         """See `SlotLedger.share_connections`."""
-        endpoint_slots = self._held.get(endpoint)
+        endpoint_slots = self._endpoints.get(endpoint)
         return (
             0 if endpoint_slots is None else endpoint_slots.usable.connections
         )
@@ -197,7 +197,7 @@
         """Ends the wait for a predecessor, which is known to be over."""
         with self._lock:
             self._closed_until_ms = 0
-            endpoints = list(self._held)
+            endpoints = list(self._endpoints)
         for endpoint in endpoints:
             self._tell(endpoint)
 
@@ -215,8 +215,8 @@
             self._configuration = new
             removed = self._removed_seats(old, new)
             targets = self._targets(new)
-            for endpoint in self._held.keys() | targets.keys():
-                endpoint_slots = self._held.setdefault(
+            for endpoint in self._endpoints.keys() | targets.keys():
+                endpoint_slots = self._endpoints.setdefault(
                     endpoint, _EndpointSlots()
                 )
                 is_new = endpoint not in old.endpoints
@@ -227,9 +227,10 @@
                 if endpoint_slots.taken == 0 and self._is_gone(
                     endpoint, endpoint_slots
                 ):
-                    del self._held[endpoint]
+                    del self._endpoints[endpoint]
             self._has_pending = any(
-                endpoint_slots.pending for endpoint_slots in self._held.values()
+                endpoint_slots.pending
+                for endpoint_slots in self._endpoints.values()
             )
 
     def _targets(self, new: configuration.Configuration) -> dict[str, Share]:
@@ -292,7 +293,7 @@
         with self._lock:
             self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
             wait_ms = max_request_ms(self._configuration)
-            for endpoint_slots in self._held.values():
+            for endpoint_slots in self._endpoints.values():
                 pending = endpoint_slots.pending
                 if pending is not None and self._is_due(
                     pending, now_ms, wait_ms
@@ -300,7 +301,8 @@
                     endpoint_slots.usable = pending.target
                     endpoint_slots.pending = None
             self._has_pending = any(
-                endpoint_slots.pending for endpoint_slots in self._held.values()
+                endpoint_slots.pending
+                for endpoint_slots in self._endpoints.values()
             )
 
     def _is_due(
