--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -96,7 +96,7 @@
 class _EndpointSlots:
     """What this host uses of one endpoint."""
 
-    usable: Share = NO_SHARE
+    allowed: Share = NO_SHARE
     taken: int = 0
     pending: _PendingIncrease | None = None
 
@@ -147,7 +147,7 @@
             endpoint_slots = self._endpoints.get(endpoint)
             if (
                 endpoint_slots is None
-                or endpoint_slots.taken >= endpoint_slots.usable.slots
+                or endpoint_slots.taken >= endpoint_slots.allowed.slots
             ):
                 return False
             if self._clock.monotonic_ms() < self._closed_until_ms:
@@ -160,7 +160,7 @@
         with self._lock:
             endpoint_slots = self._endpoints[endpoint]
             endpoint_slots.taken -= 1
-            is_free = endpoint_slots.taken < endpoint_slots.usable.slots
+            is_free = endpoint_slots.taken < endpoint_slots.allowed.slots
             if endpoint_slots.taken == 0 and self._is_gone(
                 endpoint, endpoint_slots
             ):
@@ -180,7 +180,7 @@
             or self._clock.monotonic_ms() < self._closed_until_ms
         ):
             return 0
-        return max(endpoint_slots.usable.slots - endpoint_slots.taken, 0)
+        return max(endpoint_slots.allowed.slots - endpoint_slots.taken, 0)
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """See `SlotLedger.on_free`."""
@@ -190,7 +190,7 @@
         """See `SlotLedger.share_connections`."""
         endpoint_slots = self._endpoints.get(endpoint)
         return (
-            0 if endpoint_slots is None else endpoint_slots.usable.connections
+            0 if endpoint_slots is None else endpoint_slots.allowed.connections
         )
 
     def open_now(self) -> None:
@@ -260,14 +260,14 @@
     ) -> None:
         if is_new and endpoint_slots.taken == 0:
             # No host used it before, so there is nobody to wait for.
-            endpoint_slots.usable = target
+            endpoint_slots.allowed = target
             endpoint_slots.pending = None
             return
-        endpoint_slots.usable = Share(
-            min(endpoint_slots.usable.slots, target.slots),
-            min(endpoint_slots.usable.connections, target.connections),
+        endpoint_slots.allowed = Share(
+            min(endpoint_slots.allowed.slots, target.slots),
+            min(endpoint_slots.allowed.connections, target.connections),
         )
-        if endpoint_slots.usable == target:
+        if endpoint_slots.allowed == target:
             endpoint_slots.pending = None
         elif (
             endpoint_slots.pending is None
@@ -298,7 +298,7 @@
                 if pending is not None and self._is_due(
                     pending, now_ms, wait_ms
                 ):
-                    endpoint_slots.usable = pending.target
+                    endpoint_slots.allowed = pending.target
                     endpoint_slots.pending = None
             self._has_pending = any(
                 endpoint_slots.pending
