--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -97,7 +97,7 @@
     """What this host uses of one endpoint."""
 
     allowed: Share = NO_SHARE
-    taken: int = 0
+    in_use: int = 0
     pending: _PendingIncrease | None = None
 
 
@@ -147,21 +147,21 @@
             endpoint_slots = self._endpoints.get(endpoint)
             if (
                 endpoint_slots is None
-                or endpoint_slots.taken >= endpoint_slots.allowed.slots
+                or endpoint_slots.in_use >= endpoint_slots.allowed.slots
             ):
                 return False
             if self._clock.monotonic_ms() < self._closed_until_ms:
                 return False
-            endpoint_slots.taken += 1
+            endpoint_slots.in_use += 1
             return True
 
     def give_back(self, endpoint: str) -> None:
         """See `SlotLedger.give_back`."""
         with self._lock:
             endpoint_slots = self._endpoints[endpoint]
-            endpoint_slots.taken -= 1
-            is_free = endpoint_slots.taken < endpoint_slots.allowed.slots
-            if endpoint_slots.taken == 0 and self._is_gone(
+            endpoint_slots.in_use -= 1
+            is_free = endpoint_slots.in_use < endpoint_slots.allowed.slots
+            if endpoint_slots.in_use == 0 and self._is_gone(
                 endpoint, endpoint_slots
             ):
                 del self._endpoints[endpoint]
@@ -180,7 +180,7 @@
             or self._clock.monotonic_ms() < self._closed_until_ms
         ):
             return 0
-        return max(endpoint_slots.allowed.slots - endpoint_slots.taken, 0)
+        return max(endpoint_slots.allowed.slots - endpoint_slots.in_use, 0)
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """See `SlotLedger.on_free`."""
@@ -224,7 +224,7 @@
                 self._change(
                     endpoint_slots, target, new.offset, removed, is_new
                 )
-                if endpoint_slots.taken == 0 and self._is_gone(
+                if endpoint_slots.in_use == 0 and self._is_gone(
                     endpoint, endpoint_slots
                 ):
                     del self._endpoints[endpoint]
@@ -258,7 +258,7 @@
         removed_seats: frozenset[str],
         is_new: bool,
     ) -> None:
-        if is_new and endpoint_slots.taken == 0:
+        if is_new and endpoint_slots.in_use == 0:
             # No host used it before, so there is nobody to wait for.
             endpoint_slots.allowed = target
             endpoint_slots.pending = None
