--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -221,7 +221,7 @@
                 )
                 is_new = endpoint not in old.endpoints
                 target = targets.get(endpoint, NO_SHARE)
-                self._change(
+                self._update_share(
                     endpoint_slots, target, new.offset, removed, is_new
                 )
                 if endpoint_slots.in_use == 0 and self._is_gone(
@@ -251,7 +251,7 @@
         return frozenset(old_zone.seats) - frozenset(new_zone.seats)
 
     @staticmethod
-    def _change(
+    def _update_share(
         endpoint_slots: _EndpointSlots,
         target: Share,
         offset: int,
