--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -161,7 +161,7 @@
             endpoint_slots = self._endpoints[endpoint]
             endpoint_slots.in_use -= 1
             is_free = endpoint_slots.in_use < endpoint_slots.allowed.slots
-            if endpoint_slots.in_use == 0 and self._is_gone(
+            if endpoint_slots.in_use == 0 and self._is_removed(
                 endpoint, endpoint_slots
             ):
                 del self._endpoints[endpoint]
@@ -224,7 +224,7 @@
                 self._update_share(
                     endpoint_slots, target, new.offset, removed, is_new
                 )
-                if endpoint_slots.in_use == 0 and self._is_gone(
+                if endpoint_slots.in_use == 0 and self._is_removed(
                     endpoint, endpoint_slots
                 ):
                     del self._endpoints[endpoint]
@@ -277,7 +277,9 @@
                 target, offset, removed_seats
             )
 
-    def _is_gone(self, endpoint: str, endpoint_slots: _EndpointSlots) -> bool:
+    def _is_removed(
+        self, endpoint: str, endpoint_slots: _EndpointSlots
+    ) -> bool:
         return (
             endpoint not in self._configuration.endpoints
             and endpoint_slots.pending is None
