--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -323,10 +323,10 @@
             view.config_offset >= pending.offset
             or (view.seat in pending.removed_seats and not view.reachable)
             for view in self._peers.views()
-            if view.zone == self._zone and self._matters(view.seat, pending)
+            if view.zone == self._zone and self._is_relevant(view.seat, pending)
         )
 
-    def _matters(self, seat: str, pending: _PendingIncrease) -> bool:
+    def _is_relevant(self, seat: str, pending: _PendingIncrease) -> bool:
         zone = self._configuration.zones.get(self._zone, objects.Zone(()))
         return seat in zone.seats or seat in pending.removed_seats
 
