--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -56,13 +56,13 @@
             match self._port.fetch():
                 case result.Ok(listed):
                     self._note_up()
-                    self._tell(listed)
+                    self._notify_listeners(listed)
                 case result.Err(down):
                     self._note_down(down.detail)
             if self._closing.wait(self._interval_ms / 1_000):
                 return
 
-    def _tell(self, listed: hosts.HostList) -> None:
+    def _notify_listeners(self, listed: hosts.HostList) -> None:
         for listener in self._listeners:
             try:
                 listener(listed)
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -113,7 +113,7 @@
         self._thread = threading.Thread(
             target=self._run, name="loans", daemon=True
         )
-        shares.on_free(self._tell)
+        shares.on_free(self._notify_listeners)
 
     def __enter__(self) -> Self:
         self._thread.start()
@@ -139,7 +139,7 @@
         """See `SlotLedger.give_back`."""
         with self._lock:
             self._book(endpoint).release(self._clock.monotonic_ms())
-        self._tell(endpoint)
+        self._notify_listeners(endpoint)
 
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
@@ -185,7 +185,7 @@
                 loan.loan_id, loan.borrower_host_id
             )
         self._metrics.count(metrics_module.Counter.LOANS, "returned")
-        self._tell(loan.endpoint)
+        self._notify_listeners(loan.endpoint)
 
     def loan_duration_ms(self) -> int:
         """How long a loan lasts under the configuration in force."""
@@ -214,7 +214,7 @@
         book.set_own(self._shares.free(endpoint))
         return book
 
-    def _tell(self, endpoint: str) -> None:
+    def _notify_listeners(self, endpoint: str) -> None:
         for listener in self._listeners:
             listener(endpoint)
 
@@ -244,7 +244,7 @@
         self._chance.shuffle(lenders)
         for seat in lenders:
             if self._borrow_from(seat, endpoint):
-                self._tell(endpoint)
+                self._notify_listeners(endpoint)
                 return
 
     def _refused_lately(self, seat: str, endpoint: str) -> bool:
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -166,7 +166,7 @@
             ):
                 del self._endpoints[endpoint]
         if is_free:
-            self._tell(endpoint)
+            self._notify_listeners(endpoint)
 
     def want(self, endpoint: str) -> None:
         """See `SlotLedger.want`; a fixed share doesn't grow by wanting."""
@@ -199,7 +199,7 @@
             self._closed_until_ms = 0
             endpoints = list(self._endpoints)
         for endpoint in endpoints:
-            self._tell(endpoint)
+            self._notify_listeners(endpoint)
 
     def hold_until(self, monotonic_ms: int) -> None:
         """Gives out no slot before a time; used after a long pause."""
@@ -330,6 +330,6 @@
         zone = self._configuration.zones.get(self._zone, objects.Zone(()))
         return seat in zone.seats or seat in pending.removed_seats
 
-    def _tell(self, endpoint: str) -> None:
+    def _notify_listeners(self, endpoint: str) -> None:
         for listener in self._listeners:
             listener(endpoint)
