--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -170,7 +170,7 @@
                 logs.event(_logger, "seat-open", reason=reason)
                 if reason == NO_ENDPOINT_BEFORE:
                     self._parts.on_first_start()
-                self._parts.shares.open_now()
+                self._parts.shares.end_startup_wait()
                 self.is_open.set()
                 self.is_decided.set()
                 return
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -193,7 +193,7 @@
             0 if endpoint_slots is None else endpoint_slots.allowed.connections
         )
 
-    def open_now(self) -> None:
+    def end_startup_wait(self) -> None:
         """Ends the wait for a predecessor, which is known to be over."""
         with self._lock:
             self._closed_until_ms = 0
