--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -227,7 +227,7 @@
         )
         self._pause_watch = pause_watch.PauseWatch(
             self._clock,
-            lambda _: shares.hold_until(
+            lambda _: shares.suspend_until(
                 self._clock.monotonic_ms()
                 + startup_waits.seat_conflict_wait_ms(settings.timing)
             ),
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -201,7 +201,7 @@
         for endpoint in endpoints:
             self._notify_listeners(endpoint)
 
-    def hold_until(self, monotonic_ms: int) -> None:
+    def suspend_until(self, monotonic_ms: int) -> None:
         """Gives out no slot before a time; used after a long pause."""
         with self._lock:
             self._closed_until_ms = max(self._closed_until_ms, monotonic_ms)
