--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -122,7 +122,7 @@
         zone: str,
         seat: str,
         clock: clock_port.Clock,
-        start_after_ms: int,
+        startup_wait_ms: int,
         peers: peers_port.Peers | None = None,
     ) -> None:
         self._zone = zone
@@ -132,7 +132,7 @@
         self._lock = threading.Lock()
         self._endpoints: dict[str, _EndpointSlots] = {}
         self._listeners: list[Callable[[str], None]] = []
-        self._closed_until_ms = clock.monotonic_ms() + start_after_ms
+        self._closed_until_ms = clock.monotonic_ms() + startup_wait_ms
         self._next_check_ms = 0
         self._has_pending = False
         self._configuration = configuration.Configuration()
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -18,11 +18,11 @@
 def make_shares(
     source: fakes.FakeSource,
     clock: fakes.FakeClock,
-    start_after_ms: int = 0,
+    startup_wait_ms: int = 0,
     peers: fakes.FakePeers | None = None,
 ) -> shares.FixedShares:
     return shares.FixedShares(
-        source, fakes.ZONE, "a", clock, start_after_ms, peers
+        source, fakes.ZONE, "a", clock, startup_wait_ms, peers
     )
 
 
