--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -132,7 +132,7 @@
         self._lock = threading.Lock()
         self._endpoints: dict[str, _EndpointSlots] = {}
         self._listeners: list[Callable[[str], None]] = []
-        self._closed_until_ms = clock.monotonic_ms() + startup_wait_ms
+        self._suspended_until_ms = clock.monotonic_ms() + startup_wait_ms
         self._next_check_ms = 0
         self._has_pending = False
         self._configuration = configuration.Configuration()
@@ -150,7 +150,7 @@
                 or endpoint_slots.in_use >= endpoint_slots.allowed.slots
             ):
                 return False
-            if self._clock.monotonic_ms() < self._closed_until_ms:
+            if self._clock.monotonic_ms() < self._suspended_until_ms:
                 return False
             endpoint_slots.in_use += 1
             return True
@@ -177,7 +177,7 @@
         endpoint_slots = self._endpoints.get(endpoint)
         if (
             endpoint_slots is None
-            or self._clock.monotonic_ms() < self._closed_until_ms
+            or self._clock.monotonic_ms() < self._suspended_until_ms
         ):
             return 0
         return max(endpoint_slots.allowed.slots - endpoint_slots.in_use, 0)
@@ -196,7 +196,7 @@
     def end_startup_wait(self) -> None:
         """Ends the wait for a predecessor, which is known to be over."""
         with self._lock:
-            self._closed_until_ms = 0
+            self._suspended_until_ms = 0
             endpoints = list(self._endpoints)
         for endpoint in endpoints:
             self._notify_listeners(endpoint)
@@ -204,7 +204,9 @@
     def suspend_until(self, monotonic_ms: int) -> None:
         """Gives out no slot before a time; used after a long pause."""
         with self._lock:
-            self._closed_until_ms = max(self._closed_until_ms, monotonic_ms)
+            self._suspended_until_ms = max(
+                self._suspended_until_ms, monotonic_ms
+            )
 
     def _apply(self, new: configuration.Configuration) -> None:
         """Takes a new version: losses at once, gains after their wait."""
