--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -12,7 +12,7 @@
 from comfreylatch._version import objects
 from tests import fakes
 
-LONGEST_MS = shares.max_request_ms(configuration.Configuration())
+MAX_REQUEST_MS = shares.max_request_ms(configuration.Configuration())
 
 
 def make_shares(
@@ -76,10 +76,10 @@
 
     def test_no_slot_before_predecessors_requests_have_ended(self) -> None:
         held = make_shares(
-            fakes.FakeSource(with_seats("a")), self.clock, LONGEST_MS
+            fakes.FakeSource(with_seats("a")), self.clock, MAX_REQUEST_MS
         )
         self.assertFalse(held.try_take("ex-1", 1_000))
-        self.clock.now_ms += LONGEST_MS
+        self.clock.now_ms += MAX_REQUEST_MS
         self.assertTrue(held.try_take("ex-1", 1_000))
 
     def test_loss_takes_effect_at_once(self) -> None:
@@ -96,7 +96,7 @@
         held = make_shares(source, self.clock)
         source.replace(with_seats("a", offset=2))
         self.assertEqual(4, held.free("ex-1"))
-        self.clock.now_ms += LONGEST_MS - 1
+        self.clock.now_ms += MAX_REQUEST_MS - 1
         self.assertEqual(4, held.free("ex-1"))
         self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
         self.assertEqual(8, held.free("ex-1"))
@@ -107,21 +107,21 @@
         held = make_shares(source, self.clock, peers=peers)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=1),)
         source.replace(with_seats("a", "b", offset=2))
-        self.clock.now_ms += LONGEST_MS * 10
+        self.clock.now_ms += MAX_REQUEST_MS * 10
         self.assertLess(held.free("ex-1"), 4)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=2),)
         self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
         held.free("ex-1")
-        self.clock.now_ms += LONGEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
+        self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
         self.assertEqual(4, held.free("ex-1"))
 
     def test_changed_gain_starts_its_wait_anew(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c", "d"))
         held = make_shares(source, self.clock)
         source.replace(with_seats("a", "b", offset=2))
-        self.clock.now_ms += LONGEST_MS - 1
+        self.clock.now_ms += MAX_REQUEST_MS - 1
         source.replace(with_seats("a", offset=3))
-        self.clock.now_ms += LONGEST_MS - 1
+        self.clock.now_ms += MAX_REQUEST_MS - 1
         self.assertEqual(2, held.free("ex-1"))
 
     def test_slot_is_given_back_after_endpoint_is_removed(self) -> None:
