--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -68,74 +68,78 @@
         self.clock = fakes.FakeClock()
 
     def test_share_is_never_exceeded(self) -> None:
-        held = make_shares(fakes.FakeSource(with_seats("a", "b")), self.clock)
-        taken = [held.try_take("ex-1", 1_000) for _ in range(8)]
+        fixed_shares = make_shares(
+            fakes.FakeSource(with_seats("a", "b")), self.clock
+        )
+        taken = [fixed_shares.try_take("ex-1", 1_000) for _ in range(8)]
         self.assertEqual(4, sum(taken))
-        held.give_back("ex-1")
-        self.assertEqual(1, held.free("ex-1"))
+        fixed_shares.give_back("ex-1")
+        self.assertEqual(1, fixed_shares.free("ex-1"))
 
     def test_no_slot_before_predecessors_requests_have_ended(self) -> None:
-        held = make_shares(
+        fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a")), self.clock, MAX_REQUEST_MS
         )
-        self.assertFalse(held.try_take("ex-1", 1_000))
+        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
         self.clock.now_ms += MAX_REQUEST_MS
-        self.assertTrue(held.try_take("ex-1", 1_000))
+        self.assertTrue(fixed_shares.try_take("ex-1", 1_000))
 
     def test_loss_takes_effect_at_once(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
-        held = make_shares(source, self.clock)
+        fixed_shares = make_shares(source, self.clock)
         for _ in range(5):
-            held.try_take("ex-1", 1_000)
+            fixed_shares.try_take("ex-1", 1_000)
         source.replace(with_seats("a", "b", offset=2))
-        held.give_back("ex-1")
-        self.assertFalse(held.try_take("ex-1", 1_000))
+        fixed_shares.give_back("ex-1")
+        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
 
     def test_gain_waits_for_longest_request(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b"))
-        held = make_shares(source, self.clock)
+        fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", offset=2))
-        self.assertEqual(4, held.free("ex-1"))
+        self.assertEqual(4, fixed_shares.free("ex-1"))
         self.clock.now_ms += MAX_REQUEST_MS - 1
-        self.assertEqual(4, held.free("ex-1"))
+        self.assertEqual(4, fixed_shares.free("ex-1"))
         self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
-        self.assertEqual(8, held.free("ex-1"))
+        self.assertEqual(8, fixed_shares.free("ex-1"))
 
     def test_gain_waits_until_other_seats_have_applied_it(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c"))
         peers = fakes.FakePeers()
-        held = make_shares(source, self.clock, peers=peers)
+        fixed_shares = make_shares(source, self.clock, peers=peers)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=1),)
         source.replace(with_seats("a", "b", offset=2))
         self.clock.now_ms += MAX_REQUEST_MS * 10
-        self.assertLess(held.free("ex-1"), 4)
+        self.assertLess(fixed_shares.free("ex-1"), 4)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=2),)
         self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
-        held.free("ex-1")
+        fixed_shares.free("ex-1")
         self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
-        self.assertEqual(4, held.free("ex-1"))
+        self.assertEqual(4, fixed_shares.free("ex-1"))
 
     def test_changed_gain_starts_its_wait_anew(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c", "d"))
-        held = make_shares(source, self.clock)
+        fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", "b", offset=2))
         self.clock.now_ms += MAX_REQUEST_MS - 1
         source.replace(with_seats("a", offset=3))
         self.clock.now_ms += MAX_REQUEST_MS - 1
-        self.assertEqual(2, held.free("ex-1"))
+        self.assertEqual(2, fixed_shares.free("ex-1"))
 
     def test_slot_is_given_back_after_endpoint_is_removed(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
-        held = make_shares(source, self.clock)
-        held.try_take("ex-1", 1_000)
+        fixed_shares = make_shares(source, self.clock)
+        fixed_shares.try_take("ex-1", 1_000)
         source.replace(fakes.make_configuration({}, offset=2))
-        held.give_back("ex-1")
-        self.assertEqual(0, held.free("ex-1"))
+        fixed_shares.give_back("ex-1")
+        self.assertEqual(0, fixed_shares.free("ex-1"))
 
     def test_freed_slot_is_told(self) -> None:
-        held = make_shares(fakes.FakeSource(with_seats("a")), self.clock)
+        fixed_shares = make_shares(
+            fakes.FakeSource(with_seats("a")), self.clock
+        )
         told: list[str] = []
-        held.on_free(told.append)
-        held.try_take("ex-1", 1_000)
-        held.give_back("ex-1")
+        fixed_shares.on_free(told.append)
+        fixed_shares.try_take("ex-1", 1_000)
+        fixed_shares.give_back("ex-1")
         self.assertEqual(["ex-1"], told)
