--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -138,8 +138,8 @@
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a")), self.clock
         )
-        told: list[str] = []
-        fixed_shares.on_free(told.append)
+        notified: list[str] = []
+        fixed_shares.on_free(notified.append)
         fixed_shares.try_take("ex-1", 1_000)
         fixed_shares.give_back("ex-1")
-        self.assertEqual(["ex-1"], told)
+        self.assertEqual(["ex-1"], notified)
