--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -46,11 +46,11 @@
     ) -> None:
         endpoint = objects.Endpoint("s", "z", "a", slots, connections)
         zone = objects.Zone(tuple(f"seat-{i}" for i in range(seats)))
-        parts = [
+        divided = [
             shares.seat_share(name, endpoint, zone, seat) for seat in zone.seats
         ]
-        self.assertLessEqual(sum(part.slots for part in parts), slots)
-        self.assertEqual(connections, sum(part.connections for part in parts))
+        self.assertLessEqual(sum(part.slots for part in divided), slots)
+        self.assertEqual(connections, sum(part.connections for part in divided))
 
     def test_unknown_seat_has_no_share(self) -> None:
         endpoint = objects.Endpoint("s", "z", "a")
