--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -49,8 +49,10 @@
         divided = [
             shares.seat_share(name, endpoint, zone, seat) for seat in zone.seats
         ]
-        self.assertLessEqual(sum(part.slots for part in divided), slots)
-        self.assertEqual(connections, sum(part.connections for part in divided))
+        self.assertLessEqual(sum(share.slots for share in divided), slots)
+        self.assertEqual(
+            connections, sum(share.connections for share in divided)
+        )
 
     def test_unknown_seat_has_no_share(self) -> None:
         endpoint = objects.Endpoint("s", "z", "a")
