--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -296,11 +296,11 @@
             return
         with self._lock:
             self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
-            wait_ms = max_request_ms(self._configuration)
+            max_request_duration_ms = max_request_ms(self._configuration)
             for endpoint_slots in self._endpoints.values():
                 pending = endpoint_slots.pending
                 if pending is not None and self._is_due(
-                    pending, now_ms, wait_ms
+                    pending, now_ms, max_request_duration_ms
                 ):
                     endpoint_slots.allowed = pending.target
                     endpoint_slots.pending = None
@@ -310,12 +310,16 @@
             )
 
     def _is_due(
-        self, pending: _PendingIncrease, now_ms: int, wait_ms: int
+        self,
+        pending: _PendingIncrease,
+        now_ms: int,
+        max_request_duration_ms: int,
     ) -> bool:
         if pending.applied_ms < 0 and self._is_applied_by_all(pending):
             pending.applied_ms = now_ms
         return (
-            pending.applied_ms >= 0 and now_ms >= pending.applied_ms + wait_ms
+            pending.applied_ms >= 0
+            and now_ms >= pending.applied_ms + max_request_duration_ms
         )
 
     def _is_applied_by_all(self, pending: _PendingIncrease) -> bool:
