--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -93,7 +93,7 @@
 
 
 @attrs.define(eq=False)
-class _EndpointSlots:
+class _EndpointUsage:
     """What this host uses of one endpoint."""
 
     allowed: Share = NO_SHARE
@@ -130,7 +130,7 @@
         self._clock = clock
         self._peers = peers
         self._lock = threading.Lock()
-        self._endpoints: dict[str, _EndpointSlots] = {}
+        self._endpoints: dict[str, _EndpointUsage] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._suspended_until_ms = clock.monotonic_ms() + startup_wait_ms
         self._next_check_ms = 0
@@ -219,7 +219,7 @@
             targets = self._targets(new)
             for endpoint in self._endpoints.keys() | targets.keys():
                 endpoint_slots = self._endpoints.setdefault(
-                    endpoint, _EndpointSlots()
+                    endpoint, _EndpointUsage()
                 )
                 is_new = endpoint not in old.endpoints
                 target = targets.get(endpoint, NO_SHARE)
@@ -254,7 +254,7 @@
 
     @staticmethod
     def _update_share(
-        endpoint_slots: _EndpointSlots,
+        endpoint_slots: _EndpointUsage,
         target: Share,
         offset: int,
         removed_seats: frozenset[str],
@@ -280,7 +280,7 @@
             )
 
     def _is_removed(
-        self, endpoint: str, endpoint_slots: _EndpointSlots
+        self, endpoint: str, endpoint_slots: _EndpointUsage
     ) -> bool:
         return (
             endpoint not in self._configuration.endpoints
