--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -144,26 +144,21 @@
         del duration_ms
         self._apply_due_increases()
         with self._lock:
-            endpoint_slots = self._endpoints.get(endpoint)
-            if (
-                endpoint_slots is None
-                or endpoint_slots.in_use >= endpoint_slots.allowed.slots
-            ):
+            usage = self._endpoints.get(endpoint)
+            if usage is None or usage.in_use >= usage.allowed.slots:
                 return False
             if self._clock.monotonic_ms() < self._suspended_until_ms:
                 return False
-            endpoint_slots.in_use += 1
+            usage.in_use += 1
             return True
 
     def give_back(self, endpoint: str) -> None:
         """See `SlotLedger.give_back`."""
         with self._lock:
-            endpoint_slots = self._endpoints[endpoint]
-            endpoint_slots.in_use -= 1
-            is_free = endpoint_slots.in_use < endpoint_slots.allowed.slots
-            if endpoint_slots.in_use == 0 and self._is_removed(
-                endpoint, endpoint_slots
-            ):
+            usage = self._endpoints[endpoint]
+            usage.in_use -= 1
+            is_free = usage.in_use < usage.allowed.slots
+            if usage.in_use == 0 and self._is_removed(endpoint, usage):
                 del self._endpoints[endpoint]
         if is_free:
             self._notify_listeners(endpoint)
@@ -174,13 +169,13 @@
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
         self._apply_due_increases()
-        endpoint_slots = self._endpoints.get(endpoint)
+        usage = self._endpoints.get(endpoint)
         if (
-            endpoint_slots is None
+            usage is None
             or self._clock.monotonic_ms() < self._suspended_until_ms
         ):
             return 0
-        return max(endpoint_slots.allowed.slots - endpoint_slots.in_use, 0)
+        return max(usage.allowed.slots - usage.in_use, 0)
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """See `SlotLedger.on_free`."""
@@ -188,10 +183,8 @@
 
     def share_connections(self, endpoint: str) -> int:
         """See `SlotLedger.share_connections`."""
-        endpoint_slots = self._endpoints.get(endpoint)
-        return (
-            0 if endpoint_slots is None else endpoint_slots.allowed.connections
-        )
+        usage = self._endpoints.get(endpoint)
+        return 0 if usage is None else usage.allowed.connections
 
     def end_startup_wait(self) -> None:
         """Ends the wait for a predecessor, which is known to be over."""
@@ -218,21 +211,14 @@
             removed = self._removed_seats(old, new)
             targets = self._targets(new)
             for endpoint in self._endpoints.keys() | targets.keys():
-                endpoint_slots = self._endpoints.setdefault(
-                    endpoint, _EndpointUsage()
-                )
+                usage = self._endpoints.setdefault(endpoint, _EndpointUsage())
                 is_new = endpoint not in old.endpoints
                 target = targets.get(endpoint, NO_SHARE)
-                self._update_share(
-                    endpoint_slots, target, new.offset, removed, is_new
-                )
-                if endpoint_slots.in_use == 0 and self._is_removed(
-                    endpoint, endpoint_slots
-                ):
+                self._update_share(usage, target, new.offset, removed, is_new)
+                if usage.in_use == 0 and self._is_removed(endpoint, usage):
                     del self._endpoints[endpoint]
             self._has_pending = any(
-                endpoint_slots.pending
-                for endpoint_slots in self._endpoints.values()
+                usage.pending for usage in self._endpoints.values()
             )
 
     def _targets(self, new: configuration.Configuration) -> dict[str, Share]:
@@ -254,37 +240,30 @@
 
     @staticmethod
     def _update_share(
-        endpoint_slots: _EndpointUsage,
+        usage: _EndpointUsage,
         target: Share,
         offset: int,
         removed_seats: frozenset[str],
         is_new: bool,
     ) -> None:
-        if is_new and endpoint_slots.in_use == 0:
+        if is_new and usage.in_use == 0:
             # No host used it before, so there is nobody to wait for.
-            endpoint_slots.allowed = target
-            endpoint_slots.pending = None
+            usage.allowed = target
+            usage.pending = None
             return
-        endpoint_slots.allowed = Share(
-            min(endpoint_slots.allowed.slots, target.slots),
-            min(endpoint_slots.allowed.connections, target.connections),
+        usage.allowed = Share(
+            min(usage.allowed.slots, target.slots),
+            min(usage.allowed.connections, target.connections),
         )
-        if endpoint_slots.allowed == target:
-            endpoint_slots.pending = None
-        elif (
-            endpoint_slots.pending is None
-            or endpoint_slots.pending.target != target
-        ):
-            endpoint_slots.pending = _PendingIncrease(
-                target, offset, removed_seats
-            )
+        if usage.allowed == target:
+            usage.pending = None
+        elif usage.pending is None or usage.pending.target != target:
+            usage.pending = _PendingIncrease(target, offset, removed_seats)
 
-    def _is_removed(
-        self, endpoint: str, endpoint_slots: _EndpointUsage
-    ) -> bool:
+    def _is_removed(self, endpoint: str, usage: _EndpointUsage) -> bool:
         return (
             endpoint not in self._configuration.endpoints
-            and endpoint_slots.pending is None
+            and usage.pending is None
         )
 
     def _apply_due_increases(self) -> None:
@@ -297,16 +276,15 @@
         with self._lock:
             self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
             max_request_duration_ms = max_request_ms(self._configuration)
-            for endpoint_slots in self._endpoints.values():
-                pending = endpoint_slots.pending
+            for usage in self._endpoints.values():
+                pending = usage.pending
                 if pending is not None and self._is_due(
                     pending, now_ms, max_request_duration_ms
                 ):
-                    endpoint_slots.allowed = pending.target
-                    endpoint_slots.pending = None
+                    usage.allowed = pending.target
+                    usage.pending = None
             self._has_pending = any(
-                endpoint_slots.pending
-                for endpoint_slots in self._endpoints.values()
+                usage.pending for usage in self._endpoints.values()
             )
 
     def _is_due(
