--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -275,11 +275,11 @@
             return
         with self._lock:
             self._next_check_ms = now_ms + INCREASE_CHECK_INTERVAL_MS
-            max_request_duration_ms = max_request_ms(self._configuration)
+            wait_ms = max_request_ms(self._configuration)
             for usage in self._endpoints.values():
                 pending = usage.pending
                 if pending is not None and self._is_due(
-                    pending, now_ms, max_request_duration_ms
+                    pending, now_ms, wait_ms
                 ):
                     usage.allowed = pending.target
                     usage.pending = None
@@ -291,13 +291,12 @@
         self,
         pending: _PendingIncrease,
         now_ms: int,
-        max_request_duration_ms: int,
+        wait_ms: int,
     ) -> bool:
         if pending.applied_ms < 0 and self._is_applied_by_all(pending):
             pending.applied_ms = now_ms
         return (
-            pending.applied_ms >= 0
-            and now_ms >= pending.applied_ms + max_request_duration_ms
+            pending.applied_ms >= 0 and now_ms >= pending.applied_ms + wait_ms
         )
 
     def _is_applied_by_all(self, pending: _PendingIncrease) -> bool:
