--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -51,14 +51,14 @@
         return NO_SHARE
     count = len(zone.seats)
     shift = xxhash.xxh32_intdigest(endpoint_name.encode()) % count
-    turn = (zone.seats.index(seat) + shift) % count
-    slots = _divide(endpoint.slots, count, turn)
-    connections = _divide(endpoint.connections, count, turn)
+    rotated_index = (zone.seats.index(seat) + shift) % count
+    slots = _divide(endpoint.slots, count, rotated_index)
+    connections = _divide(endpoint.connections, count, rotated_index)
     return Share(min(slots, connections), connections)
 
 
-def _divide(total: int, count: int, turn: int) -> int:
-    return total // count + (1 if turn < total % count else 0)
+def _divide(total: int, count: int, rotated_index: int) -> int:
+    return total // count + (1 if rotated_index < total % count else 0)
 
 
 def max_request_ms(current: configuration.Configuration) -> int:
