--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -50,8 +50,8 @@
     if seat not in zone.seats:
         return NO_SHARE
     count = len(zone.seats)
-    shift = xxhash.xxh32_intdigest(endpoint_name.encode()) % count
-    rotated_index = (zone.seats.index(seat) + shift) % count
+    rotation = xxhash.xxh32_intdigest(endpoint_name.encode()) % count
+    rotated_index = (zone.seats.index(seat) + rotation) % count
     slots = _divide(endpoint.slots, count, rotated_index)
     connections = _divide(endpoint.connections, count, rotated_index)
     return Share(min(slots, connections), connections)
