--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -25,7 +25,7 @@
 from comfreylatch._process import slot_account
 from comfreylatch._wire.gen.peer import ttypes
 
-ASKED_SLOTS = 2
+SLOTS_PER_LOAN_REQUEST = 2
 IDLE_LOAN_MS = 1_000
 TICK_MS = 250
 REFUSED_WAIT_MS = 250
@@ -256,7 +256,7 @@
             borrower_seat=self._seat,
             borrower_host_id=self._host_id,
             endpoint=endpoint,
-            slots=ASKED_SLOTS,
+            slots=SLOTS_PER_LOAN_REQUEST,
             loan_id=next(self._loan_ids),
             duration_ms=self.loan_duration_ms(),
         )
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -98,15 +98,15 @@
     def test_busy_host_borrows_from_an_idle_one(self) -> None:
         self.assertEqual(SHARE, self._fill("a"))
         self.ledgers["a"].step()
-        self.assertEqual(loans.ASKED_SLOTS, self._fill("a"))
-        self.assertEqual(SHARE - loans.ASKED_SLOTS, self._fill("b"))
+        self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
+        self.assertEqual(SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._fill("b"))
 
     def test_lost_answer_leaves_the_slots_unused(self) -> None:
         self.peers["a"].loses_answers = True
         self._fill("a")
         self.ledgers["a"].step()
         self.assertEqual(0, self._fill("a"))
-        self.assertEqual(SHARE - loans.ASKED_SLOTS, self._fill("b"))
+        self.assertEqual(SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._fill("b"))
 
     def test_idle_loan_goes_back(self) -> None:
         self._fill("a")
@@ -133,4 +133,4 @@
         self.clock.advance(loans.REFUSED_WAIT_MS)
         self._fill("a")
         self.ledgers["a"].step()
-        self.assertEqual(loans.ASKED_SLOTS, self._fill("a"))
+        self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
