--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -26,7 +26,7 @@
 from comfreylatch._wire.gen.peer import ttypes
 
 SLOTS_PER_LOAN_REQUEST = 2
-IDLE_LOAN_MS = 1_000
+MAX_IDLE_LOAN_MS = 1_000
 TICK_MS = 250
 REFUSED_WAIT_MS = 250
 MIN_LOAN_MS = 5_000
@@ -224,7 +224,7 @@
         self._wanted.clear()
         for endpoint in wanted:
             self._borrow(endpoint)
-        self._return_idle(IDLE_LOAN_MS)
+        self._return_idle(MAX_IDLE_LOAN_MS)
 
     def _run(self) -> None:
         while not self._stopping:
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -111,7 +111,7 @@
     def test_idle_loan_goes_back(self) -> None:
         self._fill("a")
         self.ledgers["a"].step()
-        self.clock.advance(loans.IDLE_LOAN_MS)
+        self.clock.advance(loans.MAX_IDLE_LOAN_MS)
         self.ledgers["a"].step()
         self.assertEqual(SHARE, self._fill("b"))
 
