--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -27,7 +27,7 @@
 
 SLOTS_PER_LOAN_REQUEST = 2
 MAX_IDLE_LOAN_MS = 1_000
-TICK_MS = 250
+LOAN_CHECK_INTERVAL_MS = 250
 REFUSED_WAIT_MS = 250
 MIN_LOAN_MS = 5_000
 LOAN_IN_LONGEST_REQUESTS = 2
@@ -228,7 +228,7 @@
 
     def _run(self) -> None:
         while not self._stopping:
-            self._wake.wait(TICK_MS / 1_000)
+            self._wake.wait(LOAN_CHECK_INTERVAL_MS / 1_000)
             self._wake.clear()
             self.step()
 
