--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -28,7 +28,7 @@
 SLOTS_PER_LOAN_REQUEST = 2
 MAX_IDLE_LOAN_MS = 1_000
 LOAN_CHECK_INTERVAL_MS = 250
-REFUSED_WAIT_MS = 250
+REFUSAL_BACKOFF_MS = 250
 MIN_LOAN_MS = 5_000
 LOAN_IN_LONGEST_REQUESTS = 2
 
@@ -267,7 +267,7 @@
                 return True
             case _:
                 self._refused_until_ms[seat, endpoint] = (
-                    asked_ms + REFUSED_WAIT_MS
+                    asked_ms + REFUSAL_BACKOFF_MS
                 )
                 return False
 
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -130,7 +130,7 @@
         self._fill("a")
         self.ledgers["a"].step()
         self.assertEqual(0, self._fill("a"))
-        self.clock.advance(loans.REFUSED_WAIT_MS)
+        self.clock.advance(loans.REFUSAL_BACKOFF_MS)
         self._fill("a")
         self.ledgers["a"].step()
         self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
