--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -30,7 +30,7 @@
 LOAN_CHECK_INTERVAL_MS = 250
 REFUSAL_BACKOFF_MS = 250
 MIN_LOAN_DURATION_MS = 5_000
-LOAN_IN_LONGEST_REQUESTS = 2
+LOAN_DURATION_HOLD_FACTOR = 2
 
 
 class ShareSource(Protocol):
@@ -190,7 +190,7 @@
     def loan_duration_ms(self) -> int:
         """How long a loan lasts under the configuration in force."""
         longest_ms = self._max_hold_ms()
-        return max(MIN_LOAN_DURATION_MS, LOAN_IN_LONGEST_REQUESTS * longest_ms)
+        return max(MIN_LOAN_DURATION_MS, LOAN_DURATION_HOLD_FACTOR * longest_ms)
 
     def status(self) -> tuple[LoanStatus, ...]:
         """Every endpoint's slots, for operators."""
