--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -87,7 +87,7 @@
         max_hold_ms: Callable[[], int],
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
-        chance: random.Random,
+        rng: random.Random,
         timeout_ms: int,
     ) -> None:
         self._shares = shares
@@ -98,7 +98,7 @@
         self._max_hold_ms = max_hold_ms
         self._metrics = metrics
         self._clock = clock
-        self._chance = chance
+        self._chance = rng
         self._timeout_ms = timeout_ms
         self._lock = threading.Lock()
         self._books: dict[str, slot_account.SlotAccount] = {}
