--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -98,7 +98,7 @@
         self._max_hold_ms = max_hold_ms
         self._metrics = metrics
         self._clock = clock
-        self._chance = rng
+        self._rng = rng
         self._timeout_ms = timeout_ms
         self._lock = threading.Lock()
         self._books: dict[str, slot_account.SlotAccount] = {}
@@ -241,7 +241,7 @@
             and not view.stopping
             and not self._refused_lately(view.seat, endpoint)
         ]
-        self._chance.shuffle(lenders)
+        self._rng.shuffle(lenders)
         for seat in lenders:
             if self._borrow_from(seat, endpoint):
                 self._notify_listeners(endpoint)
