--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -101,7 +101,7 @@
         self._rng = rng
         self._timeout_ms = timeout_ms
         self._lock = threading.Lock()
-        self._books: dict[str, slot_account.SlotAccount] = {}
+        self._accounts: dict[str, slot_account.SlotAccount] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._wanted: set[str] = set()
         self._refused_until_ms: collections.Counter[tuple[str, str]] = (
@@ -203,14 +203,14 @@
                     book.lent_slots,
                     book.borrowed_slots,
                 )
-                for endpoint, book in sorted(self._books.items())
+                for endpoint, book in sorted(self._accounts.items())
             )
 
     def _book(self, endpoint: str) -> slot_account.SlotAccount:
-        book = self._books.get(endpoint)
+        book = self._accounts.get(endpoint)
         if book is None:
             book = slot_account.SlotAccount(endpoint)
-            self._books[endpoint] = book
+            self._accounts[endpoint] = book
         book.set_own(self._shares.free(endpoint))
         return book
 
@@ -295,7 +295,7 @@
         with self._lock:
             idle = [
                 (endpoint, loan)
-                for endpoint, book in self._books.items()
+                for endpoint, book in self._accounts.items()
                 for loan in book.returnable(now_ms, idle_ms)
             ]
         for endpoint, loan in idle:
