--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -129,7 +129,7 @@
         """See `SlotLedger.try_take`."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
-            book = self._book(endpoint)
+            book = self._account(endpoint)
             taken = book.take(now_ms, duration_ms)
         if not taken:
             self.want(endpoint)
@@ -138,13 +138,13 @@
     def give_back(self, endpoint: str) -> None:
         """See `SlotLedger.give_back`."""
         with self._lock:
-            self._book(endpoint).release(self._clock.monotonic_ms())
+            self._account(endpoint).release(self._clock.monotonic_ms())
         self._notify_listeners(endpoint)
 
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
         with self._lock:
-            return self._book(endpoint).free(
+            return self._account(endpoint).free(
                 self._clock.monotonic_ms(), self._max_hold_ms()
             )
 
@@ -167,7 +167,7 @@
         now_ms = self._clock.monotonic_ms()
         duration_ms = min(request.duration_ms, self.loan_duration_ms())
         with self._lock:
-            slots = self._book(request.endpoint).lend(
+            slots = self._account(request.endpoint).lend(
                 now_ms,
                 request.loan_id,
                 request.borrower_host_id,
@@ -181,7 +181,7 @@
     def take_back(self, loan: ttypes.LoanReturn) -> None:
         """Credits slots that another host gives back."""
         with self._lock:
-            self._book(loan.endpoint).take_back(
+            self._account(loan.endpoint).take_back(
                 loan.loan_id, loan.borrower_host_id
             )
         self._metrics.count(metrics_module.Counter.LOANS, "returned")
@@ -206,7 +206,7 @@
                 for endpoint, book in sorted(self._accounts.items())
             )
 
-    def _book(self, endpoint: str) -> slot_account.SlotAccount:
+    def _account(self, endpoint: str) -> slot_account.SlotAccount:
         book = self._accounts.get(endpoint)
         if book is None:
             book = slot_account.SlotAccount(endpoint)
@@ -287,7 +287,7 @@
             idle_since_ms=self._clock.monotonic_ms(),
         )
         with self._lock:
-            self._book(request.endpoint).add_borrowed(loan)
+            self._account(request.endpoint).add_borrowed(loan)
         self._metrics.count(metrics_module.Counter.LOANS, "borrowed")
 
     def _return_idle(self, idle_ms: int) -> None:
