--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -129,8 +129,8 @@
         """See `SlotLedger.try_take`."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
-            book = self._account(endpoint)
-            taken = book.take(now_ms, duration_ms)
+            account = self._account(endpoint)
+            taken = account.take(now_ms, duration_ms)
         if not taken:
             self.want(endpoint)
         return taken
@@ -199,20 +199,20 @@
                 LoanStatus(
                     endpoint,
                     self._shares.free(endpoint),
-                    book.used,
-                    book.lent_slots,
-                    book.borrowed_slots,
+                    account.used,
+                    account.lent_slots,
+                    account.borrowed_slots,
                 )
-                for endpoint, book in sorted(self._accounts.items())
+                for endpoint, account in sorted(self._accounts.items())
             )
 
     def _account(self, endpoint: str) -> slot_account.SlotAccount:
-        book = self._accounts.get(endpoint)
-        if book is None:
-            book = slot_account.SlotAccount(endpoint)
-            self._accounts[endpoint] = book
-        book.set_own(self._shares.free(endpoint))
-        return book
+        account = self._accounts.get(endpoint)
+        if account is None:
+            account = slot_account.SlotAccount(endpoint)
+            self._accounts[endpoint] = account
+        account.set_own(self._shares.free(endpoint))
+        return account
 
     def _notify_listeners(self, endpoint: str) -> None:
         for listener in self._listeners:
@@ -295,8 +295,8 @@
         with self._lock:
             idle = [
                 (endpoint, loan)
-                for endpoint, book in self._accounts.items()
-                for loan in book.returnable(now_ms, idle_ms)
+                for endpoint, account in self._accounts.items()
+                for loan in account.returnable(now_ms, idle_ms)
             ]
         for endpoint, loan in idle:
             message = ttypes.LoanReturn(
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -24,39 +24,39 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = slot_account.SlotAccount("ex-1")
-        self.book.set_own(2)
+        self.account = slot_account.SlotAccount("ex-1")
+        self.account.set_own(2)
 
     def test_own_share_bounds_takes(self) -> None:
-        taken = [self.book.take(0, RUN_MS) for _ in range(3)]
+        taken = [self.account.take(0, RUN_MS) for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
     def test_lent_slot_is_gone_until_it_runs_out(self) -> None:
-        self.assertEqual(1, self.book.lend(0, 1, "h", 5, LOAN_MS))
-        self.assertEqual(1, self.book.free(LOAN_MS, RUN_MS))
-        self.assertEqual(2, self.book.free(LOAN_MS + 100, RUN_MS))
+        self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
+        self.assertEqual(1, self.account.free(LOAN_MS, RUN_MS))
+        self.assertEqual(2, self.account.free(LOAN_MS + 100, RUN_MS))
 
     def test_last_free_slot_is_not_lent(self) -> None:
-        self.book.take(0, RUN_MS)
-        self.assertEqual(0, self.book.lend(0, 1, "h", 1, LOAN_MS))
+        self.account.take(0, RUN_MS)
+        self.assertEqual(0, self.account.lend(0, 1, "h", 1, LOAN_MS))
 
     def test_repeated_loan_request_debits_once(self) -> None:
-        self.book.lend(0, 1, "h", 1, LOAN_MS)
-        self.assertEqual(0, self.book.lend(1, 1, "h", 1, LOAN_MS))
-        self.assertEqual(1, self.book.lent_slots)
+        self.account.lend(0, 1, "h", 1, LOAN_MS)
+        self.assertEqual(0, self.account.lend(1, 1, "h", 1, LOAN_MS))
+        self.assertEqual(1, self.account.lent_slots)
 
     def test_borrowed_slot_takes_only_requests_that_end_in_time(self) -> None:
-        self.book.set_own(0)
-        self.book.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
+        self.account.set_own(0)
+        self.account.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
-        self.assertFalse(self.book.take(late_ms, RUN_MS))
-        self.assertTrue(self.book.take(late_ms - 1, RUN_MS))
+        self.assertFalse(self.account.take(late_ms, RUN_MS))
+        self.assertTrue(self.account.take(late_ms - 1, RUN_MS))
 
     def test_given_back_slot_can_be_taken_again(self) -> None:
-        self.book.take(0, RUN_MS)
-        self.book.take(0, RUN_MS)
-        self.book.release(1)
-        self.assertEqual(1, self.book.free(1, RUN_MS))
+        self.account.take(0, RUN_MS)
+        self.account.take(0, RUN_MS)
+        self.account.release(1)
+        self.assertEqual(1, self.account.free(1, RUN_MS))
 
 
 class LoanModel(stateful.RuleBasedStateMachine):
@@ -72,9 +72,9 @@
         self.orphans: list[int] = []
 
     def _new_book(self, own: bool) -> slot_account.SlotAccount:
-        book = slot_account.SlotAccount("ex-1")
-        book.set_own(SLOTS // HOSTS if own else 0)
-        return book
+        account = slot_account.SlotAccount("ex-1")
+        account.set_own(SLOTS // HOSTS if own else 0)
+        return account
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def fill(self, host: int) -> None:
@@ -196,8 +196,8 @@
     def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
         add = slot_account.SlotAccount.add_borrowed
 
-        def add_for_ever(book: slot_account.SlotAccount, loan: Any) -> None:
+        def add_for_ever(account: slot_account.SlotAccount, loan: Any) -> None:
             loan.ends_ms += 10 * LOAN_MS
-            add(book, loan)
+            add(account, loan)
 
         self._assert_found("add_borrowed", add_for_ever)
