--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -66,7 +66,7 @@
         super().__init__()
         self.now_ms = 0
         self.loan_id = 0
-        self.books = [self._new_book(own=True) for _ in range(HOSTS)]
+        self.accounts = [self._new_book(own=True) for _ in range(HOSTS)]
         self.start_ms = [0] * HOSTS
         self.running: list[tuple[int, int]] = []
         self.orphans: list[int] = []
@@ -80,7 +80,7 @@
     def fill(self, host: int) -> None:
         """Requests start while there are slots, and run as long as allowed."""
         while len(self.running) <= SLOTS:
-            if not self.books[host].take(self.now_ms, RUN_MS):
+            if not self.accounts[host].take(self.now_ms, RUN_MS):
                 return
             self.running.append((host, self.now_ms + RUN_MS))
 
@@ -90,7 +90,7 @@
         if not self.running:
             return
         host, _ = self.running.pop(pick % len(self.running))
-        self.books[host].release(self.now_ms)
+        self.accounts[host].release(self.now_ms)
 
     @stateful.rule(
         lender=strategies.integers(0, HOSTS - 1),
@@ -107,11 +107,11 @@
         self.loan_id += 1
         asked_ms = self.now_ms
         self.advance(delay_ms)
-        slots = self.books[lender].lend(
+        slots = self.accounts[lender].lend(
             self.now_ms, self.loan_id, str(borrower), 2, LOAN_MS
         )
         if slots and not lost:
-            self.books[borrower].add_borrowed(
+            self.accounts[borrower].add_borrowed(
                 slot_account.Borrowed(
                     str(lender), self.loan_id, slots, asked_ms + LOAN_MS
                 )
@@ -120,8 +120,10 @@
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def give_back(self, host: int) -> None:
         """Unused loans go back to their lenders."""
-        for loan in self.books[host].returnable(self.now_ms, 0):
-            self.books[int(loan.lender_seat)].take_back(loan.loan_id, str(host))
+        for loan in self.accounts[host].returnable(self.now_ms, 0):
+            self.accounts[int(loan.lender_seat)].take_back(
+                loan.loan_id, str(host)
+            )
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def replace(self, host: int) -> None:
@@ -130,7 +132,7 @@
             if running_host == host:
                 self.orphans.append(until_ms)
         self.running = [r for r in self.running if r[0] != host]
-        self.books[host] = self._new_book(own=False)
+        self.accounts[host] = self._new_book(own=False)
         margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
 
@@ -142,10 +144,10 @@
         late = [r for r in self.running if r[1] <= self.now_ms]
         self.running = [r for r in self.running if r[1] > self.now_ms]
         for host, _ in late:
-            self.books[host].release(self.now_ms)
+            self.accounts[host].release(self.now_ms)
         for host, start_ms in enumerate(self.start_ms):
             if self.now_ms >= start_ms:
-                self.books[host].set_own(SLOTS // HOSTS)
+                self.accounts[host].set_own(SLOTS // HOSTS)
 
     @stateful.invariant()
     def never_over(self) -> None:
