--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -66,12 +66,12 @@
         super().__init__()
         self.now_ms = 0
         self.loan_id = 0
-        self.accounts = [self._new_book(own=True) for _ in range(HOSTS)]
+        self.accounts = [self._new_account(own=True) for _ in range(HOSTS)]
         self.start_ms = [0] * HOSTS
         self.running: list[tuple[int, int]] = []
         self.orphans: list[int] = []
 
-    def _new_book(self, own: bool) -> slot_account.SlotAccount:
+    def _new_account(self, own: bool) -> slot_account.SlotAccount:
         account = slot_account.SlotAccount("ex-1")
         account.set_own(SLOTS // HOSTS if own else 0)
         return account
@@ -132,7 +132,7 @@
             if running_host == host:
                 self.orphans.append(until_ms)
         self.running = [r for r in self.running if r[0] != host]
-        self.accounts[host] = self._new_book(own=False)
+        self.accounts[host] = self._new_account(own=False)
         margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
 
@@ -186,7 +186,7 @@
         self._assert_found("lend", lambda *_: 1)
 
     def test_successor_that_does_not_wait(self) -> None:
-        new_book = LoanModel._new_book
+        new_book = LoanModel._new_account
 
         def with_share(model: LoanModel, own: bool) -> slot_account.SlotAccount:
             del own
