--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -186,11 +186,11 @@
         self._assert_found("lend", lambda *_: 1)
 
     def test_successor_that_does_not_wait(self) -> None:
-        new_book = LoanModel._new_account
+        new_account = LoanModel._new_account
 
         def with_share(model: LoanModel, own: bool) -> slot_account.SlotAccount:
             del own
-            return new_book(model, True)
+            return new_account(model, True)
 
         with mock.patch.object(LoanModel, "_new_book", with_share):
             self._assert_found("own_used", slot_account.SlotAccount.own_used)
