--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -19,7 +19,7 @@
 MOST_MUTANT_EXAMPLES = 5_000
 
 
-class SlotBookTest(testtools.TestCase):
+class SlotAccountTest(testtools.TestCase):
     """One host's book."""
 
     def setUp(self) -> None:
