--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -178,10 +178,10 @@
         self._metrics.count(metrics_module.Counter.LOANS, label)
         return ttypes.LoanReply(slots, duration_ms, request.loan_id)
 
-    def take_back(self, loan: ttypes.LoanReturn) -> None:
+    def credit_return(self, loan: ttypes.LoanReturn) -> None:
         """Credits slots that another host gives back."""
         with self._lock:
-            self._account(loan.endpoint).take_back(
+            self._account(loan.endpoint).credit_return(
                 loan.loan_id, loan.borrower_host_id
             )
         self._metrics.count(metrics_module.Counter.LOANS, "returned")
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -111,7 +111,7 @@
 
     def give_back(self, loan: ttypes.LoanReturn) -> None:
         """Takes lent slots back."""
-        self._ledger.take_back(loan)
+        self._ledger.credit_return(loan)
 
     def forward(self, request: ttypes.ForwardRequest) -> ttypes.ForwardReply:
         """Runs a request of another zone here."""
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -146,7 +146,7 @@
         self._lent.append(Lent(loan_id, borrower_host_id, slots, ends_ms))
         return slots
 
-    def take_back(self, loan_id: int, borrower_host_id: str) -> None:
+    def credit_return(self, loan_id: int, borrower_host_id: str) -> None:
         """Credits a returned loan; an unknown one has run out before."""
         self._lent = [
             loan
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -58,7 +58,7 @@
     def give_back(
         self, seat: str, loan: ttypes.LoanReturn, timeout_ms: int
     ) -> result.Result[None, peers_port.PeerError]:
-        self.other.take_back(loan)
+        self.other.credit_return(loan)
         return result.Ok(None)
 
 
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -121,7 +121,7 @@
     def give_back(self, host: int) -> None:
         """Unused loans go back to their lenders."""
         for loan in self.accounts[host].returnable(self.now_ms, 0):
-            self.accounts[int(loan.lender_seat)].take_back(
+            self.accounts[int(loan.lender_seat)].credit_return(
                 loan.loan_id, str(host)
             )
 
