--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -130,7 +130,7 @@
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             account = self._account(endpoint)
-            taken = account.take(now_ms, duration_ms)
+            taken = account.acquire(now_ms, duration_ms)
         if not taken:
             self.want(endpoint)
         return taken
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -79,7 +79,7 @@
         """Sets the host's own share; what is in use beyond it runs out."""
         self._own_slots = slots
 
-    def take(self, now_ms: int, duration_ms: int) -> bool:
+    def acquire(self, now_ms: int, duration_ms: int) -> bool:
         """Takes a slot for a request that ends within `duration_ms`."""
         self._expire(now_ms)
         until_ms = now_ms + duration_ms
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -28,7 +28,7 @@
         self.account.set_own(2)
 
     def test_own_share_bounds_takes(self) -> None:
-        taken = [self.account.take(0, RUN_MS) for _ in range(3)]
+        taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
     def test_lent_slot_is_gone_until_it_runs_out(self) -> None:
@@ -37,7 +37,7 @@
         self.assertEqual(2, self.account.free(LOAN_MS + 100, RUN_MS))
 
     def test_last_free_slot_is_not_lent(self) -> None:
-        self.account.take(0, RUN_MS)
+        self.account.acquire(0, RUN_MS)
         self.assertEqual(0, self.account.lend(0, 1, "h", 1, LOAN_MS))
 
     def test_repeated_loan_request_debits_once(self) -> None:
@@ -49,12 +49,12 @@
         self.account.set_own(0)
         self.account.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
-        self.assertFalse(self.account.take(late_ms, RUN_MS))
-        self.assertTrue(self.account.take(late_ms - 1, RUN_MS))
+        self.assertFalse(self.account.acquire(late_ms, RUN_MS))
+        self.assertTrue(self.account.acquire(late_ms - 1, RUN_MS))
 
     def test_given_back_slot_can_be_taken_again(self) -> None:
-        self.account.take(0, RUN_MS)
-        self.account.take(0, RUN_MS)
+        self.account.acquire(0, RUN_MS)
+        self.account.acquire(0, RUN_MS)
         self.account.release(1)
         self.assertEqual(1, self.account.free(1, RUN_MS))
 
@@ -80,7 +80,7 @@
     def fill(self, host: int) -> None:
         """Requests start while there are slots, and run as long as allowed."""
         while len(self.running) <= SLOTS:
-            if not self.accounts[host].take(self.now_ms, RUN_MS):
+            if not self.accounts[host].acquire(self.now_ms, RUN_MS):
                 return
             self.running.append((host, self.now_ms + RUN_MS))
 
