--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -296,7 +296,7 @@
             idle = [
                 (endpoint, loan)
                 for endpoint, account in self._accounts.items()
-                for loan in account.returnable(now_ms, idle_ms)
+                for loan in account.pop_idle_loans(now_ms, idle_ms)
             ]
         for endpoint, loan in idle:
             message = ttypes.LoanReturn(
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -159,7 +159,7 @@
         """Adds slots another host has lent."""
         self._borrowed.append(loan)
 
-    def returnable(self, now_ms: int, idle_ms: int) -> list[Borrowed]:
+    def pop_idle_loans(self, now_ms: int, idle_ms: int) -> list[Borrowed]:
         """Removes and returns the loans unused for `idle_ms`."""
         self._expire(now_ms)
         idle = [
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -120,7 +120,7 @@
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def give_back(self, host: int) -> None:
         """Unused loans go back to their lenders."""
-        for loan in self.accounts[host].returnable(self.now_ms, 0):
+        for loan in self.accounts[host].pop_idle_loans(self.now_ms, 0):
             self.accounts[int(loan.lender_seat)].credit_return(
                 loan.loan_id, str(host)
             )
