--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -211,7 +211,7 @@
         if account is None:
             account = slot_account.SlotAccount(endpoint)
             self._accounts[endpoint] = account
-        account.set_own(self._shares.free(endpoint))
+        account.set_own_slots(self._shares.free(endpoint))
         return account
 
     def _notify_listeners(self, endpoint: str) -> None:
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -75,7 +75,7 @@
         self._borrowed: list[Borrowed] = []
         self._holds: list[_Hold] = []
 
-    def set_own(self, slots: int) -> None:
+    def set_own_slots(self, slots: int) -> None:
         """Sets the host's own share; what is in use beyond it runs out."""
         self._own_slots = slots
 
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -25,7 +25,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.account = slot_account.SlotAccount("ex-1")
-        self.account.set_own(2)
+        self.account.set_own_slots(2)
 
     def test_own_share_bounds_takes(self) -> None:
         taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
@@ -46,7 +46,7 @@
         self.assertEqual(1, self.account.lent_slots)
 
     def test_borrowed_slot_takes_only_requests_that_end_in_time(self) -> None:
-        self.account.set_own(0)
+        self.account.set_own_slots(0)
         self.account.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
         self.assertFalse(self.account.acquire(late_ms, RUN_MS))
@@ -73,7 +73,7 @@
 
     def _new_account(self, own: bool) -> slot_account.SlotAccount:
         account = slot_account.SlotAccount("ex-1")
-        account.set_own(SLOTS // HOSTS if own else 0)
+        account.set_own_slots(SLOTS // HOSTS if own else 0)
         return account
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
@@ -147,7 +147,7 @@
             self.accounts[host].release(self.now_ms)
         for host, start_ms in enumerate(self.start_ms):
             if self.now_ms >= start_ms:
-                self.accounts[host].set_own(SLOTS // HOSTS)
+                self.accounts[host].set_own_slots(SLOTS // HOSTS)
 
     @stateful.invariant()
     def never_over(self) -> None:
