--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define
-class Lent:
+class LentLoan:
     """Slots given to another host, gone until `ends_ms` at the latest."""
 
     loan_id: int
@@ -71,7 +71,7 @@
         self._endpoint = endpoint
         self._own_slots = 0
         self._own_used = 0
-        self._lent: list[Lent] = []
+        self._lent: list[LentLoan] = []
         self._borrowed: list[Borrowed] = []
         self._holds: list[_Hold] = []
 
@@ -143,7 +143,7 @@
             return 0
         margin_ms = duration_ms // CLOCK_DRIFT_DIVISOR + 1
         ends_ms = now_ms + duration_ms + margin_ms
-        self._lent.append(Lent(loan_id, borrower_host_id, slots, ends_ms))
+        self._lent.append(LentLoan(loan_id, borrower_host_id, slots, ends_ms))
         return slots
 
     def credit_return(self, loan_id: int, borrower_host_id: str) -> None:
