--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -279,7 +279,7 @@
         asked_ms: int,
     ) -> None:
         duration_ms = min(reply.duration_ms, request.duration_ms)
-        loan = slot_account.Borrowed(
+        loan = slot_account.BorrowedLoan(
             lender_seat=seat,
             loan_id=request.loan_id,
             slots=min(reply.slots, request.slots),
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class Borrowed:
+class BorrowedLoan:
     """Slots got from another seat, usable for requests ending in time.
 
     Attributes:
@@ -54,7 +54,7 @@
 class _Hold:
     """One slot in use; `loan` is None for the host's own."""
 
-    loan: Borrowed | None
+    loan: BorrowedLoan | None
     until_ms: int
 
 
@@ -72,7 +72,7 @@
         self._own_slots = 0
         self._own_used = 0
         self._lent: list[LentLoan] = []
-        self._borrowed: list[Borrowed] = []
+        self._borrowed: list[BorrowedLoan] = []
         self._holds: list[_Hold] = []
 
     def set_own_slots(self, slots: int) -> None:
@@ -155,11 +155,11 @@
             != (borrower_host_id, loan_id)
         ]
 
-    def add_borrowed(self, loan: Borrowed) -> None:
+    def add_borrowed(self, loan: BorrowedLoan) -> None:
         """Adds slots another host has lent."""
         self._borrowed.append(loan)
 
-    def pop_idle_loans(self, now_ms: int, idle_ms: int) -> list[Borrowed]:
+    def pop_idle_loans(self, now_ms: int, idle_ms: int) -> list[BorrowedLoan]:
         """Removes and returns the loans unused for `idle_ms`."""
         self._expire(now_ms)
         idle = [
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -47,7 +47,7 @@
 
     def test_borrowed_slot_takes_only_requests_that_end_in_time(self) -> None:
         self.account.set_own_slots(0)
-        self.account.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
+        self.account.add_borrowed(slot_account.BorrowedLoan("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
         self.assertFalse(self.account.acquire(late_ms, RUN_MS))
         self.assertTrue(self.account.acquire(late_ms - 1, RUN_MS))
@@ -112,7 +112,7 @@
         )
         if slots and not lost:
             self.accounts[borrower].add_borrowed(
-                slot_account.Borrowed(
+                slot_account.BorrowedLoan(
                     str(lender), self.loan_id, slots, asked_ms + LOAN_MS
                 )
             )
