--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -51,7 +51,7 @@
 
 
 @attrs.define(eq=False)
-class _Hold:
+class _SlotUse:
     """One slot in use; `loan` is None for the host's own."""
 
     loan: BorrowedLoan | None
@@ -73,7 +73,7 @@
         self._own_used = 0
         self._lent: list[LentLoan] = []
         self._borrowed: list[BorrowedLoan] = []
-        self._holds: list[_Hold] = []
+        self._holds: list[_SlotUse] = []
 
     def set_own_slots(self, slots: int) -> None:
         """Sets the host's own share; what is in use beyond it runs out."""
@@ -85,12 +85,12 @@
         until_ms = now_ms + duration_ms
         if self._own_free() > 0:
             self._own_used += 1
-            self._holds.append(_Hold(None, until_ms))
+            self._holds.append(_SlotUse(None, until_ms))
             return True
         for loan in self._borrowed:
             if loan.used < loan.slots and until_ms <= loan.ends_ms:
                 loan.used += 1
-                self._holds.append(_Hold(loan, until_ms))
+                self._holds.append(_SlotUse(loan, until_ms))
                 return True
         return False
 
