--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -73,7 +73,7 @@
         self._own_used = 0
         self._lent: list[LentLoan] = []
         self._borrowed: list[BorrowedLoan] = []
-        self._holds: list[_SlotUse] = []
+        self._uses: list[_SlotUse] = []
 
     def set_own_slots(self, slots: int) -> None:
         """Sets the host's own share; what is in use beyond it runs out."""
@@ -85,19 +85,19 @@
         until_ms = now_ms + duration_ms
         if self._own_free() > 0:
             self._own_used += 1
-            self._holds.append(_SlotUse(None, until_ms))
+            self._uses.append(_SlotUse(None, until_ms))
             return True
         for loan in self._borrowed:
             if loan.used < loan.slots and until_ms <= loan.ends_ms:
                 loan.used += 1
-                self._holds.append(_SlotUse(loan, until_ms))
+                self._uses.append(_SlotUse(loan, until_ms))
                 return True
         return False
 
     def release(self, now_ms: int) -> None:
         """Frees the slot of one request known to have ended."""
-        hold = min(self._holds, key=lambda held: held.until_ms)
-        self._holds.remove(hold)
+        hold = min(self._uses, key=lambda held: held.until_ms)
+        self._uses.remove(hold)
         if hold.loan is None:
             self._own_used -= 1
             return
