--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -96,14 +96,14 @@
 
     def release(self, now_ms: int) -> None:
         """Frees the slot of one request known to have ended."""
-        hold = min(self._uses, key=lambda held: held.until_ms)
-        self._uses.remove(hold)
-        if hold.loan is None:
+        use = min(self._uses, key=lambda held: held.until_ms)
+        self._uses.remove(use)
+        if use.loan is None:
             self._own_used -= 1
             return
-        hold.loan.used -= 1
-        if hold.loan.used == 0:
-            hold.loan.idle_since_ms = now_ms
+        use.loan.used -= 1
+        if use.loan.used == 0:
+            use.loan.idle_since_ms = now_ms
 
     def free(self, now_ms: int, duration_ms: int) -> int:
         """Slots a request of `duration_ms` could take now."""
