--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -120,7 +120,7 @@
         now_ms: int,
         loan_id: int,
         borrower_host_id: str,
-        asked: int,
+        requested_slots: int,
         duration_ms: int,
     ) -> int:
         """Debits and returns the slots lent: at most half of the free ones.
@@ -138,7 +138,7 @@
                 loan_id,
             ):
                 return 0
-        slots = min(asked, self._own_free() // 2)
+        slots = min(requested_slots, self._own_free() // 2)
         if slots <= 0:
             return 0
         margin_ms = duration_ms // CLOCK_DRIFT_DIVISOR + 1
