--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -260,14 +260,14 @@
             loan_id=next(self._loan_ids),
             duration_ms=self.loan_duration_ms(),
         )
-        asked_ms = self._clock.monotonic_ms()
+        requested_ms = self._clock.monotonic_ms()
         match self._peers.borrow(seat, request, self._timeout_ms):
             case result.Ok(reply) if reply.slots > 0:
-                self._add_loan(seat, request, reply, asked_ms)
+                self._add_loan(seat, request, reply, requested_ms)
                 return True
             case _:
                 self._refused_until_ms[seat, endpoint] = (
-                    asked_ms + REFUSAL_BACKOFF_MS
+                    requested_ms + REFUSAL_BACKOFF_MS
                 )
                 return False
 
@@ -276,14 +276,14 @@
         seat: str,
         request: ttypes.LoanRequest,
         reply: ttypes.LoanReply,
-        asked_ms: int,
+        requested_ms: int,
     ) -> None:
         duration_ms = min(reply.duration_ms, request.duration_ms)
         loan = slot_account.BorrowedLoan(
             lender_seat=seat,
             loan_id=request.loan_id,
             slots=min(reply.slots, request.slots),
-            ends_ms=asked_ms + duration_ms,
+            ends_ms=requested_ms + duration_ms,
             idle_since_ms=self._clock.monotonic_ms(),
         )
         with self._lock:
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -105,7 +105,7 @@
         if lender == borrower:
             return
         self.loan_id += 1
-        asked_ms = self.now_ms
+        requested_ms = self.now_ms
         self.advance(delay_ms)
         slots = self.accounts[lender].lend(
             self.now_ms, self.loan_id, str(borrower), 2, LOAN_MS
@@ -113,7 +113,7 @@
         if slots and not lost:
             self.accounts[borrower].add_borrowed(
                 slot_account.BorrowedLoan(
-                    str(lender), self.loan_id, slots, asked_ms + LOAN_MS
+                    str(lender), self.loan_id, slots, requested_ms + LOAN_MS
                 )
             )
 
