--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -103,7 +103,7 @@
         self._lock = threading.Lock()
         self._accounts: dict[str, slot_account.SlotAccount] = {}
         self._listeners: list[Callable[[str], None]] = []
-        self._wanted: set[str] = set()
+        self._requested_endpoints: set[str] = set()
         self._refused_until_ms: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
@@ -158,8 +158,8 @@
 
     def want(self, endpoint: str) -> None:
         """Has slots of an endpoint borrowed, if another host has some."""
-        if endpoint not in self._wanted:
-            self._wanted.add(endpoint)
+        if endpoint not in self._requested_endpoints:
+            self._requested_endpoints.add(endpoint)
             self._wake.set()
 
     def lend(self, request: ttypes.LoanRequest) -> ttypes.LoanReply:
@@ -220,8 +220,8 @@
 
     def step(self) -> None:
         """Borrows what is wanted and gives back what is idle, once."""
-        wanted = sorted(self._wanted)
-        self._wanted.clear()
+        wanted = sorted(self._requested_endpoints)
+        self._requested_endpoints.clear()
         for endpoint in wanted:
             self._borrow(endpoint)
         self._return_idle(MAX_IDLE_LOAN_MS)
