--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -220,9 +220,9 @@
 
     def step(self) -> None:
         """Borrows what is wanted and gives back what is idle, once."""
-        wanted = sorted(self._requested_endpoints)
+        requested = sorted(self._requested_endpoints)
         self._requested_endpoints.clear()
-        for endpoint in wanted:
+        for endpoint in requested:
             self._borrow(endpoint)
         self._return_idle(MAX_IDLE_LOAN_MS)
 
