--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -239,7 +239,7 @@
             if view.zone == self._zone
             and view.reachable
             and not view.stopping
-            and not self._refused_lately(view.seat, endpoint)
+            and not self._is_backing_off(view.seat, endpoint)
         ]
         self._rng.shuffle(lenders)
         for seat in lenders:
@@ -247,7 +247,7 @@
                 self._notify_listeners(endpoint)
                 return
 
-    def _refused_lately(self, seat: str, endpoint: str) -> bool:
+    def _is_backing_off(self, seat: str, endpoint: str) -> bool:
         until_ms = self._refused_until_ms[seat, endpoint]
         return self._clock.monotonic_ms() < until_ms
 
