--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -104,7 +104,7 @@
         self._accounts: dict[str, slot_account.SlotAccount] = {}
         self._listeners: list[Callable[[str], None]] = []
         self._requested_endpoints: set[str] = set()
-        self._refused_until_ms: collections.Counter[tuple[str, str]] = (
+        self._backoff_until_ms: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
         self._loan_ids = itertools.count(1)
@@ -248,7 +248,7 @@
                 return
 
     def _is_backing_off(self, seat: str, endpoint: str) -> bool:
-        until_ms = self._refused_until_ms[seat, endpoint]
+        until_ms = self._backoff_until_ms[seat, endpoint]
         return self._clock.monotonic_ms() < until_ms
 
     def _borrow_from(self, seat: str, endpoint: str) -> bool:
@@ -266,7 +266,7 @@
                 self._add_loan(seat, request, reply, requested_ms)
                 return True
             case _:
-                self._refused_until_ms[seat, endpoint] = (
+                self._backoff_until_ms[seat, endpoint] = (
                     requested_ms + REFUSAL_BACKOFF_MS
                 )
                 return False
