--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -218,7 +218,7 @@
         for listener in self._listeners:
             listener(endpoint)
 
-    def step(self) -> None:
+    def run_once(self) -> None:
         """Borrows what is wanted and gives back what is idle, once."""
         requested = sorted(self._requested_endpoints)
         self._requested_endpoints.clear()
@@ -230,7 +230,7 @@
         while not self._stopping:
             self._wake.wait(LOAN_CHECK_INTERVAL_MS / 1_000)
             self._wake.clear()
-            self.step()
+            self.run_once()
 
     def _borrow(self, endpoint: str) -> None:
         lenders = [
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -97,40 +97,40 @@
 
     def test_busy_host_borrows_from_an_idle_one(self) -> None:
         self.assertEqual(SHARE, self._fill("a"))
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
         self.assertEqual(SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._fill("b"))
 
     def test_lost_answer_leaves_the_slots_unused(self) -> None:
         self.peers["a"].loses_answers = True
         self._fill("a")
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.assertEqual(0, self._fill("a"))
         self.assertEqual(SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._fill("b"))
 
     def test_idle_loan_goes_back(self) -> None:
         self._fill("a")
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.clock.advance(loans.MAX_IDLE_LOAN_MS)
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.assertEqual(SHARE, self._fill("b"))
 
     def test_stopping_host_is_not_asked(self) -> None:
         self.peers["a"].is_stopping = True
         self._fill("a")
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.assertEqual(SHARE, self._fill("b"))
 
     def test_refusal_is_not_repeated_at_once(self) -> None:
         self._fill("b")
         self._fill("a")
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         for _ in range(SHARE):
             self.ledgers["b"].give_back(ENDPOINT)
         self._fill("a")
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.assertEqual(0, self._fill("a"))
         self.clock.advance(loans.REFUSAL_BACKOFF_MS)
         self._fill("a")
-        self.ledgers["a"].step()
+        self.ledgers["a"].run_once()
         self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
