--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -16,7 +16,7 @@
 HOSTS = 2
 LOAN_MS = 1_000
 RUN_MS = 700
-MOST_MUTANT_EXAMPLES = 5_000
+MAX_MUTANT_EXAMPLES = 5_000
 
 
 class SlotAccountTest(testtools.TestCase):
@@ -178,7 +178,7 @@
                 settings=hypothesis.settings(
                     LoanModel.TestCase.settings,
                     phases=[hypothesis.Phase.generate],
-                    max_examples=MOST_MUTANT_EXAMPLES,
+                    max_examples=MAX_MUTANT_EXAMPLES,
                 ),
             )
 
