--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -169,7 +169,7 @@
 class GuardTest(testtools.TestCase):
     """Without any one guard the model finds an endpoint over its slots."""
 
-    def _assert_found(self, name: str, without: Any) -> None:
+    def _assert_violation_found(self, name: str, without: Any) -> None:
         with mock.patch.object(slot_account.SlotAccount, name, without):
             self.assertRaises(
                 AssertionError,
@@ -183,7 +183,7 @@
             )
 
     def test_lender_that_does_not_debit(self) -> None:
-        self._assert_found("lend", lambda *_: 1)
+        self._assert_violation_found("lend", lambda *_: 1)
 
     def test_successor_that_does_not_wait(self) -> None:
         new_account = LoanModel._new_account
@@ -193,7 +193,9 @@
             return new_account(model, True)
 
         with mock.patch.object(LoanModel, "_new_book", with_share):
-            self._assert_found("own_used", slot_account.SlotAccount.own_used)
+            self._assert_violation_found(
+                "own_used", slot_account.SlotAccount.own_used
+            )
 
     def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
         add = slot_account.SlotAccount.add_borrowed
@@ -202,4 +204,4 @@
             loan.ends_ms += 10 * LOAN_MS
             add(account, loan)
 
-        self._assert_found("add_borrowed", add_for_ever)
+        self._assert_violation_found("add_borrowed", add_for_ever)
