--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -150,7 +150,7 @@
                 self.accounts[host].set_own_slots(SLOTS // HOSTS)
 
     @stateful.invariant()
-    def never_over(self) -> None:
+    def within_slot_limit(self) -> None:
         """The endpoint runs at most its slots."""
         total = SLOTS // HOSTS * HOSTS
         assert len(self.running) + len(self.orphans) <= total
