--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -69,7 +69,7 @@
         self.accounts = [self._new_account(own=True) for _ in range(HOSTS)]
         self.start_ms = [0] * HOSTS
         self.running: list[tuple[int, int]] = []
-        self.orphans: list[int] = []
+        self.orphan_ends_ms: list[int] = []
 
     def _new_account(self, own: bool) -> slot_account.SlotAccount:
         account = slot_account.SlotAccount("ex-1")
@@ -130,7 +130,7 @@
         """A host dies; its successor waits out what it may have left."""
         for running_host, until_ms in self.running:
             if running_host == host:
-                self.orphans.append(until_ms)
+                self.orphan_ends_ms.append(until_ms)
         self.running = [r for r in self.running if r[0] != host]
         self.accounts[host] = self._new_account(own=False)
         margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
@@ -140,7 +140,9 @@
     def advance(self, step_ms: int) -> None:
         """Time passes; successors come into their shares."""
         self.now_ms += step_ms
-        self.orphans = [o for o in self.orphans if o > self.now_ms]
+        self.orphan_ends_ms = [
+            o for o in self.orphan_ends_ms if o > self.now_ms
+        ]
         late = [r for r in self.running if r[1] <= self.now_ms]
         self.running = [r for r in self.running if r[1] > self.now_ms]
         for host, _ in late:
@@ -153,7 +155,7 @@
     def within_slot_limit(self) -> None:
         """The endpoint runs at most its slots."""
         total = SLOTS // HOSTS * HOSTS
-        assert len(self.running) + len(self.orphans) <= total
+        assert len(self.running) + len(self.orphan_ends_ms) <= total
 
 
 LoanModel.TestCase.settings = hypothesis.settings(
