--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -202,8 +202,10 @@
     def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
         add = slot_account.SlotAccount.add_borrowed
 
-        def add_for_ever(account: slot_account.SlotAccount, loan: Any) -> None:
+        def add_without_end(
+            account: slot_account.SlotAccount, loan: Any
+        ) -> None:
             loan.ends_ms += 10 * LOAN_MS
             add(account, loan)
 
-        self._assert_violation_found("add_borrowed", add_for_ever)
+        self._assert_violation_found("add_borrowed", add_without_end)
