--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -168,7 +168,7 @@
 LoanModelTest = LoanModel.TestCase
 
 
-class GuardTest(testtools.TestCase):
+class MutantTest(testtools.TestCase):
     """Without any one guard the model finds an endpoint over its slots."""
 
     def _assert_violation_found(self, name: str, without: Any) -> None:
