--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -12,7 +12,7 @@
 from comfreylatch._version import objects
 from testing.fakes import clock as fake_clock
 
-LEFT_OVER_MS = 10_000
+PREDECESSOR_HOLD_MS = 10_000
 WITH_ENDPOINT = configuration.Configuration(
     offset=0,
     endpoints={"ex-1": objects.Endpoint("skyproc", "bole", "127.0.0.1:1")},
@@ -39,7 +39,7 @@
         return self.drained
 
     def predecessor_hold_ms(self) -> int:
-        return LEFT_OVER_MS
+        return PREDECESSOR_HOLD_MS
 
 
 class SeatGateTest(testtools.TestCase):
@@ -64,7 +64,7 @@
         self.parts.listener(WITH_ENDPOINT)
         self.parts.config.ready = True
         self.assertEqual("", self.gate.reason_to_open())
-        self.parts.clock.advance(LEFT_OVER_MS)
+        self.parts.clock.advance(PREDECESSOR_HOLD_MS)
         self.assertEqual("waited", self.gate.reason_to_open())
 
     def test_drained_predecessor_left_nothing(self) -> None:
