--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -19,7 +19,7 @@
 )
 
 
-class _Parts:
+class _FakeDependencies:
     """Stands for what the gate looks at."""
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.parts = _Parts()
+        self.parts = _FakeDependencies()
         self.gate = local_state.SeatGate(self.parts)
 
     def test_nothing_opens_before_the_configuration_is_read(self) -> None:
