--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -120,7 +120,7 @@
 
     def drain(self) -> bool:
         """Stops gracefully; returns whether everything ended in time."""
-        parts = shutdown.StopParts(
+        deps = shutdown.StopParts(
             state=self._state,
             callers=self._caller_server,
             router=self._router,
@@ -131,7 +131,7 @@
             clock=self._clock,
         )
         return shutdown.stop_gracefully(
-            parts, self._settings.timing.stop_timeout_ms
+            deps, self._settings.timing.stop_timeout_ms
         )
 
     def _make_platform(self) -> None:
--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -134,11 +134,11 @@
     the longest time for which its requests and loans can last.
     """
 
-    def __init__(self, parts: GateDependencies) -> None:
-        self._parts = parts
-        self._started_ms = parts.clock.monotonic_ms()
+    def __init__(self, deps: GateDependencies) -> None:
+        self._parts = deps
+        self._started_ms = deps.clock.monotonic_ms()
         self._had_endpoints = False
-        parts.source.on_change(self._note_change)
+        deps.source.on_change(self._note_change)
         self._closing = threading.Event()
         self.is_open = threading.Event()
         self.is_decided = threading.Event()
@@ -179,14 +179,14 @@
 
     def reason_to_open(self) -> str:
         """Why the seat may be opened now; empty while it may not."""
-        parts = self._parts
-        if not parts.config.ready:
+        deps = self._parts
+        if not deps.config.ready:
             return ""
         if not self._had_endpoints:
             return NO_ENDPOINT_BEFORE
-        if parts.membership.is_predecessor_drained():
+        if deps.membership.is_predecessor_drained():
             return "predecessor-drained"
-        waited_ms = parts.clock.monotonic_ms() - self._started_ms
-        if waited_ms >= parts.predecessor_hold_ms():
+        waited_ms = deps.clock.monotonic_ms() - self._started_ms
+        if waited_ms >= deps.predecessor_hold_ms():
             return "waited"
         return ""
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -37,7 +37,7 @@
     clock: clock_port.Clock
 
 
-def stop_gracefully(parts: StopParts, timeout_ms: int) -> bool:
+def stop_gracefully(deps: StopParts, timeout_ms: int) -> bool:
     """Stops taking work and waits for what is in progress.
 
     Callers go elsewhere first, then requests in progress are answered, loans
@@ -47,28 +47,28 @@
     Returns:
         Whether every caller's request was answered within `timeout_ms`.
     """
-    host_id = parts.state.host_id
+    host_id = deps.state.host_id
     logs.event(_logger, "stopping", host=host_id)
-    parts.state.stopping.set()
-    parts.callers.close_after_replies()
+    deps.state.stopping.set()
+    deps.callers.close_after_replies()
     time.sleep(BALANCER_GRACE_MS / 1_000)
-    finished = parts.callers.drain(timeout_ms)
-    parts.router.stop_accepting()
-    parts.batch.release()
-    is_idle = _wait_idle(parts, timeout_ms)
-    if is_idle and parts.gate.is_open.is_set():
-        parts.state.drained.set()
-    parts.membership.announce_drained()
+    finished = deps.callers.drain(timeout_ms)
+    deps.router.stop_accepting()
+    deps.batch.release()
+    is_idle = _wait_idle(deps, timeout_ms)
+    if is_idle and deps.gate.is_open.is_set():
+        deps.state.drained.set()
+    deps.membership.announce_drained()
     logs.event(_logger, "stopped", host=host_id, idle=is_idle)
     return finished
 
 
-def _wait_idle(parts: StopParts, timeout_ms: int) -> bool:
+def _wait_idle(deps: StopParts, timeout_ms: int) -> bool:
     """Waits until no slot of this host is in use, by itself or on loan."""
-    started_ms = parts.clock.monotonic_ms()
+    started_ms = deps.clock.monotonic_ms()
     while True:
-        lines = parts.ledger.status()
-        waited_ms = parts.clock.monotonic_ms() - started_ms
+        lines = deps.ledger.status()
+        waited_ms = deps.clock.monotonic_ms() - started_ms
         is_used = any(line.used for line in lines)
         if not is_used and not any(line.lent for line in lines):
             return True
--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -47,28 +47,28 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.parts = _FakeDependencies()
-        self.gate = local_state.SeatGate(self.parts)
+        self.deps = _FakeDependencies()
+        self.gate = local_state.SeatGate(self.deps)
 
     def test_nothing_opens_before_the_configuration_is_read(self) -> None:
         self.assertEqual("", self.gate.reason_to_open())
 
     def test_ticket_right_after_the_start_does_not_close_the_seat(self) -> None:
-        self.parts.config.ready = True
-        self.parts.listener(WITH_ENDPOINT)
+        self.deps.config.ready = True
+        self.deps.listener(WITH_ENDPOINT)
         self.assertEqual(
             local_state.NO_ENDPOINT_BEFORE, self.gate.reason_to_open()
         )
 
     def test_seat_waits_for_what_a_predecessor_left(self) -> None:
-        self.parts.listener(WITH_ENDPOINT)
-        self.parts.config.ready = True
+        self.deps.listener(WITH_ENDPOINT)
+        self.deps.config.ready = True
         self.assertEqual("", self.gate.reason_to_open())
-        self.parts.clock.advance(PREDECESSOR_HOLD_MS)
+        self.deps.clock.advance(PREDECESSOR_HOLD_MS)
         self.assertEqual("waited", self.gate.reason_to_open())
 
     def test_drained_predecessor_left_nothing(self) -> None:
-        self.parts.listener(WITH_ENDPOINT)
-        self.parts.config.ready = True
-        self.parts.drained = True
+        self.deps.listener(WITH_ENDPOINT)
+        self.deps.config.ready = True
+        self.deps.drained = True
         self.assertEqual("predecessor-drained", self.gate.reason_to_open())
