--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -135,7 +135,7 @@
     """
 
     def __init__(self, deps: GateDependencies) -> None:
-        self._parts = deps
+        self._deps = deps
         self._started_ms = deps.clock.monotonic_ms()
         self._had_endpoints = False
         deps.source.on_change(self._note_change)
@@ -160,7 +160,7 @@
         What comes into force once the host is ready is newer than it, and
         was used by no predecessor.
         """
-        if not self._parts.config.ready and new.endpoints:
+        if not self._deps.config.ready and new.endpoints:
             self._had_endpoints = True
 
     def _run(self) -> None:
@@ -169,17 +169,17 @@
             if reason:
                 logs.event(_logger, "seat-open", reason=reason)
                 if reason == NO_ENDPOINT_BEFORE:
-                    self._parts.on_first_start()
-                self._parts.shares.end_startup_wait()
+                    self._deps.on_first_start()
+                self._deps.shares.end_startup_wait()
                 self.is_open.set()
                 self.is_decided.set()
                 return
-            if self._parts.config.ready:
+            if self._deps.config.ready:
                 self.is_decided.set()
 
     def reason_to_open(self) -> str:
         """Why the seat may be opened now; empty while it may not."""
-        deps = self._parts
+        deps = self._deps
         if not deps.config.ready:
             return ""
         if not self._had_endpoints:
