--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -120,7 +120,7 @@
 
     def drain(self) -> bool:
         """Stops gracefully; returns whether everything ended in time."""
-        deps = shutdown.StopParts(
+        deps = shutdown.ShutdownDependencies(
             state=self._state,
             callers=self._caller_server,
             router=self._router,
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class StopParts:
+class ShutdownDependencies:
     """The parts of a host that take part in its stop."""
 
     state: local_state.LocalState
@@ -37,7 +37,7 @@
     clock: clock_port.Clock
 
 
-def stop_gracefully(deps: StopParts, timeout_ms: int) -> bool:
+def stop_gracefully(deps: ShutdownDependencies, timeout_ms: int) -> bool:
     """Stops taking work and waits for what is in progress.
 
     Callers go elsewhere first, then requests in progress are answered, loans
@@ -63,7 +63,7 @@
     return finished
 
 
-def _wait_idle(deps: StopParts, timeout_ms: int) -> bool:
+def _wait_idle(deps: ShutdownDependencies, timeout_ms: int) -> bool:
     """Waits until no slot of this host is in use, by itself or on loan."""
     started_ms = deps.clock.monotonic_ms()
     while True:
