--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -96,7 +96,7 @@
 
     def release(self, now_ms: int) -> None:
         """Frees the slot of one request known to have ended."""
-        use = min(self._uses, key=lambda held: held.until_ms)
+        use = min(self._uses, key=lambda slot_use: slot_use.until_ms)
         self._uses.remove(use)
         if use.loan is None:
             self._own_used -= 1
