--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -189,8 +189,10 @@
 
     def loan_duration_ms(self) -> int:
         """How long a loan lasts under the configuration in force."""
-        longest_ms = self._max_hold_ms()
-        return max(MIN_LOAN_DURATION_MS, LOAN_DURATION_HOLD_FACTOR * longest_ms)
+        request_hold_ms = self._max_hold_ms()
+        return max(
+            MIN_LOAN_DURATION_MS, LOAN_DURATION_HOLD_FACTOR * request_hold_ms
+        )
 
     def status(self) -> tuple[LoanStatus, ...]:
         """Every endpoint's slots, for operators."""
