--- a/src/comfreylatch/_process/dispatch_marks.py
+++ b/src/comfreylatch/_process/dispatch_marks.py
@@ -77,7 +77,7 @@
         with self._lock:
             self._forget_old()
             if request.keep_ms <= 0:
-                verdict = self._take_back(digest, claimant)
+                verdict = self._remove(digest, claimant)
             else:
                 verdict = self._verdict(digest, claimant, request.keep_ms)
         return ttypes.MarkReply(verdict=verdict, holder_host_id=self._host_id)
@@ -96,7 +96,7 @@
         self._expiries.append(_Expiry(expires_ms, digest))
         return ttypes.MarkVerdict.FRESH
 
-    def _take_back(self, digest: bytes, claimant: int) -> int:
+    def _remove(self, digest: bytes, claimant: int) -> int:
         found = self._marks.get(digest)
         if found is not None and found.claimant == claimant:
             del self._marks[digest]
