--- a/src/comfreylatch/_process/dispatch_marks.py
+++ b/src/comfreylatch/_process/dispatch_marks.py
@@ -75,7 +75,7 @@
         digest = xxhash.xxh3_128_digest(request.request_id.encode())
         claimant = xxhash.xxh3_64_intdigest(request.host_id.encode())
         with self._lock:
-            self._forget_old()
+            self._remove_expired()
             if request.keep_ms <= 0:
                 verdict = self._remove(digest, claimant)
             else:
@@ -102,7 +102,7 @@
             del self._marks[digest]
         return ttypes.MarkVerdict.FRESH
 
-    def _forget_old(self) -> None:
+    def _remove_expired(self) -> None:
         now_ms = self._clock.monotonic_ms()
         while self._expiries and self._expiries[0].expires_ms <= now_ms:
             digest = self._expiries.popleft().digest
