--- a/src/comfreylatch/_process/dispatch_marks.py
+++ b/src/comfreylatch/_process/dispatch_marks.py
@@ -79,10 +79,10 @@
             if request.keep_ms <= 0:
                 verdict = self._remove(digest, claimant)
             else:
-                verdict = self._verdict(digest, claimant, request.keep_ms)
+                verdict = self._add(digest, claimant, request.keep_ms)
         return ttypes.MarkReply(verdict=verdict, holder_host_id=self._host_id)
 
-    def _verdict(self, digest: bytes, claimant: int, keep_ms: int) -> int:
+    def _add(self, digest: bytes, claimant: int, keep_ms: int) -> int:
         found = self._marks.get(digest)
         if found is not None:
             if found.claimant == claimant:
