--- a/src/comfreylatch/_process/dispatch_marks.py
+++ b/src/comfreylatch/_process/dispatch_marks.py
@@ -88,8 +88,8 @@
             if found.claimant == claimant:
                 return ttypes.MarkVerdict.FRESH
             return ttypes.MarkVerdict.SEEN
-        is_young = self.uptime_ms < keep_ms and not self._is_complete
-        if is_young or len(self._marks) >= MAX_MARKS:
+        is_incomplete = self.uptime_ms < keep_ms and not self._is_complete
+        if is_incomplete or len(self._marks) >= MAX_MARKS:
             return ttypes.MarkVerdict.TOO_OLD
         expires_ms = self._clock.monotonic_ms() + keep_ms
         self._marks[digest] = _Mark(claimant, expires_ms)
