--- a/src/comfreylatch/_process/dispatch_marks.py
+++ b/src/comfreylatch/_process/dispatch_marks.py
@@ -83,9 +83,9 @@
         return ttypes.MarkReply(verdict=verdict, holder_host_id=self._host_id)
 
     def _add(self, digest: bytes, claimant: int, keep_ms: int) -> int:
-        found = self._marks.get(digest)
-        if found is not None:
-            if found.claimant == claimant:
+        existing = self._marks.get(digest)
+        if existing is not None:
+            if existing.claimant == claimant:
                 return ttypes.MarkVerdict.FRESH
             return ttypes.MarkVerdict.SEEN
         is_incomplete = self.uptime_ms < keep_ms and not self._is_complete
@@ -97,8 +97,8 @@
         return ttypes.MarkVerdict.FRESH
 
     def _remove(self, digest: bytes, claimant: int) -> int:
-        found = self._marks.get(digest)
-        if found is not None and found.claimant == claimant:
+        existing = self._marks.get(digest)
+        if existing is not None and existing.claimant == claimant:
             del self._marks[digest]
         return ttypes.MarkVerdict.FRESH
 
@@ -106,7 +106,7 @@
         now_ms = self._clock.monotonic_ms()
         while self._expiries and self._expiries[0].expires_ms <= now_ms:
             digest = self._expiries.popleft().digest
-            found = self._marks.get(digest)
+            existing = self._marks.get(digest)
             # Taken back and marked anew, an id has a later expiry.
-            if found is not None and found.expires_ms <= now_ms:
+            if existing is not None and existing.expires_ms <= now_ms:
                 del self._marks[digest]
