--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -71,7 +71,7 @@
     silent: tuple[SilentSeat, ...]
 
 
-def of_host(
+def explain_locally(
     journal: journal_module.Journal, subject: reasons.Subject, name: str
 ) -> HostExplanation:
     """What this host's own journal holds of a subject."""
@@ -109,7 +109,7 @@
 
     def explain(self, subject: reasons.Subject, name: str) -> Explanation:
         """Returns what is known, within the budget of time."""
-        answers = [of_host(self._journal, subject, name)]
+        answers = [explain_locally(self._journal, subject, name)]
         silent = []
         for seat, answer in self._ask_peers(subject, name).items():
             match answer:
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -130,5 +130,5 @@
         except ValueError as error:
             raise ttypes.PeerRefused("unknown-subject", subject) from error
         return explanation.encode(
-            explanation.of_host(self._journal, known, name)
+            explanation.explain_locally(self._journal, known, name)
         )
--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -66,7 +66,9 @@
             return result.Err(peers_port.PeerAnswerLost("late"))
         if isinstance(answer, bytes):
             return result.Ok(answer)
-        told = explanation.of_host(answer, reasons.Subject(subject), name)
+        told = explanation.explain_locally(
+            answer, reasons.Subject(subject), name
+        )
         return result.Ok(explanation.encode(told))
 
 
