--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class SilentSeat:
+class UnansweredSeat:
     """A seat that did not answer in time, and why."""
 
     seat: str
@@ -68,7 +68,7 @@
     summary: str
     decisions: tuple[journal_module.Decision, ...]
     hosts: tuple[str, ...]
-    silent: tuple[SilentSeat, ...]
+    silent: tuple[UnansweredSeat, ...]
 
 
 def explain_locally(
@@ -116,7 +116,7 @@
                 case result.Ok(told):
                     answers.append(told)
                 case result.Err(detail):
-                    silent.append(SilentSeat(seat, detail))
+                    silent.append(UnansweredSeat(seat, detail))
         return _join(subject, name, answers, silent)
 
     def _ask_peers(
@@ -173,7 +173,7 @@
     subject: reasons.Subject,
     name: str,
     answers: list[HostExplanation],
-    silent: list[SilentSeat],
+    silent: list[UnansweredSeat],
 ) -> Explanation:
     decisions = [each for answer in answers for each in answer.decisions]
     decisions.sort(key=lambda decision: decision.wall_ms)
@@ -201,7 +201,7 @@
 
 
 def _summary(
-    verdict: Verdict, thing: str, hosts: int, silent: list[SilentSeat]
+    verdict: Verdict, thing: str, hosts: int, silent: list[UnansweredSeat]
 ) -> str:
     asked = f"{hosts} host{'s' if hosts > 1 else ''} asked"
     unheard = ", ".join(seat.seat for seat in silent)
