--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -15,7 +15,7 @@
 from comfreylatch._process import journal as journal_module
 from comfreylatch._process import reasons
 
-MAX_ASKED_AT_ONCE = 16
+MAX_CONCURRENT_CALLS = 16
 EXPLAIN_BUDGET_MS = 2_000
 
 
@@ -128,7 +128,7 @@
             return {}
         deadline = time.monotonic() + self._budget_ms / 1_000
         pool = concurrent.futures.ThreadPoolExecutor(
-            min(len(views), MAX_ASKED_AT_ONCE), "explain"
+            min(len(views), MAX_CONCURRENT_CALLS), "explain"
         )
         futures = {
             view.seat: pool.submit(self._ask, view.seat, subject, name)
