--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -16,7 +16,7 @@
 from comfreylatch._process import reasons
 
 MAX_CONCURRENT_CALLS = 16
-EXPLAIN_BUDGET_MS = 2_000
+EXPLAIN_TIMEOUT_MS = 2_000
 
 
 class Verdict(enum.StrEnum):
@@ -101,7 +101,7 @@
         self,
         journal: journal_module.Journal,
         peers: peers_port.Peers,
-        budget_ms: int = EXPLAIN_BUDGET_MS,
+        budget_ms: int = EXPLAIN_TIMEOUT_MS,
     ) -> None:
         self._journal = journal
         self._peers = peers
