--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -101,11 +101,11 @@
         self,
         journal: journal_module.Journal,
         peers: peers_port.Peers,
-        budget_ms: int = EXPLAIN_TIMEOUT_MS,
+        timeout_ms: int = EXPLAIN_TIMEOUT_MS,
     ) -> None:
         self._journal = journal
         self._peers = peers
-        self._budget_ms = budget_ms
+        self._budget_ms = timeout_ms
 
     def explain(self, subject: reasons.Subject, name: str) -> Explanation:
         """Returns what is known, within the budget of time."""
