--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -105,7 +105,7 @@
     ) -> None:
         self._journal = journal
         self._peers = peers
-        self._budget_ms = timeout_ms
+        self._timeout_ms = timeout_ms
 
     def explain(self, subject: reasons.Subject, name: str) -> Explanation:
         """Returns what is known, within the budget of time."""
@@ -126,7 +126,7 @@
         views = sorted(self._peers.views(), key=lambda view: not view.reachable)
         if not views:
             return {}
-        deadline = time.monotonic() + self._budget_ms / 1_000
+        deadline = time.monotonic() + self._timeout_ms / 1_000
         pool = concurrent.futures.ThreadPoolExecutor(
             min(len(views), MAX_CONCURRENT_CALLS), "explain"
         )
@@ -144,7 +144,7 @@
     def _ask(
         self, seat: str, subject: reasons.Subject, name: str
     ) -> result.Result[HostExplanation, str]:
-        told = self._peers.explain(seat, subject.value, name, self._budget_ms)
+        told = self._peers.explain(seat, subject.value, name, self._timeout_ms)
         match told:
             case result.Err(error):
                 return result.Err(error.detail)
