--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -111,7 +111,7 @@
         """Returns what is known, within the budget of time."""
         answers = [explain_locally(self._journal, subject, name)]
         silent = []
-        for seat, answer in self._ask_peers(subject, name).items():
+        for seat, answer in self._query_peers(subject, name).items():
             match answer:
                 case result.Ok(told):
                     answers.append(told)
@@ -119,7 +119,7 @@
                     silent.append(UnansweredSeat(seat, detail))
         return _join(subject, name, answers, silent)
 
-    def _ask_peers(
+    def _query_peers(
         self, subject: reasons.Subject, name: str
     ) -> dict[str, result.Result[HostExplanation, str]]:
         # A peer taken for unreachable may have come back; it is asked last.
