--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -131,7 +131,7 @@
             min(len(views), MAX_CONCURRENT_CALLS), "explain"
         )
         futures = {
-            view.seat: pool.submit(self._ask, view.seat, subject, name)
+            view.seat: pool.submit(self._query_peer, view.seat, subject, name)
             for view in views
         }
         answers = {}
@@ -141,7 +141,7 @@
         pool.shutdown(wait=False, cancel_futures=True)
         return answers
 
-    def _ask(
+    def _query_peer(
         self, seat: str, subject: reasons.Subject, name: str
     ) -> result.Result[HostExplanation, str]:
         told = self._peers.explain(seat, subject.value, name, self._timeout_ms)
