--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -137,7 +137,7 @@
         answers = {}
         for seat, future in futures.items():
             left_s = max(deadline - time.monotonic(), 0)
-            answers[seat] = _outcome(future, left_s)
+            answers[seat] = _await_answer(future, left_s)
         pool.shutdown(wait=False, cancel_futures=True)
         return answers
 
@@ -152,7 +152,7 @@
                 return _decode(page)
 
 
-def _outcome(
+def _await_answer(
     future: concurrent.futures.Future[result.Result[HostExplanation, str]],
     left_s: float,
 ) -> result.Result[HostExplanation, str]:
