--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -117,7 +117,7 @@
                     answers.append(told)
                 case result.Err(detail):
                     silent.append(UnansweredSeat(seat, detail))
-        return _join(subject, name, answers, silent)
+        return _merge(subject, name, answers, silent)
 
     def _query_peers(
         self, subject: reasons.Subject, name: str
@@ -169,7 +169,7 @@
         return result.Err(f"an answer that can't be read: {error}")
 
 
-def _join(
+def _merge(
     subject: reasons.Subject,
     name: str,
     answers: list[HostExplanation],
