--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -113,8 +113,8 @@
         silent = []
         for seat, answer in self._query_peers(subject, name).items():
             match answer:
-                case result.Ok(told):
-                    answers.append(told)
+                case result.Ok(reply):
+                    answers.append(reply)
                 case result.Err(detail):
                     silent.append(UnansweredSeat(seat, detail))
         return _merge(subject, name, answers, silent)
@@ -144,8 +144,8 @@
     def _query_peer(
         self, seat: str, subject: reasons.Subject, name: str
     ) -> result.Result[HostExplanation, str]:
-        told = self._peers.explain(seat, subject.value, name, self._timeout_ms)
-        match told:
+        reply = self._peers.explain(seat, subject.value, name, self._timeout_ms)
+        match reply:
             case result.Err(error):
                 return result.Err(error.detail)
             case result.Ok(page):
