--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -201,27 +201,27 @@
 
 
 def _summary(
-    verdict: Verdict, thing: str, hosts: int, silent: list[UnansweredSeat]
+    verdict: Verdict, described: str, hosts: int, silent: list[UnansweredSeat]
 ) -> str:
     asked = f"{hosts} host{'s' if hosts > 1 else ''} asked"
     unheard = ", ".join(seat.seat for seat in silent)
     match verdict:
         case Verdict.KNOWN if silent:
-            return f"{thing}: {asked}; not heard from: {unheard}."
+            return f"{described}: {asked}; not heard from: {unheard}."
         case Verdict.KNOWN:
-            return f"{thing}: {asked}, all answered."
+            return f"{described}: {asked}, all answered."
         case Verdict.UNKNOWN:
             return (
-                f"Nothing is known of {thing}: {asked}, none has decided "
+                f"Nothing is known of {described}: {asked}, none has decided "
                 "anything about it or forgotten a decision."
             )
         case Verdict.MAY_BE_FORGOTTEN:
             return (
-                f"Nothing is remembered of {thing}: {asked}, and decisions "
+                f"Nothing is remembered of {described}: {asked}, and decisions "
                 "older than those they keep are forgotten."
             )
         case Verdict.MAY_BE_ELSEWHERE:
             return (
-                f"{thing} is not known to the hosts reached ({asked}); "
+                f"{described} is not known to the hosts reached ({asked}); "
                 f"not heard from: {unheard}. Ask again when they are back."
             )
