--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -55,7 +55,7 @@
         while True:
             match self._port.fetch():
                 case result.Ok(listed):
-                    self._note_up()
+                    self._log_recovery()
                     self._notify_listeners(listed)
                 case result.Err(down):
                     self._note_down(down.detail)
@@ -70,7 +70,7 @@
             except Exception as error:
                 logs.error(_logger, "host-list-listener", error=repr(error))
 
-    def _note_up(self) -> None:
+    def _log_recovery(self) -> None:
         if self._is_down:
             logs.event(_logger, "host-list-up")
         self._is_down = False
