--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -58,7 +58,7 @@
                     self._log_recovery()
                     self._notify_listeners(listed)
                 case result.Err(down):
-                    self._note_down(down.detail)
+                    self._log_failure(down.detail)
             if self._closing.wait(self._interval_ms / 1_000):
                 return
 
@@ -75,7 +75,7 @@
             logs.event(_logger, "host-list-up")
         self._is_down = False
 
-    def _note_down(self, detail: str) -> None:
+    def _log_failure(self, detail: str) -> None:
         if not self._is_down:
             logs.warning(_logger, "host-list-down", detail=detail)
         self._is_down = True
