--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -37,7 +37,7 @@
         self._port = port
         self._interval_ms = interval_ms
         self._listeners = listeners
-        self._closing = threading.Event()
+        self._stop_requested = threading.Event()
         self._is_down = False
         self._thread = threading.Thread(
             target=self._run, name="host-list", daemon=True
@@ -48,7 +48,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._closing.set()
+        self._stop_requested.set()
         self._thread.join()
 
     def _run(self) -> None:
@@ -59,7 +59,7 @@
                     self._notify_listeners(listed)
                 case result.Err(down):
                     self._log_failure(down.detail)
-            if self._closing.wait(self._interval_ms / 1_000):
+            if self._stop_requested.wait(self._interval_ms / 1_000):
                 return
 
     def _notify_listeners(self, listed: hosts.HostList) -> None:
--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -139,7 +139,7 @@
         self._started_ms = deps.clock.monotonic_ms()
         self._had_endpoints = False
         deps.source.on_change(self._note_change)
-        self._closing = threading.Event()
+        self._stop_requested = threading.Event()
         self.is_open = threading.Event()
         self.is_decided = threading.Event()
         self._thread = threading.Thread(
@@ -151,7 +151,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._closing.set()
+        self._stop_requested.set()
         self._thread.join()
 
     def _note_change(self, new: configuration.Configuration) -> None:
@@ -164,7 +164,7 @@
             self._had_endpoints = True
 
     def _run(self) -> None:
-        while not self._closing.wait(GATE_CHECK_MS / 1_000):
+        while not self._stop_requested.wait(GATE_CHECK_MS / 1_000):
             reason = self.reason_to_open()
             if reason:
                 logs.event(_logger, "seat-open", reason=reason)
