--- a/src/comfreylatch/_process/pause_watch.py
+++ b/src/comfreylatch/_process/pause_watch.py
@@ -27,7 +27,7 @@
     ) -> None:
         self._clock = clock
         self._on_pause = on_pause
-        self._stop = threading.Event()
+        self._stop_requested = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="pause-watch", daemon=True
         )
@@ -37,12 +37,12 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._stop.set()
+        self._stop_requested.set()
         self._thread.join()
 
     def _run(self) -> None:
         last_ms = self._clock.monotonic_ms()
-        while not self._stop.wait(TICK_MS / 1_000):
+        while not self._stop_requested.wait(TICK_MS / 1_000):
             now_ms = self._clock.monotonic_ms()
             if now_ms - last_ms > PAUSE_MS:
                 logs.warning(_logger, "paused", length_ms=now_ms - last_ms)
