--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -54,18 +54,18 @@
     def _run(self) -> None:
         while True:
             match self._port.fetch():
-                case result.Ok(listed):
+                case result.Ok(host_list):
                     self._log_recovery()
-                    self._notify_listeners(listed)
+                    self._notify_listeners(host_list)
                 case result.Err(down):
                     self._log_failure(down.detail)
             if self._stop_requested.wait(self._interval_ms / 1_000):
                 return
 
-    def _notify_listeners(self, listed: hosts.HostList) -> None:
+    def _notify_listeners(self, host_list: hosts.HostList) -> None:
         for listener in self._listeners:
             try:
-                listener(listed)
+                listener(host_list)
             # One listener's fault must not keep the list from the others.
             except Exception as error:
                 logs.error(_logger, "host-list-listener", error=repr(error))
