--- a/src/comfreylatch/_process/pause_watch.py
+++ b/src/comfreylatch/_process/pause_watch.py
@@ -12,7 +12,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process import logs
 
-TICK_MS = 250
+CHECK_INTERVAL_MS = 250
 PAUSE_MS = 1_500
 
 _logger = logbook.Logger(__name__)
@@ -42,7 +42,7 @@
 
     def _run(self) -> None:
         last_ms = self._clock.monotonic_ms()
-        while not self._stop_requested.wait(TICK_MS / 1_000):
+        while not self._stop_requested.wait(CHECK_INTERVAL_MS / 1_000):
             now_ms = self._clock.monotonic_ms()
             if now_ms - last_ms > PAUSE_MS:
                 logs.warning(_logger, "paused", length_ms=now_ms - last_ms)
