--- a/src/comfreylatch/_process/pause_watch.py
+++ b/src/comfreylatch/_process/pause_watch.py
@@ -13,7 +13,7 @@
 from comfreylatch._process import logs
 
 CHECK_INTERVAL_MS = 250
-PAUSE_MS = 1_500
+MIN_PAUSE_MS = 1_500
 
 _logger = logbook.Logger(__name__)
 
@@ -44,7 +44,7 @@
         last_ms = self._clock.monotonic_ms()
         while not self._stop_requested.wait(CHECK_INTERVAL_MS / 1_000):
             now_ms = self._clock.monotonic_ms()
-            if now_ms - last_ms > PAUSE_MS:
+            if now_ms - last_ms > MIN_PAUSE_MS:
                 logs.warning(_logger, "paused", length_ms=now_ms - last_ms)
                 self._on_pause(now_ms - last_ms)
             last_ms = now_ms
