--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -225,7 +225,7 @@
                 self._clock,
             )
         )
-        self._pause_watch = pause_watch.PauseWatch(
+        self._pause_watch = pause_watch.PauseDetector(
             self._clock,
             lambda _: shares.suspend_until(
                 self._clock.monotonic_ms()
--- a/src/comfreylatch/_process/pause_watch.py
+++ b/src/comfreylatch/_process/pause_watch.py
@@ -19,7 +19,7 @@
 
 
 @final
-class PauseWatch:
+class PauseDetector:
     """Calls `on_pause(length_ms)` after a freeze, from a thread of its own."""
 
     def __init__(
