--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -341,7 +341,7 @@
         ]
 
     def _own_status(self) -> host_status.HostStatus:
-        return host_status.of(
+        return host_status.build_host_status(
             self._settings, self._state, self._config, self._gate
         )
 
--- a/src/comfreylatch/_process/host_status.py
+++ b/src/comfreylatch/_process/host_status.py
@@ -30,7 +30,7 @@
     stopping: bool
 
 
-def of(
+def build_host_status(
     settings: settings_module.Settings,
     state: local_state.LocalState,
     config: follower_module.StreamFollower,
