--- a/src/comfreylatch/_process/memory.py
+++ b/src/comfreylatch/_process/memory.py
@@ -24,7 +24,7 @@
     resident_kib: int
 
 
-def split() -> MemorySplit:
+def measure() -> MemorySplit:
     """Splits the resident memory of this moment at the marked points."""
     now_kib = resident.resident_kib()
     interpreter_kib = resident.marked_kib(resident.INTERPRETER)
--- a/src/comfreylatch/_process/operator_pages.py
+++ b/src/comfreylatch/_process/operator_pages.py
@@ -105,7 +105,7 @@
         peers: peers_port.Peers,
     ) -> None:
         self._metrics = metrics
-        self._status_sources = {"memory": memory.split, **status_sources}
+        self._status_sources = {"memory": memory.measure, **status_sources}
         self._ready = ready
         self._explainer = explanation.Explainer(journal, peers)
 
