--- a/src/comfreylatch/_process/operator_pages.py
+++ b/src/comfreylatch/_process/operator_pages.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class PeerLine:
+class PeerStatus:
     """What /status shows of another seat.
 
     Attributes:
@@ -64,10 +64,10 @@
 
 def peer_lines(
     views: Iterable[peers_port.PeerView], now_ms: int
-) -> tuple[PeerLine, ...]:
+) -> tuple[PeerStatus, ...]:
     """The other seats as shown at a monotonic time."""
     return tuple(
-        PeerLine(
+        PeerStatus(
             seat=view.seat,
             zone=view.zone,
             host_id=view.host_id,
