--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -325,7 +325,7 @@
             self._metrics,
             {
                 "host": self._own_status,
-                "peers": lambda: operator_pages.peer_lines(
+                "peers": lambda: operator_pages.peer_statuses(
                     self._membership.views(), self._clock.monotonic_ms()
                 ),
                 "slots": self._ledger.status,
--- a/src/comfreylatch/_process/operator_pages.py
+++ b/src/comfreylatch/_process/operator_pages.py
@@ -62,7 +62,7 @@
     spare_slots: Mapping[str, int]
 
 
-def peer_lines(
+def peer_statuses(
     views: Iterable[peers_port.PeerView], now_ms: int
 ) -> tuple[PeerStatus, ...]:
     """The other seats as shown at a monotonic time."""
