--- a/src/comfreylatch/_process/operator_pages.py
+++ b/src/comfreylatch/_process/operator_pages.py
@@ -151,17 +151,17 @@
 
     def explain(self, request: http.HttpRequest) -> http.HttpReply:
         """Decisions about one subject from every host reached."""
-        subject_word, _, name = request.path.removeprefix(
+        subject_text, _, name = request.path.removeprefix(
             "/explain/"
         ).partition("/")
-        if subject_word not in set(reasons.Subject):
+        if subject_text not in set(reasons.Subject):
             words = ", ".join(reasons.Subject)
             return http.error_reply(
                 404,
                 reasons.RefusalReason.BAD_REQUEST,
-                f"{subject_word!r} is none of {words}",
+                f"{subject_text!r} is none of {words}",
             )
-        subject = reasons.Subject(subject_word)
+        subject = reasons.Subject(subject_text)
         return http.json_reply(200, self._explainer.explain(subject, name))
 
 
