--- a/src/comfreylatch/_process/operator_pages.py
+++ b/src/comfreylatch/_process/operator_pages.py
@@ -155,11 +155,11 @@
             "/explain/"
         ).partition("/")
         if subject_text not in set(reasons.Subject):
-            words = ", ".join(reasons.Subject)
+            subject_names = ", ".join(reasons.Subject)
             return http.error_reply(
                 404,
                 reasons.RefusalReason.BAD_REQUEST,
-                f"{subject_text!r} is none of {words}",
+                f"{subject_text!r} is none of {subject_names}",
             )
         subject = reasons.Subject(subject_text)
         return http.json_reply(200, self._explainer.explain(subject, name))
