--- a/src/comfreylatch/_process/operator_pages.py
+++ b/src/comfreylatch/_process/operator_pages.py
@@ -144,7 +144,7 @@
         """Every part's own status, by its name."""
         del request
         page = {
-            name: _status_of(name, source)
+            name: _collect_status(name, source)
             for name, source in self._status_sources.items()
         }
         return http.json_reply(200, page)
@@ -165,7 +165,7 @@
         return http.json_reply(200, self._explainer.explain(subject, name))
 
 
-def _status_of(name: str, source: StatusSource) -> Any:
+def _collect_status(name: str, source: StatusSource) -> Any:
     try:
         return source()
     # One part that can't tell its own must not hide all the others.
