--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -27,7 +27,7 @@
         ...
 
 
-class OwnState(Protocol):
+class HeartbeatSource(Protocol):
     """What this host says of itself."""
 
     def heartbeat(self) -> ttypes.Heartbeat:
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        own: OwnState,
+        own: HeartbeatSource,
         membership: membership_module.Membership,
         followers: Mapping[str, follower_module.StreamFollower],
         ledger: loans.LoanLedger,
