--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        own: HeartbeatSource,
+        local_state: HeartbeatSource,
         membership: membership_module.Membership,
         followers: Mapping[str, follower_module.StreamFollower],
         ledger: loans.LoanLedger,
@@ -49,7 +49,7 @@
         marks: MarkHolder | None,
         journal: journal_module.Journal,
     ) -> None:
-        self._own = own
+        self._own = local_state
         self._membership = membership
         self._followers = followers
         self._ledger = ledger
@@ -72,18 +72,18 @@
                 membership_module.SUPERSEDED,
                 f"another process has taken seat {beat.seat}",
             )
-        own = self._own.heartbeat()
+        local_state = self._own.heartbeat()
         before = self._membership.find_predecessor(beat.seat)
         return ttypes.HeartbeatReply(
-            protocol=own.protocol,
-            host_id=own.host_id,
-            config_offset=own.config_offset,
-            config_digest=own.config_digest,
-            stopping=own.stopping,
-            leaving_endpoints=own.leaving_endpoints,
-            zone_offset=own.zone_offset,
-            zone_digest=own.zone_digest,
-            spare_slots=own.spare_slots,
+            protocol=local_state.protocol,
+            host_id=local_state.host_id,
+            config_offset=local_state.config_offset,
+            config_digest=local_state.config_digest,
+            stopping=local_state.stopping,
+            leaving_endpoints=local_state.leaving_endpoints,
+            zone_offset=local_state.zone_offset,
+            zone_digest=local_state.zone_digest,
+            spare_slots=local_state.spare_slots,
             predecessor_host_id=before.host_id if before else None,
             predecessor_drained=before.drained if before else None,
         )
