--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -49,7 +49,7 @@
         marks: MarkHolder | None,
         journal: journal_module.Journal,
     ) -> None:
-        self._own = local_state
+        self._heartbeat_source = local_state
         self._membership = membership
         self._followers = followers
         self._ledger = ledger
@@ -72,7 +72,7 @@
                 membership_module.SUPERSEDED,
                 f"another process has taken seat {beat.seat}",
             )
-        local_state = self._own.heartbeat()
+        local_state = self._heartbeat_source.heartbeat()
         before = self._membership.find_predecessor(beat.seat)
         return ttypes.HeartbeatReply(
             protocol=local_state.protocol,
