--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -64,10 +64,10 @@
                 "protocol",
                 f"this host speaks {membership_module.PROTOCOL_VERSION}",
             )
-        held = self._membership.observe_occupant(
+        is_current = self._membership.observe_occupant(
             beat.seat, beat.host_id, bool(beat.drained)
         )
-        if not held:
+        if not is_current:
             raise ttypes.PeerRefused(
                 membership_module.SUPERSEDED,
                 f"another process has taken seat {beat.seat}",
