--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -73,7 +73,7 @@
                 f"another process has taken seat {beat.seat}",
             )
         local_state = self._heartbeat_source.heartbeat()
-        before = self._membership.find_predecessor(beat.seat)
+        predecessor = self._membership.find_predecessor(beat.seat)
         return ttypes.HeartbeatReply(
             protocol=local_state.protocol,
             host_id=local_state.host_id,
@@ -84,8 +84,8 @@
             zone_offset=local_state.zone_offset,
             zone_digest=local_state.zone_digest,
             spare_slots=local_state.spare_slots,
-            predecessor_host_id=before.host_id if before else None,
-            predecessor_drained=before.drained if before else None,
+            predecessor_host_id=predecessor.host_id if predecessor else None,
+            predecessor_drained=predecessor.drained if predecessor else None,
         )
 
     def catch_up(self, request: ttypes.CatchUpRequest) -> ttypes.CatchUpReply:
