--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -94,8 +94,8 @@
         if follower is None:
             raise ttypes.PeerRefused("unknown-stream", request.stream)
         match follower.serve_catch_up(request.after_offset):
-            case result.Ok(given):
-                return catch_up.to_wire(given)
+            case result.Ok(catch_up_data):
+                return catch_up.to_wire(catch_up_data)
             case result.Err(none):
                 raise ttypes.PeerRefused("not-ready", none.detail)
 
