--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -126,9 +126,9 @@
     def explain(self, subject: str, name: str) -> bytes:
         """Tells what this host's journal holds."""
         try:
-            known = reasons.Subject(subject)
+            parsed_subject = reasons.Subject(subject)
         except ValueError as error:
             raise ttypes.PeerRefused("unknown-subject", subject) from error
         return explanation.encode(
-            explanation.explain_locally(self._journal, known, name)
+            explanation.explain_locally(self._journal, parsed_subject, name)
         )
