--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -20,7 +20,7 @@
 from comfreylatch._version import configuration
 from comfreylatch._wire.gen.peer import ttypes
 
-GATE_CHECK_MS = 20
+GATE_CHECK_INTERVAL_MS = 20
 HEARTBEAT_AGE_MS = 100
 NO_ENDPOINT_BEFORE = "no-endpoint-before"
 
@@ -164,7 +164,7 @@
             self._had_endpoints = True
 
     def _run(self) -> None:
-        while not self._stop_requested.wait(GATE_CHECK_MS / 1_000):
+        while not self._stop_requested.wait(GATE_CHECK_INTERVAL_MS / 1_000):
             reason = self.reason_to_open()
             if reason:
                 logs.event(_logger, "seat-open", reason=reason)
