--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -21,7 +21,7 @@
 from comfreylatch._wire.gen.peer import ttypes
 
 GATE_CHECK_INTERVAL_MS = 20
-HEARTBEAT_AGE_MS = 100
+MAX_HEARTBEAT_CACHE_AGE_MS = 100
 NO_ENDPOINT_BEFORE = "no-endpoint-before"
 
 _logger = logbook.Logger(__name__)
@@ -64,7 +64,10 @@
         """
         now_ms = self._clock.monotonic_ms()
         cached = self._cached
-        if cached is None or now_ms - self._cached_ms >= HEARTBEAT_AGE_MS:
+        if (
+            cached is None
+            or now_ms - self._cached_ms >= MAX_HEARTBEAT_CACHE_AGE_MS
+        ):
             cached = self._make_heartbeat()
             self._cached = cached
             self._cached_ms = now_ms
