--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -22,7 +22,7 @@
 
 GATE_CHECK_INTERVAL_MS = 20
 MAX_HEARTBEAT_CACHE_AGE_MS = 100
-NO_ENDPOINT_BEFORE = "no-endpoint-before"
+NO_PREVIOUS_ENDPOINT = "no-endpoint-before"
 
 _logger = logbook.Logger(__name__)
 
@@ -171,7 +171,7 @@
             reason = self.reason_to_open()
             if reason:
                 logs.event(_logger, "seat-open", reason=reason)
-                if reason == NO_ENDPOINT_BEFORE:
+                if reason == NO_PREVIOUS_ENDPOINT:
                     self._deps.on_first_start()
                 self._deps.shares.end_startup_wait()
                 self.is_open.set()
@@ -186,7 +186,7 @@
         if not deps.config.ready:
             return ""
         if not self._had_endpoints:
-            return NO_ENDPOINT_BEFORE
+            return NO_PREVIOUS_ENDPOINT
         if deps.membership.is_predecessor_drained():
             return "predecessor-drained"
         waited_ms = deps.clock.monotonic_ms() - self._started_ms
--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -57,7 +57,7 @@
         self.deps.config.ready = True
         self.deps.listener(WITH_ENDPOINT)
         self.assertEqual(
-            local_state.NO_ENDPOINT_BEFORE, self.gate.reason_to_open()
+            local_state.NO_PREVIOUS_ENDPOINT, self.gate.reason_to_open()
         )
 
     def test_seat_waits_for_what_a_predecessor_left(self) -> None:
