--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -141,7 +141,7 @@
         self._deps = deps
         self._started_ms = deps.clock.monotonic_ms()
         self._had_endpoints = False
-        deps.source.on_change(self._note_change)
+        deps.source.on_change(self._record_endpoints)
         self._stop_requested = threading.Event()
         self.is_open = threading.Event()
         self.is_decided = threading.Event()
@@ -157,7 +157,7 @@
         self._stop_requested.set()
         self._thread.join()
 
-    def _note_change(self, new: configuration.Configuration) -> None:
+    def _record_endpoints(self, new: configuration.Configuration) -> None:
         """Remembers whether this start found endpoints in force.
 
         What comes into force once the host is ready is newer than it, and
