--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -16,7 +16,7 @@
 from comfreylatch._process.batch import service as batch_service
 from comfreylatch._request import router as router_module
 
-BALANCER_GRACE_MS = 500
+LOAD_BALANCER_GRACE_MS = 500
 IDLE_CHECK_MS = 20
 LENT_WAIT_MS = 1_500
 
@@ -51,7 +51,7 @@
     logs.event(_logger, "stopping", host=host_id)
     deps.state.stopping.set()
     deps.callers.close_after_replies()
-    time.sleep(BALANCER_GRACE_MS / 1_000)
+    time.sleep(LOAD_BALANCER_GRACE_MS / 1_000)
     finished = deps.callers.drain(timeout_ms)
     deps.router.stop_accepting()
     deps.batch.release()
