--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -17,7 +17,7 @@
 from comfreylatch._request import router as router_module
 
 LOAD_BALANCER_GRACE_MS = 500
-IDLE_CHECK_MS = 20
+IDLE_CHECK_INTERVAL_MS = 20
 LENT_WAIT_MS = 1_500
 
 _logger = logbook.Logger(__name__)
@@ -74,4 +74,4 @@
             return True
         if waited_ms >= (timeout_ms if is_used else LENT_WAIT_MS):
             return False
-        time.sleep(IDLE_CHECK_MS / 1_000)
+        time.sleep(IDLE_CHECK_INTERVAL_MS / 1_000)
