--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -18,7 +18,7 @@
 
 LOAD_BALANCER_GRACE_MS = 500
 IDLE_CHECK_INTERVAL_MS = 20
-LENT_WAIT_MS = 1_500
+MAX_LENT_SLOTS_WAIT_MS = 1_500
 
 _logger = logbook.Logger(__name__)
 
@@ -72,6 +72,6 @@
         is_used = any(line.used for line in lines)
         if not is_used and not any(line.lent for line in lines):
             return True
-        if waited_ms >= (timeout_ms if is_used else LENT_WAIT_MS):
+        if waited_ms >= (timeout_ms if is_used else MAX_LENT_SLOTS_WAIT_MS):
             return False
         time.sleep(IDLE_CHECK_INTERVAL_MS / 1_000)
