--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -55,7 +55,7 @@
     finished = deps.callers.drain(timeout_ms)
     deps.router.stop_accepting()
     deps.batch.release()
-    is_idle = _wait_idle(deps, timeout_ms)
+    is_idle = _wait_until_idle(deps, timeout_ms)
     if is_idle and deps.gate.is_open.is_set():
         deps.state.drained.set()
     deps.membership.announce_drained()
@@ -63,7 +63,7 @@
     return finished
 
 
-def _wait_idle(deps: ShutdownDependencies, timeout_ms: int) -> bool:
+def _wait_until_idle(deps: ShutdownDependencies, timeout_ms: int) -> bool:
     """Waits until no slot of this host is in use, by itself or on loan."""
     started_ms = deps.clock.monotonic_ms()
     while True:
