--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -67,10 +67,10 @@
     """Waits until no slot of this host is in use, by itself or on loan."""
     started_ms = deps.clock.monotonic_ms()
     while True:
-        lines = deps.ledger.status()
+        statuses = deps.ledger.status()
         waited_ms = deps.clock.monotonic_ms() - started_ms
-        is_used = any(line.used for line in lines)
-        if not is_used and not any(line.lent for line in lines):
+        is_used = any(line.used for line in statuses)
+        if not is_used and not any(line.lent for line in statuses):
             return True
         if waited_ms >= (timeout_ms if is_used else MAX_LENT_SLOTS_WAIT_MS):
             return False
