--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -69,9 +69,9 @@
     while True:
         statuses = deps.ledger.status()
         waited_ms = deps.clock.monotonic_ms() - started_ms
-        is_used = any(line.used for line in statuses)
-        if not is_used and not any(line.lent for line in statuses):
+        is_in_use = any(line.used for line in statuses)
+        if not is_in_use and not any(line.lent for line in statuses):
             return True
-        if waited_ms >= (timeout_ms if is_used else MAX_LENT_SLOTS_WAIT_MS):
+        if waited_ms >= (timeout_ms if is_in_use else MAX_LENT_SLOTS_WAIT_MS):
             return False
         time.sleep(IDLE_CHECK_INTERVAL_MS / 1_000)
