--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -58,7 +58,7 @@
 CONFIG_STREAM = "config"
 MAX_BODY_BYTES = 8 * 1024 * 1024
 OPERATOR_THREADS = 8
-NEVER_OPENED_MS = 2**40
+UNBOUNDED_STARTUP_WAIT_MS = 2**40
 STOP_CHECK_S = 0.2
 FAILED_EXIT_CODE = 1
 
@@ -196,7 +196,7 @@
             settings.zone,
             settings.seat,
             self._clock,
-            NEVER_OPENED_MS,
+            UNBOUNDED_STARTUP_WAIT_MS,
             self._membership,
         )
         self._ledger = loans.LoanLedger(
