--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -59,7 +59,7 @@
 MAX_BODY_BYTES = 8 * 1024 * 1024
 OPERATOR_THREADS = 8
 UNBOUNDED_STARTUP_WAIT_MS = 2**40
-STOP_CHECK_S = 0.2
+STOP_CHECK_INTERVAL_S = 0.2
 FAILED_EXIT_CODE = 1
 
 _logger = logbook.Logger(__name__)
@@ -387,7 +387,7 @@
     with logs.TextLogOutput(settings.log_level):
         resident.mark(resident.LIBRARIES)
         with EntryHost(settings) as host:
-            while not stop.wait(STOP_CHECK_S):
+            while not stop.wait(STOP_CHECK_INTERVAL_S):
                 if host.superseded.is_set():
                     logs.error(_logger, "superseded", host=host.host_id)
                     break
