--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -190,7 +190,7 @@
     def _make_requests(self) -> None:
         settings = self._settings
         seed = settings.routing.seed or secrets.randbits(32)
-        longest = startup_waits.MaxSlotHoldTime(self._fold)
+        max_hold_time = startup_waits.MaxSlotHoldTime(self._fold)
         shares = shares_module.FixedShares(
             self._fold,
             settings.zone,
@@ -205,7 +205,7 @@
             settings.seat,
             self.host_id,
             self._membership,
-            longest.ms,
+            max_hold_time.ms,
             self._metrics,
             self._clock,
             random.Random(seed),
@@ -219,7 +219,7 @@
                 self._membership,
                 shares,
                 lambda: startup_waits.predecessor_hold_ms(
-                    longest, self._ledger
+                    max_hold_time, self._ledger
                 ),
                 self._marks.assume_complete,
                 self._clock,
