--- a/src/comfreylatch/_process/entry_host.py
+++ b/src/comfreylatch/_process/entry_host.py
@@ -13,7 +13,7 @@
 from comfreylatch._process import settings as settings_module
 from comfreylatch._process import settings_file
 
-FAULTY_SETTINGS_EXIT_CODE = 2
+INVALID_SETTINGS_EXIT_CODE = 2
 NOT_STARTED_EXIT_CODE = 1
 
 
@@ -27,7 +27,7 @@
         case result.Err(errors):
             for error in errors.errors:
                 print(error, file=sys.stderr)
-            return FAULTY_SETTINGS_EXIT_CODE
+            return INVALID_SETTINGS_EXIT_CODE
         case result.Ok(settings):
             from comfreylatch._connection import http_server
             from comfreylatch._process import composition
