--- a/src/comfreylatch/_process/entry_host.py
+++ b/src/comfreylatch/_process/entry_host.py
@@ -14,7 +14,7 @@
 from comfreylatch._process import settings_file
 
 INVALID_SETTINGS_EXIT_CODE = 2
-NOT_STARTED_EXIT_CODE = 1
+START_FAILED_EXIT_CODE = 1
 
 
 def run(path: str) -> int:
@@ -36,7 +36,7 @@
                 return composition.run(settings)
             except (OSError, http_server.ServerStartError) as error:
                 print(_not_started(settings, error), file=sys.stderr)
-                return NOT_STARTED_EXIT_CODE
+                return START_FAILED_EXIT_CODE
 
 
 def _not_started(settings: settings_module.Settings, error: Exception) -> str:
