--- a/src/comfreylatch/_process/entry_host.py
+++ b/src/comfreylatch/_process/entry_host.py
@@ -35,11 +35,13 @@
             try:
                 return composition.run(settings)
             except (OSError, http_server.ServerStartError) as error:
-                print(_not_started(settings, error), file=sys.stderr)
+                print(_start_failure_message(settings, error), file=sys.stderr)
                 return START_FAILED_EXIT_CODE
 
 
-def _not_started(settings: settings_module.Settings, error: Exception) -> str:
+def _start_failure_message(
+    settings: settings_module.Settings, error: Exception
+) -> str:
     addresses = ", ".join(
         (
             settings.caller_address,
