--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -37,7 +37,7 @@
 from comfreylatch._process import membership as membership_module
 from comfreylatch._process import metrics as metrics_module
 from comfreylatch._process import operator_pages
-from comfreylatch._process import pause_watch
+from comfreylatch._process import pause_detector
 from comfreylatch._process import peer_service
 from comfreylatch._process import reasons
 from comfreylatch._process import record_pusher
@@ -225,7 +225,7 @@
                 self._clock,
             )
         )
-        self._pause_watch = pause_watch.PauseDetector(
+        self._pause_watch = pause_detector.PauseDetector(
             self._clock,
             lambda _: shares.suspend_until(
                 self._clock.monotonic_ms()
