--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -103,7 +103,7 @@
         for publisher in self._publishers:
             enter(publisher)
         enter(self._poller)
-        enter(self._pause_watch)
+        enter(self._pause_detector)
         enter(self._operator_server)
         enter(self._caller_server)
         logs.event(
@@ -225,7 +225,7 @@
                 self._clock,
             )
         )
-        self._pause_watch = pause_detector.PauseDetector(
+        self._pause_detector = pause_detector.PauseDetector(
             self._clock,
             lambda _: shares.suspend_until(
                 self._clock.monotonic_ms()
