--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -181,8 +181,8 @@
         """See `SlotLedger.on_free`."""
         self._listeners.append(callback)
 
-    def share_connections(self, endpoint: str) -> int:
-        """See `SlotLedger.share_connections`."""
+    def connection_share(self, endpoint: str) -> int:
+        """See `SlotLedger.connection_share`."""
         usage = self._endpoints.get(endpoint)
         return 0 if usage is None else usage.allowed.connections
 
