--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -1,8 +1,8 @@
 """Loans of slots between the hosts of a zone, on top of fixed shares.
 
-Borrowing happens beside the requests: a request that finds no slot marks the
-endpoint as wanted, and one thread asks the zone's other hosts. Lending is
-answered at once, from the book alone.
+Borrowing is asynchronous: a request that finds no free slot only queues the
+endpoint, and one thread asks the other hosts of the zone for a loan. Lending
+is decided at once, from the endpoint's account alone.
 """
 
 from __future__ import annotations
@@ -34,24 +34,24 @@
 
 
 class ShareSource(Protocol):
-    """This host's own slots and connections of each endpoint."""
+    """Provides this host's own slots and connections of each endpoint."""
 
     def free(self, endpoint: str) -> int:
-        """Slots of this host's own share that are in force now."""
+        """Returns the slots of this host's own share that may be used now."""
         ...
 
     def connection_share(self, endpoint: str) -> int:
-        """Connections this host may hold to the endpoint."""
+        """Returns the connections this host may hold to an endpoint."""
         ...
 
     def on_free(self, callback: Callable[[str], None]) -> None:
-        """Calls back with an endpoint whose share has grown."""
+        """Registers a callback for endpoints that have a free slot again."""
         ...
 
 
 @attrs.frozen
 class LoanStatus:
-    """Slots of one endpoint, as this host counts them."""
+    """Slots of one endpoint in this host's account."""
 
     endpoint: str
     own: int
@@ -62,19 +62,19 @@
 
 @final
 class LoanLedger:
-    """Slots of this host, own and borrowed; implements `SlotLedger`.
+    """Own and borrowed slots of this host; implements `SlotLedger`.
 
     Args:
         shares: The host's fixed shares.
         zone: This host's zone; loans stay within it.
         seat: This host's seat.
-        host_id: This process's id.
+        host_id: Id of this process.
         peers: The other hosts.
-        longest_request_ms: Bound on how long a request may run.
+        max_hold_ms: Returns the longest time a request may hold a slot.
         metrics: Counts loans.
         clock: Monotonic time.
-        chance: Orders the hosts that are asked.
-        timeout_ms: For one call to a host that may lend.
+        rng: Shuffles the hosts that are asked for a loan.
+        timeout_ms: Timeout of one call to a lender.
     """
 
     def __init__(
@@ -157,13 +157,13 @@
         return self._shares.connection_share(endpoint)
 
     def want(self, endpoint: str) -> None:
-        """Has slots of an endpoint borrowed, if another host has some."""
+        """Requests a loan of slots of an endpoint; never blocks."""
         if endpoint not in self._requested_endpoints:
             self._requested_endpoints.add(endpoint)
             self._wake.set()
 
     def lend(self, request: ttypes.LoanRequest) -> ttypes.LoanReply:
-        """Answers another host's request; debited before it is sent."""
+        """Grants or refuses a loan; debits the slots before the reply."""
         now_ms = self._clock.monotonic_ms()
         duration_ms = min(request.duration_ms, self.loan_duration_ms())
         with self._lock:
@@ -179,7 +179,7 @@
         return ttypes.LoanReply(slots, duration_ms, request.loan_id)
 
     def credit_return(self, loan: ttypes.LoanReturn) -> None:
-        """Credits slots that another host gives back."""
+        """Credits a loan that another host returns."""
         with self._lock:
             self._account(loan.endpoint).credit_return(
                 loan.loan_id, loan.borrower_host_id
@@ -188,14 +188,14 @@
         self._notify_listeners(loan.endpoint)
 
     def loan_duration_ms(self) -> int:
-        """How long a loan lasts under the configuration in force."""
+        """Returns the duration of a loan under the current configuration."""
         request_hold_ms = self._max_hold_ms()
         return max(
             MIN_LOAN_DURATION_MS, LOAN_DURATION_HOLD_FACTOR * request_hold_ms
         )
 
     def status(self) -> tuple[LoanStatus, ...]:
-        """Every endpoint's slots, for operators."""
+        """Returns the slots of every endpoint, for operators."""
         with self._lock:
             return tuple(
                 LoanStatus(
@@ -221,7 +221,7 @@
             listener(endpoint)
 
     def run_once(self) -> None:
-        """Borrows what is wanted and gives back what is idle, once."""
+        """Requests the queued loans and returns idle ones, in one pass."""
         requested = sorted(self._requested_endpoints)
         self._requested_endpoints.clear()
         for endpoint in requested:
--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -1,4 +1,4 @@
-"""What this host says of itself to its peers, and the gate of its seat."""
+"""State that this host reports to its peers, and the gate of its seat."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 @final
 class LocalState:
-    """This host's part of a heartbeat; parts are attached as they are made."""
+    """State of the local host; builds its heartbeats.
+
+    Components are attached once they exist.
+    """
 
     def __init__(
         self, seat: str, zone: str, host_id: str, clock: clock_port.Clock
@@ -52,15 +55,16 @@
         zone_stream: follower_module.StreamFollower,
         router: router_module.RequestRouter,
     ) -> None:
-        """Names the parts that heartbeats tell of."""
+        """Attaches the components whose state heartbeats report."""
         self._config = config
         self._zone_stream = zone_stream
         self._router = router
 
     def heartbeat(self) -> ttypes.Heartbeat:
-        """This host's state, made anew a few times a second at most.
+        """Returns this host's state, rebuilt a few times a second at most.
 
-        Heartbeats to and from all peers come in quick succession.
+        Heartbeats to and from all peers come in quick succession, so the
+        message is cached.
         """
         now_ms = self._clock.monotonic_ms()
         cached = self._cached
@@ -71,7 +75,7 @@
             cached = self._make_heartbeat()
             self._cached = cached
             self._cached_ms = now_ms
-        # What peers act on at once is never old.
+        # Peers act on these two flags at once, so they are never stale.
         cached.stopping = self.stopping.is_set()
         cached.drained = self.drained.is_set()
         return cached
@@ -106,16 +110,16 @@
 
 @attrs.frozen
 class GateDependencies:
-    """What the gate of a seat looks at.
+    """Collaborators of the gate of a seat.
 
     Attributes:
         config: Follower of the configuration stream.
         source: Configuration in force.
-        membership: Tells what peers know of the predecessor.
-        shares: Opened by the gate.
-        predecessor_hold_ms: How long requests and loans of a predecessor may
-            last.
-        on_first_start: Called when nothing was in force before this start.
+        membership: Knows the peers' reports on the predecessor.
+        shares: Fixed shares, whose startup wait the gate ends.
+        predecessor_hold_ms: Returns the longest time for which requests and
+            loans of a predecessor may hold slots.
+        on_first_start: Called if no endpoint was in force at the start.
         clock: Monotonic time.
     """
 
@@ -132,9 +136,9 @@
 class SeatGate:
     """Opens this seat's slots once no predecessor can be using them.
 
-    At once when there was no endpoint in force at the start, or when all the
-    zone's other hosts know that the predecessor ended all its work; else after
-    the longest time for which its requests and loans can last.
+    The seat opens at once if no endpoint was in force at the start, or if all
+    other hosts of the zone report that the predecessor has drained. Otherwise
+    it opens after the longest time its requests and loans can last.
     """
 
     def __init__(self, deps: GateDependencies) -> None:
@@ -158,10 +162,10 @@
         self._thread.join()
 
     def _record_endpoints(self, new: configuration.Configuration) -> None:
-        """Remembers whether this start found endpoints in force.
+        """Records whether endpoints were in force when the host started.
 
-        What comes into force once the host is ready is newer than it, and
-        was used by no predecessor.
+        An endpoint that comes into force after the host is ready is newer
+        than the host, so no predecessor has used it.
         """
         if not self._deps.config.ready and new.endpoints:
             self._had_endpoints = True
@@ -181,7 +185,7 @@
                 self.is_decided.set()
 
     def reason_to_open(self) -> str:
-        """Why the seat may be opened now; empty while it may not."""
+        """Returns why the seat may open now, or "" if it may not yet."""
         deps = self._deps
         if not deps.config.ready:
             return ""
--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -1,8 +1,8 @@
-"""Membership between entry hosts: heartbeats, views and pushed records.
+"""Membership of entry hosts: heartbeats, peer views and record pushes.
 
-Seats come from the settings, so the set of peers never changes by itself;
-what changes is which process fills a seat and whether it answers. One thread
-a peer sends heartbeats and pushes new records in between.
+The settings list the seats, so the set of peers is fixed at run time; what
+changes is which process occupies a seat and whether it answers. One thread
+per peer sends heartbeats and pushes new records between them.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 REMOTE_ZONE_INTERVAL_FACTOR = 2
 SUPERSEDED = "superseded"
 MAX_PREDECESSORS_PER_SEAT = 64
-# Below the shortest time for which a host without its zone's word keeps its
-# seat closed, `loans.MIN_LOAN_MS` and more.
+# Must be shorter than the time for which a host that gets no drain report
+# from its zone keeps its seat closed, at least `loans.MIN_LOAN_DURATION_MS`.
 DRAINED_VALIDITY_MS = 5_000
 MAX_QUEUED_ENTRIES = 1_000
 
@@ -42,22 +42,23 @@
 
 
 class HeartbeatSource(Protocol):
-    """Gives what this host says of itself in a heartbeat."""
+    """Provides the state that this host sends in heartbeats."""
 
     def heartbeat(self) -> ttypes.Heartbeat:
-        """This host's state now."""
+        """Returns the current state of this host."""
         ...
 
 
 @attrs.frozen
 class SeatOccupant:
-    """The last process this host knew in a seat.
+    """A process that occupies, or did occupy, a seat.
 
     Attributes:
         host_id: Its host id.
-        drained: Whether it said that all its requests have ended, and said so
-            shortly before its successor was first heard.
-        drained_ms: Monotonic time at which it said so.
+        drained: Whether it reported that all its requests have ended. Of a
+            predecessor, also that the report came shortly before the first
+            message of its successor.
+        drained_ms: Monotonic time of that report.
     """
 
     host_id: str
@@ -66,10 +67,10 @@
 
 
 def _to_predecessor(current: SeatOccupant, now_ms: int) -> SeatOccupant:
-    """What is remembered of a process once another has its seat.
+    """Clears a drain report that is too old when a successor appears.
 
-    After a longer gap a third process, which this host never met, may have
-    filled the seat in between and left requests running.
+    After a longer gap a third process, unknown to this host, may have
+    occupied the seat in between and left requests running.
     """
     is_fresh = now_ms - current.drained_ms < DRAINED_VALIDITY_MS
     return attrs.evolve(current, drained=current.drained and is_fresh)
@@ -77,7 +78,7 @@
 
 @final
 class Membership:
-    """All other seats; implements `_ports.peers.Peers`."""
+    """The peers in all other seats; implements `_ports.peers.Peers`."""
 
     def __init__(
         self,
@@ -127,15 +128,17 @@
     def on_heartbeat_reply(
         self, listener: Callable[[peers.PeerView], None]
     ) -> None:
-        """Calls `listener` after each heartbeat that was answered."""
+        """Registers a listener called after each answered heartbeat."""
         self._listeners.append(listener)
 
     def observe_occupant(self, seat: str, host_id: str, drained: bool) -> bool:
-        """Notes which process fills a seat, from either side's heartbeat.
+        """Records which process occupies a seat.
+
+        Called for heartbeats received and for replies to own heartbeats.
 
         Returns:
-            False when another process has taken the seat since: that one
-            stays, however late messages of the former one arrive.
+            False if another process has superseded this one in the seat.
+            Late messages of the old process don't change the occupant.
         """
         with self._lock:
             predecessors = self._predecessors.setdefault(
@@ -157,28 +160,28 @@
             return True
 
     def find_predecessor(self, seat: str) -> SeatOccupant | None:
-        """The process that filled a seat before the present one."""
+        """Returns the process that occupied a seat before the current one."""
         with self._lock:
             predecessors = self._predecessors.get(seat)
             return predecessors[-1] if predecessors else None
 
     @property
     def superseded(self) -> threading.Event:
-        """Set once a peer says that another process has this host's seat."""
+        """Set once a peer reports that another process has this seat."""
         return self._superseded
 
     def record_predecessor_report(
         self, reporter_seat: str, drained: bool
     ) -> None:
-        """Notes what the host in a seat said of the process before this."""
+        """Records a peer's report whether this seat's predecessor drained."""
         with self._lock:
             self._predecessor_reports[reporter_seat] = drained
 
     def is_predecessor_drained(self) -> bool:
-        """Whether every other host of the zone says so.
+        """Returns whether all other hosts of the zone report it drained.
 
-        One that was cut off may not have met the last process in this seat,
-        and would speak of the one before.
+        One report isn't enough: a partitioned host may have missed the last
+        process in this seat, and then reports on the one before it.
         """
         zone_seats = [
             peer.seat
@@ -194,7 +197,7 @@
     def apply_reply(
         self, view: peers.PeerView, reply: ttypes.HeartbeatReply
     ) -> peers.PeerView:
-        """Turns a heartbeat's answer into the new view of a peer."""
+        """Returns the updated view of a peer after a heartbeat reply."""
         new_view = attrs.evolve(
             view,
             host_id=reply.host_id,
@@ -253,7 +256,7 @@
             member.enqueue(stream, entries)
 
     def announce_drained(self) -> None:
-        """Tells every peer at once that this process has ended its work."""
+        """Sends a heartbeat to every peer now, to report the drain early."""
         for member in self._members.values():
             member.send_heartbeat()
 
@@ -265,12 +268,14 @@
     ) -> result.Result:
         member = self._members.get(seat)
         if member is None:
-            return result.Err(peers.PeerUnreachable(f"no seat {seat!r}"))
+            return result.Err(
+                peers.PeerUnreachable(f"seat {seat!r} is not configured")
+            )
         return member.link.call(send, timeout_ms)
 
 
 class _Member:
-    """One other seat: its link and the thread that sends heartbeats."""
+    """The link to the peer in one seat and the thread that serves it."""
 
     def __init__(
         self,
@@ -285,7 +290,7 @@
         self._peer = peer
         timing = settings.timing
         self._timing = timing
-        # The zone's own hosts share slots and so must know of each other soon.
+        # Hosts of one zone share slots, so they detect failures sooner.
         factor = (
             1 if peer.zone == settings.zone else REMOTE_ZONE_INTERVAL_FACTOR
         )
@@ -315,7 +320,7 @@
         self.link.__exit__()
 
     def request_stop(self) -> None:
-        """Lets the thread end without waiting for it."""
+        """Signals the thread to stop, without waiting for it."""
         with self._condition:
             self._stopping = True
             self._condition.notify()
@@ -323,16 +328,16 @@
     def enqueue(
         self, stream: str, entries: tuple[ttypes.StreamEntry, ...]
     ) -> None:
-        """Queues records to be pushed; the oldest give way when it's full."""
+        """Queues records to push; a full queue drops its oldest records."""
         with self._condition:
             self._queue.extend((stream, entry) for entry in entries)
             self._condition.notify()
 
     def send_heartbeat(self) -> None:
-        """Sends one heartbeat and takes in the answer."""
-        send_heartbeat = self._source.heartbeat()
+        """Sends one heartbeat and processes the reply."""
+        heartbeat = self._source.heartbeat()
         answer = self.link.call(
-            lambda client: client.heartbeat(send_heartbeat),
+            lambda client: client.heartbeat(heartbeat),
             self._timing.peer_timeout_ms,
         )
         match answer:
@@ -363,7 +368,11 @@
                 return
 
     def _push_until_next_heartbeat(self) -> bool:
-        """Pushes what is queued until the next heartbeat; False to stop."""
+        """Pushes queued records until the next heartbeat is due.
+
+        Returns:
+            False if the thread must stop.
+        """
         deadline_ms = self._clock.monotonic_ms() + self.interval_ms
         while True:
             with self._condition:
@@ -379,7 +388,7 @@
             self._push(queued)
 
     def _push(self, queued: list[tuple[str, ttypes.StreamEntry]]) -> None:
-        """Pushes records by stream; a peer reads a lost push from the log."""
+        """Pushes records by stream; peers read lost ones from the log."""
         by_stream: dict[str, list[ttypes.StreamEntry]] = {}
         for stream, entry in queued:
             by_stream.setdefault(stream, []).append(entry)
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -1,9 +1,10 @@
-"""This host's fixed share of the endpoints' slots and connections.
+"""This host's fixed share of the slots and connections of endpoints.
 
-The limits of an endpoint are divided over the seats of its zone by
-configuration alone, so that no view of who is alive can break them. A seat
-that loses slots stops using them at once; a seat that gains waits until every
-other host has applied the change and its requests have ended.
+The limits of an endpoint are divided among the seats of its zone by the
+configuration alone, so that a wrong view of which hosts are alive can't exceed
+them. A seat whose share shrinks stops using the difference at once. A seat
+whose share grows waits until every other host has applied the change and the
+requests those hosts were running have ended.
 """
 
 from __future__ import annotations
@@ -22,13 +23,13 @@
 from comfreylatch._version import objects
 
 INCREASE_CHECK_INTERVAL_MS = 100
-# Time from taking a slot within which its request must be sent.
+# Maximum time between taking a slot and sending the request.
 MAX_SEND_DELAY_MS = 500
 
 
 @attrs.frozen
 class Share:
-    """What one seat may use of one endpoint."""
+    """The slots and connections of one endpoint that one seat may use."""
 
     slots: int
     connections: int
@@ -43,9 +44,11 @@
     zone: objects.Zone,
     seat: str,
 ) -> Share:
-    """The seat's part of an endpoint's limits; parts add up to the limits.
+    """Returns a seat's share of an endpoint's limits.
 
-    What can't be divided evenly goes to seats that differ by endpoint.
+    The connections of all seats add up to the endpoint's limit; the slots add
+    up to at most that limit. The rotation, which depends on the endpoint's
+    name, gives the remainders of different endpoints to different seats.
     """
     if seat not in zone.seats:
         return NO_SHARE
@@ -62,7 +65,7 @@
 
 
 def max_request_ms(current: configuration.Configuration) -> int:
-    """Bound on how long an endpoint may run a request, from its sending."""
+    """Returns the longest time an endpoint may run a request once sent."""
     services = list(current.services.values()) or [objects.Service()]
     longest_ms = max(
         max(service.timeout_ms, service.longest_run_ms) for service in services
@@ -71,19 +74,20 @@
 
 
 def max_slot_hold_ms(current: configuration.Configuration) -> int:
-    """Bound on how long a slot is held, from its taking."""
+    """Returns the longest time a request may hold a slot."""
     return MAX_SEND_DELAY_MS + max_request_ms(current)
 
 
 @attrs.define(eq=False)
 class _PendingIncrease:
-    """A larger share that may not be used yet.
+    """An increase of a share that is not in effect yet.
 
     Attributes:
-        target: The share by configuration.
+        target: The share under the current configuration.
         offset: Configuration offset that all other hosts must have applied.
-        removed_seats: Seats that the change took away.
-        applied_ms: Monotonic time since when all have; -1 before.
+        removed_seats: Seats that the configuration change removed.
+        applied_ms: Monotonic time at which this host found that all other
+            hosts had applied the change; -1 before.
     """
 
     target: Share
@@ -94,7 +98,13 @@
 
 @attrs.define(eq=False)
 class _EndpointUsage:
-    """What this host uses of one endpoint."""
+    """This host's use of one endpoint.
+
+    Attributes:
+        allowed: The share that may be used now.
+        in_use: Number of slots in use; may exceed a share that has shrunk.
+        pending: An increase of the share that is not in effect yet.
+    """
 
     allowed: Share = NO_SHARE
     in_use: int = 0
@@ -103,17 +113,17 @@
 
 @final
 class FixedShares:
-    """Slots and connections of this host's seat. Thread-safe.
+    """Slots and connections allotted to this host's seat. Thread-safe.
 
     Args:
         source: Configuration in force.
-        zone: This host's zone; only its endpoints are used from here.
+        zone: This host's zone; the host uses endpoints of this zone only.
         seat: This host's seat.
         clock: Monotonic time.
-        start_after_ms: Time from construction until the first slot is given
-            out; a predecessor that was killed may have left requests running.
-        peers: Tells which offsets other seats have applied; without it, a
-            gain waits for the time bound alone.
+        startup_wait_ms: Time from construction until slots are available;
+            a killed predecessor may have left requests running.
+        peers: Views of the other hosts with the offsets they have applied.
+            Without it, an increase waits only for the longest request.
     """
 
     def __init__(
@@ -140,7 +150,7 @@
         self._apply(source.current())
 
     def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """See `SlotLedger.try_take`; a fixed share has no end."""
+        """See `SlotLedger.try_take`; fixed slots don't expire."""
         del duration_ms
         self._apply_due_increases()
         with self._lock:
@@ -164,7 +174,7 @@
             self._notify_listeners(endpoint)
 
     def want(self, endpoint: str) -> None:
-        """See `SlotLedger.want`; a fixed share doesn't grow by wanting."""
+        """See `SlotLedger.want`; does nothing, as the share is fixed."""
 
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
@@ -187,7 +197,7 @@
         return 0 if usage is None else usage.allowed.connections
 
     def end_startup_wait(self) -> None:
-        """Ends the wait for a predecessor, which is known to be over."""
+        """Makes slots available now, as no predecessor uses them any more."""
         with self._lock:
             self._suspended_until_ms = 0
             endpoints = list(self._endpoints)
@@ -195,14 +205,14 @@
             self._notify_listeners(endpoint)
 
     def suspend_until(self, monotonic_ms: int) -> None:
-        """Gives out no slot before a time; used after a long pause."""
+        """Refuses slots until a time; used after a pause of the process."""
         with self._lock:
             self._suspended_until_ms = max(
                 self._suspended_until_ms, monotonic_ms
             )
 
     def _apply(self, new: configuration.Configuration) -> None:
-        """Takes a new version: losses at once, gains after their wait."""
+        """Applies a new version: decreases at once, increases after a wait."""
         with self._lock:
             old = self._configuration
             if new.offset < old.offset:
@@ -247,7 +257,7 @@
         is_new: bool,
     ) -> None:
         if is_new and usage.in_use == 0:
-            # No host used it before, so there is nobody to wait for.
+            # No host has used a new endpoint, so there is no need to wait.
             usage.allowed = target
             usage.pending = None
             return
@@ -267,7 +277,7 @@
         )
 
     def _apply_due_increases(self) -> None:
-        """Brings gains into use whose wait is over; cheap when none waits."""
+        """Applies pending increases that are due; cheap if none is pending."""
         if not self._has_pending:
             return
         now_ms = self._clock.monotonic_ms()
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -1,13 +1,13 @@
-"""Who may use which slots of one endpoint, from one host's point of view.
-
-A host owns a fixed share of an endpoint's slots. It lends free ones to other
-hosts, and borrows from them. A lender counts a slot as gone from before its
-answer is sent until the loan is returned or has run out by the lender's clock
-plus a margin. A borrower counts the same loan from before it asked, so it
-stops using the slot first. A request takes a borrowed slot only when it is
-sure to have ended before the loan does. So at every moment the hosts together
-use at most what the endpoint has, whichever messages are lost and whoever
-dies, as long as clocks run at rates that differ by less than the margin.
+"""One host's account of the slots of one endpoint.
+
+A host owns a fixed share of an endpoint's slots. It lends free slots to other
+hosts and borrows from them. The lender debits a loan before it sends the reply
+and credits it when the loan is returned, or has expired by the lender's clock
+plus a margin. The borrower measures the same duration from before its request,
+so it stops using the slots first. A request takes a borrowed slot only if it
+must end before the loan does. Together the hosts therefore never use more
+slots than the endpoint has, whichever messages are lost and whichever hosts
+crash, as long as clock rates differ by less than the margin.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @attrs.define
 class LentLoan:
-    """Slots given to another host, gone until `ends_ms` at the latest."""
+    """Slots lent to another host, unavailable here until `ends_ms`."""
 
     loan_id: int
     borrower_host_id: str
@@ -31,15 +31,15 @@
 
 @attrs.define
 class BorrowedLoan:
-    """Slots got from another seat, usable for requests ending in time.
+    """Slots borrowed from another seat, for requests that end in time.
 
     Attributes:
-        lender_seat: Seat that lent them.
-        loan_id: Number the borrower gave the loan.
-        slots: How many.
-        ends_ms: When they must no longer be in use.
-        used: How many are in use.
-        idle_since_ms: Since when none is in use.
+        lender_seat: Seat that lent the slots.
+        loan_id: Number that the borrower gave the loan.
+        slots: Number of slots.
+        ends_ms: Monotonic time by which no slot may be in use any more.
+        used: Number of slots in use.
+        idle_since_ms: Monotonic time since which no slot is in use.
     """
 
     lender_seat: str
@@ -52,7 +52,12 @@
 
 @attrs.define(eq=False)
 class _SlotUse:
-    """One slot in use; `loan` is None for the host's own."""
+    """One slot in use.
+
+    Attributes:
+        loan: The loan that the slot belongs to; None for a slot of the host.
+        until_ms: Monotonic time by which the request has ended.
+    """
 
     loan: BorrowedLoan | None
     until_ms: int
@@ -60,11 +65,11 @@
 
 @final
 class SlotAccount:
-    """Slots of one endpoint. Not thread-safe: the owner holds a lock.
+    """Slots of one endpoint. Not thread-safe: the caller holds a lock.
 
-    A slot is given back without saying which. The book then takes the request
-    with the earliest bound for ended: what it goes on counting is never less,
-    nor sooner over, than what really runs.
+    A release doesn't identify the slot, so the account ends the use with the
+    earliest deadline. The uses that remain are then at least as many, and end
+    no sooner, than the requests that are really running.
     """
 
     def __init__(self, endpoint: str) -> None:
@@ -76,11 +81,11 @@
         self._uses: list[_SlotUse] = []
 
     def set_own_slots(self, slots: int) -> None:
-        """Sets the host's own share; what is in use beyond it runs out."""
+        """Sets the host's own share; slots in use beyond it are not revoked."""
         self._own_slots = slots
 
     def acquire(self, now_ms: int, duration_ms: int) -> bool:
-        """Takes a slot for a request that ends within `duration_ms`."""
+        """Acquires a slot for a request that ends within `duration_ms`."""
         self._expire(now_ms)
         until_ms = now_ms + duration_ms
         if self._own_free() > 0:
@@ -95,7 +100,7 @@
         return False
 
     def release(self, now_ms: int) -> None:
-        """Frees the slot of one request known to have ended."""
+        """Releases the slot of a request that has ended."""
         use = min(self._uses, key=lambda slot_use: slot_use.until_ms)
         self._uses.remove(use)
         if use.loan is None:
@@ -106,7 +111,7 @@
             use.loan.idle_since_ms = now_ms
 
     def free(self, now_ms: int, duration_ms: int) -> int:
-        """Slots a request of `duration_ms` could take now."""
+        """Returns the slots a request of `duration_ms` could acquire now."""
         self._expire(now_ms)
         borrowed_free = sum(
             loan.slots - loan.used
@@ -125,11 +130,11 @@
     ) -> int:
         """Debits and returns the slots lent: at most half of the free ones.
 
-        The last free slot is never lent: a host with none would have nothing
-        to wait for.
+        The last free slot is never lent: a host without any slot would have
+        no release to wait for.
 
-        The same loan id asked again by the same borrower, after a lost
-        answer, gets nothing: the first debit stands until it runs out.
+        A borrower that repeats a loan id after a lost reply gets nothing, as
+        the first debit stands until the loan expires.
         """
         self._expire(now_ms)
         for loan in self._lent:
@@ -147,7 +152,7 @@
         return slots
 
     def credit_return(self, loan_id: int, borrower_host_id: str) -> None:
-        """Credits a returned loan; an unknown one has run out before."""
+        """Credits a returned loan; ignores one that has expired already."""
         self._lent = [
             loan
             for loan in self._lent
@@ -156,11 +161,11 @@
         ]
 
     def add_borrowed(self, loan: BorrowedLoan) -> None:
-        """Adds slots another host has lent."""
+        """Adds a loan granted by another host."""
         self._borrowed.append(loan)
 
     def pop_idle_loans(self, now_ms: int, idle_ms: int) -> list[BorrowedLoan]:
-        """Removes and returns the loans unused for `idle_ms`."""
+        """Removes and returns the borrowed loans unused for `idle_ms`."""
         self._expire(now_ms)
         idle = [
             loan
@@ -172,22 +177,22 @@
 
     @property
     def own_used(self) -> int:
-        """Own slots in use."""
+        """Number of own slots in use."""
         return self._own_used
 
     @property
     def lent_slots(self) -> int:
-        """Slots other hosts have of this one."""
+        """Number of own slots lent to other hosts."""
         return sum(loan.slots for loan in self._lent)
 
     @property
     def borrowed_slots(self) -> int:
-        """Slots this host has of others."""
+        """Number of slots borrowed from other hosts."""
         return sum(loan.slots for loan in self._borrowed)
 
     @property
     def used(self) -> int:
-        """All slots in use by this host's requests."""
+        """Number of own and borrowed slots in use."""
         return self._own_used + sum(loan.used for loan in self._borrowed)
 
     def _own_free(self) -> int:
@@ -195,6 +200,8 @@
 
     def _expire(self, now_ms: int) -> None:
         if self._lent:
-            self._lent = [a for a in self._lent if a.ends_ms > now_ms]
+            self._lent = [loan for loan in self._lent if loan.ends_ms > now_ms]
         if self._borrowed:
-            self._borrowed = [b for b in self._borrowed if b.ends_ms > now_ms]
+            self._borrowed = [
+                loan for loan in self._borrowed if loan.ends_ms > now_ms
+            ]
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -194,7 +194,7 @@
             del own
             return new_account(model, True)
 
-        with mock.patch.object(LoanModel, "_new_book", with_share):
+        with mock.patch.object(LoanModel, "_new_account", with_share):
             self._assert_violation_found(
                 "own_used", slot_account.SlotAccount.own_used
             )
