--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -351,7 +351,7 @@
         return http.error_reply(
             404,
             reasons.RefusalReason.BAD_REQUEST,
-            f"unknown path {request.path!r}; services are at /services/NAME",
+            "unknown path; services are at /services/NAME",
         )
 
     def _is_ready(self) -> bool:
