--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -55,7 +55,7 @@
         while True:
             match self._port.fetch():
                 case result.Ok(host_list):
-                    self._log_recovery()
+                    self._record_success()
                     self._notify_listeners(host_list)
                 case result.Err(down):
                     self._log_failure(down.detail)
@@ -70,7 +70,7 @@
             except Exception as error:
                 logs.error(_logger, "host-list-listener", error=repr(error))
 
-    def _log_recovery(self) -> None:
+    def _record_success(self) -> None:
         if self._is_down:
             logs.event(_logger, "host-list-up")
         self._is_down = False
