--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -58,7 +58,7 @@
                     self._record_success()
                     self._notify_listeners(host_list)
                 case result.Err(down):
-                    self._log_failure(down.detail)
+                    self._record_failure(down.detail)
             if self._stop_requested.wait(self._interval_ms / 1_000):
                 return
 
@@ -75,7 +75,7 @@
             logs.event(_logger, "host-list-up")
         self._is_down = False
 
-    def _log_failure(self, detail: str) -> None:
+    def _record_failure(self, detail: str) -> None:
         if not self._is_down:
             logs.warning(_logger, "host-list-down", detail=detail)
         self._is_down = True
