--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -38,7 +38,7 @@
         self._interval_ms = interval_ms
         self._listeners = listeners
         self._stop_requested = threading.Event()
-        self._is_down = False
+        self._is_unavailable = False
         self._thread = threading.Thread(
             target=self._run, name="host-list", daemon=True
         )
@@ -71,11 +71,11 @@
                 logs.error(_logger, "host-list-listener", error=repr(error))
 
     def _record_success(self) -> None:
-        if self._is_down:
+        if self._is_unavailable:
             logs.event(_logger, "host-list-up")
-        self._is_down = False
+        self._is_unavailable = False
 
     def _record_failure(self, detail: str) -> None:
-        if not self._is_down:
+        if not self._is_unavailable:
             logs.warning(_logger, "host-list-down", detail=detail)
-        self._is_down = True
+        self._is_unavailable = True
