--- a/tests/process/test_dispatch_marks.py
+++ b/tests/process/test_dispatch_marks.py
@@ -38,7 +38,7 @@
         self.mark("r1", "a/1")
         self.assertEqual(FRESH, self.mark("r1", "a/1"))
 
-    def test_young_holder_grants_nothing(self) -> None:
+    def test_recently_started_holder_grants_nothing(self) -> None:
         marks = dispatch_marks.DispatchMarks("h", self.clock)
         request = ttypes.MarkRequest("r1", "a/1", KEEP_MS, False)
         self.assertEqual(TOO_OLD, marks.mark(request).verdict)
