--- a/tests/process/test_dispatch_marks.py
+++ b/tests/process/test_dispatch_marks.py
@@ -53,7 +53,7 @@
         self.assertEqual(FRESH, self.mark("r1", "b/1"))
         self.assertEqual(1, len(self.marks))
 
-    def test_only_claimant_takes_mark_back(self) -> None:
+    def test_only_claimant_removes_mark(self) -> None:
         self.mark("r1", "a/1")
         self.mark("r1", "b/1", keep_ms=0)
         self.assertEqual(SEEN, self.mark("r1", "c/1"))
