--- a/tests/process/test_dispatch_marks.py
+++ b/tests/process/test_dispatch_marks.py
@@ -60,7 +60,7 @@
         self.mark("r1", "a/1", keep_ms=0)
         self.assertEqual(FRESH, self.mark("r1", "c/1"))
 
-    def test_mark_made_anew_outlives_first_expiry(self) -> None:
+    def test_recreated_mark_outlives_first_expiry(self) -> None:
         self.mark("r1", "a/1")
         self.clock.now_ms += KEEP_MS - 1
         self.mark("r1", "a/1", keep_ms=0)
