--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -47,7 +47,7 @@
     )
 
 
-class _Own:
+class _FakeHeartbeatSource:
     """What the asked host says of itself."""
 
     def heartbeat(self) -> ttypes.Heartbeat:
@@ -61,9 +61,11 @@
         super().setUp()
         self.clock = clock = fake_clock.FakeClock()
         counted = metrics.Metrics()
-        self.members = membership.Membership(SETTINGS, _Own(), counted, clock)
+        self.members = membership.Membership(
+            SETTINGS, _FakeHeartbeatSource(), counted, clock
+        )
         service = peer_service.PeerService(
-            _Own(),
+            _FakeHeartbeatSource(),
             self.members,
             {},
             None,
@@ -114,7 +116,7 @@
             ),
         )
         members = membership.Membership(
-            given, _Own(), metrics.Metrics(), self.clock
+            given, _FakeHeartbeatSource(), metrics.Metrics(), self.clock
         )
         members.record_predecessor_report("bole-1", drained=True)
         self.assertFalse(members.is_predecessor_drained())
