--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -100,7 +100,7 @@
         self.assertEqual("bole-1-a", reply.predecessor_host_id)
         self.assertTrue(reply.predecessor_drained)
 
-    def test_drain_long_ago_says_nothing_of_who_came_between(self) -> None:
+    def test_old_drain_report_of_predecessor_is_ignored(self) -> None:
         self.send(make_heartbeat("bole-1-a", drained=True))
         self.clock.advance(membership.DRAINED_VALIDITY_MS)
         self.assertFalse(
