--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -107,7 +107,9 @@
             self.send(make_heartbeat("bole-1-b")).predecessor_drained
         )
 
-    def test_only_the_whole_zone_can_vouch_for_a_predecessor(self) -> None:
+    def test_predecessor_is_drained_only_if_all_of_the_zone_report_it(
+        self,
+    ) -> None:
         given = attrs.evolve(
             SETTINGS,
             peers=(
