--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -93,7 +93,7 @@
             self.send(make_heartbeat("bole-1-a")).predecessor_host_id
         )
 
-    def test_successor_hears_that_its_predecessor_drained(self) -> None:
+    def test_successor_is_told_that_its_predecessor_drained(self) -> None:
         self.send(make_heartbeat("bole-1-a"))
         self.send(make_heartbeat("bole-1-a", drained=True))
         reply = self.send(make_heartbeat("bole-1-b"))
