--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -125,7 +125,7 @@
         members.record_predecessor_report("bole-3", drained=True)
         self.assertTrue(members.is_predecessor_drained())
 
-    def test_successor_of_a_killed_process_hears_no_drain(self) -> None:
+    def test_killed_predecessor_is_not_reported_as_drained(self) -> None:
         self.send(make_heartbeat("bole-1-a"))
         self.assertFalse(
             self.send(make_heartbeat("bole-1-b")).predecessor_drained
