--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -131,7 +131,7 @@
             self.send(make_heartbeat("bole-1-b")).predecessor_drained
         )
 
-    def test_woken_process_is_told_that_its_seat_is_taken(self) -> None:
+    def test_resumed_process_is_refused_as_superseded(self) -> None:
         self.send(make_heartbeat("bole-1-a"))
         self.send(make_heartbeat("bole-1-b"))
         self.assertEqual(
