--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -138,7 +138,7 @@
             membership.SUPERSEDED, self.refused(make_heartbeat("bole-1-a"))
         )
 
-    def test_other_protocol_is_refused_plainly(self) -> None:
+    def test_other_protocol_version_is_refused(self) -> None:
         self.assertEqual(
             "protocol", self.refused(make_heartbeat("bole-1-a", protocol=0))
         )
