--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -60,9 +60,9 @@
     def setUp(self) -> None:
         super().setUp()
         self.clock = clock = fake_clock.FakeClock()
-        counted = metrics.Metrics()
+        host_metrics = metrics.Metrics()
         self.members = membership.Membership(
-            SETTINGS, _FakeHeartbeatSource(), counted, clock
+            SETTINGS, _FakeHeartbeatSource(), host_metrics, clock
         )
         service = peer_service.PeerService(
             _FakeHeartbeatSource(),
@@ -73,7 +73,7 @@
             None,
             journal.Journal("bole-2-a", clock),
         )
-        server = peer_server.PeerServer(ANY_PORT, service, counted)
+        server = peer_server.PeerServer(ANY_PORT, service, host_metrics)
         self.enterContext(server)
         link = peer_link.PeerLink(server.address, TIMEOUT_MS)
         self.link = self.enterContext(link)
