--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -20,7 +20,7 @@
 HOLD_MS = 2_000
 
 
-class _Shares:
+class _FakeShares:
     """A fixed share of one endpoint."""
 
     def free(self, endpoint: str) -> int:
@@ -75,7 +75,7 @@
 
     def _ledger(self, seat: str) -> loans.LoanLedger:
         return loans.LoanLedger(
-            _Shares(),
+            _FakeShares(),
             "bole",
             seat,
             f"{seat}-1",
