--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -33,7 +33,7 @@
         pass
 
 
-class _Peers:
+class _FakePeers:
     """Calls to the other host's ledger, which may lose answers."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.clock = fake_clock.FakeClock()
-        self.peers = {"a": _Peers(), "b": _Peers()}
+        self.peers = {"a": _FakePeers(), "b": _FakePeers()}
         self.ledgers = {seat: self._ledger(seat) for seat in self.peers}
         self.peers["a"].other = self.ledgers["b"]
         self.peers["b"].other = self.ledgers["a"]
