--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -87,7 +87,7 @@
             RUN_MS,
         )
 
-    def _fill(self, seat: str) -> int:
+    def _acquire_all(self, seat: str) -> int:
         """Takes every slot there is; returns how many."""
         ledger = self.ledgers[seat]
         taken = 0
@@ -96,41 +96,45 @@
         return taken
 
     def test_busy_host_borrows_from_an_idle_one(self) -> None:
-        self.assertEqual(SHARE, self._fill("a"))
+        self.assertEqual(SHARE, self._acquire_all("a"))
         self.ledgers["a"].run_once()
-        self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
-        self.assertEqual(SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._fill("b"))
+        self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("a"))
+        self.assertEqual(
+            SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("b")
+        )
 
     def test_lost_answer_leaves_the_slots_unused(self) -> None:
         self.peers["a"].loses_answers = True
-        self._fill("a")
+        self._acquire_all("a")
         self.ledgers["a"].run_once()
-        self.assertEqual(0, self._fill("a"))
-        self.assertEqual(SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._fill("b"))
+        self.assertEqual(0, self._acquire_all("a"))
+        self.assertEqual(
+            SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("b")
+        )
 
     def test_idle_loan_goes_back(self) -> None:
-        self._fill("a")
+        self._acquire_all("a")
         self.ledgers["a"].run_once()
         self.clock.advance(loans.MAX_IDLE_LOAN_MS)
         self.ledgers["a"].run_once()
-        self.assertEqual(SHARE, self._fill("b"))
+        self.assertEqual(SHARE, self._acquire_all("b"))
 
     def test_stopping_host_is_not_asked(self) -> None:
         self.peers["a"].is_stopping = True
-        self._fill("a")
+        self._acquire_all("a")
         self.ledgers["a"].run_once()
-        self.assertEqual(SHARE, self._fill("b"))
+        self.assertEqual(SHARE, self._acquire_all("b"))
 
     def test_refusal_is_not_repeated_at_once(self) -> None:
-        self._fill("b")
-        self._fill("a")
+        self._acquire_all("b")
+        self._acquire_all("a")
         self.ledgers["a"].run_once()
         for _ in range(SHARE):
             self.ledgers["b"].give_back(ENDPOINT)
-        self._fill("a")
+        self._acquire_all("a")
         self.ledgers["a"].run_once()
-        self.assertEqual(0, self._fill("a"))
+        self.assertEqual(0, self._acquire_all("a"))
         self.clock.advance(loans.REFUSAL_BACKOFF_MS)
-        self._fill("a")
+        self._acquire_all("a")
         self.ledgers["a"].run_once()
-        self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._fill("a"))
+        self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("a"))
