--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -90,10 +90,10 @@
     def _acquire_all(self, seat: str) -> int:
         """Takes every slot there is; returns how many."""
         ledger = self.ledgers[seat]
-        taken = 0
+        acquired = 0
         while ledger.try_take(ENDPOINT, RUN_MS):
-            taken += 1
-        return taken
+            acquired += 1
+        return acquired
 
     def test_busy_host_borrows_from_an_idle_one(self) -> None:
         self.assertEqual(SHARE, self._acquire_all("a"))
