--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -38,7 +38,7 @@
 
     def __init__(self) -> None:
         self.other: loans.LoanLedger
-        self.loses_answers = False
+        self.loses_replies = False
         self.is_stopping = False
 
     def views(self) -> tuple[peers_port.PeerView, ...]:
@@ -51,7 +51,7 @@
         self, seat: str, request: ttypes.LoanRequest, timeout_ms: int
     ) -> result.Result[ttypes.LoanReply, peers_port.PeerError]:
         reply = self.other.lend(request)
-        if self.loses_answers:
+        if self.loses_replies:
             return result.Err(peers_port.PeerAnswerLost("cut"))
         return result.Ok(reply)
 
@@ -104,7 +104,7 @@
         )
 
     def test_lost_answer_leaves_the_slots_unused(self) -> None:
-        self.peers["a"].loses_answers = True
+        self.peers["a"].loses_replies = True
         self._acquire_all("a")
         self.ledgers["a"].run_once()
         self.assertEqual(0, self._acquire_all("a"))
