--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -103,7 +103,7 @@
             SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("b")
         )
 
-    def test_lost_answer_leaves_the_slots_unused(self) -> None:
+    def test_lost_reply_leaves_the_slots_unused(self) -> None:
         self.peers["a"].loses_replies = True
         self._acquire_all("a")
         self.ledgers["a"].run_once()
