--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -112,7 +112,7 @@
             SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("b")
         )
 
-    def test_idle_loan_goes_back(self) -> None:
+    def test_idle_loan_is_returned(self) -> None:
         self._acquire_all("a")
         self.ledgers["a"].run_once()
         self.clock.advance(loans.MAX_IDLE_LOAN_MS)
