--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -125,7 +125,7 @@
         self.ledgers["a"].run_once()
         self.assertEqual(SHARE, self._acquire_all("b"))
 
-    def test_refusal_is_not_repeated_at_once(self) -> None:
+    def test_refusing_host_is_not_asked_during_backoff(self) -> None:
         self._acquire_all("b")
         self._acquire_all("a")
         self.ledgers["a"].run_once()
