--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -95,7 +95,7 @@
         request = http.HttpRequest("GET", path, query, {}, b"")
         return self.pages(**status_sources).handle(request)
 
-    def test_host_that_is_not_ready_says_503(self) -> None:
+    def test_host_that_is_not_ready_replies_503(self) -> None:
         self.is_ready = False
         self.assertEqual(503, self.get("/health/ready").status)
         self.assertEqual(200, self.get("/health/live").status)
