--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -100,7 +100,7 @@
         self.assertEqual(503, self.get("/health/ready").status)
         self.assertEqual(200, self.get("/health/live").status)
 
-    def test_failing_part_leaves_the_rest_of_the_status(self) -> None:
+    def test_failing_component_does_not_hide_other_statuses(self) -> None:
         reply = self.get("/status", bad=lambda: 1 / 0, good=lambda: [1])
         page = json.loads(reply.body)
         self.assertEqual([1], page["good"])
