--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -111,7 +111,7 @@
         body = self.get("/metrics").body
         self.assertEqual(b'appends{label="a\\"\\n"} 1\n', body)
 
-    def test_unknown_subject_is_a_clear_404(self) -> None:
+    def test_unknown_subject_is_404_and_lists_subjects(self) -> None:
         reply = self.get("/explain/planet/mars")
         self.assertEqual(404, reply.status)
         self.assertIn(b"request, job", reply.body)
