--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -139,7 +139,7 @@
         hosts = [decision.host for decision in found.decisions]
         self.assertEqual(["h2", "h1", "h3"], hosts)
 
-    def test_unknown_everywhere(self) -> None:
+    def test_subject_without_decisions_is_unknown(self) -> None:
         found = self.explain(journal_of("h1", 1), b=journal_of("h2", 1))
         self.assertEqual(explanation.Verdict.UNKNOWN, found.verdict)
 
