--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -143,7 +143,7 @@
         found = self.explain(journal_of("h1", 1), b=journal_of("h2", 1))
         self.assertEqual(explanation.Verdict.UNKNOWN, found.verdict)
 
-    def test_full_journal_may_have_forgotten(self) -> None:
+    def test_full_journal_gives_may_be_forgotten(self) -> None:
         full = journal_of("h2", 1, "a", "b", max_decisions=1)
         found = self.explain(journal_of("h1", 1), b=full)
         self.assertEqual(explanation.Verdict.MAY_BE_FORGOTTEN, found.verdict)
