--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -148,7 +148,7 @@
         found = self.explain(journal_of("h1", 1), b=full)
         self.assertEqual(explanation.Verdict.MAY_BE_FORGOTTEN, found.verdict)
 
-    def test_unreachable_peer_may_know_more(self) -> None:
+    def test_unreachable_peer_gives_may_be_elsewhere(self) -> None:
         found = self.explain(journal_of("h1", 1), b=None)
         self.assertEqual(explanation.Verdict.MAY_BE_ELSEWHERE, found.verdict)
         self.assertEqual("b", found.silent[0].seat)
