--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -153,7 +153,7 @@
         self.assertEqual(explanation.Verdict.MAY_BE_ELSEWHERE, found.verdict)
         self.assertEqual("b", found.silent[0].seat)
 
-    def test_slow_peer_is_not_waited_for(self) -> None:
+    def test_slow_peer_times_out(self) -> None:
         slow = threading.Event()
         self.addCleanup(slow.set)
         found = self.explain(journal_of("h1", 1, "j"), b=slow)
