--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -160,6 +160,6 @@
         self.assertEqual("no answer in time", found.silent[0].detail)
         self.assertEqual(1, len(found.decisions))
 
-    def test_garbage_from_a_peer_is_named(self) -> None:
+    def test_invalid_answer_of_a_peer_is_reported(self) -> None:
         found = self.explain(journal_of("h1", 1), b=b"\xff{")
         self.assertIn("can't be read", found.silent[0].detail)
