--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -34,7 +34,7 @@
         return self._now_ms
 
 
-def journal_of(
+def make_journal(
     host: str, now_ms: int, *names: str, max_decisions: int = 10
 ) -> journal_module.Journal:
     journal = journal_module.Journal(host, FixedClock(now_ms), max_decisions)
@@ -82,7 +82,7 @@
 
     def pages(self, **status_sources: Any) -> routes.Routes:
         pages = operator_pages.OperatorPages(
-            journal_of("h1", 5),
+            make_journal("h1", 5),
             self.metrics,
             status_sources,
             lambda: self.is_ready,
@@ -132,34 +132,34 @@
 
     def test_decisions_of_all_hosts_are_ordered_by_time(self) -> None:
         found = self.explain(
-            journal_of("h1", 20, "j"),
-            b=journal_of("h2", 10, "j"),
-            c=journal_of("h3", 30, "j", "other"),
+            make_journal("h1", 20, "j"),
+            b=make_journal("h2", 10, "j"),
+            c=make_journal("h3", 30, "j", "other"),
         )
         hosts = [decision.host for decision in found.decisions]
         self.assertEqual(["h2", "h1", "h3"], hosts)
 
     def test_subject_without_decisions_is_unknown(self) -> None:
-        found = self.explain(journal_of("h1", 1), b=journal_of("h2", 1))
+        found = self.explain(make_journal("h1", 1), b=make_journal("h2", 1))
         self.assertEqual(explanation.Verdict.UNKNOWN, found.verdict)
 
     def test_full_journal_gives_may_be_forgotten(self) -> None:
-        full = journal_of("h2", 1, "a", "b", max_decisions=1)
-        found = self.explain(journal_of("h1", 1), b=full)
+        full = make_journal("h2", 1, "a", "b", max_decisions=1)
+        found = self.explain(make_journal("h1", 1), b=full)
         self.assertEqual(explanation.Verdict.MAY_BE_FORGOTTEN, found.verdict)
 
     def test_unreachable_peer_gives_may_be_elsewhere(self) -> None:
-        found = self.explain(journal_of("h1", 1), b=None)
+        found = self.explain(make_journal("h1", 1), b=None)
         self.assertEqual(explanation.Verdict.MAY_BE_ELSEWHERE, found.verdict)
         self.assertEqual("b", found.silent[0].seat)
 
     def test_slow_peer_times_out(self) -> None:
         slow = threading.Event()
         self.addCleanup(slow.set)
-        found = self.explain(journal_of("h1", 1, "j"), b=slow)
+        found = self.explain(make_journal("h1", 1, "j"), b=slow)
         self.assertEqual("no answer in time", found.silent[0].detail)
         self.assertEqual(1, len(found.decisions))
 
     def test_invalid_answer_of_a_peer_is_reported(self) -> None:
-        found = self.explain(journal_of("h1", 1), b=b"\xff{")
+        found = self.explain(make_journal("h1", 1), b=b"\xff{")
         self.assertIn("can't be read", found.silent[0].detail)
