--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -131,35 +131,39 @@
         return explanation.Explainer(own, peers, 200).explain(JOB, "j")
 
     def test_decisions_of_all_hosts_are_ordered_by_time(self) -> None:
-        found = self.explain(
+        explained = self.explain(
             make_journal("h1", 20, "j"),
             b=make_journal("h2", 10, "j"),
             c=make_journal("h3", 30, "j", "other"),
         )
-        hosts = [decision.host for decision in found.decisions]
+        hosts = [decision.host for decision in explained.decisions]
         self.assertEqual(["h2", "h1", "h3"], hosts)
 
     def test_subject_without_decisions_is_unknown(self) -> None:
-        found = self.explain(make_journal("h1", 1), b=make_journal("h2", 1))
-        self.assertEqual(explanation.Verdict.UNKNOWN, found.verdict)
+        explained = self.explain(make_journal("h1", 1), b=make_journal("h2", 1))
+        self.assertEqual(explanation.Verdict.UNKNOWN, explained.verdict)
 
     def test_full_journal_gives_may_be_forgotten(self) -> None:
         full = make_journal("h2", 1, "a", "b", max_decisions=1)
-        found = self.explain(make_journal("h1", 1), b=full)
-        self.assertEqual(explanation.Verdict.MAY_BE_FORGOTTEN, found.verdict)
+        explained = self.explain(make_journal("h1", 1), b=full)
+        self.assertEqual(
+            explanation.Verdict.MAY_BE_FORGOTTEN, explained.verdict
+        )
 
     def test_unreachable_peer_gives_may_be_elsewhere(self) -> None:
-        found = self.explain(make_journal("h1", 1), b=None)
-        self.assertEqual(explanation.Verdict.MAY_BE_ELSEWHERE, found.verdict)
-        self.assertEqual("b", found.silent[0].seat)
+        explained = self.explain(make_journal("h1", 1), b=None)
+        self.assertEqual(
+            explanation.Verdict.MAY_BE_ELSEWHERE, explained.verdict
+        )
+        self.assertEqual("b", explained.silent[0].seat)
 
     def test_slow_peer_times_out(self) -> None:
         slow = threading.Event()
         self.addCleanup(slow.set)
-        found = self.explain(make_journal("h1", 1, "j"), b=slow)
-        self.assertEqual("no answer in time", found.silent[0].detail)
-        self.assertEqual(1, len(found.decisions))
+        explained = self.explain(make_journal("h1", 1, "j"), b=slow)
+        self.assertEqual("no answer in time", explained.silent[0].detail)
+        self.assertEqual(1, len(explained.decisions))
 
     def test_invalid_answer_of_a_peer_is_reported(self) -> None:
-        found = self.explain(make_journal("h1", 1), b=b"\xff{")
-        self.assertIn("can't be read", found.silent[0].detail)
+        explained = self.explain(make_journal("h1", 1), b=b"\xff{")
+        self.assertIn("can't be read", explained.silent[0].detail)
