--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -50,7 +50,7 @@
         self.deps = _FakeDependencies()
         self.gate = local_state.SeatGate(self.deps)
 
-    def test_nothing_opens_before_the_configuration_is_read(self) -> None:
+    def test_seat_stays_closed_before_the_configuration_is_read(self) -> None:
         self.assertEqual("", self.gate.reason_to_open())
 
     def test_ticket_right_after_the_start_does_not_close_the_seat(self) -> None:
