--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -60,7 +60,7 @@
             local_state.NO_PREVIOUS_ENDPOINT, self.gate.reason_to_open()
         )
 
-    def test_seat_waits_for_what_a_predecessor_left(self) -> None:
+    def test_seat_waits_for_requests_of_a_predecessor(self) -> None:
         self.deps.listener(WITH_ENDPOINT)
         self.deps.config.ready = True
         self.assertEqual("", self.gate.reason_to_open())
