--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -67,7 +67,7 @@
         self.deps.clock.advance(PREDECESSOR_HOLD_MS)
         self.assertEqual("waited", self.gate.reason_to_open())
 
-    def test_drained_predecessor_left_nothing(self) -> None:
+    def test_seat_opens_if_predecessor_drained(self) -> None:
         self.deps.listener(WITH_ENDPOINT)
         self.deps.config.ready = True
         self.deps.drained = True
