--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -41,7 +41,7 @@
         seats=strategies.integers(1, 9),
         name=strategies.text(max_size=8),
     )
-    def test_parts_never_exceed_limits(
+    def test_shares_never_exceed_limits(
         self, slots: int, connections: int, seats: int, name: str
     ) -> None:
         endpoint = objects.Endpoint("s", "z", "a", slots, connections)
