--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -86,7 +86,7 @@
         self.clock.now_ms += MAX_REQUEST_MS
         self.assertTrue(fixed_shares.try_take("ex-1", 1_000))
 
-    def test_loss_takes_effect_at_once(self) -> None:
+    def test_decrease_takes_effect_at_once(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
         fixed_shares = make_shares(source, self.clock)
         for _ in range(5):
