--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -95,7 +95,7 @@
         fixed_shares.give_back("ex-1")
         self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
 
-    def test_gain_waits_for_longest_request(self) -> None:
+    def test_increase_waits_for_longest_request(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b"))
         fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", offset=2))
