--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -105,7 +105,7 @@
         self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
         self.assertEqual(8, fixed_shares.free("ex-1"))
 
-    def test_gain_waits_until_other_seats_have_applied_it(self) -> None:
+    def test_increase_waits_until_other_seats_have_applied_it(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c"))
         peers = fakes.FakePeers()
         fixed_shares = make_shares(source, self.clock, peers=peers)
