--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -119,7 +119,7 @@
         self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
         self.assertEqual(4, fixed_shares.free("ex-1"))
 
-    def test_changed_gain_starts_its_wait_anew(self) -> None:
+    def test_changed_increase_restarts_its_wait(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c", "d"))
         fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", "b", offset=2))
