--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -136,7 +136,7 @@
         fixed_shares.give_back("ex-1")
         self.assertEqual(0, fixed_shares.free("ex-1"))
 
-    def test_freed_slot_is_told(self) -> None:
+    def test_freed_slot_notifies_listeners(self) -> None:
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a")), self.clock
         )
