--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -27,7 +27,7 @@
         self.account = slot_account.SlotAccount("ex-1")
         self.account.set_own_slots(2)
 
-    def test_own_share_bounds_takes(self) -> None:
+    def test_own_share_limits_acquired_slots(self) -> None:
         taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
