--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -31,7 +31,7 @@
         taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
-    def test_lent_slot_is_gone_until_it_runs_out(self) -> None:
+    def test_lent_slot_is_unavailable_until_loan_expires(self) -> None:
         self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
         self.assertEqual(1, self.account.free(LOAN_MS, RUN_MS))
         self.assertEqual(2, self.account.free(LOAN_MS + 100, RUN_MS))
