--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -45,7 +45,7 @@
         self.assertEqual(0, self.account.lend(1, 1, "h", 1, LOAN_MS))
         self.assertEqual(1, self.account.lent_slots)
 
-    def test_borrowed_slot_takes_only_requests_that_end_in_time(self) -> None:
+    def test_borrowed_slot_is_only_for_requests_that_end_in_time(self) -> None:
         self.account.set_own_slots(0)
         self.account.add_borrowed(slot_account.BorrowedLoan("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
