--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -52,7 +52,7 @@
         self.assertFalse(self.account.acquire(late_ms, RUN_MS))
         self.assertTrue(self.account.acquire(late_ms - 1, RUN_MS))
 
-    def test_given_back_slot_can_be_taken_again(self) -> None:
+    def test_released_slot_can_be_acquired_again(self) -> None:
         self.account.acquire(0, RUN_MS)
         self.account.acquire(0, RUN_MS)
         self.account.release(1)
