--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -28,8 +28,8 @@
         self.account.set_own_slots(2)
 
     def test_own_share_limits_acquired_slots(self) -> None:
-        taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
-        self.assertEqual([True, True, False], taken)
+        acquired = [self.account.acquire(0, RUN_MS) for _ in range(3)]
+        self.assertEqual([True, True, False], acquired)
 
     def test_lent_slot_is_unavailable_until_loan_expires(self) -> None:
         self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
