--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -171,8 +171,8 @@
 class MutantTest(testtools.TestCase):
     """Without any one guard the model finds an endpoint over its slots."""
 
-    def _assert_violation_found(self, name: str, without: Any) -> None:
-        with mock.patch.object(slot_account.SlotAccount, name, without):
+    def _assert_violation_found(self, name: str, mutant: Any) -> None:
+        with mock.patch.object(slot_account.SlotAccount, name, mutant):
             self.assertRaises(
                 AssertionError,
                 stateful.run_state_machine_as_test,
