--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        local_state: HeartbeatSource,
+        heartbeat_source: HeartbeatSource,
         membership: membership_module.Membership,
         followers: Mapping[str, follower_module.StreamFollower],
         ledger: loans.LoanLedger,
@@ -49,7 +49,7 @@
         marks: MarkHolder | None,
         journal: journal_module.Journal,
     ) -> None:
-        self._heartbeat_source = local_state
+        self._heartbeat_source = heartbeat_source
         self._membership = membership
         self._followers = followers
         self._ledger = ledger
@@ -72,18 +72,18 @@
                 membership_module.SUPERSEDED,
                 f"another process occupies seat {beat.seat}",
             )
-        local_state = self._heartbeat_source.heartbeat()
+        own_heartbeat = self._heartbeat_source.heartbeat()
         predecessor = self._membership.find_predecessor(beat.seat)
         return ttypes.HeartbeatReply(
-            protocol=local_state.protocol,
-            host_id=local_state.host_id,
-            config_offset=local_state.config_offset,
-            config_digest=local_state.config_digest,
-            stopping=local_state.stopping,
-            leaving_endpoints=local_state.leaving_endpoints,
-            zone_offset=local_state.zone_offset,
-            zone_digest=local_state.zone_digest,
-            spare_slots=local_state.spare_slots,
+            protocol=own_heartbeat.protocol,
+            host_id=own_heartbeat.host_id,
+            config_offset=own_heartbeat.config_offset,
+            config_digest=own_heartbeat.config_digest,
+            stopping=own_heartbeat.stopping,
+            leaving_endpoints=own_heartbeat.leaving_endpoints,
+            zone_offset=own_heartbeat.zone_offset,
+            zone_digest=own_heartbeat.zone_digest,
+            spare_slots=own_heartbeat.spare_slots,
             predecessor_host_id=predecessor.host_id if predecessor else None,
             predecessor_drained=predecessor.drained if predecessor else None,
         )
--- a/tests/process/test_dispatch_marks.py
+++ b/tests/process/test_dispatch_marks.py
@@ -1,4 +1,4 @@
-"""Tests of marks of dispatched ids."""
+"""Tests of the marks of dispatched request ids."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class DispatchMarksTest(testtools.TestCase):
-    """One holder."""
+    """A single holder of marks."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -1,4 +1,4 @@
-"""Tests of lending and borrowing between two hosts' ledgers."""
+"""Tests of loans of slots between the ledgers of two hosts."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class _FakePeers:
-    """Calls to the other host's ledger, which may lose answers."""
+    """Forwards calls to the other host's ledger; can lose the replies."""
 
     def __init__(self) -> None:
         self.other: loans.LoanLedger
@@ -63,7 +63,7 @@
 
 
 class LoanLedgerTest(testtools.TestCase):
-    """Two hosts of a zone, each with half of an endpoint's slots."""
+    """Two hosts of a zone that each own half of an endpoint's slots."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -88,7 +88,7 @@
         )
 
     def _acquire_all(self, seat: str) -> int:
-        """Takes every slot there is; returns how many."""
+        """Acquires every available slot; returns their number."""
         ledger = self.ledgers[seat]
         acquired = 0
         while ledger.try_take(ENDPOINT, RUN_MS):
--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -1,4 +1,4 @@
-"""Tests of the gate of a seat."""
+"""Tests of the gate that opens a seat's slots."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _FakeDependencies:
-    """Stands for what the gate looks at."""
+    """Fake collaborators of the gate."""
 
     def __init__(self) -> None:
         self.clock = fake_clock.FakeClock()
@@ -43,7 +43,7 @@
 
 
 class SeatGateTest(testtools.TestCase):
-    """When a seat's slots may be used."""
+    """When the gate opens, and for which reason."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of who fills a seat, as peers tell each other."""
+"""Tests of seat occupants and drain reports in heartbeats."""
 
 from __future__ import annotations
 
@@ -48,14 +48,14 @@
 
 
 class _FakeHeartbeatSource:
-    """What the asked host says of itself."""
+    """State of the host under test."""
 
     def heartbeat(self) -> ttypes.Heartbeat:
         return make_heartbeat("bole-2-a", seat="bole-2")
 
 
 class SeatTest(testtools.TestCase):
-    """Heartbeats to one host, over a real connection."""
+    """Heartbeats to one host over a real connection."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -78,12 +78,12 @@
         link = peer_link.PeerLink(server.address, TIMEOUT_MS)
         self.link = self.enterContext(link)
 
-    def send(self, given: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
-        answer = self.link.call(lambda c: c.heartbeat(given), TIMEOUT_MS)
+    def send(self, heartbeat: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
+        answer = self.link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
         return answer.unwrap()
 
-    def refused(self, given: ttypes.Heartbeat) -> str:
-        answer = self.link.call(lambda c: c.heartbeat(given), TIMEOUT_MS)
+    def refused(self, heartbeat: ttypes.Heartbeat) -> str:
+        answer = self.link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
         refusal = answer.unwrap_err()
         assert isinstance(refusal, peers.PeerRefusal)
         return refusal.reason
@@ -110,7 +110,7 @@
     def test_predecessor_is_drained_only_if_all_of_the_zone_report_it(
         self,
     ) -> None:
-        given = attrs.evolve(
+        zone_settings = attrs.evolve(
             SETTINGS,
             peers=(
                 settings.PeerSettings("bole-1", "bole", "127.0.0.1:6"),
@@ -118,7 +118,7 @@
             ),
         )
         members = membership.Membership(
-            given, _FakeHeartbeatSource(), metrics.Metrics(), self.clock
+            zone_settings, _FakeHeartbeatSource(), metrics.Metrics(), self.clock
         )
         members.record_predecessor_report("bole-1", drained=True)
         self.assertFalse(members.is_predecessor_drained())
--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -1,4 +1,4 @@
-"""Tests of the pages a host shows about itself."""
+"""Tests of the operator pages of a host."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FixedClock:
-    """A clock that stands at one time."""
+    """A clock that always returns the same time."""
 
     def __init__(self, now_ms: int) -> None:
         self._now_ms = now_ms
@@ -44,7 +44,7 @@
 
 
 class FakePeers:
-    """Peers with a journal each, or with a fixed answer."""
+    """Peers that answer from a journal or with a fixed answer."""
 
     def __init__(self, **answers: Any) -> None:
         self._answers = answers
@@ -66,14 +66,14 @@
             return result.Err(peers_port.PeerAnswerLost("late"))
         if isinstance(answer, bytes):
             return result.Ok(answer)
-        told = explanation.explain_locally(
+        local_explanation = explanation.explain_locally(
             answer, reasons.Subject(subject), name
         )
-        return result.Ok(explanation.encode(told))
+        return result.Ok(explanation.encode(local_explanation))
 
 
 class OperatorPagesTest(testtools.TestCase):
-    """The pages, through their routes."""
+    """Requests to the pages through their routes."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -122,7 +122,7 @@
 
 
 class ExplainerTest(testtools.TestCase):
-    """Joining the journals of several hosts."""
+    """Merging of the journals of several hosts."""
 
     def explain(
         self, own: journal_module.Journal, **answers: Any
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of fixed shares of endpoints' limits."""
+"""Tests of the fixed shares of endpoint limits."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class SeatShareTest(testtools.TestCase):
-    """Division of an endpoint's limits."""
+    """Division of an endpoint's limits among seats."""
 
     @given(
         slots=strategies.integers(0, 100),
@@ -63,7 +63,7 @@
 
 
 class FixedSharesTest(testtools.TestCase):
-    """Use of a share as configuration changes."""
+    """Use of a share while the configuration changes."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -1,4 +1,4 @@
-"""Tests of slot shares and loans, and of their sum over several hosts."""
+"""Tests of slot accounts, and of the slots that several hosts use."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class SlotAccountTest(testtools.TestCase):
-    """One host's book."""
+    """The account of one host."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -60,7 +60,11 @@
 
 
 class LoanModel(stateful.RuleBasedStateMachine):
-    """Hosts that take, end, lend, lose messages, die and are replaced."""
+    """Model of hosts that share an endpoint by loans of slots.
+
+    Requests start and end, hosts lend and return slots, replies come late or
+    are lost, and hosts crash and are replaced.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -78,7 +82,7 @@
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def fill(self, host: int) -> None:
-        """Requests start while there are slots, and run as long as allowed."""
+        """Starts requests while there are slots; each runs to its bound."""
         while len(self.running) <= SLOTS:
             if not self.accounts[host].acquire(self.now_ms, RUN_MS):
                 return
@@ -86,7 +90,7 @@
 
     @stateful.rule(pick=strategies.integers(0, 99))
     def end(self, pick: int) -> None:
-        """Any request may end before its bound."""
+        """Ends any request before its bound."""
         if not self.running:
             return
         host, _ = self.running.pop(pick % len(self.running))
@@ -101,7 +105,7 @@
     def borrow(
         self, lender: int, borrower: int, delay_ms: int, lost: bool
     ) -> None:
-        """A loan whose answer may come late or never."""
+        """Requests a loan whose reply may be late or lost."""
         if lender == borrower:
             return
         self.loan_id += 1
@@ -119,7 +123,7 @@
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def give_back(self, host: int) -> None:
-        """Unused loans go back to their lenders."""
+        """Returns unused loans to their lenders."""
         for loan in self.accounts[host].pop_idle_loans(self.now_ms, 0):
             self.accounts[int(loan.lender_seat)].credit_return(
                 loan.loan_id, str(host)
@@ -127,25 +131,25 @@
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def replace(self, host: int) -> None:
-        """A host dies; its successor waits out what it may have left."""
+        """Crashes a host; its successor waits for its requests and loans."""
         for running_host, until_ms in self.running:
             if running_host == host:
                 self.orphan_ends_ms.append(until_ms)
-        self.running = [r for r in self.running if r[0] != host]
+        self.running = [run for run in self.running if run[0] != host]
         self.accounts[host] = self._new_account(own=False)
         margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
 
     @stateful.rule(step_ms=strategies.sampled_from([1, 100, 350, 500]))
     def advance(self, step_ms: int) -> None:
-        """Time passes; successors come into their shares."""
+        """Advances the time; successors that have waited get their shares."""
         self.now_ms += step_ms
         self.orphan_ends_ms = [
-            o for o in self.orphan_ends_ms if o > self.now_ms
+            end_ms for end_ms in self.orphan_ends_ms if end_ms > self.now_ms
         ]
-        late = [r for r in self.running if r[1] <= self.now_ms]
-        self.running = [r for r in self.running if r[1] > self.now_ms]
-        for host, _ in late:
+        ended = [run for run in self.running if run[1] <= self.now_ms]
+        self.running = [run for run in self.running if run[1] > self.now_ms]
+        for host, _ in ended:
             self.accounts[host].release(self.now_ms)
         for host, start_ms in enumerate(self.start_ms):
             if self.now_ms >= start_ms:
@@ -153,7 +157,7 @@
 
     @stateful.invariant()
     def within_slot_limit(self) -> None:
-        """The endpoint runs at most its slots."""
+        """The endpoint never runs more requests than it has slots."""
         total = SLOTS // HOSTS * HOSTS
         assert len(self.running) + len(self.orphan_ends_ms) <= total
 
@@ -169,7 +173,7 @@
 
 
 class MutantTest(testtools.TestCase):
-    """Without any one guard the model finds an endpoint over its slots."""
+    """The model finds a violation if any one guard is removed."""
 
     def _assert_violation_found(self, name: str, mutant: Any) -> None:
         with mock.patch.object(slot_account.SlotAccount, name, mutant):
