--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -28,8 +28,8 @@
         self.account.set_own_slots(2)
 
     def test_own_share_limits_acquired_slots(self) -> None:
-        acquired = [self.account.acquire(0, RUN_MS) for _ in range(3)]
-        self.assertEqual([True, True, False], acquired)
+        taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
+        self.assertEqual([True, True, False], taken)
 
     def test_lent_slot_is_unavailable_until_loan_expires(self) -> None:
         self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
@@ -60,11 +60,7 @@
 
 
 class LoanModel(stateful.RuleBasedStateMachine):
-    """Model of hosts that share an endpoint by loans of slots.
-
-    Requests start and end, hosts lend and return slots, replies come late or
-    are lost, and hosts crash and are replaced.
-    """
+    """Hosts that serve, lend, lose messages, crash and are replaced."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -109,7 +105,7 @@
         if lender == borrower:
             return
         self.loan_id += 1
-        requested_ms = self.now_ms
+        asked_ms = self.now_ms
         self.advance(delay_ms)
         slots = self.accounts[lender].lend(
             self.now_ms, self.loan_id, str(borrower), 2, LOAN_MS
@@ -117,7 +113,7 @@
         if slots and not lost:
             self.accounts[borrower].add_borrowed(
                 slot_account.BorrowedLoan(
-                    str(lender), self.loan_id, slots, requested_ms + LOAN_MS
+                    str(lender), self.loan_id, slots, asked_ms + LOAN_MS
                 )
             )
 
@@ -135,7 +131,7 @@
         for running_host, until_ms in self.running:
             if running_host == host:
                 self.orphan_ends_ms.append(until_ms)
-        self.running = [run for run in self.running if run[0] != host]
+        self.running = [r for r in self.running if r[0] != host]
         self.accounts[host] = self._new_account(own=False)
         margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
@@ -147,8 +143,8 @@
         self.orphan_ends_ms = [
             end_ms for end_ms in self.orphan_ends_ms if end_ms > self.now_ms
         ]
-        ended = [run for run in self.running if run[1] <= self.now_ms]
-        self.running = [run for run in self.running if run[1] > self.now_ms]
+        ended = [r for r in self.running if r[1] <= self.now_ms]
+        self.running = [r for r in self.running if r[1] > self.now_ms]
         for host, _ in ended:
             self.accounts[host].release(self.now_ms)
         for host, start_ms in enumerate(self.start_ms):
