--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -168,7 +168,7 @@
             usage = self._endpoints[endpoint]
             usage.in_use -= 1
             is_free = usage.in_use < usage.allowed.slots
-            if usage.in_use == 0 and self._is_removed(endpoint, usage):
+            if usage.in_use == 0 and self._can_delete(endpoint, usage):
                 del self._endpoints[endpoint]
         if is_free:
             self._notify_listeners(endpoint)
@@ -225,7 +225,7 @@
                 is_new = endpoint not in old.endpoints
                 target = targets.get(endpoint, NO_SHARE)
                 self._update_share(usage, target, new.offset, removed, is_new)
-                if usage.in_use == 0 and self._is_removed(endpoint, usage):
+                if usage.in_use == 0 and self._can_delete(endpoint, usage):
                     del self._endpoints[endpoint]
             self._has_pending = any(
                 usage.pending for usage in self._endpoints.values()
@@ -270,7 +270,7 @@
         elif usage.pending is None or usage.pending.target != target:
             usage.pending = _PendingIncrease(target, offset, removed_seats)
 
-    def _is_removed(self, endpoint: str, usage: _EndpointUsage) -> bool:
+    def _can_delete(self, endpoint: str, usage: _EndpointUsage) -> bool:
         return (
             endpoint not in self._configuration.endpoints
             and usage.pending is None
