--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -219,7 +219,7 @@
                 return
             self._configuration = new
             removed = self._removed_seats(old, new)
-            targets = self._targets(new)
+            targets = self._target_shares(new)
             for endpoint in self._endpoints.keys() | targets.keys():
                 usage = self._endpoints.setdefault(endpoint, _EndpointUsage())
                 is_new = endpoint not in old.endpoints
@@ -231,7 +231,9 @@
                 usage.pending for usage in self._endpoints.values()
             )
 
-    def _targets(self, new: configuration.Configuration) -> dict[str, Share]:
+    def _target_shares(
+        self, new: configuration.Configuration
+    ) -> dict[str, Share]:
         zone = new.zones.get(self._zone)
         if zone is None:
             return {}
