--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -355,7 +355,7 @@
         )
 
     def _is_ready(self) -> bool:
-        is_up = self._gate.is_decided.is_set()
+        is_up = self._gate.is_evaluated.is_set()
         return is_up and not self._state.stopping.is_set()
 
     def _publisher(
--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -148,7 +148,7 @@
         deps.source.on_change(self._record_endpoints)
         self._stop_requested = threading.Event()
         self.is_open = threading.Event()
-        self.is_decided = threading.Event()
+        self.is_evaluated = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="seat-gate", daemon=True
         )
@@ -179,10 +179,10 @@
                     self._deps.on_first_start()
                 self._deps.shares.end_startup_wait()
                 self.is_open.set()
-                self.is_decided.set()
+                self.is_evaluated.set()
                 return
             if self._deps.config.ready:
-                self.is_decided.set()
+                self.is_evaluated.set()
 
     def reason_to_open(self) -> str:
         """Returns why the seat may open now, or "" if it may not yet."""
