--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -156,11 +156,11 @@
         self._config_appender = appender_module.StreamAppender(
             self._log, CONFIG_STREAM, self.host_id, self._metrics, self._clock
         )
-        push = record_pusher.OwnRecordPusher(self._membership, self.host_id)
+        pusher = record_pusher.OwnRecordPusher(self._membership, self.host_id)
 
         def after_apply(applied: stream_state.Applied) -> None:
             self._config_appender.observe(applied)
-            push.observe(applied)
+            pusher.observe(applied)
 
         self._config = follower_module.StreamFollower(
             self._log,
