--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -286,8 +286,8 @@
             zone_stream: self._batch.follower,
         }
         self._publishers = [
-            self._publisher(self._config, settings.all_seats),
-            self._publisher(self._batch.follower, settings.zone_seats),
+            self._make_publisher(self._config, settings.all_seats),
+            self._make_publisher(self._batch.follower, settings.zone_seats),
         ]
 
     def _make_servers(self) -> None:
@@ -358,7 +358,7 @@
         is_up = self._gate.is_evaluated.is_set()
         return is_up and not self._state.stopping.is_set()
 
-    def _publisher(
+    def _make_publisher(
         self,
         follower: follower_module.StreamFollower,
         seats: Callable[[], Sequence[str]],
