--- a/src/comfreylatch/_process/host_list.py
+++ b/src/comfreylatch/_process/host_list.py
@@ -57,8 +57,8 @@
                 case result.Ok(host_list):
                     self._record_success()
                     self._notify_listeners(host_list)
-                case result.Err(down):
-                    self._record_failure(down.detail)
+                case result.Err(unavailable):
+                    self._record_failure(unavailable.detail)
             if self._stop_requested.wait(self._interval_ms / 1_000):
                 return
 
