--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -34,7 +34,8 @@
 SUPERSEDED = "superseded"
 MAX_PREDECESSORS_PER_SEAT = 64
 # Must be shorter than the time for which a host that gets no drain report
-# from its zone keeps its seat closed, at least `loans.MIN_LOAN_DURATION_MS`.
+# from its zone keeps its seat closed; that exceeds
+# `loans.MIN_LOAN_DURATION_MS`.
 DRAINED_VALIDITY_MS = 5_000
 MAX_QUEUED_ENTRIES = 1_000
 
@@ -197,7 +198,7 @@
     def apply_reply(
         self, view: peers.PeerView, reply: ttypes.HeartbeatReply
     ) -> peers.PeerView:
-        """Returns the updated view of a peer after a heartbeat reply."""
+        """Returns a peer's view after a reply, and notifies the listeners."""
         new_view = attrs.evolve(
             view,
             host_id=reply.host_id,
@@ -290,7 +291,7 @@
         self._peer = peer
         timing = settings.timing
         self._timing = timing
-        # Hosts of one zone share slots, so they detect failures sooner.
+        # Hosts of one zone share slots, so they must detect changes sooner.
         factor = (
             1 if peer.zone == settings.zone else REMOTE_ZONE_INTERVAL_FACTOR
         )
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -70,8 +70,8 @@
     while True:
         statuses = deps.ledger.status()
         waited_ms = deps.clock.monotonic_ms() - started_ms
-        is_in_use = any(line.used for line in statuses)
-        if not is_in_use and not any(line.lent for line in statuses):
+        is_in_use = any(status.used for status in statuses)
+        if not is_in_use and not any(status.lent for status in statuses):
             return True
         if waited_ms >= (timeout_ms if is_in_use else MAX_LENT_SLOTS_WAIT_MS):
             return False
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -68,8 +68,8 @@
     """Slots of one endpoint. Not thread-safe: the caller holds a lock.
 
     A release doesn't identify the slot, so the account ends the use with the
-    earliest deadline. The uses that remain are then at least as many, and end
-    no sooner, than the requests that are really running.
+    earliest deadline. The uses that remain are then at least as many as the
+    requests that are really running, and end no sooner than they do.
     """
 
     def __init__(self, endpoint: str) -> None:
