--- a/src/comfreylatch/_request/observations.py
+++ b/src/comfreylatch/_request/observations.py
@@ -9,7 +9,7 @@
 from comfreylatch._process import reasons
 from comfreylatch._process.routing import endpoint_stats
 from comfreylatch._process.routing import service_state
-from comfreylatch._request import parts as parts_module
+from comfreylatch._request import dependencies as dependencies_module
 
 SERVER_ERROR = 500
 
@@ -19,7 +19,9 @@
     """Turns ends of tries into statistics, ejections and leaving marks."""
 
     def __init__(
-        self, parts: parts_module.Parts, state: service_state.ServiceState
+        self,
+        parts: dependencies_module.Parts,
+        state: service_state.ServiceState,
     ) -> None:
         self._parts = parts
         self._state = state
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -27,8 +27,8 @@
 from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import service_state
 from comfreylatch._request import call as call_module
+from comfreylatch._request import dependencies as dependencies_module
 from comfreylatch._request import outcomes
-from comfreylatch._request import parts as parts_module
 from comfreylatch._request import spill
 from comfreylatch._request import tries
 from comfreylatch._wire.gen.peer import ttypes
@@ -71,7 +71,7 @@
         clock: clock_port.Clock,
         settings: settings_module.Settings,
         seed: int,
-        guard: parts_module.DispatchGuard | None = None,
+        guard: dependencies_module.DispatchGuard | None = None,
     ) -> None:
         rng = random.Random(seed)
         self._table = service_state.ServiceTable(
@@ -81,7 +81,7 @@
             load_balancing.Policy(settings.routing.policy),
             rng,
         )
-        self._parts = parts_module.Parts(
+        self._parts = dependencies_module.Parts(
             table=self._table,
             slots=slots,
             client=client,
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -20,8 +20,8 @@
 from comfreylatch._process import reasons
 from comfreylatch._process import settings as settings_module
 from comfreylatch._request import call as call_module
+from comfreylatch._request import dependencies as dependencies_module
 from comfreylatch._request import outcomes
-from comfreylatch._request import parts as parts_module
 
 FIRST_EXTRA_MS = 15.0
 SMOOTHING = 0.1
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        parts: parts_module.Parts,
+        parts: dependencies_module.Parts,
         peers: peers_port.Peers,
         settings: settings_module.Settings,
     ) -> None:
--- a/src/comfreylatch/_request/tries.py
+++ b/src/comfreylatch/_request/tries.py
@@ -21,9 +21,9 @@
 from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import retry_budget
 from comfreylatch._request import call as call_module
+from comfreylatch._request import dependencies as dependencies_module
 from comfreylatch._request import observations
 from comfreylatch._request import outcomes
-from comfreylatch._request import parts as parts_module
 from comfreylatch._request import sent_try
 
 MAX_TRIES = 4
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        parts: parts_module.Parts,
+        parts: dependencies_module.Parts,
         call: call_module.Call,
         is_claimed: bool = False,
         overflow: Overflow | None = None,
--- a/tests/request/harness.py
+++ b/tests/request/harness.py
@@ -12,7 +12,7 @@
 from comfreylatch._process import metrics
 from comfreylatch._process import reasons
 from comfreylatch._process import settings
-from comfreylatch._request import parts
+from comfreylatch._request import dependencies
 from comfreylatch._request import router
 from comfreylatch._version import objects
 from tests import fakes
@@ -30,7 +30,7 @@
         *scripts: scripted_endpoint.Script,
         slots: int = 8,
         service: objects.Service | None = None,
-        guard: parts.DispatchGuard | None = None,
+        guard: dependencies.DispatchGuard | None = None,
         policy: str = "least-expected",
         threads: int = THREADS,
     ) -> None:
