--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -29,8 +29,8 @@
 from comfreylatch._request import call as call_module
 from comfreylatch._request import dependencies as dependencies_module
 from comfreylatch._request import outcomes
+from comfreylatch._request import request_dispatch
 from comfreylatch._request import spill
-from comfreylatch._request import tries
 from comfreylatch._wire.gen.peer import ttypes
 
 UPKEEP_INTERVAL_MS = 500
@@ -206,7 +206,7 @@
         try:
             # Its id was claimed by the host that forwarded it, for which only
             # a slot that is free now is of use.
-            return tries.Tries(
+            return request_dispatch.Tries(
                 self._parts,
                 call,
                 is_claimed=is_forwarded,
