--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -22,9 +22,9 @@
 from comfreylatch._process.routing import retry_budget
 from comfreylatch._request import call as call_module
 from comfreylatch._request import dependencies as dependencies_module
-from comfreylatch._request import observations
 from comfreylatch._request import outcomes
 from comfreylatch._request import sent_try
+from comfreylatch._request import try_observer
 
 MAX_TRIES = 4
 LATE_HEDGE_SHARE = 0.5
@@ -77,7 +77,7 @@
         self._overflow = overflow
         self._may_wait = may_wait
         self._state = call.state
-        self._observer = observations.Observer(parts, call.state)
+        self._observer = try_observer.Observer(parts, call.state)
         self._excluded: frozenset[str] = frozenset()
         needs_claim = call.needs_claim and not is_claimed
         self._guard = parts.guard if needs_claim else None
