--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -15,7 +15,7 @@
 from comfreylatch._process.routing import admission
 from comfreylatch._process.routing import endpoint_stats
 from comfreylatch._process.routing import latency_quantile
-from comfreylatch._process.routing import leaving
+from comfreylatch._process.routing import leaving_endpoints
 from comfreylatch._process.routing import load_balancing
 from comfreylatch._process.routing import retry_budget
 from comfreylatch._version import configuration
@@ -71,7 +71,7 @@
         self._states: dict[str, ServiceState] = {}
         self._service_by_endpoint: dict[str, str] = {}
         self._configuration = configuration.Configuration()
-        self.leaving = leaving.LeavingEndpoints(clock)
+        self.leaving = leaving_endpoints.LeavingEndpoints(clock)
         self.max_request_ms = shares.max_request_ms(self._configuration)
         slots.on_free(self._on_free)
 
--- a/tests/process/routing/test_leaving.py
+++ b/tests/process/routing/test_leaving_endpoints.py
@@ -5,7 +5,7 @@
 import testtools
 
 from comfreylatch._ports import hosts
-from comfreylatch._process.routing import leaving
+from comfreylatch._process.routing import leaving_endpoints
 from tests import fakes
 
 
@@ -26,7 +26,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.clock = fakes.FakeClock()
-        self.leaving = leaving.LeavingEndpoints(self.clock)
+        self.leaving = leaving_endpoints.LeavingEndpoints(self.clock)
 
     def test_refused_connection_is_a_sign_until_accepted(self) -> None:
         self.assertTrue(self.leaving.refused_connection("ex-1"))
