--- a/src/comfreylatch/_process/routing/latency_quantile.py
+++ b/src/comfreylatch/_process/routing/latency_quantile.py
@@ -4,9 +4,9 @@
 
 from typing import final
 
-FIRST_ESTIMATE_MS = 50.0
-STEP_SHARE = 0.05
-LOWEST_MS = 0.5
+INITIAL_ESTIMATE_MS = 50.0
+RELATIVE_STEP = 0.05
+MIN_ESTIMATE_MS = 0.5
 
 
 @final
@@ -19,10 +19,10 @@
     """
 
     def __init__(
-        self, percentile: int, first_ms: float = FIRST_ESTIMATE_MS
+        self, percentile: int, initial_ms: float = INITIAL_ESTIMATE_MS
     ) -> None:
         self._percentile = percentile
-        self._estimate_ms = first_ms
+        self._estimate_ms = initial_ms
 
     @property
     def estimate_ms(self) -> float:
@@ -31,9 +31,9 @@
 
     def add(self, elapsed_ms: float) -> None:
         """Takes one value into account."""
-        step_ms = max(self._estimate_ms, LOWEST_MS) * STEP_SHARE
+        step_ms = max(self._estimate_ms, MIN_ESTIMATE_MS) * RELATIVE_STEP
         if elapsed_ms > self._estimate_ms:
             self._estimate_ms += step_ms * self._percentile / 100
         else:
             self._estimate_ms -= step_ms * (100 - self._percentile) / 100
-        self._estimate_ms = max(self._estimate_ms, LOWEST_MS)
+        self._estimate_ms = max(self._estimate_ms, MIN_ESTIMATE_MS)
--- a/src/comfreylatch/_process/routing/leaving_endpoints.py
+++ b/src/comfreylatch/_process/routing/leaving_endpoints.py
@@ -18,7 +18,7 @@
 CLOSE_MARK_MS = 60_000
 
 
-class Sign(enum.StrEnum):
+class LeavingReason(enum.StrEnum):
     """How it was learned that an endpoint is leaving."""
 
     REFUSED_CONNECTION = "refused-connection"
@@ -29,10 +29,10 @@
 
 
 @attrs.frozen
-class _Mark:
+class _Observation:
     """An own observation, and when it was made."""
 
-    sign: Sign
+    leaving_reason: LeavingReason
     since_ms: int
 
 
@@ -43,10 +43,10 @@
     def __init__(self, clock: clock_port.Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
-        self._observed: dict[str, _Mark] = {}
-        self._listed: dict[str, Sign] = {}
+        self._observed: dict[str, _Observation] = {}
+        self._listed: dict[str, LeavingReason] = {}
         self._ever_listed: set[str] = set()
-        self._by_peers: frozenset[str] = frozenset()
+        self._reported_by_peers: frozenset[str] = frozenset()
         self._kept_alive: set[str] = set()
         self._all: frozenset[str] = frozenset()
 
@@ -64,11 +64,13 @@
         """Those that this host itself has seen leave, for its peers."""
         return frozenset(self._observed)
 
-    def refused_connection(self, endpoint: str) -> bool:
+    def record_refused_connection(self, endpoint: str) -> bool:
         """Notes a refused connection; returns whether that is news."""
-        return self._observe(endpoint, Sign.REFUSED_CONNECTION)
+        return self._record_observation(
+            endpoint, LeavingReason.REFUSED_CONNECTION
+        )
 
-    def answered(self, endpoint: str, closing: bool) -> bool:
+    def record_answer(self, endpoint: str, closing: bool) -> bool:
         """Notes an answer; returns whether it shows that it is leaving.
 
         An endpoint that never kept a connection open says nothing by closing.
@@ -78,25 +80,27 @@
             return False
         if endpoint not in self._kept_alive:
             return False
-        return self._observe(endpoint, Sign.CLOSED_CONNECTION)
+        return self._record_observation(
+            endpoint, LeavingReason.CLOSED_CONNECTION
+        )
 
-    def to_probe(self) -> tuple[str, ...]:
+    def due_probes(self) -> tuple[str, ...]:
         """Endpoints to which a connection should be tried, without request."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             return tuple(
                 endpoint
                 for endpoint, mark in self._observed.items()
-                if mark.sign == Sign.REFUSED_CONNECTION
+                if mark.leaving_reason == LeavingReason.REFUSED_CONNECTION
                 or now_ms >= mark.since_ms + CLOSE_MARK_MS
             )
 
-    def accepts_again(self, endpoint: str) -> None:
+    def record_accepted_connection(self, endpoint: str) -> None:
         """Notes that a probed endpoint takes connections."""
         with self._lock:
             self._observed.pop(endpoint, None)
             self._kept_alive.discard(endpoint)
-            self._rebuild()
+            self._rebuild_all()
 
     def update_host_list(self, listed: hosts.HostList) -> frozenset[str]:
         """Takes the platform's list; returns the endpoints newly leaving."""
@@ -108,25 +112,25 @@
         with self._lock:
             before = self._all
             self._listed = {
-                name: Sign.LISTED_LEAVING
+                name: LeavingReason.LISTED_LEAVING
                 for name, state in states.items()
                 if state == hosts.HostState.LEAVING
             }
             self._ever_listed.update(states)
             for name in self._ever_listed - states.keys():
-                self._listed[name] = Sign.NO_LONGER_LISTED
-            self._rebuild()
+                self._listed[name] = LeavingReason.NO_LONGER_LISTED
+            self._rebuild_all()
             return self._all - before
 
-    def update_peers(self, endpoints: frozenset[str]) -> frozenset[str]:
+    def update_peer_reports(self, endpoints: frozenset[str]) -> frozenset[str]:
         """Takes what peers have seen leave; returns those newly leaving."""
         with self._lock:
             before = self._all
-            self._by_peers = endpoints
-            self._rebuild()
+            self._reported_by_peers = endpoints
+            self._rebuild_all()
             return self._all - before
 
-    def keep_only(self, endpoints: frozenset[str]) -> None:
+    def forget_others(self, endpoints: frozenset[str]) -> None:
         """Forgets endpoints that are no longer configured."""
         with self._lock:
             for name in self._observed.keys() - endpoints:
@@ -135,27 +139,35 @@
             self._ever_listed &= endpoints
             for name in self._listed.keys() - endpoints:
                 del self._listed[name]
-            self._rebuild()
+            self._rebuild_all()
 
-    def sign(self, endpoint: str) -> Sign | None:
+    def leaving_reason(self, endpoint: str) -> LeavingReason | None:
         """How it was learned; None for an endpoint that stays."""
         with self._lock:
             mark = self._observed.get(endpoint)
             if mark is not None:
-                return mark.sign
+                return mark.leaving_reason
             if endpoint in self._listed:
                 return self._listed[endpoint]
-            return Sign.PEER if endpoint in self._by_peers else None
+            return (
+                LeavingReason.PEER
+                if endpoint in self._reported_by_peers
+                else None
+            )
 
-    def _observe(self, endpoint: str, sign: Sign) -> bool:
-        mark = _Mark(sign, self._clock.monotonic_ms())
+    def _record_observation(
+        self, endpoint: str, leaving_reason: LeavingReason
+    ) -> bool:
+        mark = _Observation(leaving_reason, self._clock.monotonic_ms())
         with self._lock:
             is_news = endpoint not in self._all
             self._observed[endpoint] = mark
-            self._rebuild()
+            self._rebuild_all()
             return is_news
 
-    def _rebuild(self) -> None:
+    def _rebuild_all(self) -> None:
         self._all = (
-            frozenset(self._observed) | frozenset(self._listed) | self._by_peers
+            frozenset(self._observed)
+            | frozenset(self._listed)
+            | self._reported_by_peers
         )
--- a/src/comfreylatch/_process/routing/load_balancing.py
+++ b/src/comfreylatch/_process/routing/load_balancing.py
@@ -15,7 +15,7 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._process.routing import endpoint_stats
 
-SAMPLE_SIZE = 4
+SAMPLED_ENDPOINTS = 4
 
 
 class Policy(enum.StrEnum):
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen
-class Choice:
+class PickArgs:
     """What a choice may depend on.
 
     Attributes:
@@ -38,37 +38,37 @@
     """
 
     endpoints: Sequence[str]
-    free: Callable[[str], int]
+    free_slots: Callable[[str], int]
     idempotent: bool
-    excluded: frozenset[str] = frozenset()
+    excluded_endpoints: frozenset[str] = frozenset()
 
 
-class Chooser(Protocol):
+class Picker(Protocol):
     """Picks an endpoint with a free slot."""
 
-    def choose(self, choice: Choice) -> str | None:
+    def pick(self, args: PickArgs) -> str | None:
         """Name of an endpoint; None when none has a free slot."""
         ...
 
 
-def make_chooser(
+def make_picker(
     policy: Policy,
-    stats: endpoint_stats.StatsTable,
+    stats: endpoint_stats.EndpointStatsTable,
     clock: clock_port.Clock,
     rng: random.Random,
-) -> Chooser:
+) -> Picker:
     """The chooser for a policy."""
     match policy:
         case Policy.LEAST_EXPECTED:
-            return LeastExpected(stats, clock, rng)
+            return LeastExpectedPicker(stats, clock, rng)
         case Policy.ROUND_ROBIN:
-            return RoundRobin()
+            return RoundRobinPicker()
         case Policy.RANDOM:
-            return Random(rng)
+            return RandomPicker(rng)
 
 
 @final
-class LeastExpected:
+class LeastExpectedPicker:
     """The least expected time to an answer among a random sample.
 
     Ejected endpoints get due probes first, and other requests only when no
@@ -77,7 +77,7 @@
 
     def __init__(
         self,
-        stats: endpoint_stats.StatsTable,
+        stats: endpoint_stats.EndpointStatsTable,
         clock: clock_port.Clock,
         rng: random.Random,
     ) -> None:
@@ -85,78 +85,78 @@
         self._clock = clock
         self._rng = rng
 
-    def choose(self, choice: Choice) -> str | None:
-        """See `Chooser.choose`."""
+    def pick(self, args: PickArgs) -> str | None:
+        """See `Picker.pick`."""
         if self._stats.ejected_count:
-            probed = self._due_probe(choice)
+            probed = self._probe_candidate(args)
             if probed is not None:
                 return probed
-        sampled = self._best(self._sample(choice.endpoints), choice)
+        sampled = self._best(self._sample(args.endpoints), args)
         if sampled is not None:
             return sampled
-        found = self._best(choice.endpoints, choice)
-        if found is not None or not choice.excluded:
+        found = self._best(args.endpoints, args)
+        if found is not None or not args.excluded_endpoints:
             return found
         return self._best(
-            choice.endpoints, attrs.evolve(choice, excluded=frozenset())
+            args.endpoints, attrs.evolve(args, excluded_endpoints=frozenset())
         )
 
-    def _due_probe(self, choice: Choice) -> str | None:
-        for name in choice.endpoints:
+    def _probe_candidate(self, args: PickArgs) -> str | None:
+        for name in args.endpoints:
             if (
-                self._stats.is_probe_due(name, choice.idempotent)
-                and name not in choice.excluded
-                and choice.free(name) > 0
+                self._stats.is_probe_due(name, args.idempotent)
+                and name not in args.excluded_endpoints
+                and args.free_slots(name) > 0
             ):
                 return name
         return None
 
     def _sample(self, endpoints: Sequence[str]) -> Sequence[str]:
-        if len(endpoints) <= SAMPLE_SIZE:
+        if len(endpoints) <= SAMPLED_ENDPOINTS:
             return endpoints
-        return self._rng.sample(endpoints, SAMPLE_SIZE)
+        return self._rng.sample(endpoints, SAMPLED_ENDPOINTS)
 
-    def _best(self, names: Sequence[str], choice: Choice) -> str | None:
+    def _best(self, names: Sequence[str], args: PickArgs) -> str | None:
         now_ms = self._clock.monotonic_ms()
         best: str | None = None
         best_ms = float("inf")
         for name in names:
             stats = self._stats.get(name)
-            if stats.is_ejected or name in choice.excluded:
+            if stats.is_ejected or name in args.excluded_endpoints:
                 continue
             expected_ms = stats.expected_ms(now_ms)
-            if expected_ms < best_ms and choice.free(name) > 0:
+            if expected_ms < best_ms and args.free_slots(name) > 0:
                 best = name
                 best_ms = expected_ms
         return best
 
 
 @final
-class RoundRobin:
+class RoundRobinPicker:
     """Each endpoint with a free slot in turn. For comparison."""
 
     def __init__(self) -> None:
-        self._turns = itertools.count()
+        self._calls = itertools.count()
 
-    def choose(self, choice: Choice) -> str | None:
-        """See `Chooser.choose`."""
-        count = len(choice.endpoints)
-        first = next(self._turns)
+    def pick(self, args: PickArgs) -> str | None:
+        """See `Picker.pick`."""
+        count = len(args.endpoints)
+        first = next(self._calls)
         for step in range(count):
-            name = choice.endpoints[(first + step) % count]
-            if choice.free(name) > 0:
+            name = args.endpoints[(first + step) % count]
+            if args.free_slots(name) > 0:
                 return name
         return None
 
 
 @final
-class Random:
+class RandomPicker:
     """Any endpoint with a free slot. For comparison."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def choose(self, choice: Choice) -> str | None:
-        """See `Chooser.choose`."""
-        free = [name for name in choice.endpoints if choice.free(name) > 0]
+    def pick(self, args: PickArgs) -> str | None:
+        """See `Picker.pick`."""
+        free = [name for name in args.endpoints if args.free_slots(name) > 0]
         return self._rng.choice(free) if free else None
--- a/src/comfreylatch/_process/routing/retry_budget.py
+++ b/src/comfreylatch/_process/routing/retry_budget.py
@@ -7,7 +7,7 @@
 from typing import final
 
 MAX_TOKENS = 20.0
-START_TOKENS = 2.0
+INITIAL_TOKENS = 2.0
 BASE_BACKOFF_MS = 10
 MAX_BACKOFF_MS = 200
 
@@ -23,7 +23,7 @@
     def __init__(self, percent: int) -> None:
         self._lock = threading.Lock()
         self._percent = percent
-        self._tokens = START_TOKENS if percent > 0 else 0.0
+        self._tokens = INITIAL_TOKENS if percent > 0 else 0.0
 
     def set_percent(self, percent: int) -> None:
         """Changes the percentage; tokens earned so far are kept."""
--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -44,8 +44,8 @@
     weight_share: float
     addresses: Mapping[str, str]
     usable: tuple[str, ...]
-    stats: endpoint_stats.StatsTable
-    chooser: load_balancing.Chooser
+    stats: endpoint_stats.EndpointStatsTable
+    picker: load_balancing.Picker
     queue: admission.ServiceQueue
     budget: retry_budget.RetryBudget
     hedge_quantile: latency_quantile.LatencyQuantile
@@ -101,7 +101,7 @@
                 return
             self._configuration = new
             self.max_request_ms = shares.max_request_ms(new)
-            self.leaving.keep_only(frozenset(new.endpoints))
+            self.leaving.forget_others(frozenset(new.endpoints))
             total_weight = sum(s.weight for s in new.services.values())
             addresses = self._addresses(new)
             states = dict(self._states)
@@ -119,7 +119,7 @@
                 for endpoint in state.addresses
             }
 
-    def leaving_changed(self) -> None:
+    def update_usable(self) -> None:
         """Takes endpoints that are now, or no longer, leaving into account."""
         with self._lock:
             for state in self._states.values():
@@ -136,7 +136,7 @@
         return by_service
 
     def _new_state(self, name: str, service: objects.Service) -> ServiceState:
-        stats = endpoint_stats.StatsTable(self._clock, self._rng)
+        stats = endpoint_stats.EndpointStatsTable(self._clock, self._rng)
         return ServiceState(
             name=name,
             service=service,
@@ -144,7 +144,7 @@
             addresses={},
             usable=(),
             stats=stats,
-            chooser=load_balancing.make_chooser(
+            picker=load_balancing.make_picker(
                 self._policy, stats, self._clock, self._rng
             ),
             queue=admission.ServiceQueue(self._clock),
@@ -169,7 +169,7 @@
         state.service = service
         state.addresses = addresses
         state.usable = self._usable(addresses)
-        state.stats.keep_only(addresses)
+        state.stats.forget_others(addresses)
 
     def _usable(self, addresses: Mapping[str, str]) -> tuple[str, ...]:
         return tuple(
@@ -180,4 +180,4 @@
         service = self._service_by_endpoint.get(endpoint)
         state = None if service is None else self._states.get(service)
         if state is not None:
-            state.queue.slot_freed()
+            state.queue.grant_free_slots()
--- a/src/comfreylatch/_request/call.py
+++ b/src/comfreylatch/_request/call.py
@@ -18,10 +18,10 @@
 PATH_PREFIX = "/services/"
 MAX_ID_LENGTH = 128
 RANDOM_ID_BYTES = 12
-ISSUED_PREFIX = "cl-"
+GENERATED_ID_PREFIX = "cl-"
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD"})
 
-_OWN_HEADERS = frozenset({"x-request-id", "x-timeout-ms"})
+_CONSUMED_HEADERS = frozenset({"x-request-id", "x-timeout-ms"})
 
 
 @attrs.frozen
@@ -40,12 +40,12 @@
     caller: str
     request: exchange.EndpointRequest
     deadline_ms: int
-    is_own_id: bool = False
+    is_generated_id: bool = False
 
     @property
     def needs_claim(self) -> bool:
         """Whether its id must be claimed before it is sent."""
-        return not self.idempotent and not self.is_own_id
+        return not self.idempotent and not self.is_generated_id
 
     @property
     def request_id(self) -> str:
@@ -58,20 +58,20 @@
         return self.request.idempotent
 
 
-def make_id() -> str:
+def generate_id() -> str:
     """A new request id, unlike any other host's."""
-    return ISSUED_PREFIX + os.urandom(RANDOM_ID_BYTES).hex()
+    return GENERATED_ID_PREFIX + os.urandom(RANDOM_ID_BYTES).hex()
 
 
-def is_issued_id(text: str) -> bool:
+def has_generated_format(text: str) -> bool:
     """Whether an id has the form of those that hosts make."""
     return (
-        text.startswith(ISSUED_PREFIX)
-        and len(text) == len(ISSUED_PREFIX) + 2 * RANDOM_ID_BYTES
+        text.startswith(GENERATED_ID_PREFIX)
+        and len(text) == len(GENERATED_ID_PREFIX) + 2 * RANDOM_ID_BYTES
     )
 
 
-def is_good_id(text: str) -> bool:
+def is_valid_id(text: str) -> bool:
     """Whether a caller's request id can be used."""
     return (
         0 < len(text) <= MAX_ID_LENGTH
@@ -84,19 +84,19 @@
 def parse(
     request: http.HttpRequest,
     request_id: str,
-    is_own_id: bool,
+    is_generated_id: bool,
     table: service_state.ServiceTable,
     now_ms: int,
 ) -> result.Result[Call, outcomes.NotRun | outcomes.Unknown]:
     """Understands a request to `/services/...`."""
-    if not is_good_id(request_id):
-        return _bad(
+    if not is_valid_id(request_id):
+        return _bad_request(
             "X-Request-Id must have 1 to 128 printable characters, no spaces"
         )
     name, target = split_target(request.target)
     state = table.get(name)
     if state is None:
-        return result.Err(_no_service(name, table))
+        return result.Err(_service_not_found(name, table))
     if len(request.body) > state.service.max_body_bytes:
         sentence = (
             f"the body has {len(request.body)} bytes; {name} takes "
@@ -104,18 +104,22 @@
         )
         reason = reasons.RefusalReason.BODY_TOO_LONG
         return result.Err(outcomes.NotRun(reason, sentence))
-    match _timeout_ms(request, state, table):
+    match _parse_timeout_ms(request, state, table):
         case result.Ok(timeout_ms):
             pass
         case result.Err(refused):
             return result.Err(refused)
-    match _idempotent(request):
+    match _parse_idempotent(request):
         case result.Ok(idempotent):
             pass
         case result.Err(refused):
             return result.Err(refused)
-    if not idempotent and not is_own_id and is_issued_id(request_id):
-        return result.Err(_issued_before())
+    if (
+        not idempotent
+        and not is_generated_id
+        and has_generated_format(request_id)
+    ):
+        return result.Err(_reused_generated_id())
     received_ms = request.received_ms if request.received_ms >= 0 else now_ms
     return result.Ok(
         Call(
@@ -124,18 +128,18 @@
             request=exchange.EndpointRequest(
                 method=request.method,
                 target=target,
-                headers=_passed_on(request),
+                headers=_headers_for_endpoint(request),
                 body=request.body,
                 request_id=request_id,
                 idempotent=idempotent,
             ),
             deadline_ms=received_ms + timeout_ms,
-            is_own_id=is_own_id,
+            is_generated_id=is_generated_id,
         )
     )
 
 
-def from_forwarded(
+def from_forward_request(
     forwarded: ttypes.ForwardRequest,
     table: service_state.ServiceTable,
     now_ms: int,
@@ -143,7 +147,7 @@
     """Understands a request handed over by another zone's host."""
     state = table.get(forwarded.service_name)
     if state is None:
-        return result.Err(_no_service(forwarded.service_name, table))
+        return result.Err(_service_not_found(forwarded.service_name, table))
     remaining_ms = min(forwarded.remaining_ms, table.longest_timeout_ms)
     return result.Ok(
         Call(
@@ -162,7 +166,7 @@
     )
 
 
-def to_forwarded(call: Call, remaining_ms: int) -> ttypes.ForwardRequest:
+def to_forward_request(call: Call, remaining_ms: int) -> ttypes.ForwardRequest:
     """The request as handed over to another zone's host."""
     request = call.request
     return ttypes.ForwardRequest(
@@ -187,20 +191,20 @@
     return name, f"/{rest}{mark}{query}"
 
 
-def _passed_on(request: http.HttpRequest) -> dict[str, str]:
+def _headers_for_endpoint(request: http.HttpRequest) -> dict[str, str]:
     return {
         key: value
         for key, value in request.headers.items()
-        if key not in _OWN_HEADERS
+        if key not in _CONSUMED_HEADERS
     }
 
 
-def _bad(sentence: str) -> result.Err[outcomes.NotRun]:
+def _bad_request(sentence: str) -> result.Err[outcomes.NotRun]:
     reason = reasons.RefusalReason.BAD_REQUEST
     return result.Err(outcomes.NotRun(reason, sentence))
 
 
-def _issued_before() -> outcomes.Unknown:
+def _reused_generated_id() -> outcomes.Unknown:
     """An id that a host made was used by the request it was made for."""
     return outcomes.Unknown(
         reasons.RefusalReason.DUPLICATE_REQUEST,
@@ -209,7 +213,7 @@
     )
 
 
-def _no_service(
+def _service_not_found(
     name: str, table: service_state.ServiceTable
 ) -> outcomes.NotRun:
     if not table.configured:
@@ -224,7 +228,7 @@
     )
 
 
-def _timeout_ms(
+def _parse_timeout_ms(
     request: http.HttpRequest,
     state: service_state.ServiceState,
     table: service_state.ServiceTable,
@@ -233,12 +237,14 @@
     if text is None:
         return result.Ok(state.service.timeout_ms)
     if not text.isascii() or not text.isdigit() or len(text) > 9:
-        return _bad("X-Timeout-Ms must be a whole number of milliseconds")
+        return _bad_request(
+            "X-Timeout-Ms must be a whole number of milliseconds"
+        )
     # An endpoint's slot is given to others after the longest request.
     return result.Ok(min(int(text), table.longest_timeout_ms))
 
 
-def _idempotent(
+def _parse_idempotent(
     request: http.HttpRequest,
 ) -> result.Result[bool, outcomes.NotRun]:
     text = request.headers.get("x-idempotent")
@@ -250,4 +256,4 @@
         case "false":
             return result.Ok(False)
         case _:
-            return _bad("X-Idempotent must be true or false")
+            return _bad_request("X-Idempotent must be true or false")
--- a/src/comfreylatch/_request/dependencies.py
+++ b/src/comfreylatch/_request/dependencies.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class Parts:
+class RequestDependencies:
     """What tries work with; one set for the process."""
 
     table: service_state.ServiceTable
--- a/src/comfreylatch/_request/dispatch_guard.py
+++ b/src/comfreylatch/_request/dispatch_guard.py
@@ -31,8 +31,8 @@
 HOLDERS_PER_ID = 3
 ZONE_SEPARATOR = ":"
 MARK_TIMEOUT_MS = 300
-RETRY_UNREACHABLE_MS = 1_000
-RETRY_YOUNG_MS = 5_000
+RETRY_AFTER_UNREACHABLE_MS = 1_000
+RETRY_AFTER_RECENT_START_MS = 5_000
 
 ClaimError = outcomes.NotRun | outcomes.Unknown
 
@@ -68,7 +68,7 @@
     return tuple(seat.name for seat in chosen[:HOLDERS_PER_ID])
 
 
-def seats_of(current: configuration.Configuration) -> tuple[Seat, ...]:
+def all_seats(current: configuration.Configuration) -> tuple[Seat, ...]:
     """All seats of all zones."""
     return tuple(
         Seat(seat, zone_name)
@@ -78,13 +78,13 @@
 
 
 @attrs.define(eq=False)
-class _Tally:
+class _ClaimTally:
     """What holders have said of one claim."""
 
     granted: set[str] = attrs.field(factory=set)
     asked: set[str] = attrs.field(factory=set)
-    is_seen: bool = False
-    young: list[str] = attrs.field(factory=list)
+    is_duplicate: bool = False
+    recently_started: list[str] = attrs.field(factory=list)
     unreachable: list[str] = attrs.field(factory=list)
 
 
@@ -119,10 +119,10 @@
         self._host_id = host_id
         self._clock = clock
         self._keep_ms = keep_ms
-        self._claims = itertools.count(1)
+        self._claim_numbers = itertools.count(1)
         self._lock = threading.Lock()
         self._seats: tuple[Seat, ...] = ()
-        self._old_seats: tuple[Seat, ...] = ()
+        self._previous_seats: tuple[Seat, ...] = ()
         self._changed_ms = clock.monotonic_ms()
         source.on_change(self._apply)
         self._apply(source.current())
@@ -132,11 +132,11 @@
     ) -> result.Result[outcomes.Claim, ClaimError]:
         """Marks an id as dispatched at a majority of its holders."""
         claim = outcomes.Claim(
-            request_id, f"{self._host_id}/{next(self._claims)}"
+            request_id, f"{self._host_id}/{next(self._claim_numbers)}"
         )
-        tally = _Tally()
+        tally = _ClaimTally()
         for holders in self._holder_sets(request_id):
-            if not self._claim_at(claim, holders, deadline_ms, tally):
+            if not self._claim_majority(claim, holders, deadline_ms, tally):
                 # Those that did not answer are not waited for; a mark left
                 # behind refuses repetitions, which is safe.
                 self._release_at(claim, tally.granted)
@@ -153,11 +153,11 @@
         self._release_at(claim, holders)
 
     def _apply(self, new: configuration.Configuration) -> None:
-        seats = seats_of(new)
+        seats = all_seats(new)
         with self._lock:
             if seats == self._seats:
                 return
-            self._old_seats = self._seats
+            self._previous_seats = self._seats
             self._seats = seats
             self._changed_ms = self._clock.monotonic_ms()
 
@@ -167,19 +167,19 @@
         While marks made by the former seats are still kept, theirs count too.
         """
         with self._lock:
-            seats, old_seats = self._seats, self._old_seats
+            seats, previous_seats = self._seats, self._previous_seats
             age_ms = self._clock.monotonic_ms() - self._changed_ms
         sets = [holders_of(request_id, seats)]
-        if old_seats and age_ms < self._keep_ms:
-            sets.append(holders_of(request_id, old_seats))
+        if previous_seats and age_ms < self._keep_ms:
+            sets.append(holders_of(request_id, previous_seats))
         return sets
 
-    def _claim_at(
+    def _claim_majority(
         self,
         claim: outcomes.Claim,
         holders: tuple[str, ...],
         deadline_ms: int,
-        tally: _Tally,
+        tally: _ClaimTally,
     ) -> bool:
         """Asks holders, nearest first, until a majority has granted."""
         needed = len(holders) // 2 + 1
@@ -187,8 +187,8 @@
             if len(tally.granted.intersection(holders)) >= needed:
                 return True
             if seat not in tally.asked:
-                self._ask(claim, seat, deadline_ms, tally)
-            if tally.is_seen:
+                self._request_mark(claim, seat, deadline_ms, tally)
+            if tally.is_duplicate:
                 return False
         return 0 < needed <= len(tally.granted.intersection(holders))
 
@@ -208,64 +208,70 @@
 
         return sorted(holders, key=distance)
 
-    def _ask(
+    def _request_mark(
         self,
         claim: outcomes.Claim,
         seat: str,
         deadline_ms: int,
-        tally: _Tally,
+        tally: _ClaimTally,
     ) -> None:
-        left_ms = deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             tally.unreachable.append(seat)
             return
         tally.asked.add(seat)
-        request = self._request(claim, self._keep_ms)
+        request = self._mark_request(claim, self._keep_ms)
         if seat == self._seat:
-            self._count(seat, self._marks.mark(request), tally)
+            self._record_reply(seat, self._marks.mark(request), tally)
             return
-        timeout_ms = min(MARK_TIMEOUT_MS, left_ms)
+        timeout_ms = min(MARK_TIMEOUT_MS, remaining_ms)
         match self._peers.mark(seat, request, timeout_ms):
             case result.Ok(reply):
-                self._count(seat, reply, tally)
+                self._record_reply(seat, reply, tally)
             case result.Err(_):
                 tally.unreachable.append(seat)
 
     @staticmethod
-    def _count(seat: str, reply: ttypes.MarkReply, tally: _Tally) -> None:
+    def _record_reply(
+        seat: str, reply: ttypes.MarkReply, tally: _ClaimTally
+    ) -> None:
         match reply.verdict:
             case ttypes.MarkVerdict.FRESH:
                 tally.granted.add(seat)
             case ttypes.MarkVerdict.SEEN:
-                tally.is_seen = True
+                tally.is_duplicate = True
             case _:
-                tally.young.append(seat)
+                tally.recently_started.append(seat)
 
-    def _refusal(self, tally: _Tally) -> ClaimError:
-        if tally.is_seen:
+    def _refusal(self, tally: _ClaimTally) -> ClaimError:
+        if tally.is_duplicate:
             return outcomes.Unknown(
                 reasons.RefusalReason.DUPLICATE_REQUEST,
                 "a request with this id was sent to an endpoint before",
             )
-        if tally.young:
+        if tally.recently_started:
             return outcomes.NotRun(
                 reasons.RefusalReason.REQUEST_TOO_OLD,
-                f"{', '.join(tally.young)} started too lately to tell whether "
-                "this id was used before",
-                self._young_ms(),
+                f"{', '.join(tally.recently_started)} started too recently to "
+                "tell whether this id was used before",
+                self._retry_after_recent_start_ms(),
             )
         return outcomes.NotRun(
             reasons.RefusalReason.GUARD_UNREACHABLE,
             f"holders of this id can't be reached: "
             f"{', '.join(tally.unreachable) or 'no seats are configured'}",
-            RETRY_UNREACHABLE_MS,
+            RETRY_AFTER_UNREACHABLE_MS,
         )
 
-    def _young_ms(self) -> int:
+    def _retry_after_recent_start_ms(self) -> int:
         own_ms = self._keep_ms - self._marks.uptime_ms
-        return own_ms if own_ms > 0 else min(RETRY_YOUNG_MS, self._keep_ms)
+        return (
+            own_ms
+            if own_ms > 0
+            else min(RETRY_AFTER_RECENT_START_MS, self._keep_ms)
+        )
 
-    def _request(
+    def _mark_request(
         self, claim: outcomes.Claim, keep_ms: int
     ) -> ttypes.MarkRequest:
         return ttypes.MarkRequest(
@@ -277,7 +283,7 @@
 
     def _release_at(self, claim: outcomes.Claim, holders: set[str]) -> None:
         """Best effort: what is not taken back refuses repetitions."""
-        request = self._request(claim, 0)
+        request = self._mark_request(claim, 0)
         for seat in holders:
             if seat == self._seat:
                 self._marks.mark(request)
--- a/src/comfreylatch/_request/outcomes.py
+++ b/src/comfreylatch/_request/outcomes.py
@@ -100,7 +100,7 @@
     request_id: str,
     outcome: NotRun | Unknown,
     status: int,
-    word: reasons.Outcome,
+    kind: reasons.Outcome,
 ) -> http.HttpReply:
     reply = http.error_reply(
         status, outcome.reason.value, outcome.sentence, outcome.retry_after_ms
@@ -108,7 +108,7 @@
     headers = {
         **reply.headers,
         ID_HEADER: request_id,
-        OUTCOME_HEADER: word.value,
+        OUTCOME_HEADER: kind.value,
     }
     return attrs.evolve(reply, headers=headers)
 
@@ -129,14 +129,14 @@
                 retry_after_ms=0,
             )
         case NotRun() | Unknown():
-            word = (
+            kind = (
                 reasons.Outcome.NOT_RUN
                 if isinstance(outcome, NotRun)
                 else reasons.Outcome.UNKNOWN
             )
             return ttypes.ForwardReply(
                 request_id=request_id,
-                outcome=word.value,
+                outcome=kind.value,
                 reason=outcome.reason.value,
                 status=0,
                 headers={},
@@ -162,21 +162,21 @@
     sentence = f"{seat}: {reply.body.decode('utf-8', 'replace')}"
     if reply.outcome == reasons.Outcome.NOT_RUN:
         return NotRun(
-            _reason(reply.reason, reasons.RefusalReason.NO_FREE_SLOT),
+            _parse_reason(reply.reason, reasons.RefusalReason.NO_FREE_SLOT),
             sentence,
             reply.retry_after_ms,
         )
     return Unknown(
-        _reason(reply.reason, reasons.RefusalReason.ANSWER_LOST),
+        _parse_reason(reply.reason, reasons.RefusalReason.ANSWER_LOST),
         sentence,
         reply.retry_after_ms,
     )
 
 
-def _reason(
-    word: str, otherwise: reasons.RefusalReason
+def _parse_reason(
+    kind: str, otherwise: reasons.RefusalReason
 ) -> reasons.RefusalReason:
     try:
-        return reasons.RefusalReason(word)
+        return reasons.RefusalReason(kind)
     except ValueError:
         return otherwise
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -27,8 +27,8 @@
 from comfreylatch._request import try_observer
 
 MAX_TRIES = 4
-LATE_HEDGE_SHARE = 0.5
-MIN_HEDGE_MS = 2
+HEDGE_DEADLINE_SHARE = 0.5
+MIN_HEDGE_DELAY_MS = 2
 
 _RETRY_REASON_BY_LOSS = {
     exchange.Loss.RESET: reasons.RetryReason.CONNECTION_LOST,
@@ -48,11 +48,11 @@
     ),
 }
 
-Overflow = Callable[[call_module.Call], outcomes.RequestOutcome | None]
+SpillHandler = Callable[[call_module.Call], outcomes.RequestOutcome | None]
 
 
 @final
-class Tries:
+class RequestDispatch:
     """Runs one request; made anew for each.
 
     Args:
@@ -66,50 +66,50 @@
 
     def __init__(
         self,
-        parts: dependencies_module.Parts,
+        deps: dependencies_module.RequestDependencies,
         call: call_module.Call,
         is_claimed: bool = False,
-        overflow: Overflow | None = None,
+        spill_handler: SpillHandler | None = None,
         may_wait: bool = True,
     ) -> None:
-        self._parts = parts
+        self._deps = deps
         self._call = call
-        self._overflow = overflow
+        self._spill_handler = spill_handler
         self._may_wait = may_wait
         self._state = call.state
-        self._observer = try_observer.Observer(parts, call.state)
-        self._excluded: frozenset[str] = frozenset()
+        self._observer = try_observer.TryObserver(deps, call.state)
+        self._tried_endpoints: frozenset[str] = frozenset()
         needs_claim = call.needs_claim and not is_claimed
-        self._guard = parts.guard if needs_claim else None
+        self._guard = deps.guard if needs_claim else None
         self._claim: outcomes.Claim | None = None
-        self._lost: exchange.LostAfterSend | None = None
+        self._last_loss: exchange.LostAfterSend | None = None
         self._tries = 0
-        self._taken_ms = 0
+        self._slot_taken_ms = 0
         self._answered_by = ""
 
     def run(self) -> outcomes.RequestOutcome:
         """Tries until there is an answer or no further try is allowed."""
         self._state.budget.earn()
-        endpoint = self._state.queue.try_enter(self._pick)
-        if endpoint is None and self._overflow is not None:
-            elsewhere = self._overflow(self._call)
+        endpoint = self._state.queue.try_acquire(self._take_slot)
+        if endpoint is None and self._spill_handler is not None:
+            elsewhere = self._spill_handler(self._call)
             if elsewhere is not None:
                 return elsewhere
-        return self._run_from(endpoint)
+        return self._run_tries(endpoint)
 
-    def _run_from(self, endpoint: str | None) -> outcomes.RequestOutcome:
+    def _run_tries(self, endpoint: str | None) -> outcomes.RequestOutcome:
         """Tries an endpoint whose slot is taken, then others in turn."""
         while True:
             if endpoint is None:
-                match self._enter():
+                match self._wait_for_slot():
                     case result.Ok(entered):
                         endpoint = entered
                     case result.Err(shed):
-                        return self._given_up(shed)
+                        return self._end_refused(shed)
             refused = self._claim_id(endpoint)
             if refused is not None:
                 return refused
-            tried = self._try(endpoint)
+            tried = self._try_endpoint(endpoint)
             if isinstance(tried, result.Ok):
                 answer = tried.ok_value
                 return outcomes.Answered(
@@ -123,49 +123,49 @@
                 return ended
             endpoint = None
 
-    def _enter(self) -> result.Result[str, admission.Refused]:
+    def _wait_for_slot(self) -> result.Result[str, admission.Refusal]:
         """Waits for a slot of an endpoint."""
         if not self._state.usable:
             return result.Err(
-                admission.Refused(
+                admission.Refusal(
                     reasons.RefusalReason.NO_ENDPOINT,
                     f"{self._state.name} has no endpoint here that stays",
                     admission.MAX_RETRY_AFTER_MS // 10,
                 )
             )
-        arrival = admission.Arrival(
+        slot_request = admission.SlotRequest(
             caller=self._call.caller,
             deadline_ms=self._call.deadline_ms,
-            pick=self._pick,
+            take_slot=self._take_slot,
             is_retry=self._tries > 0,
             may_wait=self._may_wait,
         )
-        return self._state.queue.enter(arrival)
+        return self._state.queue.acquire(slot_request)
 
-    def _pick(self) -> str | None:
+    def _take_slot(self) -> str | None:
         """Takes a slot of the best endpoint, if one has a free slot."""
         state = self._state
-        slots = self._parts.slots
-        endpoint = state.chooser.choose(
-            load_balancing.Choice(
+        slots = self._deps.slots
+        endpoint = state.picker.pick(
+            load_balancing.PickArgs(
                 endpoints=state.usable,
-                free=slots.free,
+                free_slots=slots.free,
                 idempotent=self._call.idempotent,
-                excluded=self._excluded,
+                excluded_endpoints=self._tried_endpoints,
             )
         )
         if endpoint is None:
             if state.usable:
-                slots.want(self._parts.rng.choice(state.usable))
+                slots.want(self._deps.rng.choice(state.usable))
             return None
-        hold_ms = shares.MAX_SEND_DELAY_MS + self._parts.table.max_request_ms
+        hold_ms = shares.MAX_SEND_DELAY_MS + self._deps.table.max_request_ms
         # Read first, so that a pause in between can't make the slot look
         # younger than its ledger counts it.
-        now_ms = self._parts.clock.monotonic_ms()
+        now_ms = self._deps.clock.monotonic_ms()
         if not slots.try_take(endpoint, hold_ms):
             return None
-        self._taken_ms = now_ms
-        state.stats.begin(endpoint, now_ms)
+        self._slot_taken_ms = now_ms
+        state.stats.record_start(endpoint, now_ms)
         return endpoint
 
     def _claim_id(
@@ -180,8 +180,8 @@
             claimed = self._guard.claim(self._call.request_id, deadline_ms)
         finally:
             if claimed is None or claimed.is_err():
-                self._state.stats.skipped(endpoint)
-                self._slot_returner(endpoint)()
+                self._state.stats.record_inconclusive(endpoint)
+                self._make_slot_release(endpoint)()
         match claimed:
             case result.Ok(claim):
                 self._claim = claim
@@ -189,25 +189,25 @@
             case result.Err(refused):
                 return refused
 
-    def _slot_returner(self, endpoint: str) -> Callable[[], None]:
+    def _make_slot_release(self, endpoint: str) -> Callable[[], None]:
         """What is to be done when the request in a taken slot has ended."""
         state = self._state
-        slots = self._parts.slots
-        clock = self._parts.clock
-        taken_ms = self._taken_ms
+        slots = self._deps.slots
+        clock = self._deps.clock
+        slot_taken_ms = self._slot_taken_ms
 
         def ended() -> None:
-            state.stats.ended(endpoint, taken_ms)
-            state.queue.left(clock.monotonic_ms() - taken_ms)
+            state.stats.record_end(endpoint, slot_taken_ms)
+            state.queue.record_release(clock.monotonic_ms() - slot_taken_ms)
             slots.give_back(endpoint)
 
         return ended
 
-    def _try(self, endpoint: str) -> exchange.TryResult:
+    def _try_endpoint(self, endpoint: str) -> exchange.TryResult:
         """One try, with a second one beside it if the answer is late."""
-        begun = self._begin(endpoint)
+        begun = self._send_try(endpoint)
         if isinstance(begun, result.Err):
-            self._observer.failed(endpoint, begun.err_value, 0.0)
+            self._observer.record_failure(endpoint, begun.err_value, 0.0)
             return result.Err(begun.err_value)
         sent = begun.ok_value
         if not self._call.idempotent:
@@ -215,26 +215,26 @@
         hedge = self._await_or_hedge(sent)
         if hedge is None:
             return self._finish(sent)
-        return self._first_of(sent, hedge)
+        return self._await_first(sent, hedge)
 
-    def _begin(
+    def _send_try(
         self, endpoint: str
     ) -> result.Result[sent_try.SentTry, exchange.EndpointError]:
         self._tries += 1
-        parts = self._parts
-        send_by_ms = self._taken_ms + shares.MAX_SEND_DELAY_MS
+        deps = self._deps
+        send_by_ms = self._slot_taken_ms + shares.MAX_SEND_DELAY_MS
         started_s = time.monotonic()
         limits = exchange.TryLimits(
             deadline_ms=self._call.deadline_ms,
             send_by_ms=send_by_ms,
-            hold_until_ms=send_by_ms + parts.table.max_request_ms,
-            max_connections=parts.slots.connection_share(endpoint),
+            hold_until_ms=send_by_ms + deps.table.max_request_ms,
+            max_connections=deps.slots.connection_share(endpoint),
         )
-        begun = parts.client.begin(
+        begun = deps.client.begin(
             self._state.addresses.get(endpoint, ""),
             self._call.request,
             limits,
-            self._slot_returner(endpoint),
+            self._make_slot_release(endpoint),
         )
         return begun.map(
             lambda pending: sent_try.SentTry(endpoint, pending, started_s)
@@ -246,67 +246,74 @@
         match tried:
             case result.Ok(answer):
                 self._answered_by = sent.endpoint
-                self._observer.answered(sent.endpoint, answer, sent.elapsed_ms)
+                self._observer.record_answer(
+                    sent.endpoint, answer, sent.elapsed_ms
+                )
             case result.Err(error):
-                self._observer.failed(sent.endpoint, error, sent.elapsed_ms)
+                self._observer.record_failure(
+                    sent.endpoint, error, sent.elapsed_ms
+                )
         return tried
 
     def _await_or_hedge(
         self, sent: sent_try.SentTry
     ) -> sent_try.SentTry | None:
         """Waits for the first byte; sends a second try if it is late."""
-        wait_ms = self._hedge_wait_ms()
+        wait_ms = self._hedge_delay_ms()
         if sent_try.first_readable([sent], wait_ms):
             return None
-        if self._left_ms() < MIN_HEDGE_MS or self._state.queue.waiting:
+        if (
+            self._remaining_ms() < MIN_HEDGE_DELAY_MS
+            or self._state.queue.waiting
+        ):
             return None
         if not self._state.budget.try_spend():
             self._count_retry(reasons.RetryReason.BUDGET_SPENT)
             return None
-        self._excluded |= {sent.endpoint}
-        endpoint = self._state.queue.try_enter(self._pick)
+        self._tried_endpoints |= {sent.endpoint}
+        endpoint = self._state.queue.try_acquire(self._take_slot)
         if endpoint is None:
             self._state.budget.refund()
             return None
-        self._note_retry(
+        self._journal_retry(
             reasons.RetryReason.HEDGED,
             f"{sent.endpoint} had not answered after {wait_ms:.0f} ms; "
             f"also sent to {endpoint}",
         )
-        begun = self._begin(endpoint)
+        begun = self._send_try(endpoint)
         if isinstance(begun, result.Err):
-            self._observer.failed(endpoint, begun.err_value, 0.0)
-            self._note_loss(begun.err_value)
+            self._observer.record_failure(endpoint, begun.err_value, 0.0)
+            self._record_loss(begun.err_value)
             return None
         return begun.ok_value
 
-    def _hedge_wait_ms(self) -> float:
-        late_ms = self._left_ms() * LATE_HEDGE_SHARE
+    def _hedge_delay_ms(self) -> float:
+        late_ms = self._remaining_ms() * HEDGE_DEADLINE_SHARE
         if self._state.service.hedge_percentile == 0:
             return late_ms
         usual_ms = self._state.hedge_quantile.estimate_ms
-        return min(max(usual_ms, MIN_HEDGE_MS), late_ms)
+        return min(max(usual_ms, MIN_HEDGE_DELAY_MS), late_ms)
 
-    def _first_of(
+    def _await_first(
         self, first: sent_try.SentTry, second: sent_try.SentTry
     ) -> exchange.TryResult:
         """The answer of whichever try answers first; the other is left."""
-        ready = sent_try.first_readable([first, second], self._left_ms())
+        ready = sent_try.first_readable([first, second], self._remaining_ms())
         winner = ready or first
         other = second if winner is first else first
         tried = self._finish(winner)
         if tried.is_ok():
             other.pending.abandon()
-            self._state.stats.skipped(other.endpoint)
+            self._state.stats.record_inconclusive(other.endpoint)
             self._count_retry(reasons.RetryReason.HEDGE_CANCELLED)
             return tried
-        self._note_loss(tried.err_value)
+        self._record_loss(tried.err_value)
         return self._finish(other)
 
-    def _note_loss(self, error: exchange.EndpointError) -> None:
+    def _record_loss(self, error: exchange.EndpointError) -> None:
         """Remembers that an endpoint may have seen the request."""
         if isinstance(error, exchange.LostAfterSend):
-            self._lost = error
+            self._last_loss = error
 
     def _after_failure(
         self, endpoint: str, error: exchange.EndpointError
@@ -315,10 +322,10 @@
         match error:
             case exchange.NotSent(exchange.SendFailure.DEADLINE_PASSED, detail):
                 reason = reasons.RefusalReason.DEADLINE_PASSED
-                return self._final(reason, detail, 0)
+                return self._end_unanswered(reason, detail, 0)
             case exchange.NotSent(exchange.SendFailure.BAD_REQUEST, detail):
                 reason = reasons.RefusalReason.BAD_REQUEST
-                return self._final(reason, detail, 0)
+                return self._end_unanswered(reason, detail, 0)
             case exchange.NotSent(failure, detail):
                 retry_reason = _RETRY_REASON_BY_FAILURE.get(
                     failure, reasons.RetryReason.CONNECT_FAILED
@@ -328,9 +335,9 @@
                 busy = reasons.RetryReason.ENDPOINT_BUSY
                 return self._retry(endpoint, busy, detail)
             case exchange.LostAfterSend(loss, detail):
-                self._lost = error
+                self._last_loss = error
                 if not self._call.idempotent:
-                    return self._unknown(f"{endpoint}: {loss}: {detail}")
+                    return self._end_unknown(f"{endpoint}: {loss}: {detail}")
                 lost = _RETRY_REASON_BY_LOSS[loss]
                 return self._retry(endpoint, lost, detail)
 
@@ -339,58 +346,64 @@
     ) -> outcomes.RequestOutcome | None:
         """Allows one more try, or says why there is none."""
         sentence = f"{endpoint}: {detail}"
-        left_ms = self._left_ms()
-        if left_ms <= 0:
+        remaining_ms = self._remaining_ms()
+        if remaining_ms <= 0:
             passed = reasons.RefusalReason.DEADLINE_PASSED
-            return self._final(passed, sentence, 0)
+            return self._end_unanswered(passed, sentence, 0)
         is_spent = self._tries >= MAX_TRIES
         if is_spent or not self._state.budget.try_spend():
             self._count_retry(reasons.RetryReason.BUDGET_SPENT)
             spent = reasons.RefusalReason.RETRIES_SPENT
-            return self._final(
+            return self._end_unanswered(
                 spent, sentence, self._state.queue.retry_after_ms()
             )
-        self._excluded |= {endpoint}
-        self._note_retry(reason, sentence)
-        if self._lost is not None:
-            pause_ms = retry_budget.backoff_ms(self._tries, self._parts.rng)
-            time.sleep(min(pause_ms, left_ms) / 1_000)
+        self._tried_endpoints |= {endpoint}
+        self._journal_retry(reason, sentence)
+        if self._last_loss is not None:
+            pause_ms = retry_budget.backoff_ms(self._tries, self._deps.rng)
+            time.sleep(min(pause_ms, remaining_ms) / 1_000)
         return None
 
-    def _given_up(self, refused: admission.Refused) -> outcomes.RequestOutcome:
-        return self._final(
+    def _end_refused(
+        self, refused: admission.Refusal
+    ) -> outcomes.RequestOutcome:
+        return self._end_unanswered(
             refused.reason, refused.sentence, refused.retry_after_ms
         )
 
-    def _final(
+    def _end_unanswered(
         self,
         reason: reasons.RefusalReason,
         sentence: str,
         retry_after_ms: int,
     ) -> outcomes.RequestOutcome:
         """`not-run` if no endpoint has seen the request, else `unknown`."""
-        if self._lost is not None:
-            return self._unknown(f"{self._lost.detail}; then: {sentence}")
+        if self._last_loss is not None:
+            return self._end_unknown(
+                f"{self._last_loss.detail}; then: {sentence}"
+            )
         if self._claim is not None and self._guard is not None:
             self._guard.release(self._claim)
         return outcomes.NotRun(reason, sentence, retry_after_ms)
 
-    def _unknown(self, sentence: str) -> outcomes.Unknown:
+    def _end_unknown(self, sentence: str) -> outcomes.Unknown:
         return outcomes.Unknown(
             reasons.RefusalReason.ANSWER_LOST,
             sentence,
             self._state.queue.retry_after_ms(),
         )
 
-    def _left_ms(self) -> int:
-        return self._call.deadline_ms - self._parts.clock.monotonic_ms()
+    def _remaining_ms(self) -> int:
+        return self._call.deadline_ms - self._deps.clock.monotonic_ms()
 
     def _count_retry(self, reason: reasons.RetryReason) -> None:
-        self._parts.metrics.count(metrics_module.Counter.RETRIES, reason.value)
+        self._deps.metrics.count(metrics_module.Counter.RETRIES, reason.value)
 
-    def _note_retry(self, reason: reasons.RetryReason, sentence: str) -> None:
+    def _journal_retry(
+        self, reason: reasons.RetryReason, sentence: str
+    ) -> None:
         self._count_retry(reason)
-        self._parts.journal.record(
+        self._deps.journal.record(
             reasons.Subject.REQUEST,
             self._call.request_id,
             reason.value,
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -34,7 +34,7 @@
 from comfreylatch._wire.gen.peer import ttypes
 
 UPKEEP_INTERVAL_MS = 500
-SPARE_SHARE = 0.5
+ADVERTISED_SPARE_SHARE = 0.5
 RETRY_AFTER_STOP_MS = 1_000
 RETRY_AFTER_BUSY_MS = 100
 
@@ -81,7 +81,7 @@
             load_balancing.Policy(settings.routing.policy),
             rng,
         )
-        self._parts = dependencies_module.Parts(
+        self._deps = dependencies_module.RequestDependencies(
             table=self._table,
             slots=slots,
             client=client,
@@ -92,7 +92,7 @@
             guard=guard,
         )
         self._peers = peers
-        self._spill = spill.Spill(self._parts, peers, settings)
+        self._spill = spill.SpillForwarder(self._deps, peers, settings)
         self._threads = admission.ThreadShares(settings.threads)
         self._stopping = threading.Event()
         self._closed = threading.Event()
@@ -119,13 +119,13 @@
         """Answers a caller's request to `/services/...`."""
         started_s = time.monotonic()
         given_id = request.headers.get("x-request-id")
-        request_id = call_module.make_id() if given_id is None else given_id
+        request_id = call_module.generate_id() if given_id is None else given_id
         parsed = call_module.parse(
             request,
             request_id,
             given_id is None,
             self._table,
-            self._parts.clock.monotonic_ms(),
+            self._deps.clock.monotonic_ms(),
         )
         match parsed:
             case result.Ok(call):
@@ -134,8 +134,8 @@
             case result.Err(refused):
                 outcome = refused
                 label = ""
-        self._account(request_id, label, outcome, started_s)
-        shown_id = request_id if call_module.is_good_id(request_id) else ""
+        self._record_outcome(request_id, label, outcome, started_s)
+        shown_id = request_id if call_module.is_valid_id(request_id) else ""
         return outcomes.to_http(shown_id, outcome)
 
     def run_forwarded(
@@ -143,15 +143,15 @@
     ) -> ttypes.ForwardReply:
         """Runs a request handed over by a host of another zone."""
         started_s = time.monotonic()
-        parsed = call_module.from_forwarded(
-            request, self._table, self._parts.clock.monotonic_ms()
+        parsed = call_module.from_forward_request(
+            request, self._table, self._deps.clock.monotonic_ms()
         )
         match parsed:
             case result.Ok(call):
-                outcome = self._run_here(call, is_forwarded=True)
+                outcome = self._run_in_zone(call, is_forwarded=True)
             case result.Err(refused):
                 outcome = refused
-        self._account(
+        self._record_outcome(
             request.request_id, request.service_name, outcome, started_s
         )
         return outcomes.to_forward_reply(request.request_id, outcome)
@@ -162,7 +162,7 @@
 
     def update_host_list(self, listed: hosts.HostList) -> None:
         """Takes the platform's list of hosts, as often as it is fetched."""
-        self._drained(self._table.leaving.update_host_list(listed), "listed")
+        self._drain(self._table.leaving.update_host_list(listed), "listed")
 
     def leaving_endpoints(self) -> frozenset[str]:
         """Endpoints this host has seen leave, for its heartbeats."""
@@ -170,9 +170,11 @@
 
     def spare_slots(self) -> dict[str, int]:
         """Slots other zones may use now, by service, for heartbeats."""
-        free = self._parts.slots.free
+        free = self._deps.slots.free
         return {
-            state.name: int(sum(map(free, state.usable)) * SPARE_SHARE)
+            state.name: int(
+                sum(map(free, state.usable)) * ADVERTISED_SPARE_SHARE
+            )
             for state in self._table.all()
             if state.queue.waiting == 0 and not self._stopping.is_set()
         }
@@ -183,10 +185,10 @@
 
     def _run(self, call: call_module.Call) -> outcomes.RequestOutcome:
         """Runs a request here, or in another zone that can do it sooner."""
-        outcome = self._run_here(call, is_forwarded=False)
-        return self._spill.after_refusal(call, outcome) or outcome
+        outcome = self._run_in_zone(call, is_forwarded=False)
+        return self._spill.forward_after_refusal(call, outcome) or outcome
 
-    def _run_here(
+    def _run_in_zone(
         self, call: call_module.Call, is_forwarded: bool
     ) -> outcomes.RequestOutcome:
         """Runs a request on this zone's endpoints."""
@@ -197,7 +199,7 @@
                 RETRY_AFTER_STOP_MS,
             )
         name = call.state.name
-        if not self._threads.try_enter(name, call.state.weight_share):
+        if not self._threads.try_acquire(name, call.state.weight_share):
             return outcomes.NotRun(
                 reasons.RefusalReason.NO_FREE_THREAD,
                 "this host has as many requests in progress as it takes",
@@ -206,17 +208,19 @@
         try:
             # Its id was claimed by the host that forwarded it, for which only
             # a slot that is free now is of use.
-            return request_dispatch.Tries(
-                self._parts,
+            return request_dispatch.RequestDispatch(
+                self._deps,
                 call,
                 is_claimed=is_forwarded,
-                overflow=None if is_forwarded else self._spill.before_waiting,
+                spill_handler=None
+                if is_forwarded
+                else self._spill.forward_before_waiting,
                 may_wait=not is_forwarded,
             ).run()
         finally:
-            self._threads.leave(name)
+            self._threads.release(name)
 
-    def _account(
+    def _record_outcome(
         self,
         request_id: str,
         service: str,
@@ -224,7 +228,7 @@
         started_s: float,
     ) -> None:
         """Counts and journals what became of a request."""
-        metrics = self._parts.metrics
+        metrics = self._deps.metrics
         elapsed_us = int((time.monotonic() - started_s) * 1_000_000)
         metrics.observe(metrics_module.Latency.REQUEST, elapsed_us, service)
         match outcome:
@@ -233,7 +237,7 @@
                     metrics_module.Counter.OUTCOMES,
                     reasons.Outcome.ANSWERED.value,
                 )
-                self._parts.journal.record(
+                self._deps.journal.record(
                     reasons.Subject.REQUEST,
                     request_id,
                     reasons.Outcome.ANSWERED.value,
@@ -242,32 +246,34 @@
                 )
                 return
             case outcomes.NotRun():
-                word = reasons.Outcome.NOT_RUN
+                kind = reasons.Outcome.NOT_RUN
             case outcomes.Unknown():
-                word = reasons.Outcome.UNKNOWN
-        metrics.count(metrics_module.Counter.OUTCOMES, word.value)
+                kind = reasons.Outcome.UNKNOWN
+        metrics.count(metrics_module.Counter.OUTCOMES, kind.value)
         metrics.count(metrics_module.Counter.REFUSALS, outcome.reason.value)
-        self._parts.journal.record(
+        self._deps.journal.record(
             reasons.Subject.REQUEST,
             request_id,
             outcome.reason.value,
-            f"{word.value}: {outcome.sentence}",
+            f"{kind.value}: {outcome.sentence}",
         )
 
     def _upkeep(self) -> None:
         while not self._closed.wait(UPKEEP_INTERVAL_MS / 1_000):
             try:
-                self._take_peers_signs()
+                self._apply_peer_reports()
                 self._probe_leaving()
                 self._trim_connections()
             except Exception:
                 _log.exception("router-upkeep-failed")
 
-    def _take_peers_signs(self) -> None:
+    def _apply_peer_reports(self) -> None:
         seen = frozenset[str]().union(
             *(view.leaving_endpoints for view in self._peers.views())
         )
-        self._drained(self._table.leaving.update_peers(seen), "seen by a peer")
+        self._drain(
+            self._table.leaving.update_peer_reports(seen), "seen by a peer"
+        )
 
     def _probe_leaving(self) -> None:
         """Tries connections to endpoints that refused them, in turn."""
@@ -276,18 +282,18 @@
             for state in self._table.all()
             for endpoint, address in state.addresses.items()
         }
-        for endpoint in self._table.leaving.to_probe():
+        for endpoint in self._table.leaving.due_probes():
             address = addresses.get(endpoint)
-            if address is None or not self._parts.client.can_connect(address):
+            if address is None or not self._deps.client.can_connect(address):
                 continue
-            self._table.leaving.accepts_again(endpoint)
-            self._table.leaving_changed()
-            self._note_endpoint(endpoint, "back", "takes connections again")
+            self._table.leaving.record_accepted_connection(endpoint)
+            self._table.update_usable()
+            self._journal_endpoint(endpoint, "back", "takes connections again")
 
     def _trim_connections(self) -> None:
         """Closes connections that a smaller share no longer allows."""
-        share = self._parts.slots.connection_share
-        self._parts.client.trim(
+        share = self._deps.slots.connection_share
+        self._deps.client.trim(
             {
                 address: share(endpoint)
                 for state in self._table.all()
@@ -295,15 +301,19 @@
             }
         )
 
-    def _drained(self, endpoints: frozenset[str], how: str) -> None:
-        self._table.leaving_changed()
+    def _drain(self, endpoints: frozenset[str], learned_from: str) -> None:
+        self._table.update_usable()
         for state in self._table.all():
             for endpoint in endpoints & state.addresses.keys():
-                self._parts.client.close_idle(state.addresses[endpoint])
-                sign = self._table.leaving.sign(endpoint)
-                self._note_endpoint(endpoint, "leaving", f"{how}: {sign}")
+                self._deps.client.close_idle(state.addresses[endpoint])
+                leaving_reason = self._table.leaving.leaving_reason(endpoint)
+                self._journal_endpoint(
+                    endpoint, "leaving", f"{learned_from}: {leaving_reason}"
+                )
 
-    def _note_endpoint(self, endpoint: str, reason: str, sentence: str) -> None:
-        self._parts.journal.record(
+    def _journal_endpoint(
+        self, endpoint: str, reason: str, sentence: str
+    ) -> None:
+        self._deps.journal.record(
             reasons.Subject.ENDPOINT, endpoint, reason, sentence
         )
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -23,12 +23,12 @@
 from comfreylatch._request import dependencies as dependencies_module
 from comfreylatch._request import outcomes
 
-FIRST_EXTRA_MS = 15.0
-SMOOTHING = 0.1
-MARGIN_MS = 5
-REFUSED_PAUSE_MS = 500
+INITIAL_NETWORK_MS = 15.0
+ROUND_TRIP_SMOOTHING = 0.1
+FORWARD_MARGIN_MS = 5
+ROUTE_PAUSE_MS = 500
 
-_FOR_WANT_OF_SLOT = frozenset(
+_CAPACITY_REASONS = frozenset(
     {
         reasons.RefusalReason.NO_FREE_SLOT,
         reasons.RefusalReason.NO_ENDPOINT,
@@ -48,55 +48,58 @@
             after the seat had no slot in spite of its report.
     """
 
-    taken_ms: float = -1.0
+    round_trip_ms: float = -1.0
     in_flight: int = 0
     paused_until_ms: int = 0
 
 
 @final
-class Spill:
+class SpillForwarder:
     """Forwards requests to hosts of other zones. Thread-safe."""
 
     def __init__(
         self,
-        parts: dependencies_module.Parts,
+        deps: dependencies_module.RequestDependencies,
         peers: peers_port.Peers,
         settings: settings_module.Settings,
     ) -> None:
-        self._parts = parts
+        self._deps = deps
         self._peers = peers
         self._zone = settings.zone
-        self._is_on = settings.routing.spill
+        self._is_enabled = settings.routing.spill
         self._lock = threading.Lock()
         self._routes: dict[str, _Route] = collections.defaultdict(_Route)
 
-    def before_waiting(
+    def forward_before_waiting(
         self, call: call_module.Call
     ) -> outcomes.RequestOutcome | None:
         """Forwards a request that would wait longer here; None if not."""
         queue = call.state.queue
         if queue.in_flight == 0:
-            # Nothing here will free up; `after_refusal` looks elsewhere.
+            # No slot here can become free; `forward_after_refusal` handles
+            # the request after its refusal.
             return None
-        return self._forward_within(call, queue.expected_ms())
+        return self._forward_within(call, queue.expected_answer_ms())
 
-    def after_refusal(
+    def forward_after_refusal(
         self, call: call_module.Call, outcome: outcomes.RequestOutcome
     ) -> outcomes.RequestOutcome | None:
         """Forwards a request refused here for want of a slot; None if not."""
         match outcome:
-            case outcomes.NotRun(reason) if reason in _FOR_WANT_OF_SLOT:
-                left_ms = call.deadline_ms - self._parts.clock.monotonic_ms()
-                return self._forward_within(call, left_ms)
+            case outcomes.NotRun(reason) if reason in _CAPACITY_REASONS:
+                remaining_ms = (
+                    call.deadline_ms - self._deps.clock.monotonic_ms()
+                )
+                return self._forward_within(call, remaining_ms)
             case _:
                 return None
 
     def _forward_within(
         self, call: call_module.Call, within_ms: float
     ) -> outcomes.RequestOutcome | None:
-        if not self._is_on:
+        if not self._is_enabled:
             return None
-        seat = self._take_seat(call, within_ms)
+        seat = self._reserve_seat(call, within_ms)
         if seat is None:
             return None
         try:
@@ -105,24 +108,24 @@
             with self._lock:
                 self._route(seat, call).in_flight -= 1
 
-    def _take_seat(
+    def _reserve_seat(
         self, call: call_module.Call, within_ms: float
     ) -> str | None:
         """The seat expected to answer first, if that is soon enough."""
         best: str | None = None
         best_ms = within_ms
-        now_ms = self._parts.clock.monotonic_ms()
-        usual_ms = call.state.queue.hold_ms
+        now_ms = self._deps.clock.monotonic_ms()
+        usual_ms = call.state.queue.mean_hold_ms
         with self._lock:
             for view in self._peers.views():
                 if not self._is_usable(view, call, now_ms):
                     continue
                 route = self._route(view.seat, call)
-                if route.taken_ms < 0:
-                    route.taken_ms = usual_ms + FIRST_EXTRA_MS
-                if route.taken_ms < best_ms:
+                if route.round_trip_ms < 0:
+                    route.round_trip_ms = usual_ms + INITIAL_NETWORK_MS
+                if route.round_trip_ms < best_ms:
                     best = view.seat
-                    best_ms = route.taken_ms
+                    best_ms = route.round_trip_ms
             if best is not None:
                 self._route(best, call).in_flight += 1
         return best
@@ -142,7 +145,7 @@
     def _claim_and_forward(
         self, call: call_module.Call, seat: str
     ) -> outcomes.RequestOutcome | None:
-        guard = self._parts.guard
+        guard = self._deps.guard
         if guard is None or not call.needs_claim:
             return self._forward(call, seat)
         match guard.claim(call.request_id, call.deadline_ms):
@@ -158,14 +161,18 @@
         self, call: call_module.Call, seat: str
     ) -> outcomes.RequestOutcome | None:
         """The other host's outcome; None when nothing was run there."""
-        now_ms = self._parts.clock.monotonic_ms()
-        left_ms = call.deadline_ms - now_ms
-        if left_ms <= MARGIN_MS:
+        now_ms = self._deps.clock.monotonic_ms()
+        remaining_ms = call.deadline_ms - now_ms
+        if remaining_ms <= FORWARD_MARGIN_MS:
             return None
-        self._note(call, seat)
+        self._record_spill(call, seat)
         started_s = time.monotonic()
         forwarded = self._peers.forward(
-            seat, call_module.to_forwarded(call, left_ms - MARGIN_MS), left_ms
+            seat,
+            call_module.to_forward_request(
+                call, remaining_ms - FORWARD_MARGIN_MS
+            ),
+            remaining_ms,
         )
         elapsed_ms = (time.monotonic() - started_s) * 1_000
         route = self._route(seat, call)
@@ -175,23 +182,25 @@
                     call.request_id, seat, reply
                 )
                 if isinstance(outcome, outcomes.NotRun):
-                    route.paused_until_ms = now_ms + REFUSED_PAUSE_MS
+                    route.paused_until_ms = now_ms + ROUTE_PAUSE_MS
                     return None
-                route.taken_ms += SMOOTHING * (elapsed_ms - route.taken_ms)
+                route.round_trip_ms += ROUND_TRIP_SMOOTHING * (
+                    elapsed_ms - route.round_trip_ms
+                )
                 return outcome
             case result.Err(peers_port.PeerAnswerLost(detail)):
-                route.paused_until_ms = now_ms + REFUSED_PAUSE_MS
+                route.paused_until_ms = now_ms + ROUTE_PAUSE_MS
                 return outcomes.Unknown(
                     reasons.RefusalReason.ANSWER_LOST, f"{seat}: {detail}"
                 )
             case result.Err(_):
-                route.paused_until_ms = now_ms + REFUSED_PAUSE_MS
+                route.paused_until_ms = now_ms + ROUTE_PAUSE_MS
                 return None
 
-    def _note(self, call: call_module.Call, seat: str) -> None:
+    def _record_spill(self, call: call_module.Call, seat: str) -> None:
         reason = reasons.RetryReason.SPILLED
-        self._parts.metrics.count(metrics_module.Counter.RETRIES, reason.value)
-        self._parts.journal.record(
+        self._deps.metrics.count(metrics_module.Counter.RETRIES, reason.value)
+        self._deps.journal.record(
             reasons.Subject.REQUEST,
             call.request_id,
             reason.value,
--- a/src/comfreylatch/_request/try_observer.py
+++ b/src/comfreylatch/_request/try_observer.py
@@ -11,22 +11,22 @@
 from comfreylatch._process.routing import service_state
 from comfreylatch._request import dependencies as dependencies_module
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @final
-class Observer:
+class TryObserver:
     """Turns ends of tries into statistics, ejections and leaving marks."""
 
     def __init__(
         self,
-        parts: dependencies_module.Parts,
+        deps: dependencies_module.RequestDependencies,
         state: service_state.ServiceState,
     ) -> None:
-        self._parts = parts
+        self._deps = deps
         self._state = state
 
-    def answered(
+    def record_answer(
         self,
         endpoint: str,
         answer: exchange.EndpointAnswer,
@@ -35,17 +35,19 @@
         """Learns from a whole answer."""
         state = self._state
         state.hedge_quantile.add(elapsed_ms)
-        self._parts.metrics.observe(
+        self._deps.metrics.observe(
             metrics_module.Latency.TRY, int(elapsed_ms * 1_000), state.name
         )
-        if answer.status >= SERVER_ERROR:
+        if answer.status >= MIN_SERVER_ERROR_STATUS:
             detail = f"status {answer.status}"
-            self._note_ejection(state.stats.failed(endpoint, detail))
+            self._record_ejection(state.stats.record_failure(endpoint, detail))
         else:
-            self._note_ejection(state.stats.answered(endpoint, elapsed_ms))
-        self._note_leaving(endpoint, answer.closing)
+            self._record_ejection(
+                state.stats.record_answer(endpoint, elapsed_ms)
+            )
+        self._record_leaving(endpoint, answer.closing)
 
-    def failed(
+    def record_failure(
         self,
         endpoint: str,
         error: exchange.EndpointError,
@@ -55,24 +57,26 @@
         stats = self._state.stats
         match error:
             case exchange.NotSent(exchange.SendFailure.CONNECT_REFUSED, detail):
-                self._note_ejection(stats.failed(endpoint, detail))
-                if self._parts.table.leaving.refused_connection(endpoint):
+                self._record_ejection(stats.record_failure(endpoint, detail))
+                if self._deps.table.leaving.record_refused_connection(endpoint):
                     self._drain_endpoint(endpoint, "refuses connections")
             case exchange.NotSent(
                 exchange.SendFailure.CONNECT_FAILED
                 | exchange.SendFailure.CONNECT_TIMED_OUT,
                 detail,
             ):
-                self._note_ejection(stats.failed(endpoint, detail))
+                self._record_ejection(stats.record_failure(endpoint, detail))
             case exchange.NotSent():
-                stats.skipped(endpoint)
+                stats.record_inconclusive(endpoint)
             case exchange.DeclinedByEndpoint(_, closing):
-                self._note_ejection(stats.failed(endpoint, "declined"))
-                self._note_leaving(endpoint, closing)
+                self._record_ejection(
+                    stats.record_failure(endpoint, "declined")
+                )
+                self._record_leaving(endpoint, closing)
             case exchange.LostAfterSend(loss, detail):
-                self._note_loss(endpoint, loss, detail, elapsed_ms)
+                self._record_loss(endpoint, loss, detail, elapsed_ms)
 
-    def _note_loss(
+    def _record_loss(
         self,
         endpoint: str,
         loss: exchange.Loss,
@@ -82,34 +86,36 @@
         stats = self._state.stats
         usual_ms = stats.get(endpoint).latency_ms
         # A caller in a hurry says nothing of the endpoint.
-        is_hurry = loss == exchange.Loss.TIMED_OUT and (
-            elapsed_ms < usual_ms * endpoint_stats.EJECT_SLOWNESS
+        is_short_timeout = loss == exchange.Loss.TIMED_OUT and (
+            elapsed_ms < usual_ms * endpoint_stats.EJECT_LATENCY_RATIO
         )
-        if is_hurry:
-            stats.skipped(endpoint)
+        if is_short_timeout:
+            stats.record_inconclusive(endpoint)
         else:
-            self._note_ejection(stats.failed(endpoint, detail))
+            self._record_ejection(stats.record_failure(endpoint, detail))
 
-    def _note_ejection(self, ejection: endpoint_stats.Ejection | None) -> None:
+    def _record_ejection(
+        self, ejection: endpoint_stats.Ejection | None
+    ) -> None:
         if ejection is None:
             return
-        self._parts.metrics.count(
+        self._deps.metrics.count(
             metrics_module.Counter.EJECTIONS, ejection.endpoint
         )
-        self._parts.journal.record(
+        self._deps.journal.record(
             reasons.Subject.ENDPOINT,
             ejection.endpoint,
             "ejected",
             f"ejected for {ejection.wait_ms} ms: {ejection.sentence}",
         )
 
-    def _note_leaving(self, endpoint: str, closing: bool) -> None:
-        if self._parts.table.leaving.answered(endpoint, closing):
+    def _record_leaving(self, endpoint: str, closing: bool) -> None:
+        if self._deps.table.leaving.record_answer(endpoint, closing):
             self._drain_endpoint(endpoint, "closes its connections")
 
     def _drain_endpoint(self, endpoint: str, sentence: str) -> None:
-        self._parts.table.leaving_changed()
-        self._parts.client.close_idle(self._state.addresses.get(endpoint, ""))
-        self._parts.journal.record(
+        self._deps.table.update_usable()
+        self._deps.client.close_idle(self._state.addresses.get(endpoint, ""))
+        self._deps.journal.record(
             reasons.Subject.ENDPOINT, endpoint, "leaving", sentence
         )
--- a/tests/process/routing/test_admission.py
+++ b/tests/process/routing/test_admission.py
@@ -23,7 +23,7 @@
     def __init__(self, free: int) -> None:
         self.free = free
 
-    def pick(self) -> str | None:
+    def take_slot(self) -> str | None:
         if self.free == 0:
             return None
         self.free -= 1
@@ -39,73 +39,77 @@
         self.queue = admission.ServiceQueue(self.clock)
         self.threads: list[threading.Thread] = []
         self.order: list[str] = []
-        self.outcomes: list[result.Result[str, admission.Refused]] = []
+        self.outcomes: list[result.Result[str, admission.Refusal]] = []
         self.addCleanup(self.join)
 
     def join(self) -> None:
         for thread in self.threads:
             thread.join(5)
 
-    def arrival(
+    def slot_request(
         self,
         caller: str,
-        pick: Callable[[], str | None],
+        take_slot: Callable[[], str | None],
         within_ms: int = 2_000,
-    ) -> admission.Arrival:
+    ) -> admission.SlotRequest:
         deadline_ms = self.clock.monotonic_ms() + within_ms
-        return admission.Arrival(caller, deadline_ms, pick)
+        return admission.SlotRequest(caller, deadline_ms, take_slot)
 
-    def start(
+    def enqueue_in_thread(
         self,
         caller: str,
-        pick: Callable[[], str | None],
+        take_slot: Callable[[], str | None],
         within_ms: int = 2_000,
     ) -> None:
         """Enters from another thread and waits until it is queued."""
         before = self.queue.waiting
 
-        def enter() -> None:
-            outcome = self.queue.enter(self.arrival(caller, pick, within_ms))
+        def acquire() -> None:
+            outcome = self.queue.acquire(
+                self.slot_request(caller, take_slot, within_ms)
+            )
             self.order.append(caller)
             self.outcomes.append(outcome)
 
-        self.threads.append(threading.Thread(target=enter))
+        self.threads.append(threading.Thread(target=acquire))
         self.threads[-1].start()
         while self.queue.waiting == before and not self.outcomes:
             time.sleep(0.001)
 
-    def all_taken(self) -> _Slots:
+    def exhausted_slots(self) -> _Slots:
         """One slot, taken by a request in flight."""
         slots = _Slots(1)
-        self.queue.enter(self.arrival("z", slots.pick)).unwrap()
+        self.queue.acquire(self.slot_request("z", slots.take_slot)).unwrap()
         return slots
 
     def test_host_without_any_slot_refuses_at_once(self) -> None:
-        refused = self.queue.enter(
-            self.arrival("a", _Slots(0).pick)
+        refused = self.queue.acquire(
+            self.slot_request("a", _Slots(0).take_slot)
         ).unwrap_err()
         self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
 
     def test_free_slot_is_given_at_once(self) -> None:
         slots = _Slots(1)
-        entered = self.queue.enter(self.arrival("a", slots.pick))
+        entered = self.queue.acquire(self.slot_request("a", slots.take_slot))
         self.assertEqual(result.Ok("ex-1"), entered)
 
     def test_too_short_deadline_is_refused_at_once(self) -> None:
-        refused = self.queue.enter(
-            self.arrival("a", self.all_taken().pick, within_ms=5)
+        refused = self.queue.acquire(
+            self.slot_request(
+                "a", self.exhausted_slots().take_slot, within_ms=5
+            )
         ).unwrap_err()
         self.assertEqual(
             reasons.RefusalReason.DEADLINE_TOO_SHORT, refused.reason
         )
 
     def test_queue_that_cannot_drain_in_time_refuses_at_once(self) -> None:
-        slots = self.all_taken()
+        slots = self.exhausted_slots()
         for _ in range(3):
-            self.start("a", slots.pick)
+            self.enqueue_in_thread("a", slots.take_slot)
         started = time.monotonic()
-        refused = self.queue.enter(
-            self.arrival("b", slots.pick, within_ms=50)
+        refused = self.queue.acquire(
+            self.slot_request("b", slots.take_slot, within_ms=50)
         ).unwrap_err()
         self.assertLess(time.monotonic() - started, 0.05)
         self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
@@ -113,25 +117,25 @@
             refused.retry_after_ms, admission.MIN_RETRY_AFTER_MS
         )
         slots.free = 3
-        self.queue.slot_freed()
+        self.queue.grant_free_slots()
 
     def test_callers_take_turns(self) -> None:
-        slots = self.all_taken()
+        slots = self.exhausted_slots()
         for caller in ("a", "a", "a", "b", "c"):
-            self.start(caller, slots.pick)
+            self.enqueue_in_thread(caller, slots.take_slot)
         for _ in range(5):
             slots.free = 1
             before = len(self.order)
-            self.queue.slot_freed()
+            self.queue.grant_free_slots()
             while len(self.order) == before:
                 time.sleep(0.001)
         self.assertEqual(["a", "b", "c", "a", "a"], self.order)
 
     def test_greedy_caller_is_shed_for_others(self) -> None:
-        slots = self.all_taken()
+        slots = self.exhausted_slots()
         for _ in range(5):
-            self.start("a", slots.pick, within_ms=130)
-        self.start("b", slots.pick, within_ms=130)
+            self.enqueue_in_thread("a", slots.take_slot, within_ms=130)
+        self.enqueue_in_thread("b", slots.take_slot, within_ms=130)
         self.join()
         shed = collections.Counter(
             outcome.err_value.reason
@@ -141,10 +145,10 @@
         self.assertEqual(1, shed[reasons.RefusalReason.CALLER_OVER_SHARE])
 
     def test_waiter_is_answered_by_its_deadline(self) -> None:
-        slots = self.all_taken()
+        slots = self.exhausted_slots()
         started = time.monotonic()
-        refused = self.queue.enter(
-            self.arrival("a", slots.pick, within_ms=80)
+        refused = self.queue.acquire(
+            self.slot_request("a", slots.take_slot, within_ms=80)
         ).unwrap_err()
         self.assertEqual(reasons.RefusalReason.DEADLINE_PASSED, refused.reason)
         self.assertLess(time.monotonic() - started, 0.2)
@@ -155,13 +159,13 @@
 
     def test_busy_service_leaves_room_for_others(self) -> None:
         threads = admission.ThreadShares(108)
-        taken = sum(threads.try_enter("greedy", 0.5) for _ in range(200))
+        taken = sum(threads.try_acquire("greedy", 0.5) for _ in range(200))
         self.assertLess(taken, 100)
-        self.assertTrue(threads.try_enter("other", 0.5))
+        self.assertTrue(threads.try_acquire("other", 0.5))
 
     def test_thread_is_usable_again(self) -> None:
-        threads = admission.ThreadShares(admission.RESERVED_THREADS + 1)
-        self.assertTrue(threads.try_enter("a", 1.0))
-        self.assertFalse(threads.try_enter("a", 1.0))
-        threads.leave("a")
-        self.assertTrue(threads.try_enter("a", 1.0))
+        threads = admission.ThreadShares(admission.REFUSAL_THREADS + 1)
+        self.assertTrue(threads.try_acquire("a", 1.0))
+        self.assertFalse(threads.try_acquire("a", 1.0))
+        threads.release("a")
+        self.assertTrue(threads.try_acquire("a", 1.0))
--- a/tests/process/routing/test_endpoint_stats.py
+++ b/tests/process/routing/test_endpoint_stats.py
@@ -18,20 +18,22 @@
     def setUp(self) -> None:
         super().setUp()
         self.clock = fakes.FakeClock()
-        self.table = endpoint_stats.StatsTable(self.clock, random.Random(3))
-        self.table.keep_only(NAMES)
+        self.table = endpoint_stats.EndpointStatsTable(
+            self.clock, random.Random(3)
+        )
+        self.table.forget_others(NAMES)
 
     def fail(self, endpoint: str, times: int = 3) -> None:
         for _ in range(times):
-            self.table.begin(endpoint, self.clock.now_ms)
-            self.table.failed(endpoint, "reset")
-            self.table.ended(endpoint, self.clock.now_ms)
+            self.table.record_start(endpoint, self.clock.now_ms)
+            self.table.record_failure(endpoint, "reset")
+            self.table.record_end(endpoint, self.clock.now_ms)
 
     def answer(self, endpoint: str, elapsed_ms: float, times: int) -> None:
         for _ in range(times):
-            self.table.begin(endpoint, self.clock.now_ms)
-            self.table.answered(endpoint, elapsed_ms)
-            self.table.ended(endpoint, self.clock.now_ms)
+            self.table.record_start(endpoint, self.clock.now_ms)
+            self.table.record_answer(endpoint, elapsed_ms)
+            self.table.record_end(endpoint, self.clock.now_ms)
 
     def test_failures_in_a_row_eject(self) -> None:
         self.fail("ex-0")
@@ -55,42 +57,42 @@
     def test_one_probe_at_a_time_after_wait(self) -> None:
         self.fail("ex-0")
         self.assertFalse(self.table.is_probe_due("ex-0", idempotent=True))
-        self.clock.now_ms += endpoint_stats.FIRST_EJECTION_MS * 2
+        self.clock.now_ms += endpoint_stats.BASE_EJECTION_MS * 2
         self.assertTrue(self.table.is_probe_due("ex-0", idempotent=True))
-        self.table.begin("ex-0", self.clock.now_ms)
+        self.table.record_start("ex-0", self.clock.now_ms)
         self.assertFalse(self.table.is_probe_due("ex-0", idempotent=True))
 
     def test_non_idempotent_requests_probe_last(self) -> None:
         self.fail("ex-0")
-        self.clock.now_ms += endpoint_stats.FIRST_EJECTION_MS * 2
+        self.clock.now_ms += endpoint_stats.BASE_EJECTION_MS * 2
         self.assertFalse(self.table.is_probe_due("ex-0", idempotent=False))
-        self.clock.now_ms += endpoint_stats.PROBE_PATIENCE_MS
+        self.clock.now_ms += endpoint_stats.NON_IDEMPOTENT_PROBE_DELAY_MS
         self.assertTrue(self.table.is_probe_due("ex-0", idempotent=False))
 
     def test_good_probe_lets_in_with_slow_start(self) -> None:
         self.fail("ex-0")
-        self.clock.now_ms += endpoint_stats.FIRST_EJECTION_MS * 2
+        self.clock.now_ms += endpoint_stats.BASE_EJECTION_MS * 2
         self.answer("ex-0", 20.0, 1)
         stats = self.table.get("ex-0")
         self.assertFalse(stats.is_ejected)
         self.assertEqual(
-            endpoint_stats.SLOW_START_LOWEST,
-            stats.admitted(self.clock.now_ms),
+            endpoint_stats.SLOW_START_MIN_SHARE,
+            stats.slow_start_share(self.clock.now_ms),
         )
         later_ms = self.clock.now_ms + endpoint_stats.SLOW_START_MS
-        self.assertEqual(1.0, stats.admitted(later_ms))
+        self.assertEqual(1.0, stats.slow_start_share(later_ms))
 
     def test_failed_probe_doubles_wait(self) -> None:
         self.fail("ex-0")
-        self.clock.now_ms += endpoint_stats.FIRST_EJECTION_MS * 2
+        self.clock.now_ms += endpoint_stats.BASE_EJECTION_MS * 2
         self.fail("ex-0", times=1)
         wait_ms = self.table.get("ex-0").ejected_until_ms - self.clock.now_ms
-        self.assertGreater(wait_ms, endpoint_stats.FIRST_EJECTION_MS * 1.4)
+        self.assertGreater(wait_ms, endpoint_stats.BASE_EJECTION_MS * 1.4)
 
     def test_long_running_request_tells_of_slowness(self) -> None:
         now_ms = self.clock.now_ms + endpoint_stats.SLOW_START_MS
         for name in ("ex-0", "ex-1"):
-            self.table.begin(name, now_ms - 300 * (name == "ex-0"))
+            self.table.record_start(name, now_ms - 300 * (name == "ex-0"))
         slow_ms = self.table.get("ex-0").expected_ms(now_ms)
         self.assertGreater(
             slow_ms, self.table.get("ex-1").expected_ms(now_ms) * 5
@@ -98,5 +100,5 @@
 
     def test_forgotten_endpoint_frees_ejection(self) -> None:
         self.fail("ex-0")
-        self.table.keep_only(NAMES[1:])
+        self.table.forget_others(NAMES[1:])
         self.assertEqual(0, self.table.ejected_count)
--- a/tests/process/routing/test_leaving_endpoints.py
+++ b/tests/process/routing/test_leaving_endpoints.py
@@ -29,19 +29,19 @@
         self.leaving = leaving_endpoints.LeavingEndpoints(self.clock)
 
     def test_refused_connection_is_a_sign_until_accepted(self) -> None:
-        self.assertTrue(self.leaving.refused_connection("ex-1"))
+        self.assertTrue(self.leaving.record_refused_connection("ex-1"))
         self.assertTrue(self.leaving.is_leaving("ex-1"))
-        self.assertEqual(("ex-1",), self.leaving.to_probe())
-        self.leaving.accepts_again("ex-1")
+        self.assertEqual(("ex-1",), self.leaving.due_probes())
+        self.leaving.record_accepted_connection("ex-1")
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_close_after_kept_connections_is_a_sign(self) -> None:
-        self.leaving.answered("ex-1", closing=False)
-        self.assertTrue(self.leaving.answered("ex-1", closing=True))
-        self.assertEqual((), self.leaving.to_probe())
+        self.leaving.record_answer("ex-1", closing=False)
+        self.assertTrue(self.leaving.record_answer("ex-1", closing=True))
+        self.assertEqual((), self.leaving.due_probes())
 
     def test_close_by_one_that_never_keeps_is_none(self) -> None:
-        self.assertFalse(self.leaving.answered("ex-1", closing=True))
+        self.assertFalse(self.leaving.record_answer("ex-1", closing=True))
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_list_says_leaving_and_live_again(self) -> None:
@@ -66,8 +66,8 @@
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_peers_sign_is_not_passed_back(self) -> None:
-        self.leaving.update_peers(frozenset({"ex-1"}))
+        self.leaving.update_peer_reports(frozenset({"ex-1"}))
         self.assertTrue(self.leaving.is_leaving("ex-1"))
         self.assertEqual(frozenset(), self.leaving.observed)
-        self.leaving.update_peers(frozenset())
+        self.leaving.update_peer_reports(frozenset())
         self.assertFalse(self.leaving.is_leaving("ex-1"))
--- a/tests/process/routing/test_load_balancing.py
+++ b/tests/process/routing/test_load_balancing.py
@@ -20,64 +20,70 @@
     def setUp(self) -> None:
         super().setUp()
         clock = fakes.FakeClock()
-        self.stats = endpoint_stats.StatsTable(clock, random.Random(5))
-        self.chooser = load_balancing.LeastExpected(
+        self.stats = endpoint_stats.EndpointStatsTable(clock, random.Random(5))
+        self.picker = load_balancing.LeastExpectedPicker(
             self.stats, clock, random.Random(5)
         )
         self.free = dict.fromkeys(NAMES, 1)
 
-    def choose(self, excluded: frozenset[str] = frozenset()) -> str | None:
-        return self.chooser.choose(
-            load_balancing.Choice(NAMES, self.free.__getitem__, True, excluded)
+    def pick(
+        self, excluded_endpoints: frozenset[str] = frozenset()
+    ) -> str | None:
+        return self.picker.pick(
+            load_balancing.PickArgs(
+                NAMES, self.free.__getitem__, True, excluded_endpoints
+            )
         )
 
     def test_slow_endpoint_gets_fewer(self) -> None:
         for _ in range(50):
-            self.stats.answered("ex-0", 60.0)
-        chosen = collections.Counter(self.choose() for _ in range(400))
+            self.stats.record_answer("ex-0", 60.0)
+        chosen = collections.Counter(self.pick() for _ in range(400))
         self.assertLess(chosen["ex-0"], 10)
 
     def test_busy_endpoint_gets_fewer(self) -> None:
         for _ in range(4):
-            self.stats.begin("ex-0", 1_000_000)
-        chosen = collections.Counter(self.choose() for _ in range(400))
+            self.stats.record_start("ex-0", 1_000_000)
+        chosen = collections.Counter(self.pick() for _ in range(400))
         self.assertLess(chosen["ex-0"], 10)
 
     def test_only_free_slot_is_found(self) -> None:
         self.free = dict.fromkeys(NAMES, 0) | {"ex-7": 1}
-        self.assertEqual({"ex-7"}, {self.choose() for _ in range(20)})
+        self.assertEqual({"ex-7"}, {self.pick() for _ in range(20)})
 
     def test_no_free_slot_is_none(self) -> None:
         self.free = dict.fromkeys(NAMES, 0)
-        self.assertIsNone(self.choose())
+        self.assertIsNone(self.pick())
 
     def test_tried_endpoint_is_used_only_as_last(self) -> None:
         tried = frozenset({"ex-1"})
-        chosen = {self.choose(tried) for _ in range(100)}
+        chosen = {self.pick(tried) for _ in range(100)}
         self.assertNotIn("ex-1", chosen)
         self.free = dict.fromkeys(NAMES, 0) | {"ex-1": 1}
-        self.assertEqual("ex-1", self.choose(tried))
+        self.assertEqual("ex-1", self.pick(tried))
 
     def test_ejected_endpoint_gets_nothing(self) -> None:
         for _ in range(5):
             self.stats.get("ex-2")
-            self.stats.failed("ex-0", "reset")
-        self.stats.keep_only(NAMES)
+            self.stats.record_failure("ex-0", "reset")
+        self.stats.forget_others(NAMES)
         for _ in range(5):
-            self.stats.failed("ex-0", "reset")
-        self.assertNotIn("ex-0", {self.choose() for _ in range(200)})
+            self.stats.record_failure("ex-0", "reset")
+        self.assertNotIn("ex-0", {self.pick() for _ in range(200)})
 
 
 class BaselineTest(testtools.TestCase):
     """Policies for comparison keep the limits too."""
 
     def test_round_robin_takes_turns(self) -> None:
-        chooser = load_balancing.RoundRobin()
-        wanted = load_balancing.Choice(NAMES, lambda _: 1, True)
-        chosen = [chooser.choose(wanted) for _ in range(16)]
+        picker = load_balancing.RoundRobinPicker()
+        wanted = load_balancing.PickArgs(NAMES, lambda _: 1, True)
+        chosen = [picker.pick(wanted) for _ in range(16)]
         self.assertEqual(list(NAMES) * 2, chosen)
 
     def test_random_skips_full_endpoints(self) -> None:
-        chooser = load_balancing.Random(random.Random(1))
-        wanted = load_balancing.Choice(NAMES, lambda name: name == "ex-3", True)
-        self.assertEqual("ex-3", chooser.choose(wanted))
+        picker = load_balancing.RandomPicker(random.Random(1))
+        wanted = load_balancing.PickArgs(
+            NAMES, lambda name: name == "ex-3", True
+        )
+        self.assertEqual("ex-3", picker.pick(wanted))
--- a/tests/process/routing/test_retry_budget.py
+++ b/tests/process/routing/test_retry_budget.py
@@ -27,7 +27,7 @@
             budget.earn()
             retries += budget.try_spend()
             retries += budget.try_spend()
-        allowed = first_tries * percent / 100 + retry_budget.START_TOKENS
+        allowed = first_tries * percent / 100 + retry_budget.INITIAL_TOKENS
         self.assertLessEqual(retries, allowed + 1e-6)
 
     def test_idle_time_saves_no_more_than_bound(self) -> None:
--- a/tests/request/harness.py
+++ b/tests/request/harness.py
@@ -83,7 +83,7 @@
         for endpoint in self.endpoints:
             endpoint.__exit__(exception_type, exception, traceback)
 
-    def ask(
+    def send_request(
         self,
         request_id: str = "",
         method: str = "POST",
--- a/tests/request/test_dispatch_guard.py
+++ b/tests/request/test_dispatch_guard.py
@@ -37,23 +37,23 @@
         self.source = fakes.FakeSource(
             configuration.Configuration(offset=1, zones=ZONES)
         )
-        self.boots = 0
+        self.boot_count = 0
         self.marks: dict[str, dispatch_marks.DispatchMarks] = {}
         self.guards: dict[str, dispatch_guard.QuorumGuard] = {}
         self.dead: set[str] = set()
-        self.cut: set[frozenset[str]] = set()
+        self.partitions: set[frozenset[str]] = set()
         self.lost_answers: set[str] = set()
         for seat in SEAT_ZONES:
             self.boot(seat)
 
     def boot(self, seat: str) -> None:
         """Starts a host in a seat, without memory."""
-        self.boots += 1
-        host_id = f"{seat}-{self.boots}"
+        self.boot_count += 1
+        host_id = f"{seat}-{self.boot_count}"
         self.marks[seat] = dispatch_marks.DispatchMarks(host_id, self.clock)
         self.guards[seat] = dispatch_guard.QuorumGuard(
             self.source,
-            _Link(self, seat),
+            _PeerLink(self, seat),
             self.marks[seat],
             seat,
             host_id,
@@ -62,12 +62,12 @@
         )
         self.dead.discard(seat)
 
-    def cut_zones(self, one: str, other: str) -> None:
-        self.cut.add(frozenset({one, other}))
+    def partition_zones(self, one: str, other: str) -> None:
+        self.partitions.add(frozenset({one, other}))
 
     def reaches(self, seat: str, other: str) -> bool:
         between = frozenset({SEAT_ZONES[seat], SEAT_ZONES[other]})
-        return other not in self.dead and between not in self.cut
+        return other not in self.dead and between not in self.partitions
 
     def claim(
         self, seat: str, request_id: str = "r1"
@@ -76,7 +76,7 @@
         return self.guards[seat].claim(request_id, deadline_ms)
 
 
-class _Link:
+class _PeerLink:
     """One host's calls to the others."""
 
     def __init__(self, fleet: _Fleet, seat: str) -> None:
@@ -114,7 +114,7 @@
         self.fleet = _Fleet(self.clock)
         self.clock.now_ms += KEEP_MS
         self.holders = dispatch_guard.holders_of(
-            "r1", dispatch_guard.seats_of(self.fleet.source.current())
+            "r1", dispatch_guard.all_seats(self.fleet.source.current())
         )
 
     def assert_refused(
@@ -135,7 +135,7 @@
 
     def test_cut_zone_grants_ids_that_name_it(self) -> None:
         for other in ("entoto", "kality"):
-            self.fleet.cut_zones("bole", other)
+            self.fleet.partition_zones("bole", other)
         self.assertTrue(self.fleet.claim("b1", "bole:r1").is_ok())
         self.assertTrue(self.fleet.claim("e1", "bole:r1").is_err())
         self.assertTrue(self.fleet.claim("b2", "bole:r1").is_err())
@@ -165,7 +165,7 @@
 
     def id_held_by(self, seat: str) -> str:
         """An id that no test has used and whose marks a seat holds."""
-        seats = dispatch_guard.seats_of(self.fleet.source.current())
+        seats = dispatch_guard.all_seats(self.fleet.source.current())
         return next(
             request_id
             for request_id in (f"{seat}/{n}" for n in range(100))
@@ -188,8 +188,8 @@
         self.assertTrue(self.fleet.claim(caller).is_ok())
 
     def test_cut_off_zone_claims_nothing(self) -> None:
-        self.fleet.cut_zones("bole", "entoto")
-        self.fleet.cut_zones("bole", "kality")
+        self.fleet.partition_zones("bole", "entoto")
+        self.fleet.partition_zones("bole", "kality")
         self.assert_refused(
             self.fleet.claim("b1"),
             reasons.RefusalReason.GUARD_UNREACHABLE,
@@ -222,16 +222,16 @@
     def test_random_faults_never_allow_two_claims(self) -> None:
         for seed in range(300):
             with self.subTest(seed=seed):
-                self.run_random_faults(random.Random(seed))
+                self.claim_under_random_faults(random.Random(seed))
 
-    def run_random_faults(self, rng: random.Random) -> None:
+    def claim_under_random_faults(self, rng: random.Random) -> None:
         """Repeats one id through random hosts while hosts fail."""
         clock = fakes.FakeClock()
         fleet = _Fleet(clock)
         clock.now_ms += KEEP_MS
         first_ms: int | None = None
         for _ in range(40):
-            random_fault(fleet, rng)
+            inject_random_fault(fleet, rng)
             clock.now_ms += rng.randrange(0, KEEP_MS // 10)
             alive = sorted(SEAT_ZONES.keys() - fleet.dead)
             is_kept = first_ms is None or clock.now_ms < first_ms + KEEP_MS
@@ -242,7 +242,7 @@
                 first_ms = clock.now_ms
 
 
-def random_fault(fleet: _Fleet, rng: random.Random) -> None:
+def inject_random_fault(fleet: _Fleet, rng: random.Random) -> None:
     """One kill, restart, cut, healing or loss of answers."""
     seat = rng.choice(sorted(SEAT_ZONES))
     match rng.randrange(6):
@@ -251,9 +251,9 @@
         case 1 | 2:
             fleet.boot(seat)
         case 3:
-            fleet.cut_zones(*rng.sample(sorted(ZONES), 2))
+            fleet.partition_zones(*rng.sample(sorted(ZONES), 2))
         case 4:
-            fleet.cut.clear()
+            fleet.partitions.clear()
         case _:
             fleet.lost_answers = set(rng.sample(sorted(SEAT_ZONES), 2))
 
@@ -266,56 +266,56 @@
         clock = fakes.FakeClock()
         self.fleet = _Fleet(clock)
         clock.now_ms += KEEP_MS
-        self.first = self.make("b1")
-        self.second = self.make("e1")
+        self.first = self.make_fixture("b1")
+        self.second = self.make_fixture("e1")
 
-    def make(
+    def make_fixture(
         self, seat: str, script: scripted_endpoint.Script | None = None
     ) -> harness.Harness:
-        made = harness.Harness(
+        fixture = harness.Harness(
             script or scripted_endpoint.whole,
-            guard=_AnyDeadline(self.fleet, seat),
+            guard=_IgnoreDeadlineGuard(self.fleet, seat),
         )
-        made.__enter__()
-        self.addCleanup(made.__exit__, None, None, None)
-        return made
+        fixture.__enter__()
+        self.addCleanup(fixture.__exit__, None, None, None)
+        return fixture
 
     def test_repetition_through_another_host_is_unknown(self) -> None:
-        self.assertEqual(200, self.first.ask("r1").status)
-        reply = self.second.ask("r1")
+        self.assertEqual(200, self.first.send_request("r1").status)
+        reply = self.second.send_request("r1")
         self.assertEqual(504, reply.status)
         self.assertEqual("duplicate-request", reply.headers["X-Reason"])
         self.assertEqual([], self.second.seen())
 
     def test_repetition_after_lost_answer_is_not_sent(self) -> None:
-        lossy = self.make(
+        lossy = self.make_fixture(
             "b2", lambda _: scripted_endpoint.Send(b"", reset=True)
         )
-        self.assertEqual(504, lossy.ask("r1").status)
-        self.assertEqual(504, self.second.ask("r1").status)
+        self.assertEqual(504, lossy.send_request("r1").status)
+        self.assertEqual(504, self.second.send_request("r1").status)
         self.assertEqual([], self.second.seen())
 
     def test_request_that_was_not_run_can_be_repeated(self) -> None:
         self.first.endpoints[0].stop_listening()
-        self.assertEqual(503, self.first.ask("r1").status)
-        self.assertEqual(200, self.second.ask("r1").status)
+        self.assertEqual(503, self.first.send_request("r1").status)
+        self.assertEqual(200, self.second.send_request("r1").status)
 
     def test_id_made_by_a_host_cannot_be_reused(self) -> None:
-        issued = self.first.ask().headers["X-Request-Id"]
-        self.assertEqual(504, self.second.ask(issued).status)
+        issued = self.first.send_request().headers["X-Request-Id"]
+        self.assertEqual(504, self.second.send_request(issued).status)
         self.assertEqual([], self.second.seen())
 
     def test_idempotent_repetition_is_run(self) -> None:
-        self.assertEqual(200, self.first.ask("r1", "GET", b"").status)
-        self.assertEqual(200, self.second.ask("r1", "GET", b"").status)
+        self.assertEqual(200, self.first.send_request("r1", "GET", b"").status)
+        self.assertEqual(200, self.second.send_request("r1", "GET", b"").status)
 
     def test_refused_claim_gives_slot_back(self) -> None:
-        self.first.ask("r1")
-        self.second.ask("r1")
+        self.first.send_request("r1")
+        self.second.send_request("r1")
         self.assertEqual(8, self.second.slots.free("ex-0"))
 
 
-class _AnyDeadline:
+class _IgnoreDeadlineGuard:
     """A guard of the fleet, whose clock is not the router's."""
 
     def __init__(self, fleet: _Fleet, seat: str) -> None:
--- a/tests/request/test_overload.py
+++ b/tests/request/test_overload.py
@@ -14,11 +14,11 @@
 
 ENDPOINTS = 2
 SLOTS = 4
-SERVICE_S = 0.1
-CAPACITY = ENDPOINTS * SLOTS / SERVICE_S
+SERVICE_TIME_S = 0.1
+CAPACITY = ENDPOINTS * SLOTS / SERVICE_TIME_S
 CALLERS = 8
-REFUSED_P99_S = 0.05
-GOODPUT = 0.9
+MAX_REFUSAL_P99_S = 0.05
+MIN_GOODPUT_SHARE = 0.9
 
 
 @attrs.frozen
@@ -26,23 +26,23 @@
     """What a caller got, and how long it took."""
 
     outcome: str
-    taken_s: float
+    elapsed_s: float
 
 
 def answer(seen: scripted_endpoint.Seen) -> scripted_endpoint.Send:
-    time.sleep(SERVICE_S)
+    time.sleep(SERVICE_TIME_S)
     return scripted_endpoint.whole(seen)
 
 
-def offer(
-    made: harness.Harness, per_second: float, seconds: float, name: str
+def send_at_rate(
+    fixture: harness.Harness, per_second: float, seconds: float, name: str
 ) -> list[_Reply]:
     """Sends requests at a steady rate, whatever becomes of them."""
     started = time.monotonic()
 
-    def ask(number: int) -> _Reply:
+    def send_request(number: int) -> _Reply:
         asked = time.monotonic()
-        reply = made.ask(
+        reply = fixture.send_request(
             f"{name}{number}",
             "GET",
             b"",
@@ -56,13 +56,13 @@
         for number in range(int(per_second * seconds)):
             due = started + number / per_second
             time.sleep(max(due - time.monotonic(), 0))
-            asked.append(pool.submit(ask, number))
+            asked.append(pool.submit(send_request, number))
         return [one.result() for one in asked]
 
 
 def percentile_99(replies: list[_Reply], outcome: str) -> float:
     """99th percentile of the time taken, of replies with an outcome."""
-    taken = sorted(r.taken_s for r in replies if r.outcome == outcome)
+    taken = sorted(r.elapsed_s for r in replies if r.outcome == outcome)
     return taken[int(len(taken) * 0.99)] if taken else 0.0
 
 
@@ -71,24 +71,28 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.made = harness.Harness(*[answer] * ENDPOINTS, slots=SLOTS)
-        self.made.__enter__()
-        self.addCleanup(self.made.__exit__, None, None, None)
+        self.fixture = harness.Harness(*[answer] * ENDPOINTS, slots=SLOTS)
+        self.fixture.__enter__()
+        self.addCleanup(self.fixture.__exit__, None, None, None)
 
     def test_double_load_keeps_goodput_and_refuses_quickly(self) -> None:
-        offer(self.made, CAPACITY / 2, 1.0, "warm")
+        send_at_rate(self.fixture, CAPACITY / 2, 1.0, "warm")
         seconds = 3.0
-        replies = offer(self.made, CAPACITY * 2, seconds, "over")
+        replies = send_at_rate(self.fixture, CAPACITY * 2, seconds, "over")
         answered = sum(reply.outcome == "answered" for reply in replies)
-        told = collections.Counter(reply.outcome for reply in replies)
+        outcome_counts = collections.Counter(reply.outcome for reply in replies)
         self.assertGreaterEqual(
-            answered, GOODPUT * CAPACITY * seconds, f"goodput: {told}"
+            answered,
+            MIN_GOODPUT_SHARE * CAPACITY * seconds,
+            f"goodput: {outcome_counts}",
         )
-        self.assertLessEqual(percentile_99(replies, "not-run"), REFUSED_P99_S)
-        after = offer(self.made, CAPACITY / 2, 1.0, "after")
+        self.assertLessEqual(
+            percentile_99(replies, "not-run"), MAX_REFUSAL_P99_S
+        )
+        after = send_at_rate(self.fixture, CAPACITY / 2, 1.0, "after")
         self.assertEqual({"answered"}, {reply.outcome for reply in after})
 
     def test_refused_request_reached_no_endpoint(self) -> None:
-        replies = offer(self.made, CAPACITY * 2, 1.0, "over")
+        replies = send_at_rate(self.fixture, CAPACITY * 2, 1.0, "over")
         not_run = sum(reply.outcome == "not-run" for reply in replies)
-        self.assertEqual(len(replies) - not_run, len(set(self.made.seen())))
+        self.assertEqual(len(replies) - not_run, len(set(self.fixture.seen())))
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -49,13 +49,13 @@
 class RouterTest(testtools.TestCase):
     """Outcomes of requests."""
 
-    def make(
+    def make_fixture(
         self, *scripts: scripted_endpoint.Script, **options: Any
     ) -> harness.Harness:
-        made = harness.Harness(*scripts, **options)
-        made.__enter__()
-        self.addCleanup(made.__exit__, None, None, None)
-        return made
+        fixture = harness.Harness(*scripts, **options)
+        fixture.__enter__()
+        self.addCleanup(fixture.__exit__, None, None, None)
+        return fixture
 
     def assert_outcome(
         self, reply: http.HttpReply, status: int, outcome: str
@@ -65,30 +65,32 @@
         )
 
     def test_answer_is_passed_on_with_id(self) -> None:
-        reply = self.make(echo).ask("r1", body=b"mine")
+        reply = self.make_fixture(echo).send_request("r1", body=b"mine")
         self.assert_outcome(reply, 200, "answered")
         self.assertEqual(b"mine", reply.body)
         self.assertEqual("r1", reply.headers["X-Request-Id"])
 
     def test_path_query_and_remaining_time_reach_endpoint(self) -> None:
-        made = self.make(echo)
-        made.ask("r1", timeout_ms=700, target="/services/skyproc/a%2Fb/c?d=%20")
-        seen = made.endpoints[0].seen[0]
+        fixture = self.make_fixture(echo)
+        fixture.send_request(
+            "r1", timeout_ms=700, target="/services/skyproc/a%2Fb/c?d=%20"
+        )
+        seen = fixture.endpoints[0].seen[0]
         self.assertEqual("/a%2Fb/c?d=%20", seen.target)
         self.assertLessEqual(int(seen.headers["x-remaining-ms"]), 700)
         self.assertGreater(int(seen.headers["x-remaining-ms"]), 500)
 
     def test_unknown_service_is_not_run(self) -> None:
-        made = self.make(echo)
-        reply = made.ask(target="/services/nothing")
+        fixture = self.make_fixture(echo)
+        reply = fixture.send_request(target="/services/nothing")
         self.assert_outcome(reply, 404, "not-run")
         self.assertEqual("unknown-service", reply.headers["X-Reason"])
 
     def test_bad_input_is_refused_clearly(self) -> None:
-        made = self.make(echo)
-        self.assert_outcome(made.ask("a b"), 400, "not-run")
-        self.assert_outcome(made.ask("x" * 129), 400, "not-run")
-        reply = made.router.handle(
+        fixture = self.make_fixture(echo)
+        self.assert_outcome(fixture.send_request("a b"), 400, "not-run")
+        self.assert_outcome(fixture.send_request("x" * 129), 400, "not-run")
+        reply = fixture.router.handle(
             http.HttpRequest(
                 "GET",
                 "",
@@ -99,61 +101,69 @@
             )
         )
         self.assert_outcome(reply, 400, "not-run")
-        self.assertEqual([], made.seen())
+        self.assertEqual([], fixture.seen())
 
     def test_too_long_body_is_refused(self) -> None:
-        made = self.make(echo, service=objects.Service(max_body_bytes=3))
-        self.assert_outcome(made.ask(body=b"four"), 413, "not-run")
+        fixture = self.make_fixture(
+            echo, service=objects.Service(max_body_bytes=3)
+        )
+        self.assert_outcome(fixture.send_request(body=b"four"), 413, "not-run")
 
     def test_lost_answer_of_non_idempotent_is_unknown_and_sent_once(
         self,
     ) -> None:
-        made = self.make(reset, reset)
-        reply = made.ask("r1")
+        fixture = self.make_fixture(reset, reset)
+        reply = fixture.send_request("r1")
         self.assert_outcome(reply, 504, "unknown")
-        self.assertEqual(["r1"], made.seen())
+        self.assertEqual(["r1"], fixture.seen())
 
     def test_lost_answer_of_idempotent_is_retried_elsewhere(self) -> None:
-        made = self.make(reset, echo)
+        fixture = self.make_fixture(reset, echo)
         for number in range(4):
-            reply = made.ask(f"r{number}", method="GET", body=b"")
-            if reply.status == 200 and len(made.seen()) > number + 1:
+            reply = fixture.send_request(f"r{number}", method="GET", body=b"")
+            if reply.status == 200 and len(fixture.seen()) > number + 1:
                 break
-        self.assertEqual(1, made.retries(reasons.RetryReason.CONNECTION_LOST))
+        self.assertEqual(
+            1, fixture.retries(reasons.RetryReason.CONNECTION_LOST)
+        )
 
     def test_declined_request_is_retried_even_if_not_idempotent(self) -> None:
-        made = self.make(declined, echo)
-        replies = [made.ask(f"r{number}") for number in range(6)]
+        fixture = self.make_fixture(declined, echo)
+        replies = [fixture.send_request(f"r{number}") for number in range(6)]
         self.assertEqual({200}, {reply.status for reply in replies})
-        self.assertGreater(made.retries(reasons.RetryReason.ENDPOINT_BUSY), 0)
+        self.assertGreater(
+            fixture.retries(reasons.RetryReason.ENDPOINT_BUSY), 0
+        )
 
     def test_declined_everywhere_is_not_run_with_time(self) -> None:
-        made = self.make(declined, declined)
-        reply = made.ask("r1")
+        fixture = self.make_fixture(declined, declined)
+        reply = fixture.send_request("r1")
         self.assert_outcome(reply, 503, "not-run")
         self.assertGreater(int(reply.headers["X-Retry-After-Ms"]), 0)
 
     def test_declined_after_loss_is_unknown(self) -> None:
         def lose_first(seen: Seen) -> Send:
-            return reset(seen) if len(made.seen()) == 1 else declined(seen)
+            return reset(seen) if len(fixture.seen()) == 1 else declined(seen)
 
-        made = self.make(lose_first, lose_first, lose_first)
-        reply = made.ask("r1", method="GET", body=b"")
+        fixture = self.make_fixture(lose_first, lose_first, lose_first)
+        reply = fixture.send_request("r1", method="GET", body=b"")
         self.assert_outcome(reply, 504, "unknown")
 
     def test_retries_stay_within_budget(self) -> None:
-        made = self.make(reset, reset, reset)
+        fixture = self.make_fixture(reset, reset, reset)
         asked = 60
         for number in range(asked):
-            made.ask(f"r{number}", method="GET", body=b"", timeout_ms=400)
-        extra = len(made.seen()) - asked
+            fixture.send_request(
+                f"r{number}", method="GET", body=b"", timeout_ms=400
+            )
+        extra = len(fixture.seen()) - asked
         self.assertLessEqual(extra, asked * 0.1 + 2)
-        self.assertGreater(made.retries(reasons.RetryReason.BUDGET_SPENT), 0)
+        self.assertGreater(fixture.retries(reasons.RetryReason.BUDGET_SPENT), 0)
 
     def test_given_up_request_is_answered_at_once(self) -> None:
-        made = self.make(reset)
+        fixture = self.make_fixture(reset)
         started = time.monotonic()
-        reply = made.ask("r1", timeout_ms=2_000)
+        reply = fixture.send_request("r1", timeout_ms=2_000)
         self.assert_outcome(reply, 504, "unknown")
         self.assertLess(time.monotonic() - started, 0.5)
 
@@ -169,95 +179,101 @@
             running.release()
             return scripted_endpoint.whole(seen)
 
-        made = self.make(count, slots=2)
+        fixture = self.make_fixture(count, slots=2)
         with concurrent.futures.ThreadPoolExecutor(12) as pool:
-            list(pool.map(lambda n: made.ask(f"r{n}"), range(60)))
+            list(pool.map(lambda n: fixture.send_request(f"r{n}"), range(60)))
         self.assertEqual([], over)
-        self.assertEqual(2, made.slots.highest)
+        self.assertEqual(2, fixture.slots.highest)
 
     def test_request_without_slot_says_that_one_is_wanted(self) -> None:
-        made = self.make(echo, slots=0)
-        made.ask("r1")
-        self.assertEqual({"ex-0"}, made.slots.wanted)
+        fixture = self.make_fixture(echo, slots=0)
+        fixture.send_request("r1")
+        self.assertEqual({"ex-0"}, fixture.slots.wanted)
 
     def test_slot_stays_taken_while_lost_request_may_run(self) -> None:
-        made = self.make(slow(0.5), slots=1)
-        self.assert_outcome(made.ask("r1", timeout_ms=100), 504, "unknown")
-        self.assertEqual(0, made.slots.free("ex-0"))
+        fixture = self.make_fixture(slow(0.5), slots=1)
+        self.assert_outcome(
+            fixture.send_request("r1", timeout_ms=100), 504, "unknown"
+        )
+        self.assertEqual(0, fixture.slots.free("ex-0"))
         time.sleep(0.6)
-        self.assertEqual(1, made.slots.free("ex-0"))
+        self.assertEqual(1, fixture.slots.free("ex-0"))
 
     def test_late_idempotent_request_is_hedged(self) -> None:
-        made = self.make(
+        fixture = self.make_fixture(
             slow(0.6), slow(0.0), service=objects.Service(hedge_percentile=95)
         )
         started = time.monotonic()
         for number in range(4):
-            reply = made.ask(f"r{number}", method="GET", body=b"")
+            reply = fixture.send_request(f"r{number}", method="GET", body=b"")
             self.assert_outcome(reply, 200, "answered")
         self.assertLess(time.monotonic() - started, 1.0)
-        self.assertGreater(made.retries(reasons.RetryReason.HEDGED), 0)
-        self.assertGreater(made.retries(reasons.RetryReason.HEDGE_CANCELLED), 0)
+        self.assertGreater(fixture.retries(reasons.RetryReason.HEDGED), 0)
+        self.assertGreater(
+            fixture.retries(reasons.RetryReason.HEDGE_CANCELLED), 0
+        )
 
     def test_loss_of_second_try_is_not_forgotten(self) -> None:
         def lose_first_seen(seen: Seen) -> Send:
             # The first try is declined late, the second one beside it lost.
-            if len(made.seen()) == 1:
+            if len(fixture.seen()) == 1:
                 time.sleep(0.3)
                 return declined(seen)
             return Send(b"", reset=True)
 
-        made = self.make(
+        fixture = self.make_fixture(
             lose_first_seen,
             lose_first_seen,
             service=objects.Service(retry_budget_percent=100),
         )
-        reply = made.ask("r1", method="GET", body=b"", timeout_ms=400)
+        reply = fixture.send_request(
+            "r1", method="GET", body=b"", timeout_ms=400
+        )
         self.assert_outcome(reply, 504, "unknown")
 
     def test_non_idempotent_request_is_never_hedged(self) -> None:
-        made = self.make(
+        fixture = self.make_fixture(
             slow(0.2), slow(0.2), service=objects.Service(hedge_percentile=50)
         )
-        self.assert_outcome(made.ask("r1"), 200, "answered")
-        self.assertEqual(["r1"], made.seen())
+        self.assert_outcome(fixture.send_request("r1"), 200, "answered")
+        self.assertEqual(["r1"], fixture.seen())
 
     def test_each_caller_gets_its_own_answer(self) -> None:
         def jumble(seen: Seen) -> Send:
             time.sleep(hash(seen.request_id) % 7 / 1_000)
             return echo(seen)
 
-        made = self.make(jumble, jumble, jumble, slots=4)
+        fixture = self.make_fixture(jumble, jumble, jumble, slots=4)
 
         def check(number: int) -> bool:
             body = f"body of {number}".encode()
-            reply = made.ask(f"r{number}", body=body)
+            reply = fixture.send_request(f"r{number}", body=body)
             return reply.status == 503 or reply.body == body
 
         with concurrent.futures.ThreadPoolExecutor(16) as pool:
             self.assertTrue(all(pool.map(check, range(300))))
 
     def test_stopping_host_refuses(self) -> None:
-        made = self.make(echo)
-        made.router.stop_accepting()
-        self.assert_outcome(made.ask(), 503, "not-run")
-        self.assertEqual(1, made.refusals(reasons.RefusalReason.STOPPING))
+        fixture = self.make_fixture(echo)
+        fixture.router.stop_accepting()
+        self.assert_outcome(fixture.send_request(), 503, "not-run")
+        self.assertEqual(1, fixture.refusals(reasons.RefusalReason.STOPPING))
 
     def test_refusal_is_journalled(self) -> None:
-        made = self.make(reset)
-        made.ask("r1")
-        decisions = made.journal.about(reasons.Subject.REQUEST, "r1")
+        fixture = self.make_fixture(reset)
+        fixture.send_request("r1")
+        decisions = fixture.journal.about(reasons.Subject.REQUEST, "r1")
         self.assertEqual(["answer-lost"], [d.reason for d in decisions])
 
     def test_forwarded_request_runs_here(self) -> None:
-        made = self.make(echo)
-        reply = made.router.run_forwarded(forward_request("r1"))
+        fixture = self.make_fixture(echo)
+        reply = fixture.router.run_forwarded(forward_request("r1"))
         self.assertEqual(("answered", b"b"), (reply.outcome, reply.body))
         self.assertEqual("r1", reply.request_id)
 
     def test_forwarded_loss_is_unknown(self) -> None:
-        made = self.make(reset)
-        reply = made.router.run_forwarded(forward_request("r1"))
+        fixture = self.make_fixture(reset)
+        reply = fixture.router.run_forwarded(forward_request("r1"))
         self.assertEqual(
             ("unknown", "answer-lost"), (reply.outcome, reply.reason)
         )
@@ -266,36 +282,36 @@
 class LeavingTest(testtools.TestCase):
     """Endpoints that leave get no new requests."""
 
-    def make(
+    def make_fixture(
         self, *scripts: scripted_endpoint.Script, **options: Any
     ) -> harness.Harness:
-        made = harness.Harness(*scripts, **options)
-        made.__enter__()
-        self.addCleanup(made.__exit__, None, None, None)
-        return made
+        fixture = harness.Harness(*scripts, **options)
+        fixture.__enter__()
+        self.addCleanup(fixture.__exit__, None, None, None)
+        return fixture
 
     def test_refusing_endpoint_is_drained_and_comes_back(self) -> None:
-        made = self.make(echo, echo)
-        made.endpoints[0].stop_listening()
+        fixture = self.make_fixture(echo, echo)
+        fixture.endpoints[0].stop_listening()
         for number in range(8):
-            self.assertEqual(200, made.ask(f"r{number}").status)
-        self.assertEqual({"ex-0"}, made.router.leaving_endpoints())
-        self.assertEqual(1, made.retries(reasons.RetryReason.CONNECT_FAILED))
+            self.assertEqual(200, fixture.send_request(f"r{number}").status)
+        self.assertEqual({"ex-0"}, fixture.router.leaving_endpoints())
+        self.assertEqual(1, fixture.retries(reasons.RetryReason.CONNECT_FAILED))
 
     def test_closing_endpoint_is_drained(self) -> None:
-        made = self.make(echo)
-        made.ask("r1")
-        made.endpoints[0].script = lambda seen: scripted_endpoint.whole(
+        fixture = self.make_fixture(echo)
+        fixture.send_request("r1")
+        fixture.endpoints[0].script = lambda seen: scripted_endpoint.whole(
             seen, extra="Connection: close\r\n"
         )
-        made.ask("r2")
-        reply = made.ask("r3")
+        fixture.send_request("r2")
+        reply = fixture.send_request("r3")
         self.assertEqual("no-endpoint", reply.headers["X-Reason"])
-        self.assertEqual(["r1", "r2"], made.seen())
+        self.assertEqual(["r1", "r2"], fixture.seen())
 
     def test_listed_as_leaving_is_drained(self) -> None:
-        made = self.make(echo, echo)
-        made.router.update_host_list(
+        fixture = self.make_fixture(echo, echo)
+        fixture.router.update_host_list(
             hosts.HostList(
                 (
                     hosts.ListedHost(
@@ -310,25 +326,27 @@
             )
         )
         for number in range(6):
-            made.ask(f"r{number}")
-        self.assertEqual([], made.endpoints[0].seen)
+            fixture.send_request(f"r{number}")
+        self.assertEqual([], fixture.endpoints[0].seen)
 
     def test_request_in_progress_finishes(self) -> None:
-        made = self.make(slow(0.2))
+        fixture = self.make_fixture(slow(0.2))
         replies: list[http.HttpReply] = []
-        thread = threading.Thread(target=lambda: replies.append(made.ask()))
+        thread = threading.Thread(
+            target=lambda: replies.append(fixture.send_request())
+        )
         thread.start()
-        while not made.seen():
+        while not fixture.seen():
             time.sleep(0.005)
-        made.source.replace(fakes.make_configuration({}, offset=2))
+        fixture.source.replace(fakes.make_configuration({}, offset=2))
         thread.join()
         self.assertEqual(200, replies[0].status)
 
     def test_removed_service_is_refused(self) -> None:
-        made = self.make(echo)
+        fixture = self.make_fixture(echo)
         new = fakes.make_configuration({}, offset=2)
-        made.source.replace(attrs.evolve(new, services={}))
-        self.assertEqual(404, made.ask().status)
+        fixture.source.replace(attrs.evolve(new, services={}))
+        self.assertEqual(404, fixture.send_request().status)
 
 
 def forward_request(request_id: str) -> ttypes.ForwardRequest:
--- a/tests/request/test_spill.py
+++ b/tests/request/test_spill.py
@@ -36,53 +36,53 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.made = harness.Harness(scripted_endpoint.whole, slots=0)
-        self.made.__enter__()
-        self.addCleanup(self.made.__exit__, None, None, None)
-        self.made.peers.shown = (view(2),)
-        self.made.peers.forward_result = reply("answered")
+        self.fixture = harness.Harness(scripted_endpoint.whole, slots=0)
+        self.fixture.__enter__()
+        self.addCleanup(self.fixture.__exit__, None, None, None)
+        self.fixture.peers.shown = (view(2),)
+        self.fixture.peers.forward_result = reply("answered")
 
     def test_request_without_slot_goes_to_zone_with_spare(self) -> None:
-        answered = self.made.ask("r1", timeout_ms=300)
+        answered = self.fixture.send_request("r1", timeout_ms=300)
         self.assertEqual((200, b"far"), (answered.status, answered.body))
-        self.assertEqual(1, self.made.retries(reasons.RetryReason.SPILLED))
+        self.assertEqual(1, self.fixture.retries(reasons.RetryReason.SPILLED))
 
     def test_remaining_time_is_passed_on(self) -> None:
-        self.made.ask("r1", timeout_ms=300)
-        remaining_ms = self.made.peers.forwarded[0].remaining_ms
+        self.fixture.send_request("r1", timeout_ms=300)
+        remaining_ms = self.fixture.peers.forwarded[0].remaining_ms
         self.assertLess(remaining_ms, 300)
 
     def test_nothing_is_forwarded_without_spare(self) -> None:
         for shown in (view(0), view(2, fakes.ZONE), view(2, reachable=False)):
-            self.made.peers.shown = (shown,)
-            refused = self.made.ask("r1", timeout_ms=10)
+            self.fixture.peers.shown = (shown,)
+            refused = self.fixture.send_request("r1", timeout_ms=10)
             self.assertEqual("not-run", refused.headers["X-Outcome"])
-        self.assertEqual([], self.made.peers.forwarded)
+        self.assertEqual([], self.fixture.peers.forwarded)
 
     def test_refused_by_other_zone_is_not_run_and_pauses(self) -> None:
-        self.made.peers.forward_result = reply("not-run")
+        self.fixture.peers.forward_result = reply("not-run")
         for _ in range(3):
-            refused = self.made.ask("r1", timeout_ms=60)
+            refused = self.fixture.send_request("r1", timeout_ms=60)
             self.assertEqual("not-run", refused.headers["X-Outcome"])
-        self.assertEqual(1, len(self.made.peers.forwarded))
+        self.assertEqual(1, len(self.fixture.peers.forwarded))
 
     def test_lost_reply_is_unknown(self) -> None:
-        self.made.peers.forward_result = result.Err(
+        self.fixture.peers.forward_result = result.Err(
             peers_port.PeerAnswerLost("cut")
         )
-        lost = self.made.ask("r1", timeout_ms=300)
+        lost = self.fixture.send_request("r1", timeout_ms=300)
         self.assertEqual("unknown", lost.headers["X-Outcome"])
 
     def test_reply_for_another_request_is_unknown(self) -> None:
-        self.made.peers.forward_result = reply("answered", "r2")
-        mixed = self.made.ask("r1", timeout_ms=300)
+        self.fixture.peers.forward_result = reply("answered", "r2")
+        mixed = self.fixture.send_request("r1", timeout_ms=300)
         self.assertEqual("unknown", mixed.headers["X-Outcome"])
 
     def test_forwarded_request_never_waits(self) -> None:
         forwarded = ttypes.ForwardRequest(
             "r1", "clerk", fakes.SERVICE, "/", "GET", {}, b"", 1_000, True
         )
-        refused = self.made.router.run_forwarded(forwarded)
+        refused = self.fixture.router.run_forwarded(forwarded)
         self.assertEqual(
             ("not-run", "no-free-slot"), (refused.outcome, refused.reason)
         )
