--- a/src/comfreylatch/_process/routing/__init__.py
+++ b/src/comfreylatch/_process/routing/__init__.py
@@ -1,3 +1,3 @@
-"""Decisions on requests that need the memory of the whole process."""
+"""Routing state that is shared by all requests of a process."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_request/__init__.py
+++ b/src/comfreylatch/_request/__init__.py
@@ -1,3 +1,3 @@
-"""What lives as long as one request or one job attempt."""
+"""Handling of single requests: admission, dispatch, retries, outcomes."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_request/call.py
+++ b/src/comfreylatch/_request/call.py
@@ -1,4 +1,4 @@
-"""A caller's request, as checked and understood."""
+"""Parsing and validation of callers' and forwarded requests."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 
 @attrs.frozen
 class Call:
-    """A request to a service.
+    """A validated request to a service.
 
     Attributes:
-        state: The service.
-        caller: Name of the caller, for fairness.
-        request: What an endpoint shall get.
-        deadline_ms: Monotonic time by which the caller wants the answer.
-        is_own_id: This host made the id, so nobody can have used it before.
+        state: Routing state of the service.
+        caller: Name of the caller, for fair queueing.
+        request: The request to send to an endpoint.
+        deadline_ms: Monotonic time by which the caller expects the answer.
+        is_generated_id: Whether this host generated the id, so that no
+            earlier request can have used it.
     """
 
     state: service_state.ServiceState
@@ -44,7 +45,7 @@
 
     @property
     def needs_claim(self) -> bool:
-        """Whether its id must be claimed before it is sent."""
+        """Whether the id must be claimed before the request is sent."""
         return not self.idempotent and not self.is_generated_id
 
     @property
@@ -54,17 +55,17 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return self.request.idempotent
 
 
 def generate_id() -> str:
-    """A new request id, unlike any other host's."""
+    """Generates a random request id, unique across hosts."""
     return GENERATED_ID_PREFIX + os.urandom(RANDOM_ID_BYTES).hex()
 
 
 def has_generated_format(text: str) -> bool:
-    """Whether an id has the form of those that hosts make."""
+    """Whether an id has the format of the ids that hosts generate."""
     return (
         text.startswith(GENERATED_ID_PREFIX)
         and len(text) == len(GENERATED_ID_PREFIX) + 2 * RANDOM_ID_BYTES
@@ -72,7 +73,7 @@
 
 
 def is_valid_id(text: str) -> bool:
-    """Whether a caller's request id can be used."""
+    """Whether a caller's request id has a valid length and characters."""
     return (
         0 < len(text) <= MAX_ID_LENGTH
         and text.isascii()
@@ -88,7 +89,7 @@
     table: service_state.ServiceTable,
     now_ms: int,
 ) -> result.Result[Call, outcomes.NotRun | outcomes.Unknown]:
-    """Understands a request to `/services/...`."""
+    """Validates a request to `/services/...`."""
     if not is_valid_id(request_id):
         return _bad_request(
             "X-Request-Id must have 1 to 128 printable characters, no spaces"
@@ -99,7 +100,7 @@
         return result.Err(_service_not_found(name, table))
     if len(request.body) > state.service.max_body_bytes:
         sentence = (
-            f"the body has {len(request.body)} bytes; {name} takes "
+            f"the body has {len(request.body)} bytes; {name} accepts up to "
             f"{state.service.max_body_bytes}"
         )
         reason = reasons.RefusalReason.BODY_TOO_LONG
@@ -144,7 +145,7 @@
     table: service_state.ServiceTable,
     now_ms: int,
 ) -> result.Result[Call, outcomes.NotRun]:
-    """Understands a request handed over by another zone's host."""
+    """Validates a request forwarded by another zone's host."""
     state = table.get(forwarded.service_name)
     if state is None:
         return result.Err(_service_not_found(forwarded.service_name, table))
@@ -167,7 +168,7 @@
 
 
 def to_forward_request(call: Call, remaining_ms: int) -> ttypes.ForwardRequest:
-    """The request as handed over to another zone's host."""
+    """Converts a request for forwarding to another zone's host."""
     request = call.request
     return ttypes.ForwardRequest(
         request_id=request.request_id,
@@ -183,12 +184,12 @@
 
 
 def split_target(target: str) -> tuple[str, str]:
-    """Service name and target for the endpoint, from `/services/NAME/REST`."""
+    """Splits `/services/NAME/REST` into service name and endpoint target."""
     if not target.startswith(PATH_PREFIX):
         return "", "/"
-    path, mark, query = target[len(PATH_PREFIX) :].partition("?")
+    path, separator, query = target[len(PATH_PREFIX) :].partition("?")
     name, _, rest = path.partition("/")
-    return name, f"/{rest}{mark}{query}"
+    return name, f"/{rest}{separator}{query}"
 
 
 def _headers_for_endpoint(request: http.HttpRequest) -> dict[str, str]:
@@ -205,11 +206,11 @@
 
 
 def _reused_generated_id() -> outcomes.Unknown:
-    """An id that a host made was used by the request it was made for."""
+    """Refuses a generated id, as the request it was made for has used it."""
     return outcomes.Unknown(
         reasons.RefusalReason.DUPLICATE_REQUEST,
-        "this id was made by an entry host for an earlier request; send a "
-        "request that may be repeated with an id of your own",
+        "this id was generated by an entry host for an earlier request; to "
+        "be able to repeat a request, send it with an id of your own",
     )
 
 
@@ -224,7 +225,7 @@
         )
     return outcomes.NotRun(
         reasons.RefusalReason.UNKNOWN_SERVICE,
-        f"there is no service {name!r}; paths are /services/NAME/REST",
+        f"service {name!r} does not exist; paths are /services/NAME/REST",
     )
 
 
@@ -240,7 +241,7 @@
         return _bad_request(
             "X-Timeout-Ms must be a whole number of milliseconds"
         )
-    # An endpoint's slot is given to others after the longest request.
+    # After the longest allowed request, an endpoint's slot is reassigned.
     return result.Ok(min(int(text), table.longest_timeout_ms))
 
 
--- a/src/comfreylatch/_request/dependencies.py
+++ b/src/comfreylatch/_request/dependencies.py
@@ -1,4 +1,4 @@
-"""What the handling of every request works with."""
+"""Dependencies shared by the handling of all requests."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class DispatchGuard(Protocol):
-    """Lets the id of a non-idempotent request be dispatched once."""
+    """Allows one dispatch of each non-idempotent request id."""
 
     def claim(
         self, request_id: str, deadline_ms: int
     ) -> result.Result[outcomes.Claim, outcomes.NotRun | outcomes.Unknown]:
-        """Marks the id as dispatched; Err holds what the caller is told."""
+        """Marks the id as dispatched; Err holds the outcome for the caller."""
         ...
 
     def release(self, claim: outcomes.Claim) -> None:
-        """Takes back a claim of a request that no endpoint has seen."""
+        """Withdraws the claim of a request that no endpoint has received."""
         ...
 
 
 @attrs.frozen
 class RequestDependencies:
-    """What tries work with; one set for the process."""
+    """Dependencies of request handling, created once per process."""
 
     table: service_state.ServiceTable
     slots: slots_port.SlotLedger
--- a/src/comfreylatch/_request/dispatch_guard.py
+++ b/src/comfreylatch/_request/dispatch_guard.py
@@ -1,12 +1,12 @@
 """At most one dispatch of each non-idempotent request id, over all hosts.
 
-Three seats hold the marks of an id, chosen by rendezvous hashing over the
-seats of all zones, in different zones where there are enough; an id may name
-a zone and is then held by that zone's seats. A host sends
-the request only after a majority of them has granted it the id. Two
-majorities share a holder, and a holder grants an id once, so a repetition
-through any host finds the mark. A holder that has been up for less than the
-time marks are kept grants nothing.
+Three seats store the marks of an id. Rendezvous hashing selects these holders
+from the seats of all zones, in different zones if there are enough; an id that
+names a zone is held by the seats of that zone. A host sends the request only
+after a majority of the holders has granted it the id. Any two majorities share
+a holder, and a holder grants an id once, so a repetition through any host is
+detected. A holder grants nothing until it has been up for as long as marks are
+kept, as it lost the marks of its predecessor.
 """
 
 from __future__ import annotations
@@ -39,20 +39,20 @@
 
 @attrs.frozen
 class Seat:
-    """A place for an entry host, by configuration."""
+    """A configured position of an entry host in a zone."""
 
     name: str
     zone: str
 
 
 def holders_of(request_id: str, seats: tuple[Seat, ...]) -> tuple[str, ...]:
-    """Names of the seats that hold the marks of an id, best first.
+    """Names of the seats that hold the marks of an id, best ranked first.
 
     An id that begins with the name of a zone and `:` is held in that zone
-    alone, so that a zone cut off from the others can go on granting its own.
+    alone, so that a zone partitioned from the others can still grant its own.
     """
-    named = request_id.partition(ZONE_SEPARATOR)[0]
-    in_zone = tuple(seat for seat in seats if seat.zone == named)
+    zone_name = request_id.partition(ZONE_SEPARATOR)[0]
+    in_zone = tuple(seat for seat in seats if seat.zone == zone_name)
     ranked = sorted(
         in_zone or seats,
         key=lambda seat: xxhash.xxh3_64_intdigest(
@@ -79,7 +79,7 @@
 
 @attrs.define(eq=False)
 class _ClaimTally:
-    """What holders have said of one claim."""
+    """Replies of the holders to one claim."""
 
     granted: set[str] = attrs.field(factory=set)
     asked: set[str] = attrs.field(factory=set)
@@ -90,17 +90,17 @@
 
 @final
 class QuorumGuard:
-    """Claims ids at a majority of their holders. Thread-safe.
+    """Claims request ids at a majority of their holders. Thread-safe.
 
     Args:
-        source: Configuration in force; its zones name all seats.
+        source: Configuration in force, which lists the seats of all zones.
         peers: Other seats.
-        marks: The marks this host holds itself.
+        marks: The marks that this host holds.
         seat: This host's seat.
         host_id: Id of this process.
-        clock: Monotonic time.
-        keep_ms: How long marks are kept; a caller must not repeat an id
-            later. Must be well above the longest service timeout.
+        clock: Monotonic clock.
+        keep_ms: Retention time of marks, after which a caller must not repeat
+            an id. Must be well above the longest service timeout.
     """
 
     def __init__(
@@ -137,14 +137,14 @@
         tally = _ClaimTally()
         for holders in self._holder_sets(request_id):
             if not self._claim_majority(claim, holders, deadline_ms, tally):
-                # Those that did not answer are not waited for; a mark left
-                # behind refuses repetitions, which is safe.
+                # Holders that did not answer may keep a mark. It is not
+                # removed: it only refuses repetitions, which is safe.
                 self._release_at(claim, tally.granted)
                 return result.Err(self._refusal(tally))
         return result.Ok(claim)
 
     def release(self, claim: outcomes.Claim) -> None:
-        """Takes back a claim of a request that no endpoint has seen."""
+        """Withdraws the claim of a request that no endpoint has received."""
         holders = {
             seat
             for seats in self._holder_sets(claim.request_id)
@@ -162,9 +162,10 @@
             self._changed_ms = self._clock.monotonic_ms()
 
     def _holder_sets(self, request_id: str) -> list[tuple[str, ...]]:
-        """Sets of holders that must each have a majority for a claim.
+        """Sets of holders, each of which must grant a claim by majority.
 
-        While marks made by the former seats are still kept, theirs count too.
+        After a change of seats, the holders among the previous seats are
+        included for as long as their marks are kept.
         """
         with self._lock:
             seats, previous_seats = self._seats, self._previous_seats
@@ -181,7 +182,7 @@
         deadline_ms: int,
         tally: _ClaimTally,
     ) -> bool:
-        """Asks holders, nearest first, until a majority has granted."""
+        """Asks holders, nearest first, until a majority has granted the id."""
         needed = len(holders) // 2 + 1
         for seat in self._nearest_first(holders):
             if len(tally.granted.intersection(holders)) >= needed:
@@ -247,18 +248,18 @@
         if tally.is_duplicate:
             return outcomes.Unknown(
                 reasons.RefusalReason.DUPLICATE_REQUEST,
-                "a request with this id was sent to an endpoint before",
+                "a request with this id was sent to an endpoint earlier",
             )
         if tally.recently_started:
             return outcomes.NotRun(
                 reasons.RefusalReason.REQUEST_TOO_OLD,
                 f"{', '.join(tally.recently_started)} started too recently to "
-                "tell whether this id was used before",
+                "tell whether this id has been used",
                 self._retry_after_recent_start_ms(),
             )
         return outcomes.NotRun(
             reasons.RefusalReason.GUARD_UNREACHABLE,
-            f"holders of this id can't be reached: "
+            f"can't reach a majority of the holders of this id: "
             f"{', '.join(tally.unreachable) or 'no seats are configured'}",
             RETRY_AFTER_UNREACHABLE_MS,
         )
@@ -282,7 +283,7 @@
         )
 
     def _release_at(self, claim: outcomes.Claim, holders: set[str]) -> None:
-        """Best effort: what is not taken back refuses repetitions."""
+        """Removes marks, best effort; remaining marks refuse repetitions."""
         request = self._mark_request(claim, 0)
         for seat in holders:
             if seat == self._seat:
--- a/src/comfreylatch/_request/outcomes.py
+++ b/src/comfreylatch/_request/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a request, and how a caller or a peer is told."""
+"""Outcomes of requests, and their replies to callers and peers."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 
 @attrs.frozen
 class Answered:
-    """The whole answer of an endpoint.
+    """An endpoint returned a complete answer.
 
     Attributes:
-        endpoint: Name of the endpoint, or of the seat that forwarded it.
+        endpoint: Name of the endpoint, or of the seat that the request was
+            forwarded to.
     """
 
     status: int
@@ -38,12 +39,12 @@
 
 @attrs.frozen
 class NotRun:
-    """No endpoint has seen the request.
+    """No endpoint has run the request.
 
     Attributes:
-        reason: Why.
-        sentence: The same for a person.
-        retry_after_ms: When to come back; 0 when that is of no use.
+        reason: Reason code.
+        sentence: The reason as a sentence for people.
+        retry_after_ms: Time until a retry is useful; 0 when it never is.
     """
 
     reason: reasons.RefusalReason
@@ -62,10 +63,10 @@
 
 @attrs.frozen
 class Claim:
-    """The right to dispatch an id.
+    """The exclusive right to dispatch a request id.
 
     Attributes:
-        claimant: Names this one claim among all hosts and times.
+        claimant: Identifies this claim uniquely over all hosts.
     """
 
     request_id: str
@@ -76,7 +77,7 @@
 
 
 def to_http(request_id: str, outcome: RequestOutcome) -> http.HttpReply:
-    """The reply for a caller."""
+    """Converts an outcome to the reply for the caller."""
     match outcome:
         case Answered():
             headers = {
@@ -116,7 +117,7 @@
 def to_forward_reply(
     request_id: str, outcome: RequestOutcome
 ) -> ttypes.ForwardReply:
-    """The reply for the host of another zone."""
+    """Converts an outcome to the reply for another zone's host."""
     match outcome:
         case Answered():
             return ttypes.ForwardReply(
@@ -148,14 +149,14 @@
 def from_forward_reply(
     request_id: str, seat: str, reply: ttypes.ForwardReply
 ) -> RequestOutcome:
-    """What a reply of another zone's host says, checked.
+    """Converts the reply of another zone's host to an outcome.
 
-    Anything that isn't clearly `answered` or `not-run` is unknown.
+    Any reply other than `answered` or `not-run` becomes unknown.
     """
     if reply.request_id != request_id:
         return Unknown(
             reasons.RefusalReason.ANSWER_LOST,
-            f"{seat} replied for another request",
+            f"{seat} replied with the id of another request",
         )
     if reply.outcome == reasons.Outcome.ANSWERED:
         return Answered(reply.status, reply.headers, reply.body, seat)
@@ -174,9 +175,9 @@
 
 
 def _parse_reason(
-    kind: str, otherwise: reasons.RefusalReason
+    text: str, default: reasons.RefusalReason
 ) -> reasons.RefusalReason:
     try:
-        return reasons.RefusalReason(kind)
+        return reasons.RefusalReason(text)
     except ValueError:
-        return otherwise
+        return default
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -1,8 +1,8 @@
-"""The tries of one request on this zone's endpoints.
+"""Dispatch of one request to this zone's endpoints, with retries and hedges.
 
-A try that was lost after sending makes the request `unknown` unless it is
-idempotent and a later try is answered. `not-run` is said only while no try
-was sent, or each was declined by its endpoint.
+A try that is lost after sending makes the outcome `unknown`, unless the
+request is idempotent and a later try is answered. The outcome is `not-run`
+only if no try was sent or each one was declined by its endpoint.
 """
 
 from __future__ import annotations
@@ -27,6 +27,7 @@
 from comfreylatch._request import try_observer
 
 MAX_TRIES = 4
+# Share of the remaining time after which a hedge is sent at the latest.
 HEDGE_DEADLINE_SHARE = 0.5
 MIN_HEDGE_DELAY_MS = 2
 
@@ -53,15 +54,15 @@
 
 @final
 class RequestDispatch:
-    """Runs one request; made anew for each.
+    """Runs one request. Each request gets an instance of its own.
 
     Args:
-        parts: What tries work with.
+        deps: Dependencies of request handling.
         call: The request.
-        is_claimed: Its id was claimed by another host.
-        overflow: Asked once, when the request would have to wait; may run it
-            elsewhere and return its outcome.
-        may_wait: Whether it may wait for a slot.
+        is_claimed: Whether another host has claimed its id already.
+        spill_handler: Called once, if the request would have to wait; may
+            run it in another zone and return its outcome.
+        may_wait: Whether the request may wait for a slot.
     """
 
     def __init__(
@@ -88,48 +89,48 @@
         self._answered_by = ""
 
     def run(self) -> outcomes.RequestOutcome:
-        """Tries until there is an answer or no further try is allowed."""
+        """Tries endpoints until one answers or no further try is allowed."""
         self._state.budget.earn()
         endpoint = self._state.queue.try_acquire(self._take_slot)
         if endpoint is None and self._spill_handler is not None:
-            elsewhere = self._spill_handler(self._call)
-            if elsewhere is not None:
-                return elsewhere
+            spilled_outcome = self._spill_handler(self._call)
+            if spilled_outcome is not None:
+                return spilled_outcome
         return self._run_tries(endpoint)
 
     def _run_tries(self, endpoint: str | None) -> outcomes.RequestOutcome:
-        """Tries an endpoint whose slot is taken, then others in turn."""
+        """Tries an endpoint whose slot is taken, then others one by one."""
         while True:
             if endpoint is None:
                 match self._wait_for_slot():
-                    case result.Ok(entered):
-                        endpoint = entered
-                    case result.Err(shed):
-                        return self._end_refused(shed)
+                    case result.Ok(granted):
+                        endpoint = granted
+                    case result.Err(refusal):
+                        return self._outcome_of_refusal(refusal)
             refused = self._claim_id(endpoint)
             if refused is not None:
                 return refused
-            tried = self._try_endpoint(endpoint)
-            if isinstance(tried, result.Ok):
-                answer = tried.ok_value
+            try_result = self._try_endpoint(endpoint)
+            if isinstance(try_result, result.Ok):
+                answer = try_result.ok_value
                 return outcomes.Answered(
                     answer.status,
                     answer.headers,
                     answer.body,
                     self._answered_by,
                 )
-            ended = self._after_failure(endpoint, tried.err_value)
-            if ended is not None:
-                return ended
+            outcome = self._after_failure(endpoint, try_result.err_value)
+            if outcome is not None:
+                return outcome
             endpoint = None
 
     def _wait_for_slot(self) -> result.Result[str, admission.Refusal]:
-        """Waits for a slot of an endpoint."""
+        """Waits for a slot and returns the name of its endpoint."""
         if not self._state.usable:
             return result.Err(
                 admission.Refusal(
                     reasons.RefusalReason.NO_ENDPOINT,
-                    f"{self._state.name} has no endpoint here that stays",
+                    f"{self._state.name} has no usable endpoint in this zone",
                     admission.MAX_RETRY_AFTER_MS // 10,
                 )
             )
@@ -143,7 +144,7 @@
         return self._state.queue.acquire(slot_request)
 
     def _take_slot(self) -> str | None:
-        """Takes a slot of the best endpoint, if one has a free slot."""
+        """Takes a slot of the best endpoint; None if no slot is free."""
         state = self._state
         slots = self._deps.slots
         endpoint = state.picker.pick(
@@ -159,8 +160,8 @@
                 slots.want(self._deps.rng.choice(state.usable))
             return None
         hold_ms = shares.MAX_SEND_DELAY_MS + self._deps.table.max_request_ms
-        # Read first, so that a pause in between can't make the slot look
-        # younger than its ledger counts it.
+        # The clock is read before the slot is taken. Otherwise, after a pause
+        # in between, the slot would seem younger than in its ledger.
         now_ms = self._deps.clock.monotonic_ms()
         if not slots.try_take(endpoint, hold_ms):
             return None
@@ -171,7 +172,7 @@
     def _claim_id(
         self, endpoint: str
     ) -> outcomes.NotRun | outcomes.Unknown | None:
-        """Claims the id before its first try, if it can have been used."""
+        """Claims the id before the first try, if it needs a claim."""
         if self._guard is None or self._claim is not None:
             return None
         deadline_ms = self._call.deadline_ms
@@ -190,26 +191,26 @@
                 return refused
 
     def _make_slot_release(self, endpoint: str) -> Callable[[], None]:
-        """What is to be done when the request in a taken slot has ended."""
+        """Returns a callback that frees the slot when its request has ended."""
         state = self._state
         slots = self._deps.slots
         clock = self._deps.clock
         slot_taken_ms = self._slot_taken_ms
 
-        def ended() -> None:
+        def release_slot() -> None:
             state.stats.record_end(endpoint, slot_taken_ms)
             state.queue.record_release(clock.monotonic_ms() - slot_taken_ms)
             slots.give_back(endpoint)
 
-        return ended
+        return release_slot
 
     def _try_endpoint(self, endpoint: str) -> exchange.TryResult:
-        """One try, with a second one beside it if the answer is late."""
-        begun = self._send_try(endpoint)
-        if isinstance(begun, result.Err):
-            self._observer.record_failure(endpoint, begun.err_value, 0.0)
-            return result.Err(begun.err_value)
-        sent = begun.ok_value
+        """Runs one try, with a hedge if the answer is late."""
+        sent_result = self._send_try(endpoint)
+        if isinstance(sent_result, result.Err):
+            self._observer.record_failure(endpoint, sent_result.err_value, 0.0)
+            return result.Err(sent_result.err_value)
+        sent = sent_result.ok_value
         if not self._call.idempotent:
             return self._finish(sent)
         hedge = self._await_or_hedge(sent)
@@ -230,20 +231,20 @@
             hold_until_ms=send_by_ms + deps.table.max_request_ms,
             max_connections=deps.slots.connection_share(endpoint),
         )
-        begun = deps.client.begin(
+        sent_result = deps.client.begin(
             self._state.addresses.get(endpoint, ""),
             self._call.request,
             limits,
             self._make_slot_release(endpoint),
         )
-        return begun.map(
+        return sent_result.map(
             lambda pending: sent_try.SentTry(endpoint, pending, started_s)
         )
 
     def _finish(self, sent: sent_try.SentTry) -> exchange.TryResult:
-        """Waits for the answer to a try and learns from it."""
-        tried = sent.pending.finish()
-        match tried:
+        """Waits for the answer to a try and records the result."""
+        try_result = sent.pending.finish()
+        match try_result:
             case result.Ok(answer):
                 self._answered_by = sent.endpoint
                 self._observer.record_answer(
@@ -253,12 +254,12 @@
                 self._observer.record_failure(
                     sent.endpoint, error, sent.elapsed_ms
                 )
-        return tried
+        return try_result
 
     def _await_or_hedge(
         self, sent: sent_try.SentTry
     ) -> sent_try.SentTry | None:
-        """Waits for the first byte; sends a second try if it is late."""
+        """Waits for the first byte; sends a hedge if it is late."""
         wait_ms = self._hedge_delay_ms()
         if sent_try.first_readable([sent], wait_ms):
             return None
@@ -280,52 +281,52 @@
             f"{sent.endpoint} had not answered after {wait_ms:.0f} ms; "
             f"also sent to {endpoint}",
         )
-        begun = self._send_try(endpoint)
-        if isinstance(begun, result.Err):
-            self._observer.record_failure(endpoint, begun.err_value, 0.0)
-            self._record_loss(begun.err_value)
+        sent_result = self._send_try(endpoint)
+        if isinstance(sent_result, result.Err):
+            self._observer.record_failure(endpoint, sent_result.err_value, 0.0)
+            self._record_loss(sent_result.err_value)
             return None
-        return begun.ok_value
+        return sent_result.ok_value
 
     def _hedge_delay_ms(self) -> float:
-        late_ms = self._remaining_ms() * HEDGE_DEADLINE_SHARE
+        max_delay_ms = self._remaining_ms() * HEDGE_DEADLINE_SHARE
         if self._state.service.hedge_percentile == 0:
-            return late_ms
-        usual_ms = self._state.hedge_quantile.estimate_ms
-        return min(max(usual_ms, MIN_HEDGE_DELAY_MS), late_ms)
+            return max_delay_ms
+        quantile_ms = self._state.hedge_quantile.estimate_ms
+        return min(max(quantile_ms, MIN_HEDGE_DELAY_MS), max_delay_ms)
 
     def _await_first(
         self, first: sent_try.SentTry, second: sent_try.SentTry
     ) -> exchange.TryResult:
-        """The answer of whichever try answers first; the other is left."""
+        """Returns the answer that arrives first and abandons the other try."""
         ready = sent_try.first_readable([first, second], self._remaining_ms())
         winner = ready or first
-        other = second if winner is first else first
-        tried = self._finish(winner)
-        if tried.is_ok():
-            other.pending.abandon()
-            self._state.stats.record_inconclusive(other.endpoint)
+        loser = second if winner is first else first
+        try_result = self._finish(winner)
+        if try_result.is_ok():
+            loser.pending.abandon()
+            self._state.stats.record_inconclusive(loser.endpoint)
             self._count_retry(reasons.RetryReason.HEDGE_CANCELLED)
-            return tried
-        self._record_loss(tried.err_value)
-        return self._finish(other)
+            return try_result
+        self._record_loss(try_result.err_value)
+        return self._finish(loser)
 
     def _record_loss(self, error: exchange.EndpointError) -> None:
-        """Remembers that an endpoint may have seen the request."""
+        """Records that an endpoint may have run the request."""
         if isinstance(error, exchange.LostAfterSend):
             self._last_loss = error
 
     def _after_failure(
         self, endpoint: str, error: exchange.EndpointError
     ) -> outcomes.RequestOutcome | None:
-        """The final outcome after a failed try; None for another try."""
+        """Returns the outcome after a failed try, or None to try again."""
         match error:
             case exchange.NotSent(exchange.SendFailure.DEADLINE_PASSED, detail):
                 reason = reasons.RefusalReason.DEADLINE_PASSED
-                return self._end_unanswered(reason, detail, 0)
+                return self._outcome_without_answer(reason, detail, 0)
             case exchange.NotSent(exchange.SendFailure.BAD_REQUEST, detail):
                 reason = reasons.RefusalReason.BAD_REQUEST
-                return self._end_unanswered(reason, detail, 0)
+                return self._outcome_without_answer(reason, detail, 0)
             case exchange.NotSent(failure, detail):
                 retry_reason = _RETRY_REASON_BY_FAILURE.get(
                     failure, reasons.RetryReason.CONNECT_FAILED
@@ -337,24 +338,26 @@
             case exchange.LostAfterSend(loss, detail):
                 self._last_loss = error
                 if not self._call.idempotent:
-                    return self._end_unknown(f"{endpoint}: {loss}: {detail}")
+                    return self._unknown_outcome(
+                        f"{endpoint}: {loss}: {detail}"
+                    )
                 lost = _RETRY_REASON_BY_LOSS[loss]
                 return self._retry(endpoint, lost, detail)
 
     def _retry(
         self, endpoint: str, reason: reasons.RetryReason, detail: str
     ) -> outcomes.RequestOutcome | None:
-        """Allows one more try, or says why there is none."""
+        """Returns None if one more try is allowed, else the outcome."""
         sentence = f"{endpoint}: {detail}"
         remaining_ms = self._remaining_ms()
         if remaining_ms <= 0:
             passed = reasons.RefusalReason.DEADLINE_PASSED
-            return self._end_unanswered(passed, sentence, 0)
+            return self._outcome_without_answer(passed, sentence, 0)
         is_spent = self._tries >= MAX_TRIES
         if is_spent or not self._state.budget.try_spend():
             self._count_retry(reasons.RetryReason.BUDGET_SPENT)
             spent = reasons.RefusalReason.RETRIES_SPENT
-            return self._end_unanswered(
+            return self._outcome_without_answer(
                 spent, sentence, self._state.queue.retry_after_ms()
             )
         self._tried_endpoints |= {endpoint}
@@ -364,29 +367,29 @@
             time.sleep(min(pause_ms, remaining_ms) / 1_000)
         return None
 
-    def _end_refused(
+    def _outcome_of_refusal(
         self, refused: admission.Refusal
     ) -> outcomes.RequestOutcome:
-        return self._end_unanswered(
+        return self._outcome_without_answer(
             refused.reason, refused.sentence, refused.retry_after_ms
         )
 
-    def _end_unanswered(
+    def _outcome_without_answer(
         self,
         reason: reasons.RefusalReason,
         sentence: str,
         retry_after_ms: int,
     ) -> outcomes.RequestOutcome:
-        """`not-run` if no endpoint has seen the request, else `unknown`."""
+        """Returns `unknown` after a lost try, else `not-run`."""
         if self._last_loss is not None:
-            return self._end_unknown(
+            return self._unknown_outcome(
                 f"{self._last_loss.detail}; then: {sentence}"
             )
         if self._claim is not None and self._guard is not None:
             self._guard.release(self._claim)
         return outcomes.NotRun(reason, sentence, retry_after_ms)
 
-    def _end_unknown(self, sentence: str) -> outcomes.Unknown:
+    def _unknown_outcome(self, sentence: str) -> outcomes.Unknown:
         return outcomes.Unknown(
             reasons.RefusalReason.ANSWER_LOST,
             sentence,
@@ -407,5 +410,5 @@
             reasons.Subject.REQUEST,
             self._call.request_id,
             reason.value,
-            f"tried again: {sentence}",
+            f"retried: {sentence}",
         )
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -1,4 +1,4 @@
-"""Callers' requests, from arrival to the reply."""
+"""Routing of callers' requests, from arrival to the reply."""
 
 from __future__ import annotations
 
@@ -43,21 +43,22 @@
 
 @final
 class RequestRouter:
-    """Routes requests to endpoints of this zone, or to other zones' hosts.
+    """Routes requests to endpoints of this zone, or to hosts of other zones.
 
-    A context manager: a thread looks after leaving endpoints while it is open.
+    Entering the context starts a thread that probes leaving endpoints and
+    trims connections; leaving it stops the thread.
 
     Args:
         source: Configuration in force.
-        slots: This host's part of the endpoints' limits.
-        client: Sends single tries.
+        slots: This host's share of the endpoints' limits.
+        client: Sends single tries to endpoints.
         peers: Other entry hosts.
         metrics: Counts outcomes, refusals and retries by reason.
-        journal: Keeps the reasons for `explain`.
-        clock: Monotonic time.
-        settings: Seat, zone, threads and routing policy.
-        seed: Seed of all random choices.
-        guard: Lets non-idempotent ids be dispatched once.
+        journal: Stores the decisions shown by `explain`.
+        clock: Monotonic clock.
+        settings: Seat, zone, thread count and routing policy.
+        seed: Seed of the random number generator of routing.
+        guard: Allows one dispatch of each non-idempotent request id.
     """
 
     def __init__(
@@ -116,7 +117,7 @@
         self._upkeep_thread.join()
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers a caller's request to `/services/...`."""
+        """Handles a caller's request to `/services/...`."""
         started_s = time.monotonic()
         given_id = request.headers.get("x-request-id")
         request_id = call_module.generate_id() if given_id is None else given_id
@@ -141,7 +142,7 @@
     def run_forwarded(
         self, request: ttypes.ForwardRequest
     ) -> ttypes.ForwardReply:
-        """Runs a request handed over by a host of another zone."""
+        """Runs a request forwarded by a host of another zone."""
         started_s = time.monotonic()
         parsed = call_module.from_forward_request(
             request, self._table, self._deps.clock.monotonic_ms()
@@ -157,19 +158,19 @@
         return outcomes.to_forward_reply(request.request_id, outcome)
 
     def stop_accepting(self) -> None:
-        """Refuses every new request; those in progress go on."""
+        """Refuses every new request; requests in progress continue."""
         self._stopping.set()
 
-    def update_host_list(self, listed: hosts.HostList) -> None:
-        """Takes the platform's list of hosts, as often as it is fetched."""
-        self._drain(self._table.leaving.update_host_list(listed), "listed")
+    def update_host_list(self, host_list: hosts.HostList) -> None:
+        """Drains the endpoints that the platform's host list shows leaving."""
+        self._drain(self._table.leaving.update_host_list(host_list), "listed")
 
     def leaving_endpoints(self) -> frozenset[str]:
-        """Endpoints this host has seen leave, for its heartbeats."""
+        """Endpoints that this host itself observed leaving, for heartbeats."""
         return self._table.leaving.observed
 
     def spare_slots(self) -> dict[str, int]:
-        """Slots other zones may use now, by service, for heartbeats."""
+        """Slots by service that other zones may use now, for heartbeats."""
         free = self._deps.slots.free
         return {
             state.name: int(
@@ -184,7 +185,7 @@
         return self._table.all()
 
     def _run(self, call: call_module.Call) -> outcomes.RequestOutcome:
-        """Runs a request here, or in another zone that can do it sooner."""
+        """Runs a request here, or in another zone that can answer it sooner."""
         outcome = self._run_in_zone(call, is_forwarded=False)
         return self._spill.forward_after_refusal(call, outcome) or outcome
 
@@ -195,19 +196,19 @@
         if self._stopping.is_set():
             return outcomes.NotRun(
                 reasons.RefusalReason.STOPPING,
-                "this host is stopping; ask again through another one",
+                "this host is stopping; retry through another one",
                 RETRY_AFTER_STOP_MS,
             )
         name = call.state.name
         if not self._threads.try_acquire(name, call.state.weight_share):
             return outcomes.NotRun(
                 reasons.RefusalReason.NO_FREE_THREAD,
-                "this host has as many requests in progress as it takes",
+                "this host has as many requests in progress as it can handle",
                 max(call.state.queue.retry_after_ms(), RETRY_AFTER_BUSY_MS),
             )
         try:
-            # Its id was claimed by the host that forwarded it, for which only
-            # a slot that is free now is of use.
+            # The forwarding host has claimed the id already. It can use only
+            # a slot that is free now.
             return request_dispatch.RequestDispatch(
                 self._deps,
                 call,
@@ -227,7 +228,7 @@
         outcome: outcomes.RequestOutcome,
         started_s: float,
     ) -> None:
-        """Counts and journals what became of a request."""
+        """Records the outcome of a request in metrics and journal."""
         metrics = self._deps.metrics
         elapsed_us = int((time.monotonic() - started_s) * 1_000_000)
         metrics.observe(metrics_module.Latency.REQUEST, elapsed_us, service)
@@ -268,15 +269,16 @@
                 _log.exception("router-upkeep-failed")
 
     def _apply_peer_reports(self) -> None:
-        seen = frozenset[str]().union(
+        reported = frozenset[str]().union(
             *(view.leaving_endpoints for view in self._peers.views())
         )
         self._drain(
-            self._table.leaving.update_peer_reports(seen), "seen by a peer"
+            self._table.leaving.update_peer_reports(reported),
+            "reported by a peer",
         )
 
     def _probe_leaving(self) -> None:
-        """Tries connections to endpoints that refused them, in turn."""
+        """Probes endpoints marked as leaving with a plain connection."""
         addresses = {
             endpoint: address
             for state in self._table.all()
@@ -288,10 +290,10 @@
                 continue
             self._table.leaving.record_accepted_connection(endpoint)
             self._table.update_usable()
-            self._journal_endpoint(endpoint, "back", "takes connections again")
+            self._journal_endpoint(endpoint, "back", "accepts connections")
 
     def _trim_connections(self) -> None:
-        """Closes connections that a smaller share no longer allows."""
+        """Closes connections in excess of this host's current share."""
         share = self._deps.slots.connection_share
         self._deps.client.trim(
             {
--- a/src/comfreylatch/_request/sent_try.py
+++ b/src/comfreylatch/_request/sent_try.py
@@ -1,4 +1,4 @@
-"""A try of a request that was sent, as the request's handler sees it."""
+"""Tries that were sent, and waiting for the first answer among them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class SentTry:
-    """A try that was sent."""
+    """A try that was sent to an endpoint and awaits its answer."""
 
     endpoint: str
     pending: pending_answer.PendingAnswer
@@ -21,16 +21,16 @@
 
     @property
     def elapsed_ms(self) -> float:
-        """Time since it was begun."""
+        """Time since the try was started."""
         return (time.monotonic() - self.started_s) * 1_000
 
 
 def first_readable(
     sent: Sequence[SentTry], timeout_ms: float
 ) -> SentTry | None:
-    """The first try whose answer begins to arrive; None when none does."""
+    """Returns the first try whose answer arrives, or None on timeout."""
     poll = select.poll()
-    by_descriptor = {one.pending.fileno(): one for one in sent}
+    by_descriptor = {each.pending.fileno(): each for each in sent}
     for descriptor in by_descriptor:
         poll.register(descriptor, select.POLLIN)
     ready = poll.poll(max(timeout_ms, 0))
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -1,8 +1,9 @@
-"""Handing requests to other zones' hosts when this zone has no slot.
+"""Forwarding of requests to other zones' hosts when this zone has no slot.
 
-Own endpoints come first. A request goes to another zone when it would have to
-wait here for longer than the other zone has lately taken, or was refused for
-want of a slot, and a host there has reported spare slots.
+Endpoints of this zone come first. A request is forwarded when a host of
+another zone has reported spare slots, and the request was refused here for
+lack of capacity or would wait here for longer than the other zone has
+recently taken to answer.
 """
 
 from __future__ import annotations
@@ -23,8 +24,10 @@
 from comfreylatch._request import dependencies as dependencies_module
 from comfreylatch._request import outcomes
 
+# Assumed network time to another zone, before the first measured request.
 INITIAL_NETWORK_MS = 15.0
 ROUND_TRIP_SMOOTHING = 0.1
+# Part of the remaining time that is kept for the reply's way back.
 FORWARD_MARGIN_MS = 5
 ROUTE_PAUSE_MS = 500
 
@@ -39,13 +42,14 @@
 
 @attrs.define(eq=False)
 class _Route:
-    """What is known of one seat for one service.
+    """Forwarding state of one seat for one service.
 
     Attributes:
-        taken_ms: Smoothed time of a forwarded request, with its network.
-        in_flight: Requests forwarded and not replied to.
+        round_trip_ms: Smoothed time of a forwarded request, including the
+            network; negative before the first.
+        in_flight: Forwarded requests that have no reply yet.
         paused_until_ms: Monotonic time until which nothing is forwarded,
-            after the seat had no slot in spite of its report.
+            after the seat had no slot despite its report or did not reply.
     """
 
     round_trip_ms: float = -1.0
@@ -73,33 +77,33 @@
     def forward_before_waiting(
         self, call: call_module.Call
     ) -> outcomes.RequestOutcome | None:
-        """Forwards a request that would wait longer here; None if not."""
+        """Forwards a request that would wait longer here, else None."""
         queue = call.state.queue
         if queue.in_flight == 0:
-            # No slot here can become free; `forward_after_refusal` handles
-            # the request after its refusal.
+            # No slot here can become free; the request will be refused and
+            # then passed to `forward_after_refusal`.
             return None
-        return self._forward_within(call, queue.expected_answer_ms())
+        return self._forward_if_faster(call, queue.expected_answer_ms())
 
     def forward_after_refusal(
         self, call: call_module.Call, outcome: outcomes.RequestOutcome
     ) -> outcomes.RequestOutcome | None:
-        """Forwards a request refused here for want of a slot; None if not."""
+        """Forwards a request refused for lack of capacity, else None."""
         match outcome:
             case outcomes.NotRun(reason) if reason in _CAPACITY_REASONS:
                 remaining_ms = (
                     call.deadline_ms - self._deps.clock.monotonic_ms()
                 )
-                return self._forward_within(call, remaining_ms)
+                return self._forward_if_faster(call, remaining_ms)
             case _:
                 return None
 
-    def _forward_within(
-        self, call: call_module.Call, within_ms: float
+    def _forward_if_faster(
+        self, call: call_module.Call, max_round_trip_ms: float
     ) -> outcomes.RequestOutcome | None:
         if not self._is_enabled:
             return None
-        seat = self._reserve_seat(call, within_ms)
+        seat = self._reserve_seat(call, max_round_trip_ms)
         if seat is None:
             return None
         try:
@@ -109,20 +113,20 @@
                 self._route(seat, call).in_flight -= 1
 
     def _reserve_seat(
-        self, call: call_module.Call, within_ms: float
+        self, call: call_module.Call, max_round_trip_ms: float
     ) -> str | None:
-        """The seat expected to answer first, if that is soon enough."""
+        """Counts the request on the fastest seat, if it is fast enough."""
         best: str | None = None
-        best_ms = within_ms
+        best_ms = max_round_trip_ms
         now_ms = self._deps.clock.monotonic_ms()
-        usual_ms = call.state.queue.mean_hold_ms
+        mean_hold_ms = call.state.queue.mean_hold_ms
         with self._lock:
             for view in self._peers.views():
                 if not self._is_usable(view, call, now_ms):
                     continue
                 route = self._route(view.seat, call)
                 if route.round_trip_ms < 0:
-                    route.round_trip_ms = usual_ms + INITIAL_NETWORK_MS
+                    route.round_trip_ms = mean_hold_ms + INITIAL_NETWORK_MS
                 if route.round_trip_ms < best_ms:
                     best = view.seat
                     best_ms = route.round_trip_ms
@@ -160,7 +164,7 @@
     def _forward(
         self, call: call_module.Call, seat: str
     ) -> outcomes.RequestOutcome | None:
-        """The other host's outcome; None when nothing was run there."""
+        """Returns the other host's outcome, or None if it ran nothing."""
         now_ms = self._deps.clock.monotonic_ms()
         remaining_ms = call.deadline_ms - now_ms
         if remaining_ms <= FORWARD_MARGIN_MS:
@@ -204,5 +208,5 @@
             reasons.Subject.REQUEST,
             call.request_id,
             reason.value,
-            f"no slot is free in this zone; handed to {seat}",
+            f"no slot is free in this zone; forwarded to {seat}",
         )
--- a/src/comfreylatch/_request/try_observer.py
+++ b/src/comfreylatch/_request/try_observer.py
@@ -1,4 +1,4 @@
-"""What each try teaches about its endpoint."""
+"""Updates of endpoint statistics from the results of tries."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @final
 class TryObserver:
-    """Turns ends of tries into statistics, ejections and leaving marks."""
+    """Updates statistics, ejections and leaving endpoints after each try."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         answer: exchange.EndpointAnswer,
         elapsed_ms: float,
     ) -> None:
-        """Learns from a whole answer."""
+        """Records a complete answer."""
         state = self._state
         state.hedge_quantile.add(elapsed_ms)
         self._deps.metrics.observe(
@@ -53,7 +53,7 @@
         error: exchange.EndpointError,
         elapsed_ms: float,
     ) -> None:
-        """Learns from a failed try, if it says something of the endpoint."""
+        """Records a failed try, if the failure is one of the endpoint."""
         stats = self._state.stats
         match error:
             case exchange.NotSent(exchange.SendFailure.CONNECT_REFUSED, detail):
@@ -85,7 +85,7 @@
     ) -> None:
         stats = self._state.stats
         usual_ms = stats.get(endpoint).latency_ms
-        # A caller in a hurry says nothing of the endpoint.
+        # A caller's short timeout is no evidence of a slow endpoint.
         is_short_timeout = loss == exchange.Loss.TIMED_OUT and (
             elapsed_ms < usual_ms * endpoint_stats.EJECT_LATENCY_RATIO
         )
