--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -1,11 +1,11 @@
-"""Which requests wait for a slot, which go next, and which are refused.
-
-A request waits only while it can still be answered in time: its place in the
-queue divided by the measured drain rate, plus the usual time of an answer,
-must fit its deadline. It must also fit the service's target, as a longer
-queue gives no more answers, only later ones. Callers of a service take turns,
-so that one with many requests delays itself and not the others. Services
-share the host's threads by weight.
+"""Admission control: queueing, fair ordering and refusal of requests.
+
+A request waits only while it can still be answered in time: its position in
+the queue divided by the measured drain rate, plus the usual answer time, must
+fit its deadline. It must also fit the latency target of the service, as a
+longer queue gives no more answers, only later ones. Callers of a service are
+served round-robin, so that a caller with many requests delays only its own.
+Services share the host's request threads by weight.
 """
 
 from __future__ import annotations
@@ -25,7 +25,9 @@
 INITIAL_HOLD_MS = 20.0
 HOLD_SMOOTHING = 0.05
 ANSWER_PERCENTILE = 90
+# Lower bound of the latency target, in usual answer times.
 MIN_TARGET_ANSWER_TIMES = 2
+# Requests by which a backlog must be longer to let another caller precede.
 MIN_BACKLOG_LEAD = 2
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 10_000
@@ -33,18 +35,19 @@
 DEFAULT_TARGET_MS = 3_600_000
 WAIT_RECHECK_INTERVAL_MS = 200
 REFUSAL_THREADS = 8
-# Part of the other services' threads that a service over its share can't take.
+# Share of the other services' threads that a service above its own share
+# can't use.
 RESERVED_SHARE_OF_OTHERS = 0.25
 
 
 @attrs.frozen
 class Refusal:
-    """A request is not let in.
+    """Refusal of a request.
 
     Attributes:
-        reason: Why.
-        sentence: The same with the figures that decided.
-        retry_after_ms: When a slot is likely to be had.
+        reason: Reason code.
+        sentence: The reason as a sentence, with the deciding figures.
+        retry_after_ms: Time until a slot is likely to be free.
     """
 
     reason: reasons.RefusalReason
@@ -54,15 +57,16 @@
 
 @attrs.frozen
 class SlotRequest:
-    """A request that asks for a slot.
+    """A request for a slot.
 
     Attributes:
-        caller: Who sent it.
-        deadline_ms: Monotonic time by which its answer must be back.
-        pick: Takes a slot and returns its endpoint, or None. Called under
-            the queue's lock, so it must not block.
-        is_retry: It has waited its turn before.
-        may_wait: Whether it may wait, or takes a slot that is free now.
+        caller: Name of the caller.
+        deadline_ms: Monotonic time by which the answer must arrive.
+        take_slot: Takes a slot and returns its endpoint, or None. Called
+            under the queue's lock, so it must not block.
+        is_retry: Whether the request was tried before; a retry precedes its
+            caller's other requests.
+        may_wait: Whether it may wait if no slot is free now.
     """
 
     caller: str
@@ -74,16 +78,16 @@
 
 @attrs.define(eq=False)
 class _Waiter:
-    """A waiting request; `woken` tells its thread that `outcome` is set."""
+    """A queued request; `completed` is set together with `outcome`."""
 
     request: SlotRequest
-    woken: threading.Event = attrs.field(factory=threading.Event)
+    completed: threading.Event = attrs.field(factory=threading.Event)
     outcome: result.Result[str, Refusal] | None = None
 
 
 @final
 class ServiceQueue:
-    """The requests of one service that wait for a slot. Thread-safe."""
+    """Queue of one service's requests for slots. Thread-safe."""
 
     def __init__(
         self, clock: clock_port.Clock, target_ms: int = DEFAULT_TARGET_MS
@@ -102,36 +106,36 @@
         )
 
     def set_target(self, target_ms: int) -> None:
-        """Changes the time within which answers shall come."""
+        """Sets the latency target of the service."""
         self._target_ms = target_ms
 
     @property
     def waiting(self) -> int:
-        """Requests that wait for a slot."""
+        """Number of requests that wait for a slot."""
         return self._waiting_count
 
     @property
     def in_flight(self) -> int:
-        """Slots taken by requests of this service."""
+        """Number of slots held by requests of this service."""
         return self._in_flight
 
     def acquire(self, request: SlotRequest) -> result.Result[str, Refusal]:
-        """Waits for a slot; Ok holds the name of its endpoint."""
+        """Waits for a slot and returns the name of its endpoint."""
         with self._lock:
             if self._waiting_count == 0 or request.is_retry:
                 endpoint = request.take_slot()
                 if endpoint is not None:
                     self._in_flight += 1
                     return result.Ok(endpoint)
-            refused = self._admission_refusal(request)
-            if refused is not None:
-                return result.Err(refused)
+            refusal = self._admission_refusal(request)
+            if refusal is not None:
+                return result.Err(refusal)
             waiter = self._enqueue(request)
             self._shed_longest_backlog()
         return self._wait(waiter)
 
     def try_acquire(self, take_slot: Callable[[], str | None]) -> str | None:
-        """Takes a slot that nobody waits for, without waiting."""
+        """Takes a free slot without waiting, unless requests are queued."""
         with self._lock:
             if self._waiting_count:
                 return None
@@ -139,17 +143,17 @@
             self._in_flight += endpoint is not None
             return endpoint
 
-    def record_release(self, held_ms: float) -> None:
-        """Notes that a slot is free again, after it was held for a time."""
+    def record_release(self, hold_ms: float) -> None:
+        """Records that a slot was released, and how long it was held."""
         with self._lock:
             self._in_flight -= 1
             self._mean_hold_ms += HOLD_SMOOTHING * (
-                held_ms - self._mean_hold_ms
+                hold_ms - self._mean_hold_ms
             )
-            self._answer_quantile.add(held_ms)
+            self._answer_quantile.add(hold_ms)
 
     def grant_free_slots(self) -> None:
-        """Gives slots that have become free to those whose turn it is."""
+        """Grants free slots to queued requests, in fair order."""
         if self._waiting_count == 0:
             return
         with self._lock:
@@ -166,16 +170,16 @@
 
     @property
     def mean_hold_ms(self) -> float:
-        """Usual time that a request holds its slot."""
+        """Smoothed time that a request holds its slot."""
         return self._mean_hold_ms
 
     def expected_answer_ms(self) -> float:
-        """Expected time from now to the answer of one more request."""
+        """Expected time until one more request, queued now, is answered."""
         with self._lock:
             return self._wait_ms(self._waiting_count + 1) + self._answer_ms
 
     def retry_after_ms(self) -> int:
-        """When those who wait now will have got a slot, by drain rate."""
+        """Expected time until the queued requests have got their slots."""
         with self._lock:
             return self._bounded_retry_ms(
                 self._wait_ms(self._waiting_count + 1)
@@ -183,20 +187,20 @@
 
     @property
     def _answer_ms(self) -> float:
-        """Time within which most answers come, once a slot is taken."""
+        """Time within which most requests are answered after taking a slot."""
         return max(self._answer_quantile.estimate_ms, self._mean_hold_ms)
 
     def _wait(self, waiter: _Waiter) -> result.Result[str, Refusal]:
-        while not waiter.woken.is_set():
+        while not waiter.completed.is_set():
             remaining_ms = self._remaining_ms(waiter.request) - self._answer_ms
             if remaining_ms <= 0:
                 with self._lock:
                     self._shed_if_late(waiter)
                 continue
-            waiter.woken.wait(
+            waiter.completed.wait(
                 min(remaining_ms, WAIT_RECHECK_INTERVAL_MS) / 1_000
             )
-            # A gain of slots by configuration or loan has no event.
+            # New slots from a configuration change or a loan raise no event.
             self.grant_free_slots()
         assert waiter.outcome is not None
         return waiter.outcome
@@ -205,22 +209,22 @@
         return request.deadline_ms - self._clock.monotonic_ms()
 
     def _shed_if_late(self, waiter: _Waiter) -> bool:
-        """Refuses a waiter that could no longer be answered in time."""
+        """Refuses a queued request that can no longer be answered in time."""
         remaining_ms = self._remaining_ms(waiter.request)
         if waiter.outcome is not None or remaining_ms > self._answer_ms:
             return False
         self._remove(waiter)
-        refused = Refusal(
+        refusal = Refusal(
             reasons.RefusalReason.DEADLINE_PASSED,
-            f"no slot became free in time; {remaining_ms} ms are left and "
+            f"no slot became free in time; {remaining_ms} ms remain and "
             f"answers take {self._answer_ms:.0f} ms",
             self._bounded_retry_ms(self._wait_ms(self._waiting_count + 1)),
         )
-        self._complete(waiter, result.Err(refused))
+        self._complete(waiter, result.Err(refusal))
         return True
 
     def _admission_refusal(self, request: SlotRequest) -> Refusal | None:
-        """Why an arrival can't be answered in time, if it can't."""
+        """Returns a refusal if the request can't be answered in time."""
         if not request.may_wait:
             return Refusal(
                 reasons.RefusalReason.NO_FREE_SLOT,
@@ -230,7 +234,7 @@
         if self._in_flight == 0:
             return Refusal(
                 reasons.RefusalReason.NO_FREE_SLOT,
-                "this host has no slot, and none in use that could free up",
+                "this host holds no slot that could become free",
                 RETRY_AFTER_NO_SLOT_MS,
             )
         remaining_ms = self._remaining_ms(request)
@@ -239,7 +243,7 @@
         if overrun_ms <= 0:
             return None
         sentence = (
-            f"{remaining_ms} ms are left; a slot is expected in "
+            f"{remaining_ms} ms remain; a slot is expected in "
             f"{self._wait_ms(position):.0f} ms and an answer within "
             f"{self._answer_ms:.0f} ms more"
         )
@@ -249,14 +253,14 @@
         )
 
     def _overrun_ms(self, request: SlotRequest, position: int) -> float:
-        """By how much an answer would miss the deadline or the target."""
+        """Time by which the answer would miss the deadline or the target."""
         expected_answer_ms = self._wait_ms(position) + self._answer_ms
-        over_deadline_ms = expected_answer_ms - self._remaining_ms(request)
-        # However slow the answers are, a few requests may wait.
+        deadline_overrun_ms = expected_answer_ms - self._remaining_ms(request)
+        # With slow answers the target is raised, so that a few can still wait.
         target_ms = max(
             self._target_ms, MIN_TARGET_ANSWER_TIMES * self._answer_ms
         )
-        return max(over_deadline_ms, expected_answer_ms - target_ms)
+        return max(deadline_overrun_ms, expected_answer_ms - target_ms)
 
     def _refusal_reason(
         self, request: SlotRequest, remaining_ms: int
@@ -265,31 +269,31 @@
             return reasons.RefusalReason.DEADLINE_PASSED
         if remaining_ms < self._answer_ms:
             return reasons.RefusalReason.DEADLINE_TOO_SHORT
-        own = len(self._waiting.get(request.caller, ()))
-        if own * max(len(self._waiting), 1) > self._waiting_count > 0:
+        own_count = len(self._waiting.get(request.caller, ()))
+        if own_count * max(len(self._waiting), 1) > self._waiting_count > 0:
             return reasons.RefusalReason.CALLER_OVER_SHARE
         return reasons.RefusalReason.NO_FREE_SLOT
 
     def _position(self, caller: str) -> int:
-        """Place in the order of turns of one more request of a caller.
+        """Queue position that one more request of a caller would get.
 
-        A caller goes ahead of one that has clearly more requests waiting;
-        among equals the last to come is the last to go, as otherwise each
-        arrival would push out one that has waited already.
+        A caller precedes a caller with a clearly longer backlog. Among equal
+        backlogs a new request goes last; otherwise each new request would
+        displace one that has been waiting.
         """
-        own = len(self._waiting.get(caller, ())) + 1
+        own_count = len(self._waiting.get(caller, ())) + 1
         longest = max(map(len, self._waiting.values()), default=0)
-        if longest < own + MIN_BACKLOG_LEAD:
+        if longest < own_count + MIN_BACKLOG_LEAD:
             return self._waiting_count + 1
-        others = sum(
-            min(len(queue), own)
-            for name, queue in self._waiting.items()
-            if name != caller
+        preceding_count = sum(
+            min(len(queue), own_count)
+            for other_caller, queue in self._waiting.items()
+            if other_caller != caller
         )
-        return own + others
+        return own_count + preceding_count
 
     def _wait_ms(self, position: int) -> float:
-        """Expected time until the given place in the queue gets a slot."""
+        """Expected time until the given queue position gets a slot."""
         return position * self._mean_hold_ms / max(self._in_flight, 1)
 
     def _enqueue(self, request: SlotRequest) -> _Waiter:
@@ -306,7 +310,7 @@
         return waiter
 
     def _next_waiter(self) -> _Waiter:
-        """The waiter whose turn it is; its caller stays first until served."""
+        """The next waiter; its caller stays first until it is served."""
         return next(iter(self._waiting.values()))[0]
 
     def _remove(self, waiter: _Waiter) -> None:
@@ -320,38 +324,40 @@
             del self._waiting[caller]
 
     def _shed_longest_backlog(self) -> None:
-        """Refuses the last request of the longest queue if it is too late.
+        """Refuses the last request of the longest backlog if it is too late.
 
-        An arrival of a caller with few requests goes ahead of those of a
-        caller with many, whose last one may then miss its deadline.
+        A new request of a caller with a short backlog precedes those of a
+        caller with a long one, whose last request may then miss its deadline.
         """
         caller, queue = max(
             self._waiting.items(), key=lambda item: len(item[1])
         )
-        last = queue[-1]
-        others = sum(
-            min(len(other), len(queue))
-            for name, other in self._waiting.items()
-            if name != caller
+        last_waiter = queue[-1]
+        preceding_count = sum(
+            min(len(other_queue), len(queue))
+            for other_caller, other_queue in self._waiting.items()
+            if other_caller != caller
+        )
+        overrun_ms = self._overrun_ms(
+            last_waiter.request, len(queue) + preceding_count
         )
-        overrun_ms = self._overrun_ms(last.request, len(queue) + others)
         if overrun_ms <= 0:
             return
-        self._remove(last)
-        refused = Refusal(
+        self._remove(last_waiter)
+        refusal = Refusal(
             reasons.RefusalReason.CALLER_OVER_SHARE,
-            f"{len(queue) + 1} requests of this caller wait, and others went "
-            f"first; it would be answered {overrun_ms:.0f} ms too late",
+            f"{len(queue) + 1} requests of this caller wait behind those of "
+            f"other callers; the answer would be {overrun_ms:.0f} ms late",
             self._bounded_retry_ms(overrun_ms),
         )
-        self._complete(last, result.Err(refused))
+        self._complete(last_waiter, result.Err(refusal))
 
     @staticmethod
     def _complete(
         waiter: _Waiter, outcome: result.Result[str, Refusal]
     ) -> None:
         waiter.outcome = outcome
-        waiter.woken.set()
+        waiter.completed.set()
 
     @staticmethod
     def _bounded_retry_ms(wait_ms: float) -> int:
@@ -360,10 +366,10 @@
 
 @final
 class ThreadShares:
-    """Shares the host's request threads among services by weight.
+    """Divides the host's request threads among services by weight.
 
-    A service may use threads beyond its share while others leave them idle;
-    a few are always kept to refuse requests at once. Thread-safe.
+    A service may exceed its share while other services leave threads idle. A
+    few threads are reserved for refusing requests at once. Thread-safe.
     """
 
     def __init__(self, threads: int) -> None:
@@ -373,25 +379,32 @@
         self._used_count = 0
 
     def try_acquire(self, service: str, weight_share: float) -> bool:
-        """Takes a thread for a service with a share of all weights, 0 to 1."""
+        """Takes a thread for a service.
+
+        Args:
+            service: Name of the service.
+            weight_share: Its share of the sum of all weights, 0 to 1.
+        """
         with self._lock:
-            own_part = self._usable_count * weight_share
-            is_within_share = self._used_by_service[service] < own_part
-            lent = self._usable_count - self._reserved_for_others(own_part)
+            own_share = self._usable_count * weight_share
+            is_within_share = self._used_by_service[service] < own_share
+            borrowable_count = self._usable_count - self._reserved_for_others(
+                own_share
+            )
             if self._used_count >= self._usable_count:
                 return False
-            if not is_within_share and self._used_count >= lent:
+            if not is_within_share and self._used_count >= borrowable_count:
                 return False
             self._used_by_service[service] += 1
             self._used_count += 1
             return True
 
     def release(self, service: str) -> None:
-        """Gives a thread back."""
+        """Returns a thread of a service."""
         with self._lock:
             self._used_by_service[service] -= 1
             self._used_count -= 1
 
-    def _reserved_for_others(self, own_part: float) -> float:
-        """Part of the others' threads that a borrower must leave alone."""
-        return (self._usable_count - own_part) * RESERVED_SHARE_OF_OTHERS
+    def _reserved_for_others(self, own_share: float) -> float:
+        """Threads that a service above its share must leave to the others."""
+        return (self._usable_count - own_share) * RESERVED_SHARE_OF_OTHERS
--- a/src/comfreylatch/_process/routing/endpoint_stats.py
+++ b/src/comfreylatch/_process/routing/endpoint_stats.py
@@ -1,8 +1,9 @@
-"""What this host has seen of each endpoint, by its own requests.
+"""Latency, failures and ejection of each endpoint, as this host observes them.
 
-Own observations come before the platform's list, which lags. An endpoint that
-fails, or answers far more slowly than its siblings, is ejected for a while,
-probed with single requests, and let back with a slowly rising share.
+Own observations take precedence over the platform's list, which lags. An
+endpoint that fails, or answers far more slowly than the others of its service,
+is ejected for a time, probed with single requests, and readmitted with slow
+start.
 """
 
 from __future__ import annotations
@@ -40,16 +41,17 @@
     """Observations of one endpoint.
 
     Attributes:
-        in_flight: Requests sent from here and not ended.
-        begun_sum_ms: Sum of the monotonic times at which those were begun.
-        latency_ms: Smoothed time of an answer.
+        in_flight: Requests that this host sent and that have not ended.
+        start_sum_ms: Sum of the monotonic start times of those requests.
+        latency_ms: Smoothed answer time.
         failure_share: Smoothed share of tries that failed, 0 to 1.
-        failures_in_a_row: Failed tries since the last answer.
-        tries: Tries that ended since it was let in.
-        ejected_until_ms: Monotonic time of the next probe; 0 when let in.
-        ejections: Ejections in a row; the wait doubles with each.
-        probing: A probe is on its way.
-        let_in_ms: Monotonic time at which its slow start began.
+        consecutive_failures: Failed tries since the last answer.
+        tries: Tries that ended since the endpoint was admitted or readmitted.
+        ejected_until_ms: Monotonic time of the next probe; 0 if not ejected.
+        ejections: Successive ejections; the time to the next probe doubles
+            with each.
+        is_probing: Whether a probe is in flight.
+        readmitted_ms: Monotonic time at which slow start began.
     """
 
     in_flight: int = 0
@@ -65,14 +67,14 @@
 
     @property
     def is_ejected(self) -> bool:
-        """Whether it gets probes only."""
+        """Whether the endpoint gets probes only."""
         return self.ejected_until_ms > 0
 
     def expected_ms(self, now_ms: int) -> float:
-        """Expected time of one more request sent now.
+        """Expected answer time of one more request sent now.
 
-        Requests that have been running for longer than usual tell of a slow
-        endpoint before their answers do.
+        Requests that have been running for longer than usual show a slow
+        endpoint before their answers arrive.
         """
         latency_ms = self.latency_ms
         in_flight = self.in_flight
@@ -84,19 +86,19 @@
         return expected_ms / self.slow_start_share(now_ms)
 
     def slow_start_share(self, now_ms: int) -> float:
-        """Share of its usual requests it gets in slow start, up to 1."""
+        """Share of its usual load that the endpoint gets now, up to 1."""
         progress = (now_ms - self.readmitted_ms) / SLOW_START_MS
         return min(max(progress, SLOW_START_MIN_SHARE), 1.0)
 
 
 @attrs.frozen
 class Ejection:
-    """An endpoint was ejected, with the figures that decided.
+    """Ejection of an endpoint.
 
     Attributes:
-        endpoint: Its name.
-        sentence: Why, for a person.
-        wait_ms: Until it is probed.
+        endpoint: Name of the endpoint.
+        sentence: The reason as a sentence, with the deciding figures.
+        wait_ms: Time until the endpoint is probed.
     """
 
     endpoint: str
@@ -121,15 +123,18 @@
         self._median_updated_ms = -MEDIAN_UPDATE_INTERVAL_MS
 
     def get(self, endpoint: str) -> EndpointStats:
-        """Observations of an endpoint, to be read only."""
-        found = self._stats.get(endpoint)
-        if found is None:
+        """Returns the observations of an endpoint, which are read-only."""
+        stats = self._stats.get(endpoint)
+        if stats is None:
             with self._lock:
-                found = self._stats.setdefault(endpoint, EndpointStats())
-        return found
+                stats = self._stats.setdefault(endpoint, EndpointStats())
+        return stats
 
-    def forget_others(self, endpoints: Iterable[str]) -> None:
-        """Forgets endpoints that are no longer configured."""
+    def update_endpoints(self, endpoints: Iterable[str]) -> None:
+        """Removes idle endpoints no longer configured and adds new ones.
+
+        New endpoints begin in slow start.
+        """
         wanted = frozenset(endpoints)
         with self._lock:
             for name in self._stats.keys() - wanted:
@@ -143,17 +148,18 @@
     def is_probe_due(self, endpoint: str, idempotent: bool) -> bool:
         """Whether an ejected endpoint should get one request now.
 
-        Idempotent requests probe first: they can be retried when it fails.
+        Idempotent requests are preferred, as they can be retried if the probe
+        fails.
         """
         stats = self.get(endpoint)
         if not stats.is_ejected or stats.is_probing:
             return False
-        patience_ms = 0 if idempotent else NON_IDEMPOTENT_PROBE_DELAY_MS
+        delay_ms = 0 if idempotent else NON_IDEMPOTENT_PROBE_DELAY_MS
         now_ms = self._clock.monotonic_ms()
-        return now_ms >= stats.ejected_until_ms + patience_ms
+        return now_ms >= stats.ejected_until_ms + delay_ms
 
     def record_start(self, endpoint: str, now_ms: int) -> None:
-        """Notes that a request is sent."""
+        """Records that a request is sent."""
         stats = self.get(endpoint)
         with self._lock:
             stats.in_flight += 1
@@ -162,14 +168,14 @@
                 stats.is_probing = True
 
     def record_end(self, endpoint: str, begun_ms: int) -> None:
-        """Notes that the endpoint no longer runs a request."""
+        """Records that the endpoint no longer runs a request."""
         stats = self.get(endpoint)
         with self._lock:
             stats.in_flight -= 1
             stats.start_sum_ms -= begun_ms
 
     def record_inconclusive(self, endpoint: str) -> None:
-        """Notes that a try told nothing of the endpoint."""
+        """Records a try whose result says nothing about the endpoint."""
         stats = self.get(endpoint)
         with self._lock:
             stats.is_probing = False
@@ -177,7 +183,7 @@
     def record_answer(
         self, endpoint: str, elapsed_ms: float
     ) -> Ejection | None:
-        """Notes an answer; returns an ejection if it was far too slow."""
+        """Records an answer; returns an ejection if it was far too slow."""
         stats = self.get(endpoint)
         now_ms = self._clock.monotonic_ms()
         with self._lock:
@@ -186,9 +192,9 @@
             stats.failure_share *= 1 - FAILURE_SMOOTHING
             was_probe = stats.is_probing
             stats.is_probing = False
-            is_rising = elapsed_ms > stats.latency_ms
+            is_increase = elapsed_ms > stats.latency_ms
             smoothing = (
-                LATENCY_RISE_SMOOTHING if is_rising else LATENCY_SMOOTHING
+                LATENCY_RISE_SMOOTHING if is_increase else LATENCY_SMOOTHING
             )
             stats.latency_ms += smoothing * (elapsed_ms - stats.latency_ms)
             if stats.is_ejected:
@@ -199,13 +205,13 @@
             if self._is_too_slow(stats):
                 sentence = (
                     f"answers take {stats.latency_ms:.0f} ms, "
-                    f"its siblings' {self._median_latency_ms:.0f} ms"
+                    f"the median is {self._median_latency_ms:.0f} ms"
                 )
                 return self._eject(endpoint, stats, sentence, now_ms)
         return None
 
     def record_failure(self, endpoint: str, detail: str) -> Ejection | None:
-        """Notes a try without answer; returns an ejection if it caused one."""
+        """Records a failed try; returns an ejection if it caused one."""
         stats = self.get(endpoint)
         now_ms = self._clock.monotonic_ms()
         with self._lock:
@@ -221,14 +227,14 @@
             if not self._is_failing(stats):
                 return None
             sentence = (
-                f"{stats.consecutive_failures} tries in a row failed, the last "
-                f"with {detail}"
+                f"{stats.consecutive_failures} consecutive tries failed, the "
+                f"last with {detail}"
             )
             return self._eject(endpoint, stats, sentence, now_ms)
 
     @property
     def ejected_count(self) -> int:
-        """Endpoints that get probes only."""
+        """Number of endpoints that get probes only."""
         return self._ejected_count
 
     def _is_failing(self, stats: EndpointStats) -> bool:
@@ -240,13 +246,15 @@
         )
 
     def _is_too_slow(self, stats: EndpointStats) -> bool:
-        bound_ms = max(
+        max_latency_ms = max(
             self._median_latency_ms * EJECT_LATENCY_RATIO, EJECT_MIN_LATENCY_MS
         )
-        return stats.tries >= EJECT_MIN_TRIES and stats.latency_ms > bound_ms
+        return (
+            stats.tries >= EJECT_MIN_TRIES and stats.latency_ms > max_latency_ms
+        )
 
     def _update_median(self, now_ms: int) -> None:
-        """Works out the siblings' median, at intervals."""
+        """Updates the median latency of all endpoints, at intervals."""
         if now_ms < self._median_updated_ms + MEDIAN_UPDATE_INTERVAL_MS:
             return
         self._median_updated_ms = now_ms
@@ -268,7 +276,7 @@
         doubled_ms = BASE_EJECTION_MS << min(stats.ejections, 10)
         stats.ejections += 1
         wait_ms = min(doubled_ms, MAX_EJECTION_MS)
-        # Hosts that ejected it together shall not probe it together.
+        # Jitter keeps hosts that ejected it together from probing it together.
         wait_ms = int(wait_ms * self._rng.uniform(0.75, 1.25))
         stats.ejected_until_ms = now_ms + wait_ms
         return wait_ms
@@ -276,10 +284,10 @@
     def _evaluate_probe(
         self, stats: EndpointStats, elapsed_ms: float, now_ms: int
     ) -> None:
-        bound_ms = max(
+        max_latency_ms = max(
             self._median_latency_ms * EJECT_LATENCY_RATIO, EJECT_MIN_LATENCY_MS
         )
-        if elapsed_ms > bound_ms:
+        if elapsed_ms > max_latency_ms:
             self._schedule_probe(stats, now_ms)
             return
         stats.ejected_until_ms = 0
@@ -288,5 +296,5 @@
         stats.latency_ms = elapsed_ms
         stats.readmitted_ms = now_ms
         self._ejected_count -= 1
-        # Not reset: an endpoint that fails again soon waits longer again.
+        # Not reset, so that an endpoint that soon fails again waits longer.
         stats.ejections = max(stats.ejections - 1, 0)
--- a/src/comfreylatch/_process/routing/latency_quantile.py
+++ b/src/comfreylatch/_process/routing/latency_quantile.py
@@ -1,4 +1,4 @@
-"""A running estimate of one quantile, in constant space."""
+"""Streaming estimate of one quantile, in constant space."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 
 @final
 class LatencyQuantile:
-    """Follows a quantile by small steps up and down.
+    """Estimates a quantile by small steps up and down.
 
-    Each value above the estimate raises it in proportion to the quantile,
-    each below lowers it in proportion to the rest; they balance where the
-    wanted share of values lies below. Races between threads cost a step.
+    Each value above the estimate raises it in proportion to the percentile p,
+    each value below lowers it in proportion to 100 - p, so that the estimate
+    settles where p percent of the values lie below it. Takes no lock; a race
+    between threads loses at most a step.
     """
 
     def __init__(
@@ -26,11 +27,11 @@
 
     @property
     def estimate_ms(self) -> float:
-        """The estimate now."""
+        """The current estimate."""
         return self._estimate_ms
 
     def add(self, elapsed_ms: float) -> None:
-        """Takes one value into account."""
+        """Adds one value."""
         step_ms = max(self._estimate_ms, MIN_ESTIMATE_MS) * RELATIVE_STEP
         if elapsed_ms > self._estimate_ms:
             self._estimate_ms += step_ms * self._percentile / 100
--- a/src/comfreylatch/_process/routing/leaving_endpoints.py
+++ b/src/comfreylatch/_process/routing/leaving_endpoints.py
@@ -1,7 +1,7 @@
-"""Which endpoints are leaving, by the first credible sign of it.
+"""Detection of endpoints that are leaving and get no new requests.
 
-The platform's list lags, so the endpoint's own behaviour counts too: it
-refuses connections, or closes one after it used to keep them open.
+The platform's list lags, so the behaviour of an endpoint counts as well: it
+refuses connections, or closes one although it kept connections open before.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._ports import hosts
 
-CLOSE_MARK_MS = 60_000
+# Time from the close of a kept connection until the endpoint is probed.
+PROBE_AFTER_CLOSE_MS = 60_000
 
 
 class LeavingReason(enum.StrEnum):
-    """How it was learned that an endpoint is leaving."""
+    """Reason for which an endpoint is considered leaving."""
 
     REFUSED_CONNECTION = "refused-connection"
     CLOSED_CONNECTION = "closed-connection"
@@ -30,7 +31,7 @@
 
 @attrs.frozen
 class _Observation:
-    """An own observation, and when it was made."""
+    """An observation of this host, and the monotonic time it was made."""
 
     leaving_reason: LeavingReason
     since_ms: int
@@ -38,7 +39,7 @@
 
 @final
 class LeavingEndpoints:
-    """Endpoints that get no new requests. Thread-safe."""
+    """The endpoints that get no new requests. Thread-safe."""
 
     def __init__(self, clock: clock_port.Clock) -> None:
         self._clock = clock
@@ -61,19 +62,20 @@
 
     @property
     def observed(self) -> frozenset[str]:
-        """Those that this host itself has seen leave, for its peers."""
+        """Endpoints that this host itself observed leaving, for its peers."""
         return frozenset(self._observed)
 
     def record_refused_connection(self, endpoint: str) -> bool:
-        """Notes a refused connection; returns whether that is news."""
+        """Records a refused connection; returns whether it is newly leaving."""
         return self._record_observation(
             endpoint, LeavingReason.REFUSED_CONNECTION
         )
 
     def record_answer(self, endpoint: str, closing: bool) -> bool:
-        """Notes an answer; returns whether it shows that it is leaving.
+        """Records an answer; returns whether it shows that it is leaving.
 
-        An endpoint that never kept a connection open says nothing by closing.
+        A close by an endpoint that never kept a connection open is no sign of
+        leaving.
         """
         if not closing:
             self._kept_alive.add(endpoint)
@@ -85,28 +87,29 @@
         )
 
     def due_probes(self) -> tuple[str, ...]:
-        """Endpoints to which a connection should be tried, without request."""
+        """Endpoints due for a probe, a connection without a request."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             return tuple(
                 endpoint
-                for endpoint, mark in self._observed.items()
-                if mark.leaving_reason == LeavingReason.REFUSED_CONNECTION
-                or now_ms >= mark.since_ms + CLOSE_MARK_MS
+                for endpoint, observation in self._observed.items()
+                if observation.leaving_reason
+                == LeavingReason.REFUSED_CONNECTION
+                or now_ms >= observation.since_ms + PROBE_AFTER_CLOSE_MS
             )
 
     def record_accepted_connection(self, endpoint: str) -> None:
-        """Notes that a probed endpoint takes connections."""
+        """Records that a probed endpoint accepted a connection."""
         with self._lock:
             self._observed.pop(endpoint, None)
             self._kept_alive.discard(endpoint)
             self._rebuild_all()
 
-    def update_host_list(self, listed: hosts.HostList) -> frozenset[str]:
-        """Takes the platform's list; returns the endpoints newly leaving."""
+    def update_host_list(self, host_list: hosts.HostList) -> frozenset[str]:
+        """Applies the platform's host list; returns endpoints newly leaving."""
         states = {
             host.name: host.state
-            for host in listed.hosts
+            for host in host_list.hosts
             if host.kind == hosts.HostKind.ENDPOINT
         }
         with self._lock:
@@ -123,15 +126,15 @@
             return self._all - before
 
     def update_peer_reports(self, endpoints: frozenset[str]) -> frozenset[str]:
-        """Takes what peers have seen leave; returns those newly leaving."""
+        """Applies the peers' observations; returns endpoints newly leaving."""
         with self._lock:
             before = self._all
             self._reported_by_peers = endpoints
             self._rebuild_all()
             return self._all - before
 
-    def forget_others(self, endpoints: frozenset[str]) -> None:
-        """Forgets endpoints that are no longer configured."""
+    def retain_endpoints(self, endpoints: frozenset[str]) -> None:
+        """Removes endpoints that are no longer configured."""
         with self._lock:
             for name in self._observed.keys() - endpoints:
                 del self._observed[name]
@@ -142,11 +145,11 @@
             self._rebuild_all()
 
     def leaving_reason(self, endpoint: str) -> LeavingReason | None:
-        """How it was learned; None for an endpoint that stays."""
+        """Why an endpoint is considered leaving; None if it isn't."""
         with self._lock:
-            mark = self._observed.get(endpoint)
-            if mark is not None:
-                return mark.leaving_reason
+            observation = self._observed.get(endpoint)
+            if observation is not None:
+                return observation.leaving_reason
             if endpoint in self._listed:
                 return self._listed[endpoint]
             return (
@@ -158,12 +161,12 @@
     def _record_observation(
         self, endpoint: str, leaving_reason: LeavingReason
     ) -> bool:
-        mark = _Observation(leaving_reason, self._clock.monotonic_ms())
+        observation = _Observation(leaving_reason, self._clock.monotonic_ms())
         with self._lock:
-            is_news = endpoint not in self._all
-            self._observed[endpoint] = mark
+            is_newly_leaving = endpoint not in self._all
+            self._observed[endpoint] = observation
             self._rebuild_all()
-            return is_news
+            return is_newly_leaving
 
     def _rebuild_all(self) -> None:
         self._all = (
--- a/src/comfreylatch/_process/routing/load_balancing.py
+++ b/src/comfreylatch/_process/routing/load_balancing.py
@@ -1,4 +1,4 @@
-"""Choice of the endpoint for one try."""
+"""Load balancing: policies that pick an endpoint for one try."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Policy(enum.StrEnum):
-    """How endpoints are chosen; the last two are for comparison."""
+    """Load-balancing policies; the last two are baselines for comparison."""
 
     LEAST_EXPECTED = "least-expected"
     ROUND_ROBIN = "round-robin"
@@ -28,13 +28,16 @@
 
 @attrs.frozen
 class PickArgs:
-    """What a choice may depend on.
+    """Arguments of a pick.
 
     Attributes:
-        endpoints: Names of the endpoints that may be used.
-        free: Tells how many slots of an endpoint are free for this host.
-        idempotent: Whether the request can serve as a probe.
-        excluded: Endpoints already tried; used only when there is no other.
+        endpoints: Names of the usable endpoints.
+        free_slots: Returns the number of slots of an endpoint that are free
+            for this host.
+        idempotent: Whether the request is idempotent and so preferred as a
+            probe.
+        excluded_endpoints: Endpoints already tried, picked only if no other
+            has a free slot.
     """
 
     endpoints: Sequence[str]
@@ -47,7 +50,7 @@
     """Picks an endpoint with a free slot."""
 
     def pick(self, args: PickArgs) -> str | None:
-        """Name of an endpoint; None when none has a free slot."""
+        """Returns the name of an endpoint, or None if no slot is free."""
         ...
 
 
@@ -57,7 +60,7 @@
     clock: clock_port.Clock,
     rng: random.Random,
 ) -> Picker:
-    """The chooser for a policy."""
+    """Creates the picker of a policy."""
     match policy:
         case Policy.LEAST_EXPECTED:
             return LeastExpectedPicker(stats, clock, rng)
@@ -69,10 +72,10 @@
 
 @final
 class LeastExpectedPicker:
-    """The least expected time to an answer among a random sample.
+    """Picks the least expected answer time among a random sample.
 
-    Ejected endpoints get due probes first, and other requests only when no
-    other endpoint has a free slot.
+    An ejected endpoint whose probe is due is picked first, and gets no other
+    requests while it is ejected.
     """
 
     def __init__(
@@ -133,7 +136,7 @@
 
 @final
 class RoundRobinPicker:
-    """Each endpoint with a free slot in turn. For comparison."""
+    """Picks endpoints with a free slot round-robin. A baseline."""
 
     def __init__(self) -> None:
         self._calls = itertools.count()
@@ -151,7 +154,7 @@
 
 @final
 class RandomPicker:
-    """Any endpoint with a free slot. For comparison."""
+    """Picks a random endpoint with a free slot. A baseline."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
--- a/src/comfreylatch/_process/routing/retry_budget.py
+++ b/src/comfreylatch/_process/routing/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many retries and hedges a service may add to its first tries."""
+"""Budget of retries and hedges, in proportion to first tries."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @final
 class RetryBudget:
-    """Tokens of one service: first tries earn them, retries spend them.
+    """Token budget of one service: first tries earn, retries spend.
 
-    Over any stretch, retries stay below the given percentage of first tries
+    Over any period, retries stay below the given percentage of first tries
     plus `MAX_TOKENS`. Thread-safe.
     """
 
@@ -26,19 +26,19 @@
         self._tokens = INITIAL_TOKENS if percent > 0 else 0.0
 
     def set_percent(self, percent: int) -> None:
-        """Changes the percentage; tokens earned so far are kept."""
+        """Sets the percentage. Tokens earned so far are kept, except for 0."""
         with self._lock:
             self._percent = percent
             if percent == 0:
                 self._tokens = 0.0
 
     def earn(self) -> None:
-        """Notes a first try."""
+        """Adds the share of a token that a first try earns."""
         with self._lock:
             self._tokens = min(self._tokens + self._percent / 100, MAX_TOKENS)
 
     def try_spend(self) -> bool:
-        """Takes a token for a retry or hedge; False when there is none."""
+        """Takes a token for a retry or hedge; False if there is none."""
         with self._lock:
             if self._tokens < 1:
                 return False
@@ -46,12 +46,12 @@
             return True
 
     def refund(self) -> None:
-        """Gives back a token that was spent on nothing."""
+        """Returns a token whose retry or hedge was not sent."""
         with self._lock:
             self._tokens = min(self._tokens + 1, MAX_TOKENS)
 
 
 def backoff_ms(retry: int, rng: random.Random) -> int:
-    """Wait before retry number `retry` (from 1), with full jitter."""
+    """Random delay before retry number `retry`, from 1, with full jitter."""
     ceiling_ms = min(BASE_BACKOFF_MS << min(retry - 1, 10), MAX_BACKOFF_MS)
     return rng.randint(0, ceiling_ms)
--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -1,4 +1,4 @@
-"""All that a host keeps of each service, rebuilt as configuration changes."""
+"""Routing state of each service, updated when configuration changes."""
 
 from __future__ import annotations
 
@@ -24,19 +24,20 @@
 
 @attrs.define(eq=False)
 class ServiceState:
-    """One service on this host.
+    """Routing state of one service on this host.
 
     Attributes:
         name: Name of the service.
-        service: Its configuration.
-        weight_share: Its weight as a share of all weights, 0 to 1.
-        addresses: Address by name, of the endpoints of this zone.
-        usable: Names of those that are not leaving.
-        stats: Observations of them.
-        chooser: Picks one of them.
-        queue: Requests that wait for one.
-        budget: For retries and hedges.
-        hedge_quantile: Follows `service.hedge_percentile`.
+        service: Configuration of the service.
+        weight_share: Its weight as a share of the sum of all weights, 0 to 1.
+        addresses: Addresses of its endpoints in this zone, by name.
+        usable: Names of its endpoints in this zone that are not leaving.
+        stats: Latency, failures and ejection of its endpoints.
+        picker: Picks the endpoint of a try.
+        queue: Requests that wait for a slot.
+        budget: Budget of retries and hedges.
+        hedge_quantile: Estimate of the answer time's quantile
+            `service.hedge_percentile`.
     """
 
     name: str
@@ -53,7 +54,7 @@
 
 @final
 class ServiceTable:
-    """The services in force. Thread-safe; reading takes no lock."""
+    """Routing state of all services. Thread-safe; reading takes no lock."""
 
     def __init__(
         self,
@@ -73,35 +74,35 @@
         self._configuration = configuration.Configuration()
         self.leaving = leaving_endpoints.LeavingEndpoints(clock)
         self.max_request_ms = shares.max_request_ms(self._configuration)
-        slots.on_free(self._on_free)
+        slots.on_free(self._on_slot_free)
 
     @property
     def longest_timeout_ms(self) -> int:
-        """The longest time a caller may ask for."""
+        """The longest timeout that a caller may set."""
         margin_ms = self._configuration.limits.drift_margin_ms
         return self.max_request_ms - margin_ms
 
     @property
     def configured(self) -> bool:
-        """Whether a configuration is in force."""
+        """Whether a configuration has been applied."""
         return self._configuration.offset >= 0
 
     def get(self, service: str) -> ServiceState | None:
-        """The state of a service; None when there is no such service."""
+        """Returns the state of a service, or None if it is not configured."""
         return self._states.get(service)
 
     def all(self) -> tuple[ServiceState, ...]:
-        """The states of all services."""
+        """Returns the states of all services."""
         return tuple(self._states.values())
 
     def apply(self, new: configuration.Configuration) -> None:
-        """Takes a new version; what was learned of what stays is kept."""
+        """Applies a configuration; keeps the statistics of what remains."""
         with self._lock:
             if new.offset < self._configuration.offset:
                 return
             self._configuration = new
             self.max_request_ms = shares.max_request_ms(new)
-            self.leaving.forget_others(frozenset(new.endpoints))
+            self.leaving.retain_endpoints(frozenset(new.endpoints))
             total_weight = sum(s.weight for s in new.services.values())
             addresses = self._addresses(new)
             states = dict(self._states)
@@ -120,7 +121,7 @@
             }
 
     def update_usable(self) -> None:
-        """Takes endpoints that are now, or no longer, leaving into account."""
+        """Updates the usable endpoints after a change of the leaving ones."""
         with self._lock:
             for state in self._states.values():
                 state.usable = self._usable(state.addresses)
@@ -131,8 +132,8 @@
         by_service: dict[str, dict[str, str]] = {}
         for name, endpoint in sorted(new.endpoints.items()):
             if endpoint.zone == self._zone:
-                found = by_service.setdefault(endpoint.service, {})
-                found[name] = endpoint.address
+                endpoints = by_service.setdefault(endpoint.service, {})
+                endpoints[name] = endpoint.address
         return by_service
 
     def _new_state(self, name: str, service: objects.Service) -> ServiceState:
@@ -169,14 +170,14 @@
         state.service = service
         state.addresses = addresses
         state.usable = self._usable(addresses)
-        state.stats.forget_others(addresses)
+        state.stats.update_endpoints(addresses)
 
     def _usable(self, addresses: Mapping[str, str]) -> tuple[str, ...]:
         return tuple(
             name for name in addresses if not self.leaving.is_leaving(name)
         )
 
-    def _on_free(self, endpoint: str) -> None:
+    def _on_slot_free(self, endpoint: str) -> None:
         service = self._service_by_endpoint.get(endpoint)
         state = None if service is None else self._states.get(service)
         if state is not None:
--- a/tests/process/routing/test_admission.py
+++ b/tests/process/routing/test_admission.py
@@ -90,8 +90,8 @@
 
     def test_free_slot_is_given_at_once(self) -> None:
         slots = _Slots(1)
-        entered = self.queue.acquire(self.slot_request("a", slots.take_slot))
-        self.assertEqual(result.Ok("ex-1"), entered)
+        granted = self.queue.acquire(self.slot_request("a", slots.take_slot))
+        self.assertEqual(result.Ok("ex-1"), granted)
 
     def test_too_short_deadline_is_refused_at_once(self) -> None:
         refused = self.queue.acquire(
--- a/tests/process/routing/test_endpoint_stats.py
+++ b/tests/process/routing/test_endpoint_stats.py
@@ -21,7 +21,7 @@
         self.table = endpoint_stats.EndpointStatsTable(
             self.clock, random.Random(3)
         )
-        self.table.forget_others(NAMES)
+        self.table.update_endpoints(NAMES)
 
     def fail(self, endpoint: str, times: int = 3) -> None:
         for _ in range(times):
@@ -100,5 +100,5 @@
 
     def test_forgotten_endpoint_frees_ejection(self) -> None:
         self.fail("ex-0")
-        self.table.forget_others(NAMES[1:])
+        self.table.update_endpoints(NAMES[1:])
         self.assertEqual(0, self.table.ejected_count)
--- a/tests/process/routing/test_leaving_endpoints.py
+++ b/tests/process/routing/test_leaving_endpoints.py
@@ -9,7 +9,7 @@
 from tests import fakes
 
 
-def listed(state: hosts.HostState, *names: str) -> hosts.HostList:
+def make_host_list(state: hosts.HostState, *names: str) -> hosts.HostList:
     return hosts.HostList(
         tuple(
             hosts.ListedHost(
@@ -45,24 +45,28 @@
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_list_says_leaving_and_live_again(self) -> None:
-        gone = self.leaving.update_host_list(
-            listed(hosts.HostState.LEAVING, "ex-1")
+        newly_leaving = self.leaving.update_host_list(
+            make_host_list(hosts.HostState.LEAVING, "ex-1")
+        )
+        self.assertEqual({"ex-1"}, newly_leaving)
+        self.leaving.update_host_list(
+            make_host_list(hosts.HostState.LIVE, "ex-1")
         )
-        self.assertEqual({"ex-1"}, gone)
-        self.leaving.update_host_list(listed(hosts.HostState.LIVE, "ex-1"))
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_no_longer_listed_is_a_sign(self) -> None:
         self.leaving.update_host_list(
-            listed(hosts.HostState.LIVE, "ex-1", "ex-2")
+            make_host_list(hosts.HostState.LIVE, "ex-1", "ex-2")
         )
-        gone = self.leaving.update_host_list(
-            listed(hosts.HostState.LIVE, "ex-2")
+        newly_leaving = self.leaving.update_host_list(
+            make_host_list(hosts.HostState.LIVE, "ex-2")
         )
-        self.assertEqual({"ex-1"}, gone)
+        self.assertEqual({"ex-1"}, newly_leaving)
 
     def test_never_listed_is_no_sign(self) -> None:
-        self.leaving.update_host_list(listed(hosts.HostState.LIVE, "ex-2"))
+        self.leaving.update_host_list(
+            make_host_list(hosts.HostState.LIVE, "ex-2")
+        )
         self.assertFalse(self.leaving.is_leaving("ex-1"))
 
     def test_peers_sign_is_not_passed_back(self) -> None:
--- a/tests/process/routing/test_load_balancing.py
+++ b/tests/process/routing/test_load_balancing.py
@@ -66,7 +66,7 @@
         for _ in range(5):
             self.stats.get("ex-2")
             self.stats.record_failure("ex-0", "reset")
-        self.stats.forget_others(NAMES)
+        self.stats.update_endpoints(NAMES)
         for _ in range(5):
             self.stats.record_failure("ex-0", "reset")
         self.assertNotIn("ex-0", {self.pick() for _ in range(200)})
