--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -78,7 +78,7 @@
 
 @attrs.define(eq=False)
 class _Waiter:
-    """A queued request; `completed` is set together with `outcome`."""
+    """A queued request; `completed` is set after `outcome`."""
 
     request: SlotRequest
     completed: threading.Event = attrs.field(factory=threading.Event)
--- a/tests/process/routing/__init__.py
+++ b/tests/process/routing/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the package's module of the same name."""
+"""Tests of the routing package."""
 
 from __future__ import annotations
--- a/tests/process/routing/test_admission.py
+++ b/tests/process/routing/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of waiting, turns and refusals."""
+"""Tests of queueing, fairness and refusals."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class _Slots:
-    """A number of equal slots."""
+    """A number of free slots of one endpoint."""
 
     def __init__(self, free: int) -> None:
         self.free = free
@@ -50,23 +50,23 @@
         self,
         caller: str,
         take_slot: Callable[[], str | None],
-        within_ms: int = 2_000,
+        timeout_ms: int = 2_000,
     ) -> admission.SlotRequest:
-        deadline_ms = self.clock.monotonic_ms() + within_ms
+        deadline_ms = self.clock.monotonic_ms() + timeout_ms
         return admission.SlotRequest(caller, deadline_ms, take_slot)
 
     def enqueue_in_thread(
         self,
         caller: str,
         take_slot: Callable[[], str | None],
-        within_ms: int = 2_000,
+        timeout_ms: int = 2_000,
     ) -> None:
-        """Enters from another thread and waits until it is queued."""
+        """Requests a slot on a new thread and waits until it is queued."""
         before = self.queue.waiting
 
         def acquire() -> None:
             outcome = self.queue.acquire(
-                self.slot_request(caller, take_slot, within_ms)
+                self.slot_request(caller, take_slot, timeout_ms)
             )
             self.order.append(caller)
             self.outcomes.append(outcome)
@@ -77,7 +77,7 @@
             time.sleep(0.001)
 
     def exhausted_slots(self) -> _Slots:
-        """One slot, taken by a request in flight."""
+        """One slot, held by a request in flight."""
         slots = _Slots(1)
         self.queue.acquire(self.slot_request("z", slots.take_slot)).unwrap()
         return slots
@@ -88,7 +88,7 @@
         ).unwrap_err()
         self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
 
-    def test_free_slot_is_given_at_once(self) -> None:
+    def test_free_slot_is_granted_at_once(self) -> None:
         slots = _Slots(1)
         granted = self.queue.acquire(self.slot_request("a", slots.take_slot))
         self.assertEqual(result.Ok("ex-1"), granted)
@@ -96,7 +96,7 @@
     def test_too_short_deadline_is_refused_at_once(self) -> None:
         refused = self.queue.acquire(
             self.slot_request(
-                "a", self.exhausted_slots().take_slot, within_ms=5
+                "a", self.exhausted_slots().take_slot, timeout_ms=5
             )
         ).unwrap_err()
         self.assertEqual(
@@ -109,7 +109,7 @@
             self.enqueue_in_thread("a", slots.take_slot)
         started = time.monotonic()
         refused = self.queue.acquire(
-            self.slot_request("b", slots.take_slot, within_ms=50)
+            self.slot_request("b", slots.take_slot, timeout_ms=50)
         ).unwrap_err()
         self.assertLess(time.monotonic() - started, 0.05)
         self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
@@ -119,7 +119,7 @@
         slots.free = 3
         self.queue.grant_free_slots()
 
-    def test_callers_take_turns(self) -> None:
+    def test_callers_are_served_round_robin(self) -> None:
         slots = self.exhausted_slots()
         for caller in ("a", "a", "a", "b", "c"):
             self.enqueue_in_thread(caller, slots.take_slot)
@@ -131,11 +131,11 @@
                 time.sleep(0.001)
         self.assertEqual(["a", "b", "c", "a", "a"], self.order)
 
-    def test_greedy_caller_is_shed_for_others(self) -> None:
+    def test_last_request_of_longest_backlog_is_shed(self) -> None:
         slots = self.exhausted_slots()
         for _ in range(5):
-            self.enqueue_in_thread("a", slots.take_slot, within_ms=130)
-        self.enqueue_in_thread("b", slots.take_slot, within_ms=130)
+            self.enqueue_in_thread("a", slots.take_slot, timeout_ms=130)
+        self.enqueue_in_thread("b", slots.take_slot, timeout_ms=130)
         self.join()
         shed = collections.Counter(
             outcome.err_value.reason
@@ -144,20 +144,20 @@
         )
         self.assertEqual(1, shed[reasons.RefusalReason.CALLER_OVER_SHARE])
 
-    def test_waiter_is_answered_by_its_deadline(self) -> None:
+    def test_waiting_request_is_refused_by_its_deadline(self) -> None:
         slots = self.exhausted_slots()
         started = time.monotonic()
         refused = self.queue.acquire(
-            self.slot_request("a", slots.take_slot, within_ms=80)
+            self.slot_request("a", slots.take_slot, timeout_ms=80)
         ).unwrap_err()
         self.assertEqual(reasons.RefusalReason.DEADLINE_PASSED, refused.reason)
         self.assertLess(time.monotonic() - started, 0.2)
 
 
 class ThreadSharesTest(testtools.TestCase):
-    """Threads shared by weight."""
+    """Threads divided by weight."""
 
-    def test_busy_service_leaves_room_for_others(self) -> None:
+    def test_busy_service_leaves_threads_for_others(self) -> None:
         threads = admission.ThreadShares(108)
         taken = sum(threads.try_acquire("greedy", 0.5) for _ in range(200))
         self.assertLess(taken, 100)
--- a/tests/process/routing/test_endpoint_stats.py
+++ b/tests/process/routing/test_endpoint_stats.py
@@ -13,7 +13,7 @@
 
 
 class StatsTableTest(testtools.TestCase):
-    """Observations of six endpoints."""
+    """Statistics of six endpoints."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -45,7 +45,7 @@
         allowed = int(len(NAMES) * endpoint_stats.MAX_EJECTED_SHARE)
         self.assertEqual(allowed, self.table.ejected_count)
 
-    def test_far_slower_sibling_is_ejected(self) -> None:
+    def test_far_slower_endpoint_is_ejected(self) -> None:
         for _ in range(40):
             self.clock.now_ms += 50
             for name in NAMES[1:]:
@@ -62,14 +62,14 @@
         self.table.record_start("ex-0", self.clock.now_ms)
         self.assertFalse(self.table.is_probe_due("ex-0", idempotent=True))
 
-    def test_non_idempotent_requests_probe_last(self) -> None:
+    def test_non_idempotent_requests_probe_later(self) -> None:
         self.fail("ex-0")
         self.clock.now_ms += endpoint_stats.BASE_EJECTION_MS * 2
         self.assertFalse(self.table.is_probe_due("ex-0", idempotent=False))
         self.clock.now_ms += endpoint_stats.NON_IDEMPOTENT_PROBE_DELAY_MS
         self.assertTrue(self.table.is_probe_due("ex-0", idempotent=False))
 
-    def test_good_probe_lets_in_with_slow_start(self) -> None:
+    def test_successful_probe_readmits_with_slow_start(self) -> None:
         self.fail("ex-0")
         self.clock.now_ms += endpoint_stats.BASE_EJECTION_MS * 2
         self.answer("ex-0", 20.0, 1)
@@ -89,7 +89,7 @@
         wait_ms = self.table.get("ex-0").ejected_until_ms - self.clock.now_ms
         self.assertGreater(wait_ms, endpoint_stats.BASE_EJECTION_MS * 1.4)
 
-    def test_long_running_request_tells_of_slowness(self) -> None:
+    def test_long_running_request_raises_expected_time(self) -> None:
         now_ms = self.clock.now_ms + endpoint_stats.SLOW_START_MS
         for name in ("ex-0", "ex-1"):
             self.table.record_start(name, now_ms - 300 * (name == "ex-0"))
@@ -98,7 +98,7 @@
             slow_ms, self.table.get("ex-1").expected_ms(now_ms) * 5
         )
 
-    def test_forgotten_endpoint_frees_ejection(self) -> None:
+    def test_removed_endpoint_is_not_counted_as_ejected(self) -> None:
         self.fail("ex-0")
         self.table.update_endpoints(NAMES[1:])
         self.assertEqual(0, self.table.ejected_count)
--- a/tests/process/routing/test_load_balancing.py
+++ b/tests/process/routing/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Tests of the choice among endpoints."""
+"""Tests of the load-balancing policies."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LeastExpectedTest(testtools.TestCase):
-    """The default policy."""
+    """Least expected answer time, the default policy."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -35,13 +35,13 @@
             )
         )
 
-    def test_slow_endpoint_gets_fewer(self) -> None:
+    def test_slow_endpoint_gets_fewer_requests(self) -> None:
         for _ in range(50):
             self.stats.record_answer("ex-0", 60.0)
         chosen = collections.Counter(self.pick() for _ in range(400))
         self.assertLess(chosen["ex-0"], 10)
 
-    def test_busy_endpoint_gets_fewer(self) -> None:
+    def test_busy_endpoint_gets_fewer_requests(self) -> None:
         for _ in range(4):
             self.stats.record_start("ex-0", 1_000_000)
         chosen = collections.Counter(self.pick() for _ in range(400))
@@ -51,18 +51,18 @@
         self.free = dict.fromkeys(NAMES, 0) | {"ex-7": 1}
         self.assertEqual({"ex-7"}, {self.pick() for _ in range(20)})
 
-    def test_no_free_slot_is_none(self) -> None:
+    def test_no_free_slot_returns_none(self) -> None:
         self.free = dict.fromkeys(NAMES, 0)
         self.assertIsNone(self.pick())
 
-    def test_tried_endpoint_is_used_only_as_last(self) -> None:
+    def test_tried_endpoint_is_picked_only_as_last_resort(self) -> None:
         tried = frozenset({"ex-1"})
         chosen = {self.pick(tried) for _ in range(100)}
         self.assertNotIn("ex-1", chosen)
         self.free = dict.fromkeys(NAMES, 0) | {"ex-1": 1}
         self.assertEqual("ex-1", self.pick(tried))
 
-    def test_ejected_endpoint_gets_nothing(self) -> None:
+    def test_ejected_endpoint_is_not_picked(self) -> None:
         for _ in range(5):
             self.stats.get("ex-2")
             self.stats.record_failure("ex-0", "reset")
@@ -73,9 +73,9 @@
 
 
 class BaselineTest(testtools.TestCase):
-    """Policies for comparison keep the limits too."""
+    """The baseline policies respect slot limits as well."""
 
-    def test_round_robin_takes_turns(self) -> None:
+    def test_round_robin_cycles_through_endpoints(self) -> None:
         picker = load_balancing.RoundRobinPicker()
         wanted = load_balancing.PickArgs(NAMES, lambda _: 1, True)
         chosen = [picker.pick(wanted) for _ in range(16)]
--- a/tests/process/routing/test_retry_budget.py
+++ b/tests/process/routing/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget for retries."""
+"""Tests of the retry budget."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
         allowed = first_tries * percent / 100 + retry_budget.INITIAL_TOKENS
         self.assertLessEqual(retries, allowed + 1e-6)
 
-    def test_idle_time_saves_no_more_than_bound(self) -> None:
+    def test_saved_tokens_are_bounded(self) -> None:
         budget = retry_budget.RetryBudget(100)
         for _ in range(1_000):
             budget.earn()
         spent = sum(budget.try_spend() for _ in range(1_000))
         self.assertEqual(int(retry_budget.MAX_TOKENS), spent)
 
-    def test_zero_percent_allows_none(self) -> None:
+    def test_zero_percent_allows_no_retry(self) -> None:
         budget = retry_budget.RetryBudget(0)
         budget.earn()
         self.assertFalse(budget.try_spend())
--- a/tests/request/__init__.py
+++ b/tests/request/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of request."""
+"""Tests of request handling."""
 
 from __future__ import annotations
--- a/tests/request/harness.py
+++ b/tests/request/harness.py
@@ -1,4 +1,4 @@
-"""A router on real connections to scripted endpoints."""
+"""Test harness: a router with real connections to scripted endpoints."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Harness:
-    """Endpoints, a router and everything around it."""
+    """Scripted endpoints, a router and its dependencies."""
 
     def __init__(
         self,
@@ -92,7 +92,7 @@
         caller: str = "clerk",
         target: str = "/services/skyproc/x",
     ) -> http.HttpReply:
-        """A caller's request; GET is idempotent, POST is not."""
+        """Sends a caller's request; GET is idempotent, POST is not."""
         headers = {"x-caller": caller}
         if request_id:
             headers["x-request-id"] = request_id
@@ -110,8 +110,8 @@
             )
         )
 
-    def seen(self) -> list[str]:
-        """Ids of the requests all endpoints have seen."""
+    def received_ids(self) -> list[str]:
+        """Ids of the requests that the endpoints have received."""
         return [
             seen.request_id
             for endpoint in self.endpoints
@@ -119,16 +119,16 @@
         ]
 
     def retries(self, reason: reasons.RetryReason) -> int:
-        """Retries counted for a reason."""
+        """Number of retries counted for a reason."""
         return self.metrics.value(metrics.Counter.RETRIES, reason.value)
 
     def refusals(self, reason: reasons.RefusalReason) -> int:
-        """Refusals counted for a reason."""
+        """Number of refusals counted for a reason."""
         return self.metrics.value(metrics.Counter.REFUSALS, reason.value)
 
 
 def make_settings(policy: str, threads: int) -> settings.Settings:
-    """Settings of a host that listens nowhere."""
+    """Settings of a host without listen addresses."""
     return settings.Settings(
         seat="a",
         zone=fakes.ZONE,
--- a/tests/request/test_dispatch_guard.py
+++ b/tests/request/test_dispatch_guard.py
@@ -1,4 +1,4 @@
-"""Tests of at-most-once dispatch over hosts that die, restart and are cut."""
+"""Tests of at-most-once dispatch under crashes, restarts and partitions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class _Fleet:
-    """Hosts in one process, whose calls to each other can be cut."""
+    """Hosts in one process, whose calls to each other can be interrupted."""
 
     def __init__(self, clock: fakes.FakeClock) -> None:
         self.clock = clock
@@ -47,7 +47,7 @@
             self.boot(seat)
 
     def boot(self, seat: str) -> None:
-        """Starts a host in a seat, without memory."""
+        """Starts a host in a seat, without the marks of its predecessor."""
         self.boot_count += 1
         host_id = f"{seat}-{self.boot_count}"
         self.marks[seat] = dispatch_marks.DispatchMarks(host_id, self.clock)
@@ -77,7 +77,7 @@
 
 
 class _PeerLink:
-    """One host's calls to the others."""
+    """Calls of one host to the others."""
 
     def __init__(self, fleet: _Fleet, seat: str) -> None:
         self._fleet = fleet
@@ -98,15 +98,15 @@
         self, seat: str, request: ttypes.MarkRequest, timeout_ms: int
     ) -> result.Result[ttypes.MarkReply, peers_port.PeerError]:
         if not self._fleet.reaches(self._seat, seat):
-            return result.Err(peers_port.PeerUnreachable("cut"))
+            return result.Err(peers_port.PeerUnreachable("partitioned"))
         reply = self._fleet.marks[seat].mark(request)
         if seat in self._fleet.lost_answers:
-            return result.Err(peers_port.PeerAnswerLost("cut"))
+            return result.Err(peers_port.PeerAnswerLost("partitioned"))
         return result.Ok(reply)
 
 
 class QuorumGuardTest(testtools.TestCase):
-    """Claims through several hosts."""
+    """Claims of one id through several hosts."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -133,7 +133,7 @@
             outcomes.Unknown,
         )
 
-    def test_cut_zone_grants_ids_that_name_it(self) -> None:
+    def test_partitioned_zone_grants_ids_that_name_it(self) -> None:
         for other in ("entoto", "kality"):
             self.fleet.partition_zones("bole", other)
         self.assertTrue(self.fleet.claim("b1", "bole:r1").is_ok())
@@ -164,7 +164,7 @@
                 self.clock.now_ms += KEEP_MS
 
     def id_held_by(self, seat: str) -> str:
-        """An id that no test has used and whose marks a seat holds."""
+        """Returns an unused id whose marks a seat holds."""
         seats = dispatch_guard.all_seats(self.fleet.source.current())
         return next(
             request_id
@@ -187,7 +187,7 @@
         caller = next(s for s in SEAT_ZONES if s not in self.holders)
         self.assertTrue(self.fleet.claim(caller).is_ok())
 
-    def test_cut_off_zone_claims_nothing(self) -> None:
+    def test_partitioned_zone_claims_no_other_ids(self) -> None:
         self.fleet.partition_zones("bole", "entoto")
         self.fleet.partition_zones("bole", "kality")
         self.assert_refused(
@@ -210,7 +210,7 @@
         self.fleet.guards["b1"].release(claim)
         self.assertTrue(self.fleet.claim("e1").is_ok())
 
-    def test_changed_seats_still_find_former_marks(self) -> None:
+    def test_marks_of_previous_seats_are_found(self) -> None:
         self.fleet.claim("b1").unwrap()
         self.fleet.source.replace(
             configuration.Configuration(
@@ -225,7 +225,7 @@
                 self.claim_under_random_faults(random.Random(seed))
 
     def claim_under_random_faults(self, rng: random.Random) -> None:
-        """Repeats one id through random hosts while hosts fail."""
+        """Claims one id repeatedly through random hosts while hosts fail."""
         clock = fakes.FakeClock()
         fleet = _Fleet(clock)
         clock.now_ms += KEEP_MS
@@ -243,7 +243,7 @@
 
 
 def inject_random_fault(fleet: _Fleet, rng: random.Random) -> None:
-    """One kill, restart, cut, healing or loss of answers."""
+    """Injects one crash, restart, partition, its end or loss of answers."""
     seat = rng.choice(sorted(SEAT_ZONES))
     match rng.randrange(6):
         case 0:
@@ -259,15 +259,15 @@
 
 
 class GuardedRouterTest(testtools.TestCase):
-    """The guard in the path of a request."""
+    """Routers whose non-idempotent requests pass the guard."""
 
     def setUp(self) -> None:
         super().setUp()
         clock = fakes.FakeClock()
         self.fleet = _Fleet(clock)
         clock.now_ms += KEEP_MS
-        self.first = self.make_fixture("b1")
-        self.second = self.make_fixture("e1")
+        self.first_host = self.make_fixture("b1")
+        self.second_host = self.make_fixture("e1")
 
     def make_fixture(
         self, seat: str, script: scripted_endpoint.Script | None = None
@@ -281,42 +281,48 @@
         return fixture
 
     def test_repetition_through_another_host_is_unknown(self) -> None:
-        self.assertEqual(200, self.first.send_request("r1").status)
-        reply = self.second.send_request("r1")
+        self.assertEqual(200, self.first_host.send_request("r1").status)
+        reply = self.second_host.send_request("r1")
         self.assertEqual(504, reply.status)
         self.assertEqual("duplicate-request", reply.headers["X-Reason"])
-        self.assertEqual([], self.second.seen())
+        self.assertEqual([], self.second_host.received_ids())
 
     def test_repetition_after_lost_answer_is_not_sent(self) -> None:
-        lossy = self.make_fixture(
+        losing_host = self.make_fixture(
             "b2", lambda _: scripted_endpoint.Send(b"", reset=True)
         )
-        self.assertEqual(504, lossy.send_request("r1").status)
-        self.assertEqual(504, self.second.send_request("r1").status)
-        self.assertEqual([], self.second.seen())
+        self.assertEqual(504, losing_host.send_request("r1").status)
+        self.assertEqual(504, self.second_host.send_request("r1").status)
+        self.assertEqual([], self.second_host.received_ids())
 
     def test_request_that_was_not_run_can_be_repeated(self) -> None:
-        self.first.endpoints[0].stop_listening()
-        self.assertEqual(503, self.first.send_request("r1").status)
-        self.assertEqual(200, self.second.send_request("r1").status)
+        self.first_host.endpoints[0].stop_listening()
+        self.assertEqual(503, self.first_host.send_request("r1").status)
+        self.assertEqual(200, self.second_host.send_request("r1").status)
 
     def test_id_made_by_a_host_cannot_be_reused(self) -> None:
-        issued = self.first.send_request().headers["X-Request-Id"]
-        self.assertEqual(504, self.second.send_request(issued).status)
-        self.assertEqual([], self.second.seen())
+        generated_id = self.first_host.send_request().headers["X-Request-Id"]
+        self.assertEqual(
+            504, self.second_host.send_request(generated_id).status
+        )
+        self.assertEqual([], self.second_host.received_ids())
 
     def test_idempotent_repetition_is_run(self) -> None:
-        self.assertEqual(200, self.first.send_request("r1", "GET", b"").status)
-        self.assertEqual(200, self.second.send_request("r1", "GET", b"").status)
+        self.assertEqual(
+            200, self.first_host.send_request("r1", "GET", b"").status
+        )
+        self.assertEqual(
+            200, self.second_host.send_request("r1", "GET", b"").status
+        )
 
-    def test_refused_claim_gives_slot_back(self) -> None:
-        self.first.send_request("r1")
-        self.second.send_request("r1")
-        self.assertEqual(8, self.second.slots.free("ex-0"))
+    def test_refused_claim_releases_slot(self) -> None:
+        self.first_host.send_request("r1")
+        self.second_host.send_request("r1")
+        self.assertEqual(8, self.second_host.slots.free("ex-0"))
 
 
 class _IgnoreDeadlineGuard:
-    """A guard of the fleet, whose clock is not the router's."""
+    """A guard on the fake clock, which ignores deadlines of the real clock."""
 
     def __init__(self, fleet: _Fleet, seat: str) -> None:
         self._fleet = fleet
--- a/tests/request/test_overload.py
+++ b/tests/request/test_overload.py
@@ -1,4 +1,4 @@
-"""Tests of a host that is asked for twice of what its endpoints can do."""
+"""Tests of a host under load of twice its endpoints' capacity."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class _Reply:
-    """What a caller got, and how long it took."""
+    """Outcome and duration of a request, as seen by the caller."""
 
     outcome: str
     elapsed_s: float
@@ -37,11 +37,11 @@
 def send_at_rate(
     fixture: harness.Harness, per_second: float, seconds: float, name: str
 ) -> list[_Reply]:
-    """Sends requests at a steady rate, whatever becomes of them."""
+    """Sends requests at a fixed rate, regardless of their outcomes."""
     started = time.monotonic()
 
     def send_request(number: int) -> _Reply:
-        asked = time.monotonic()
+        sent = time.monotonic()
         reply = fixture.send_request(
             f"{name}{number}",
             "GET",
@@ -49,21 +49,21 @@
             timeout_ms=800,
             caller=f"caller-{number % CALLERS}",
         )
-        return _Reply(reply.headers["X-Outcome"], time.monotonic() - asked)
+        return _Reply(reply.headers["X-Outcome"], time.monotonic() - sent)
 
     with concurrent.futures.ThreadPoolExecutor(96) as pool:
-        asked = []
+        futures = []
         for number in range(int(per_second * seconds)):
             due = started + number / per_second
             time.sleep(max(due - time.monotonic(), 0))
-            asked.append(pool.submit(send_request, number))
-        return [one.result() for one in asked]
+            futures.append(pool.submit(send_request, number))
+        return [future.result() for future in futures]
 
 
 def percentile_99(replies: list[_Reply], outcome: str) -> float:
-    """99th percentile of the time taken, of replies with an outcome."""
-    taken = sorted(r.elapsed_s for r in replies if r.outcome == outcome)
-    return taken[int(len(taken) * 0.99)] if taken else 0.0
+    """99th percentile of the duration of requests with an outcome."""
+    durations = sorted(r.elapsed_s for r in replies if r.outcome == outcome)
+    return durations[int(len(durations) * 0.99)] if durations else 0.0
 
 
 class OverloadTest(testtools.TestCase):
@@ -95,4 +95,6 @@
     def test_refused_request_reached_no_endpoint(self) -> None:
         replies = send_at_rate(self.fixture, CAPACITY * 2, 1.0, "over")
         not_run = sum(reply.outcome == "not-run" for reply in replies)
-        self.assertEqual(len(replies) - not_run, len(set(self.fixture.seen())))
+        self.assertEqual(
+            len(replies) - not_run, len(set(self.fixture.received_ids()))
+        )
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of requests from arrival to reply, on real connections."""
+"""Tests of request routing over real connections."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
             )
         )
         self.assert_outcome(reply, 400, "not-run")
-        self.assertEqual([], fixture.seen())
+        self.assertEqual([], fixture.received_ids())
 
     def test_too_long_body_is_refused(self) -> None:
         fixture = self.make_fixture(
@@ -115,13 +115,13 @@
         fixture = self.make_fixture(reset, reset)
         reply = fixture.send_request("r1")
         self.assert_outcome(reply, 504, "unknown")
-        self.assertEqual(["r1"], fixture.seen())
+        self.assertEqual(["r1"], fixture.received_ids())
 
     def test_lost_answer_of_idempotent_is_retried_elsewhere(self) -> None:
         fixture = self.make_fixture(reset, echo)
         for number in range(4):
             reply = fixture.send_request(f"r{number}", method="GET", body=b"")
-            if reply.status == 200 and len(fixture.seen()) > number + 1:
+            if reply.status == 200 and len(fixture.received_ids()) > number + 1:
                 break
         self.assertEqual(
             1, fixture.retries(reasons.RetryReason.CONNECTION_LOST)
@@ -135,7 +135,7 @@
             fixture.retries(reasons.RetryReason.ENDPOINT_BUSY), 0
         )
 
-    def test_declined_everywhere_is_not_run_with_time(self) -> None:
+    def test_declined_everywhere_is_not_run_with_retry_time(self) -> None:
         fixture = self.make_fixture(declined, declined)
         reply = fixture.send_request("r1")
         self.assert_outcome(reply, 503, "not-run")
@@ -143,7 +143,11 @@
 
     def test_declined_after_loss_is_unknown(self) -> None:
         def lose_first(seen: Seen) -> Send:
-            return reset(seen) if len(fixture.seen()) == 1 else declined(seen)
+            return (
+                reset(seen)
+                if len(fixture.received_ids()) == 1
+                else declined(seen)
+            )
 
         fixture = self.make_fixture(lose_first, lose_first, lose_first)
         reply = fixture.send_request("r1", method="GET", body=b"")
@@ -151,16 +155,16 @@
 
     def test_retries_stay_within_budget(self) -> None:
         fixture = self.make_fixture(reset, reset, reset)
-        asked = 60
-        for number in range(asked):
+        request_count = 60
+        for number in range(request_count):
             fixture.send_request(
                 f"r{number}", method="GET", body=b"", timeout_ms=400
             )
-        extra = len(fixture.seen()) - asked
-        self.assertLessEqual(extra, asked * 0.1 + 2)
+        extra = len(fixture.received_ids()) - request_count
+        self.assertLessEqual(extra, request_count * 0.1 + 2)
         self.assertGreater(fixture.retries(reasons.RetryReason.BUDGET_SPENT), 0)
 
-    def test_given_up_request_is_answered_at_once(self) -> None:
+    def test_request_without_further_tries_is_answered_at_once(self) -> None:
         fixture = self.make_fixture(reset)
         started = time.monotonic()
         reply = fixture.send_request("r1", timeout_ms=2_000)
@@ -169,11 +173,11 @@
 
     def test_slots_bound_requests_in_endpoint(self) -> None:
         running = threading.Semaphore(2)
-        over: list[str] = []
+        over_limit: list[str] = []
 
         def count(seen: Seen) -> Send:
             if not running.acquire(blocking=False):
-                over.append(seen.request_id)
+                over_limit.append(seen.request_id)
                 return scripted_endpoint.whole(seen)
             time.sleep(0.01)
             running.release()
@@ -182,10 +186,10 @@
         fixture = self.make_fixture(count, slots=2)
         with concurrent.futures.ThreadPoolExecutor(12) as pool:
             list(pool.map(lambda n: fixture.send_request(f"r{n}"), range(60)))
-        self.assertEqual([], over)
+        self.assertEqual([], over_limit)
         self.assertEqual(2, fixture.slots.highest)
 
-    def test_request_without_slot_says_that_one_is_wanted(self) -> None:
+    def test_request_without_slot_registers_demand(self) -> None:
         fixture = self.make_fixture(echo, slots=0)
         fixture.send_request("r1")
         self.assertEqual({"ex-0"}, fixture.slots.wanted)
@@ -213,10 +217,10 @@
             fixture.retries(reasons.RetryReason.HEDGE_CANCELLED), 0
         )
 
-    def test_loss_of_second_try_is_not_forgotten(self) -> None:
+    def test_loss_of_hedge_makes_outcome_unknown(self) -> None:
         def lose_first_seen(seen: Seen) -> Send:
-            # The first try is declined late, the second one beside it lost.
-            if len(fixture.seen()) == 1:
+            # The first try is declined late, and the hedge is lost.
+            if len(fixture.received_ids()) == 1:
                 time.sleep(0.3)
                 return declined(seen)
             return Send(b"", reset=True)
@@ -236,14 +240,19 @@
             slow(0.2), slow(0.2), service=objects.Service(hedge_percentile=50)
         )
         self.assert_outcome(fixture.send_request("r1"), 200, "answered")
-        self.assertEqual(["r1"], fixture.seen())
+        self.assertEqual(["r1"], fixture.received_ids())
 
     def test_each_caller_gets_its_own_answer(self) -> None:
-        def jumble(seen: Seen) -> Send:
+        def answer_out_of_order(seen: Seen) -> Send:
             time.sleep(hash(seen.request_id) % 7 / 1_000)
             return echo(seen)
 
-        fixture = self.make_fixture(jumble, jumble, jumble, slots=4)
+        fixture = self.make_fixture(
+            answer_out_of_order,
+            answer_out_of_order,
+            answer_out_of_order,
+            slots=4,
+        )
 
         def check(number: int) -> bool:
             body = f"body of {number}".encode()
@@ -280,7 +289,7 @@
 
 
 class LeavingTest(testtools.TestCase):
-    """Endpoints that leave get no new requests."""
+    """Leaving endpoints get no new requests."""
 
     def make_fixture(
         self, *scripts: scripted_endpoint.Script, **options: Any
@@ -290,7 +299,7 @@
         self.addCleanup(fixture.__exit__, None, None, None)
         return fixture
 
-    def test_refusing_endpoint_is_drained_and_comes_back(self) -> None:
+    def test_endpoint_refusing_connections_is_drained(self) -> None:
         fixture = self.make_fixture(echo, echo)
         fixture.endpoints[0].stop_listening()
         for number in range(8):
@@ -298,7 +307,7 @@
         self.assertEqual({"ex-0"}, fixture.router.leaving_endpoints())
         self.assertEqual(1, fixture.retries(reasons.RetryReason.CONNECT_FAILED))
 
-    def test_closing_endpoint_is_drained(self) -> None:
+    def test_endpoint_closing_connections_is_drained(self) -> None:
         fixture = self.make_fixture(echo)
         fixture.send_request("r1")
         fixture.endpoints[0].script = lambda seen: scripted_endpoint.whole(
@@ -307,7 +316,7 @@
         fixture.send_request("r2")
         reply = fixture.send_request("r3")
         self.assertEqual("no-endpoint", reply.headers["X-Reason"])
-        self.assertEqual(["r1", "r2"], fixture.seen())
+        self.assertEqual(["r1", "r2"], fixture.received_ids())
 
     def test_listed_as_leaving_is_drained(self) -> None:
         fixture = self.make_fixture(echo, echo)
@@ -336,7 +345,7 @@
             target=lambda: replies.append(fixture.send_request())
         )
         thread.start()
-        while not fixture.seen():
+        while not fixture.received_ids():
             time.sleep(0.005)
         fixture.source.replace(fakes.make_configuration({}, offset=2))
         thread.join()
--- a/tests/request/test_spill.py
+++ b/tests/request/test_spill.py
@@ -1,4 +1,4 @@
-"""Tests of requests handed to other zones."""
+"""Tests of forwarding requests to other zones."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class SpillTest(testtools.TestCase):
-    """A zone whose only endpoint has no slot at all."""
+    """A zone whose only endpoint has no slots."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -42,7 +42,9 @@
         self.fixture.peers.shown = (view(2),)
         self.fixture.peers.forward_result = reply("answered")
 
-    def test_request_without_slot_goes_to_zone_with_spare(self) -> None:
+    def test_request_without_slot_is_forwarded_to_zone_with_spare_slots(
+        self,
+    ) -> None:
         answered = self.fixture.send_request("r1", timeout_ms=300)
         self.assertEqual((200, b"far"), (answered.status, answered.body))
         self.assertEqual(1, self.fixture.retries(reasons.RetryReason.SPILLED))
@@ -52,14 +54,14 @@
         remaining_ms = self.fixture.peers.forwarded[0].remaining_ms
         self.assertLess(remaining_ms, 300)
 
-    def test_nothing_is_forwarded_without_spare(self) -> None:
+    def test_nothing_is_forwarded_without_spare_slots(self) -> None:
         for shown in (view(0), view(2, fakes.ZONE), view(2, reachable=False)):
             self.fixture.peers.shown = (shown,)
             refused = self.fixture.send_request("r1", timeout_ms=10)
             self.assertEqual("not-run", refused.headers["X-Outcome"])
         self.assertEqual([], self.fixture.peers.forwarded)
 
-    def test_refused_by_other_zone_is_not_run_and_pauses(self) -> None:
+    def test_refusal_by_other_zone_pauses_forwarding(self) -> None:
         self.fixture.peers.forward_result = reply("not-run")
         for _ in range(3):
             refused = self.fixture.send_request("r1", timeout_ms=60)
@@ -70,13 +72,13 @@
         self.fixture.peers.forward_result = result.Err(
             peers_port.PeerAnswerLost("cut")
         )
-        lost = self.fixture.send_request("r1", timeout_ms=300)
-        self.assertEqual("unknown", lost.headers["X-Outcome"])
+        lost_reply = self.fixture.send_request("r1", timeout_ms=300)
+        self.assertEqual("unknown", lost_reply.headers["X-Outcome"])
 
     def test_reply_for_another_request_is_unknown(self) -> None:
         self.fixture.peers.forward_result = reply("answered", "r2")
-        mixed = self.fixture.send_request("r1", timeout_ms=300)
-        self.assertEqual("unknown", mixed.headers["X-Outcome"])
+        mismatched = self.fixture.send_request("r1", timeout_ms=300)
+        self.assertEqual("unknown", mismatched.headers["X-Outcome"])
 
     def test_forwarded_request_never_waits(self) -> None:
         forwarded = ttypes.ForwardRequest(
