--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -31,7 +31,8 @@
         service: Configuration of the service.
         weight_share: Its weight as a share of the sum of all weights, 0 to 1.
         addresses: Addresses of its endpoints in this zone, by name.
-        usable: Names of its endpoints in this zone that are not leaving.
+        usable_endpoints: Names of its endpoints in this zone that are not
+            leaving.
         stats: Latency, failures and ejection of its endpoints.
         picker: Picks the endpoint of a try.
         queue: Requests that wait for a slot.
@@ -44,7 +45,7 @@
     service: objects.Service
     weight_share: float
     addresses: Mapping[str, str]
-    usable: tuple[str, ...]
+    usable_endpoints: tuple[str, ...]
     stats: endpoint_stats.EndpointStatsTable
     picker: load_balancing.Picker
     queue: admission.ServiceQueue
@@ -83,7 +84,7 @@
         return self.max_request_ms - margin_ms
 
     @property
-    def configured(self) -> bool:
+    def has_configuration(self) -> bool:
         """Whether a configuration has been applied."""
         return self._configuration.offset >= 0
 
@@ -120,11 +121,11 @@
                 for endpoint in state.addresses
             }
 
-    def update_usable(self) -> None:
+    def update_usable_endpoints(self) -> None:
         """Updates the usable endpoints after a change of the leaving ones."""
         with self._lock:
             for state in self._states.values():
-                state.usable = self._usable(state.addresses)
+                state.usable_endpoints = self._usable(state.addresses)
 
     def _addresses(
         self, new: configuration.Configuration
@@ -143,7 +144,7 @@
             service=service,
             weight_share=1.0,
             addresses={},
-            usable=(),
+            usable_endpoints=(),
             stats=stats,
             picker=load_balancing.make_picker(
                 self._policy, stats, self._clock, self._rng
@@ -169,7 +170,7 @@
         state.queue.set_target(service.target_p99_ms)
         state.service = service
         state.addresses = addresses
-        state.usable = self._usable(addresses)
+        state.usable_endpoints = self._usable(addresses)
         state.stats.update_endpoints(addresses)
 
     def _usable(self, addresses: Mapping[str, str]) -> tuple[str, ...]:
--- a/src/comfreylatch/_request/call.py
+++ b/src/comfreylatch/_request/call.py
@@ -108,13 +108,13 @@
     match _parse_timeout_ms(request, state, table):
         case result.Ok(timeout_ms):
             pass
-        case result.Err(refused):
-            return result.Err(refused)
+        case result.Err(refusal):
+            return result.Err(refusal)
     match _parse_idempotent(request):
         case result.Ok(idempotent):
             pass
-        case result.Err(refused):
-            return result.Err(refused)
+        case result.Err(refusal):
+            return result.Err(refusal)
     if (
         not idempotent
         and not is_generated_id
@@ -217,7 +217,7 @@
 def _service_not_found(
     name: str, table: service_state.ServiceTable
 ) -> outcomes.NotRun:
-    if not table.configured:
+    if not table.has_configuration:
         return outcomes.NotRun(
             reasons.RefusalReason.NO_CONFIGURATION,
             "this host has no configuration yet",
--- a/src/comfreylatch/_request/dispatch_guard.py
+++ b/src/comfreylatch/_request/dispatch_guard.py
@@ -82,7 +82,7 @@
     """Replies of the holders to one claim."""
 
     granted: set[str] = attrs.field(factory=set)
-    asked: set[str] = attrs.field(factory=set)
+    requested: set[str] = attrs.field(factory=set)
     is_duplicate: bool = False
     recently_started: list[str] = attrs.field(factory=list)
     unreachable: list[str] = attrs.field(factory=list)
@@ -123,7 +123,7 @@
         self._lock = threading.Lock()
         self._seats: tuple[Seat, ...] = ()
         self._previous_seats: tuple[Seat, ...] = ()
-        self._changed_ms = clock.monotonic_ms()
+        self._seats_changed_ms = clock.monotonic_ms()
         source.on_change(self._apply)
         self._apply(source.current())
 
@@ -159,7 +159,7 @@
                 return
             self._previous_seats = self._seats
             self._seats = seats
-            self._changed_ms = self._clock.monotonic_ms()
+            self._seats_changed_ms = self._clock.monotonic_ms()
 
     def _holder_sets(self, request_id: str) -> list[tuple[str, ...]]:
         """Sets of holders, each of which must grant a claim by majority.
@@ -169,7 +169,7 @@
         """
         with self._lock:
             seats, previous_seats = self._seats, self._previous_seats
-            age_ms = self._clock.monotonic_ms() - self._changed_ms
+            age_ms = self._clock.monotonic_ms() - self._seats_changed_ms
         sets = [holders_of(request_id, seats)]
         if previous_seats and age_ms < self._keep_ms:
             sets.append(holders_of(request_id, previous_seats))
@@ -187,8 +187,8 @@
         for seat in self._nearest_first(holders):
             if len(tally.granted.intersection(holders)) >= needed:
                 return True
-            if seat not in tally.asked:
-                self._request_mark(claim, seat, deadline_ms, tally)
+            if seat not in tally.requested:
+                self._request_grant(claim, seat, deadline_ms, tally)
             if tally.is_duplicate:
                 return False
         return 0 < needed <= len(tally.granted.intersection(holders))
@@ -209,7 +209,7 @@
 
         return sorted(holders, key=distance)
 
-    def _request_mark(
+    def _request_grant(
         self,
         claim: outcomes.Claim,
         seat: str,
@@ -220,8 +220,8 @@
         if remaining_ms <= 0:
             tally.unreachable.append(seat)
             return
-        tally.asked.add(seat)
-        request = self._mark_request(claim, self._keep_ms)
+        tally.requested.add(seat)
+        request = self._make_mark_request(claim, self._keep_ms)
         if seat == self._seat:
             self._record_reply(seat, self._marks.mark(request), tally)
             return
@@ -272,7 +272,7 @@
             else min(RETRY_AFTER_RECENT_START_MS, self._keep_ms)
         )
 
-    def _mark_request(
+    def _make_mark_request(
         self, claim: outcomes.Claim, keep_ms: int
     ) -> ttypes.MarkRequest:
         return ttypes.MarkRequest(
@@ -284,7 +284,7 @@
 
     def _release_at(self, claim: outcomes.Claim, holders: set[str]) -> None:
         """Removes marks, best effort; remaining marks refuse repetitions."""
-        request = self._mark_request(claim, 0)
+        request = self._make_mark_request(claim, 0)
         for seat in holders:
             if seat == self._seat:
                 self._marks.mark(request)
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -107,9 +107,9 @@
                         endpoint = granted
                     case result.Err(refusal):
                         return self._outcome_of_refusal(refusal)
-            refused = self._claim_id(endpoint)
-            if refused is not None:
-                return refused
+            refusal = self._claim_id(endpoint)
+            if refusal is not None:
+                return refusal
             try_result = self._try_endpoint(endpoint)
             if isinstance(try_result, result.Ok):
                 answer = try_result.ok_value
@@ -126,7 +126,7 @@
 
     def _wait_for_slot(self) -> result.Result[str, admission.Refusal]:
         """Waits for a slot and returns the name of its endpoint."""
-        if not self._state.usable:
+        if not self._state.usable_endpoints:
             return result.Err(
                 admission.Refusal(
                     reasons.RefusalReason.NO_ENDPOINT,
@@ -149,15 +149,15 @@
         slots = self._deps.slots
         endpoint = state.picker.pick(
             load_balancing.PickArgs(
-                endpoints=state.usable,
+                endpoints=state.usable_endpoints,
                 free_slots=slots.free,
                 idempotent=self._call.idempotent,
                 excluded_endpoints=self._tried_endpoints,
             )
         )
         if endpoint is None:
-            if state.usable:
-                slots.want(self._deps.rng.choice(state.usable))
+            if state.usable_endpoints:
+                slots.want(self._deps.rng.choice(state.usable_endpoints))
             return None
         hold_ms = shares.MAX_SEND_DELAY_MS + self._deps.table.max_request_ms
         # The clock is read before the slot is taken. Otherwise, after a pause
@@ -187,8 +187,8 @@
             case result.Ok(claim):
                 self._claim = claim
                 return None
-            case result.Err(refused):
-                return refused
+            case result.Err(refusal):
+                return refusal
 
     def _make_slot_release(self, endpoint: str) -> Callable[[], None]:
         """Returns a callback that frees the slot when its request has ended."""
@@ -333,16 +333,16 @@
                 )
                 return self._retry(endpoint, retry_reason, detail)
             case exchange.DeclinedByEndpoint(detail):
-                busy = reasons.RetryReason.ENDPOINT_BUSY
-                return self._retry(endpoint, busy, detail)
+                retry_reason = reasons.RetryReason.ENDPOINT_BUSY
+                return self._retry(endpoint, retry_reason, detail)
             case exchange.LostAfterSend(loss, detail):
                 self._last_loss = error
                 if not self._call.idempotent:
                     return self._unknown_outcome(
                         f"{endpoint}: {loss}: {detail}"
                     )
-                lost = _RETRY_REASON_BY_LOSS[loss]
-                return self._retry(endpoint, lost, detail)
+                retry_reason = _RETRY_REASON_BY_LOSS[loss]
+                return self._retry(endpoint, retry_reason, detail)
 
     def _retry(
         self, endpoint: str, reason: reasons.RetryReason, detail: str
@@ -351,14 +351,14 @@
         sentence = f"{endpoint}: {detail}"
         remaining_ms = self._remaining_ms()
         if remaining_ms <= 0:
-            passed = reasons.RefusalReason.DEADLINE_PASSED
-            return self._outcome_without_answer(passed, sentence, 0)
-        is_spent = self._tries >= MAX_TRIES
-        if is_spent or not self._state.budget.try_spend():
+            refusal_reason = reasons.RefusalReason.DEADLINE_PASSED
+            return self._outcome_without_answer(refusal_reason, sentence, 0)
+        is_limit_reached = self._tries >= MAX_TRIES
+        if is_limit_reached or not self._state.budget.try_spend():
             self._count_retry(reasons.RetryReason.BUDGET_SPENT)
-            spent = reasons.RefusalReason.RETRIES_SPENT
+            refusal_reason = reasons.RefusalReason.RETRIES_SPENT
             return self._outcome_without_answer(
-                spent, sentence, self._state.queue.retry_after_ms()
+                refusal_reason, sentence, self._state.queue.retry_after_ms()
             )
         self._tried_endpoints |= {endpoint}
         self._journal_retry(reason, sentence)
@@ -368,10 +368,10 @@
         return None
 
     def _outcome_of_refusal(
-        self, refused: admission.Refusal
+        self, refusal: admission.Refusal
     ) -> outcomes.RequestOutcome:
         return self._outcome_without_answer(
-            refused.reason, refused.sentence, refused.retry_after_ms
+            refusal.reason, refusal.sentence, refusal.retry_after_ms
         )
 
     def _outcome_without_answer(
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -132,8 +132,8 @@
             case result.Ok(call):
                 outcome = self._run(call)
                 label = call.state.name
-            case result.Err(refused):
-                outcome = refused
+            case result.Err(refusal):
+                outcome = refusal
                 label = ""
         self._record_outcome(request_id, label, outcome, started_s)
         shown_id = request_id if call_module.is_valid_id(request_id) else ""
@@ -150,8 +150,8 @@
         match parsed:
             case result.Ok(call):
                 outcome = self._run_in_zone(call, is_forwarded=True)
-            case result.Err(refused):
-                outcome = refused
+            case result.Err(refusal):
+                outcome = refusal
         self._record_outcome(
             request.request_id, request.service_name, outcome, started_s
         )
@@ -174,7 +174,7 @@
         free = self._deps.slots.free
         return {
             state.name: int(
-                sum(map(free, state.usable)) * ADVERTISED_SPARE_SHARE
+                sum(map(free, state.usable_endpoints)) * ADVERTISED_SPARE_SHARE
             )
             for state in self._table.all()
             if state.queue.waiting == 0 and not self._stopping.is_set()
@@ -289,7 +289,7 @@
             if address is None or not self._deps.client.can_connect(address):
                 continue
             self._table.leaving.record_accepted_connection(endpoint)
-            self._table.update_usable()
+            self._table.update_usable_endpoints()
             self._journal_endpoint(endpoint, "back", "accepts connections")
 
     def _trim_connections(self) -> None:
@@ -304,7 +304,7 @@
         )
 
     def _drain(self, endpoints: frozenset[str], learned_from: str) -> None:
-        self._table.update_usable()
+        self._table.update_usable_endpoints()
         for state in self._table.all():
             for endpoint in endpoints & state.addresses.keys():
                 self._deps.client.close_idle(state.addresses[endpoint])
--- a/src/comfreylatch/_request/sent_try.py
+++ b/src/comfreylatch/_request/sent_try.py
@@ -26,11 +26,11 @@
 
 
 def first_readable(
-    sent: Sequence[SentTry], timeout_ms: float
+    tries: Sequence[SentTry], timeout_ms: float
 ) -> SentTry | None:
     """Returns the first try whose answer arrives, or None on timeout."""
     poll = select.poll()
-    by_descriptor = {each.pending.fileno(): each for each in sent}
+    by_descriptor = {each.pending.fileno(): each for each in tries}
     for descriptor in by_descriptor:
         poll.register(descriptor, select.POLLIN)
     ready = poll.poll(max(timeout_ms, 0))
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -153,8 +153,8 @@
         if guard is None or not call.needs_claim:
             return self._forward(call, seat)
         match guard.claim(call.request_id, call.deadline_ms):
-            case result.Err(refused):
-                return refused
+            case result.Err(refusal):
+                return refusal
             case result.Ok(claim):
                 outcome = self._forward(call, seat)
                 if outcome is None:
--- a/src/comfreylatch/_request/try_observer.py
+++ b/src/comfreylatch/_request/try_observer.py
@@ -114,7 +114,7 @@
             self._drain_endpoint(endpoint, "closes its connections")
 
     def _drain_endpoint(self, endpoint: str, sentence: str) -> None:
-        self._deps.table.update_usable()
+        self._deps.table.update_usable_endpoints()
         self._deps.client.close_idle(self._state.addresses.get(endpoint, ""))
         self._deps.journal.record(
             reasons.Subject.ENDPOINT, endpoint, "leaving", sentence
