--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -207,8 +207,8 @@
                 max(call.state.queue.retry_after_ms(), RETRY_AFTER_BUSY_MS),
             )
         try:
-            # The forwarding host has claimed the id already. It can use only
-            # a slot that is free now.
+            # The forwarding host has claimed the id of a forwarded request,
+            # and benefits only from a slot that is free now.
             return request_dispatch.RequestDispatch(
                 self._deps,
                 call,
--- a/src/comfreylatch/_request/sent_try.py
+++ b/src/comfreylatch/_request/sent_try.py
@@ -28,7 +28,7 @@
 def first_readable(
     tries: Sequence[SentTry], timeout_ms: float
 ) -> SentTry | None:
-    """Returns the first try whose answer arrives, or None on timeout."""
+    """Returns the first try whose answer begins to arrive, or None."""
     poll = select.poll()
     by_descriptor = {each.pending.fileno(): each for each in tries}
     for descriptor in by_descriptor:
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -115,7 +115,7 @@
     def _reserve_seat(
         self, call: call_module.Call, max_round_trip_ms: float
     ) -> str | None:
-        """Counts the request on the fastest seat, if it is fast enough."""
+        """Reserves the fastest seat; None if no seat is fast enough."""
         best: str | None = None
         best_ms = max_round_trip_ms
         now_ms = self._deps.clock.monotonic_ms()
