--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -78,7 +78,7 @@
         slots.on_free(self._on_slot_free)
 
     @property
-    def longest_timeout_ms(self) -> int:
+    def max_timeout_ms(self) -> int:
         """The longest timeout that a caller may set."""
         margin_ms = self._configuration.limits.drift_margin_ms
         return self.max_request_ms - margin_ms
--- a/src/comfreylatch/_request/call.py
+++ b/src/comfreylatch/_request/call.py
@@ -149,7 +149,7 @@
     state = table.get(forwarded.service_name)
     if state is None:
         return result.Err(_service_not_found(forwarded.service_name, table))
-    remaining_ms = min(forwarded.remaining_ms, table.longest_timeout_ms)
+    remaining_ms = min(forwarded.remaining_ms, table.max_timeout_ms)
     return result.Ok(
         Call(
             state=state,
@@ -242,7 +242,7 @@
             "X-Timeout-Ms must be a whole number of milliseconds"
         )
     # After the longest allowed request, an endpoint's slot is reassigned.
-    return result.Ok(min(int(text), table.longest_timeout_ms))
+    return result.Ok(min(int(text), table.max_timeout_ms))
 
 
 def _parse_idempotent(
