--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -95,7 +95,7 @@
     choice: int
 
 
-class PromiseBrokenError(AssertionError):
+class InvariantViolationError(AssertionError):
     """A promise was broken."""
 
 
@@ -132,7 +132,7 @@
             self._act(action, host)
             self._clock.advance(STEP_MS)
             if host.follower.offset() < before:
-                raise PromiseBrokenError("an offset fell")
+                raise InvariantViolationError("an offset fell")
         self._heal()
         self._check()
 
@@ -231,7 +231,7 @@
                 host.follower.step()
             if self._is_quiet():
                 return
-        raise PromiseBrokenError("the hosts do not come to rest")
+        raise InvariantViolationError("the hosts do not come to rest")
 
     def _is_quiet(self) -> bool:
         """Whether all records are settled and folded everywhere."""
@@ -248,7 +248,7 @@
     def _check(self) -> None:
         folds = [host.fold.notes for host in self._hosts]
         if any(notes != folds[0] for notes in folds):
-            raise PromiseBrokenError(f"folds differ: {folds}")
+            raise InvariantViolationError(f"folds differ: {folds}")
         for host in self._hosts:
             for note, pending in host.pending.items():
                 self._check_note(note, pending, folds[0])
@@ -262,16 +262,18 @@
         match pending.outcome:
             case result.Ok(streams.Appended(offset)):
                 if times != 1:
-                    raise PromiseBrokenError(
+                    raise InvariantViolationError(
                         f"{note} kept, but folded {times} times"
                     )
                 if self.log.payloads(STREAM)[offset] != pending.payloads[0]:
-                    raise PromiseBrokenError(
+                    raise InvariantViolationError(
                         f"{note} is not at offset {offset}"
                     )
             case result.Err(streams.NotAccepted()):
                 if times != 0:
-                    raise PromiseBrokenError(f"{note} refused, but folded")
+                    raise InvariantViolationError(f"{note} refused, but folded")
             case _:
                 if times > 1:
-                    raise PromiseBrokenError(f"{note} folded {times} times")
+                    raise InvariantViolationError(
+                        f"{note} folded {times} times"
+                    )
--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -73,6 +73,6 @@
     def _assert_violation_found(self, patch: mock._patch) -> None:
         with patch:
             self.assertRaises(
-                stream_history.PromiseBrokenError,
+                stream_history.InvariantViolationError,
                 SEARCH_SETTINGS(hypothesis.given(HISTORIES)(run)),
             )
