--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -108,7 +108,7 @@
 
 
 @final
-class History:
+class HistoryRunner:
     """A few hosts and a log, driven by actions."""
 
     def __init__(self) -> None:
--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -43,7 +43,7 @@
 
 
 def run(actions: list[stream_history.Action]) -> None:
-    stream_history.History().run(actions)
+    stream_history.HistoryRunner().run(actions)
 
 
 class StreamHistoryTest(testtools.TestCase):
