--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -69,7 +69,7 @@
         seed=experiment.seed,
         speed=experiment.speed,
     )
-    maker = traces.TraceMaker(
+    maker = traces.TraceGenerator(
         experiment.workload,
         workload,
         experiment.shape,
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -115,7 +115,7 @@
 }
 
 
-class TraceMaker:
+class TraceGenerator:
     """Draws one trace from a seed."""
 
     def __init__(
@@ -304,7 +304,7 @@
     given.folder.mkdir(parents=True, exist_ok=True)
     for name, workload in WORKLOADS.items():
         for shape in Shape:
-            maker = TraceMaker(
+            maker = TraceGenerator(
                 name,
                 workload(),
                 shape,
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -19,7 +19,9 @@
     def test_made_trace_reads_back_the_same(self) -> None:
         workload = maker.utility_night()
         made = [
-            maker.TraceMaker("n", workload, shape, seed=5, duration_ms=2_000)
+            maker.TraceGenerator(
+                "n", workload, shape, seed=5, duration_ms=2_000
+            )
             for shape in (maker.Shape.CALM, maker.Shape.CALM)
         ]
         first, second = (one.make() for one in made)
