--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -43,7 +43,7 @@
     """
 
     workload: str
-    shape: traces.Shape
+    shape: traces.LoadShape
     seed: int
     duration_ms: int
     scale: float
@@ -161,7 +161,9 @@
     """Runs one experiment."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("workload", choices=sorted(traces.WORKLOADS))
-    parser.add_argument("shape", type=traces.Shape, choices=list(traces.Shape))
+    parser.add_argument(
+        "shape", type=traces.LoadShape, choices=list(traces.LoadShape)
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--duration-ms", type=int, default=30_000)
     parser.add_argument("--scale", type=float, default=1.0)
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -42,7 +42,7 @@
 URGENT_START_MS = 6_000.0
 
 
-class Shape(enum.StrEnum):
+class LoadShape(enum.StrEnum):
     """How the load moves over a trace."""
 
     CALM = "calm"
@@ -122,7 +122,7 @@
         self,
         name: str,
         workload: Workload,
-        shape: Shape,
+        shape: LoadShape,
         seed: int,
         duration_ms: int,
         scale: float = 1.0,
@@ -154,12 +154,12 @@
 
     def _load(self, at_ms: float) -> float:
         match self._shape:
-            case Shape.CALM:
+            case LoadShape.CALM:
                 return CALM_LOAD
-            case Shape.SHIFT:
+            case LoadShape.SHIFT:
                 shifted = at_ms >= self._duration_ms / 3
                 return SHIFTED_LOAD if shifted else CALM_LOAD
-            case Shape.BURST:
+            case LoadShape.BURST:
                 in_burst = at_ms % BURST_EVERY_MS >= BURST_EVERY_MS - BURST_MS
                 return BURST_LOAD if in_burst else CALM_LOAD
 
@@ -196,7 +196,7 @@
     def _zone(self, at_ms: float) -> str:
         zones = self._workload.deployment.zones
         weights = [1.0] * len(zones)
-        if self._shape is Shape.SHIFT and at_ms >= self._duration_ms / 3:
+        if self._shape is LoadShape.SHIFT and at_ms >= self._duration_ms / 3:
             weights[0] = 2.0
         return self._random.choices(zones, weights)[0]
 
@@ -258,7 +258,7 @@
     def _outcomes(self, lines: list[traces.TraceLine]) -> traces.StatedOutcomes:
         workload = self._workload
         work_p99_ms = workload.work_ms * math.exp(P99_DEVIATE * workload.spread)
-        calm = self._shape is Shape.CALM
+        calm = self._shape is LoadShape.CALM
         finished_percent = self._finished_percent(lines)
         has_jobs = finished_percent is not None
         return traces.StatedOutcomes(
@@ -303,7 +303,7 @@
     given = parser.parse_args()
     given.folder.mkdir(parents=True, exist_ok=True)
     for name, workload in WORKLOADS.items():
-        for shape in Shape:
+        for shape in LoadShape:
             maker = TraceGenerator(
                 name,
                 workload(),
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -22,7 +22,7 @@
             maker.TraceGenerator(
                 "n", workload, shape, seed=5, duration_ms=2_000
             )
-            for shape in (maker.Shape.CALM, maker.Shape.CALM)
+            for shape in (maker.LoadShape.CALM, maker.LoadShape.CALM)
         ]
         first, second = (one.make() for one in made)
         self.assertEqual(first, second)
