--- a/src/comfreylatch/_request/dispatch_guard.py
+++ b/src/comfreylatch/_request/dispatch_guard.py
@@ -1,12 +1,12 @@
 """At most one dispatch of each non-idempotent request id, over all hosts.
 
-Three seats hold the marks of an id, chosen by rendezvous hashing over the
-seats of all zones, in different zones where there are enough; an id may name
-a zone and is then held by that zone's seats. A host sends
-the request only after a majority of them has granted it the id. Two
-majorities share a holder, and a holder grants an id once, so a repetition
-through any host finds the mark. A holder that has been up for less than the
-time marks are kept grants nothing.
+Three seats store the marks of an id. Rendezvous hashing selects these holders
+from the seats of all zones, in different zones if there are enough; an id that
+names a zone is held by the seats of that zone. A host sends the request only
+after a majority of the holders has granted it the id. Any two majorities share
+a holder, and a holder grants an id once, so a repetition through any host is
+detected. A holder grants nothing until it has been up for as long as marks are
+kept, as it lost the marks of its predecessor.
 """
 
 from __future__ import annotations
@@ -31,28 +31,28 @@
 HOLDERS_PER_ID = 3
 ZONE_SEPARATOR = ":"
 MARK_TIMEOUT_MS = 300
-RETRY_UNREACHABLE_MS = 1_000
-RETRY_YOUNG_MS = 5_000
+RETRY_AFTER_UNREACHABLE_MS = 1_000
+RETRY_AFTER_RECENT_START_MS = 5_000
 
 ClaimError = outcomes.NotRun | outcomes.Unknown
 
 
 @attrs.frozen
 class Seat:
-    """A place for an entry host, by configuration."""
+    """A configured position of an entry host in a zone."""
 
     name: str
     zone: str
 
 
 def holders_of(request_id: str, seats: tuple[Seat, ...]) -> tuple[str, ...]:
-    """Names of the seats that hold the marks of an id, best first.
+    """Names of the seats that hold the marks of an id, best ranked first.
 
     An id that begins with the name of a zone and `:` is held in that zone
-    alone, so that a zone cut off from the others can go on granting its own.
+    alone, so that a zone partitioned from the others can still grant its own.
     """
-    named = request_id.partition(ZONE_SEPARATOR)[0]
-    in_zone = tuple(seat for seat in seats if seat.zone == named)
+    zone_name = request_id.partition(ZONE_SEPARATOR)[0]
+    in_zone = tuple(seat for seat in seats if seat.zone == zone_name)
     ranked = sorted(
         in_zone or seats,
         key=lambda seat: xxhash.xxh3_64_intdigest(
@@ -68,7 +68,7 @@
     return tuple(seat.name for seat in chosen[:HOLDERS_PER_ID])
 
 
-def seats_of(current: configuration.Configuration) -> tuple[Seat, ...]:
+def all_seats(current: configuration.Configuration) -> tuple[Seat, ...]:
     """All seats of all zones."""
     return tuple(
         Seat(seat, zone_name)
@@ -78,29 +78,29 @@
 
 
 @attrs.define(eq=False)
-class _Tally:
-    """What holders have said of one claim."""
+class _ClaimTally:
+    """Replies of the holders to one claim."""
 
     granted: set[str] = attrs.field(factory=set)
-    asked: set[str] = attrs.field(factory=set)
-    is_seen: bool = False
-    young: list[str] = attrs.field(factory=list)
+    requested: set[str] = attrs.field(factory=set)
+    is_duplicate: bool = False
+    recently_started: list[str] = attrs.field(factory=list)
     unreachable: list[str] = attrs.field(factory=list)
 
 
 @final
 class QuorumGuard:
-    """Claims ids at a majority of their holders. Thread-safe.
+    """Claims request ids at a majority of their holders. Thread-safe.
 
     Args:
-        source: Configuration in force; its zones name all seats.
+        source: Configuration in force, which lists the seats of all zones.
         peers: Other seats.
-        marks: The marks this host holds itself.
+        marks: The marks that this host holds.
         seat: This host's seat.
         host_id: Id of this process.
-        clock: Monotonic time.
-        keep_ms: How long marks are kept; a caller must not repeat an id
-            later. Must be well above the longest service timeout.
+        clock: Monotonic clock.
+        keep_ms: Retention time of marks, after which a caller must not repeat
+            an id. Must be well above the longest service timeout.
     """
 
     def __init__(
@@ -119,11 +119,11 @@
         self._host_id = host_id
         self._clock = clock
         self._keep_ms = keep_ms
-        self._claims = itertools.count(1)
+        self._claim_numbers = itertools.count(1)
         self._lock = threading.Lock()
         self._seats: tuple[Seat, ...] = ()
-        self._old_seats: tuple[Seat, ...] = ()
-        self._changed_ms = clock.monotonic_ms()
+        self._previous_seats: tuple[Seat, ...] = ()
+        self._seats_changed_ms = clock.monotonic_ms()
         source.on_change(self._apply)
         self._apply(source.current())
 
@@ -132,19 +132,19 @@
     ) -> result.Result[outcomes.Claim, ClaimError]:
         """Marks an id as dispatched at a majority of its holders."""
         claim = outcomes.Claim(
-            request_id, f"{self._host_id}/{next(self._claims)}"
+            request_id, f"{self._host_id}/{next(self._claim_numbers)}"
         )
-        tally = _Tally()
+        tally = _ClaimTally()
         for holders in self._holder_sets(request_id):
-            if not self._claim_at(claim, holders, deadline_ms, tally):
-                # Those that did not answer are not waited for; a mark left
-                # behind refuses repetitions, which is safe.
+            if not self._claim_majority(claim, holders, deadline_ms, tally):
+                # Holders that did not answer may keep a mark. It is not
+                # removed: it only refuses repetitions, which is safe.
                 self._release_at(claim, tally.granted)
                 return result.Err(self._refusal(tally))
         return result.Ok(claim)
 
     def release(self, claim: outcomes.Claim) -> None:
-        """Takes back a claim of a request that no endpoint has seen."""
+        """Withdraws the claim of a request that no endpoint has received."""
         holders = {
             seat
             for seats in self._holder_sets(claim.request_id)
@@ -153,42 +153,43 @@
         self._release_at(claim, holders)
 
     def _apply(self, new: configuration.Configuration) -> None:
-        seats = seats_of(new)
+        seats = all_seats(new)
         with self._lock:
             if seats == self._seats:
                 return
-            self._old_seats = self._seats
+            self._previous_seats = self._seats
             self._seats = seats
-            self._changed_ms = self._clock.monotonic_ms()
+            self._seats_changed_ms = self._clock.monotonic_ms()
 
     def _holder_sets(self, request_id: str) -> list[tuple[str, ...]]:
-        """Sets of holders that must each have a majority for a claim.
+        """Sets of holders, each of which must grant a claim by majority.
 
-        While marks made by the former seats are still kept, theirs count too.
+        After a change of seats, the holders among the previous seats are
+        included for as long as their marks are kept.
         """
         with self._lock:
-            seats, old_seats = self._seats, self._old_seats
-            age_ms = self._clock.monotonic_ms() - self._changed_ms
+            seats, previous_seats = self._seats, self._previous_seats
+            age_ms = self._clock.monotonic_ms() - self._seats_changed_ms
         sets = [holders_of(request_id, seats)]
-        if old_seats and age_ms < self._keep_ms:
-            sets.append(holders_of(request_id, old_seats))
+        if previous_seats and age_ms < self._keep_ms:
+            sets.append(holders_of(request_id, previous_seats))
         return sets
 
-    def _claim_at(
+    def _claim_majority(
         self,
         claim: outcomes.Claim,
         holders: tuple[str, ...],
         deadline_ms: int,
-        tally: _Tally,
+        tally: _ClaimTally,
     ) -> bool:
-        """Asks holders, nearest first, until a majority has granted."""
+        """Asks holders, nearest first, until a majority has granted the id."""
         needed = len(holders) // 2 + 1
         for seat in self._nearest_first(holders):
             if len(tally.granted.intersection(holders)) >= needed:
                 return True
-            if seat not in tally.asked:
-                self._ask(claim, seat, deadline_ms, tally)
-            if tally.is_seen:
+            if seat not in tally.requested:
+                self._request_grant(claim, seat, deadline_ms, tally)
+            if tally.is_duplicate:
                 return False
         return 0 < needed <= len(tally.granted.intersection(holders))
 
@@ -208,64 +209,70 @@
 
         return sorted(holders, key=distance)
 
-    def _ask(
+    def _request_grant(
         self,
         claim: outcomes.Claim,
         seat: str,
         deadline_ms: int,
-        tally: _Tally,
+        tally: _ClaimTally,
     ) -> None:
-        left_ms = deadline_ms - self._clock.monotonic_ms()
-        if left_ms <= 0:
+        remaining_ms = deadline_ms - self._clock.monotonic_ms()
+        if remaining_ms <= 0:
             tally.unreachable.append(seat)
             return
-        tally.asked.add(seat)
-        request = self._request(claim, self._keep_ms)
+        tally.requested.add(seat)
+        request = self._make_mark_request(claim, self._keep_ms)
         if seat == self._seat:
-            self._count(seat, self._marks.mark(request), tally)
+            self._record_reply(seat, self._marks.mark(request), tally)
             return
-        timeout_ms = min(MARK_TIMEOUT_MS, left_ms)
+        timeout_ms = min(MARK_TIMEOUT_MS, remaining_ms)
         match self._peers.mark(seat, request, timeout_ms):
             case result.Ok(reply):
-                self._count(seat, reply, tally)
+                self._record_reply(seat, reply, tally)
             case result.Err(_):
                 tally.unreachable.append(seat)
 
     @staticmethod
-    def _count(seat: str, reply: ttypes.MarkReply, tally: _Tally) -> None:
+    def _record_reply(
+        seat: str, reply: ttypes.MarkReply, tally: _ClaimTally
+    ) -> None:
         match reply.verdict:
             case ttypes.MarkVerdict.FRESH:
                 tally.granted.add(seat)
             case ttypes.MarkVerdict.SEEN:
-                tally.is_seen = True
+                tally.is_duplicate = True
             case _:
-                tally.young.append(seat)
+                tally.recently_started.append(seat)
 
-    def _refusal(self, tally: _Tally) -> ClaimError:
-        if tally.is_seen:
+    def _refusal(self, tally: _ClaimTally) -> ClaimError:
+        if tally.is_duplicate:
             return outcomes.Unknown(
                 reasons.RefusalReason.DUPLICATE_REQUEST,
-                "a request with this id was sent to an endpoint before",
+                "a request with this id was sent to an endpoint earlier",
             )
-        if tally.young:
+        if tally.recently_started:
             return outcomes.NotRun(
                 reasons.RefusalReason.REQUEST_TOO_OLD,
-                f"{', '.join(tally.young)} started too lately to tell whether "
-                "this id was used before",
-                self._young_ms(),
+                f"{', '.join(tally.recently_started)} started too recently to "
+                "tell whether this id has been used",
+                self._retry_after_recent_start_ms(),
             )
         return outcomes.NotRun(
             reasons.RefusalReason.GUARD_UNREACHABLE,
-            f"holders of this id can't be reached: "
+            f"can't reach a majority of the holders of this id: "
             f"{', '.join(tally.unreachable) or 'no seats are configured'}",
-            RETRY_UNREACHABLE_MS,
+            RETRY_AFTER_UNREACHABLE_MS,
         )
 
-    def _young_ms(self) -> int:
+    def _retry_after_recent_start_ms(self) -> int:
         own_ms = self._keep_ms - self._marks.uptime_ms
-        return own_ms if own_ms > 0 else min(RETRY_YOUNG_MS, self._keep_ms)
+        return (
+            own_ms
+            if own_ms > 0
+            else min(RETRY_AFTER_RECENT_START_MS, self._keep_ms)
+        )
 
-    def _request(
+    def _make_mark_request(
         self, claim: outcomes.Claim, keep_ms: int
     ) -> ttypes.MarkRequest:
         return ttypes.MarkRequest(
@@ -276,8 +283,8 @@
         )
 
     def _release_at(self, claim: outcomes.Claim, holders: set[str]) -> None:
-        """Best effort: what is not taken back refuses repetitions."""
-        request = self._request(claim, 0)
+        """Removes marks, best effort; remaining marks refuse repetitions."""
+        request = self._make_mark_request(claim, 0)
         for seat in holders:
             if seat == self._seat:
                 self._marks.mark(request)
