--- a/tests/process/test_local_state.py
+++ b/tests/process/test_local_state.py
@@ -1,4 +1,4 @@
-"""Tests of the gate of a seat."""
+"""Tests of the gate that opens a seat's slots."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from comfreylatch._version import objects
 from testing.fakes import clock as fake_clock
 
-LEFT_OVER_MS = 10_000
+PREDECESSOR_HOLD_MS = 10_000
 WITH_ENDPOINT = configuration.Configuration(
     offset=0,
     endpoints={"ex-1": objects.Endpoint("skyproc", "bole", "127.0.0.1:1")},
 )
 
 
-class _Parts:
-    """Stands for what the gate looks at."""
+class _FakeDependencies:
+    """Fake collaborators of the gate."""
 
     def __init__(self) -> None:
         self.clock = fake_clock.FakeClock()
@@ -39,36 +39,36 @@
         return self.drained
 
     def predecessor_hold_ms(self) -> int:
-        return LEFT_OVER_MS
+        return PREDECESSOR_HOLD_MS
 
 
 class SeatGateTest(testtools.TestCase):
-    """When a seat's slots may be used."""
+    """When the gate opens, and for which reason."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.parts = _Parts()
-        self.gate = local_state.SeatGate(self.parts)
+        self.deps = _FakeDependencies()
+        self.gate = local_state.SeatGate(self.deps)
 
-    def test_nothing_opens_before_the_configuration_is_read(self) -> None:
+    def test_seat_stays_closed_before_the_configuration_is_read(self) -> None:
         self.assertEqual("", self.gate.reason_to_open())
 
     def test_ticket_right_after_the_start_does_not_close_the_seat(self) -> None:
-        self.parts.config.ready = True
-        self.parts.listener(WITH_ENDPOINT)
+        self.deps.config.ready = True
+        self.deps.listener(WITH_ENDPOINT)
         self.assertEqual(
-            local_state.NO_ENDPOINT_BEFORE, self.gate.reason_to_open()
+            local_state.NO_PREVIOUS_ENDPOINT, self.gate.reason_to_open()
         )
 
-    def test_seat_waits_for_what_a_predecessor_left(self) -> None:
-        self.parts.listener(WITH_ENDPOINT)
-        self.parts.config.ready = True
+    def test_seat_waits_for_requests_of_a_predecessor(self) -> None:
+        self.deps.listener(WITH_ENDPOINT)
+        self.deps.config.ready = True
         self.assertEqual("", self.gate.reason_to_open())
-        self.parts.clock.advance(LEFT_OVER_MS)
+        self.deps.clock.advance(PREDECESSOR_HOLD_MS)
         self.assertEqual("waited", self.gate.reason_to_open())
 
-    def test_drained_predecessor_left_nothing(self) -> None:
-        self.parts.listener(WITH_ENDPOINT)
-        self.parts.config.ready = True
-        self.parts.drained = True
+    def test_seat_opens_if_predecessor_drained(self) -> None:
+        self.deps.listener(WITH_ENDPOINT)
+        self.deps.config.ready = True
+        self.deps.drained = True
         self.assertEqual("predecessor-drained", self.gate.reason_to_open())
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of who fills a seat, as peers tell each other."""
+"""Tests of seat occupants and drain reports in heartbeats."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 )
 
 
-def beat(
+def make_heartbeat(
     host_id: str,
     seat: str = "bole-1",
-    protocol: int = membership.PROTOCOL,
+    protocol: int = membership.PROTOCOL_VERSION,
     drained: bool = False,
 ) -> ttypes.Heartbeat:
     return ttypes.Heartbeat(
@@ -47,23 +47,25 @@
     )
 
 
-class _Own:
-    """What the asked host says of itself."""
+class _FakeHeartbeatSource:
+    """State of the host under test."""
 
     def heartbeat(self) -> ttypes.Heartbeat:
-        return beat("bole-2-a", seat="bole-2")
+        return make_heartbeat("bole-2-a", seat="bole-2")
 
 
 class SeatTest(testtools.TestCase):
-    """Heartbeats to one host, over a real connection."""
+    """Heartbeats to one host over a real connection."""
 
     def setUp(self) -> None:
         super().setUp()
         self.clock = clock = fake_clock.FakeClock()
-        counted = metrics.Metrics()
-        self.members = membership.Membership(SETTINGS, _Own(), counted, clock)
+        host_metrics = metrics.Metrics()
+        self.members = membership.Membership(
+            SETTINGS, _FakeHeartbeatSource(), host_metrics, clock
+        )
         service = peer_service.PeerService(
-            _Own(),
+            _FakeHeartbeatSource(),
             self.members,
             {},
             None,
@@ -71,38 +73,44 @@
             None,
             journal.Journal("bole-2-a", clock),
         )
-        server = peer_server.PeerServer(ANY_PORT, service, counted)
+        server = peer_server.PeerServer(ANY_PORT, service, host_metrics)
         self.enterContext(server)
         link = peer_link.PeerLink(server.address, TIMEOUT_MS)
         self.link = self.enterContext(link)
 
-    def send(self, given: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
-        answer = self.link.call(lambda c: c.heartbeat(given), TIMEOUT_MS)
+    def send(self, heartbeat: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
+        answer = self.link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
         return answer.unwrap()
 
-    def refused(self, given: ttypes.Heartbeat) -> str:
-        answer = self.link.call(lambda c: c.heartbeat(given), TIMEOUT_MS)
+    def refused(self, heartbeat: ttypes.Heartbeat) -> str:
+        answer = self.link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
         refusal = answer.unwrap_err()
         assert isinstance(refusal, peers.PeerRefusal)
         return refusal.reason
 
     def test_first_process_has_no_predecessor(self) -> None:
-        self.assertIsNone(self.send(beat("bole-1-a")).predecessor_host_id)
+        self.assertIsNone(
+            self.send(make_heartbeat("bole-1-a")).predecessor_host_id
+        )
 
-    def test_successor_hears_that_its_predecessor_drained(self) -> None:
-        self.send(beat("bole-1-a"))
-        self.send(beat("bole-1-a", drained=True))
-        reply = self.send(beat("bole-1-b"))
+    def test_successor_is_told_that_its_predecessor_drained(self) -> None:
+        self.send(make_heartbeat("bole-1-a"))
+        self.send(make_heartbeat("bole-1-a", drained=True))
+        reply = self.send(make_heartbeat("bole-1-b"))
         self.assertEqual("bole-1-a", reply.predecessor_host_id)
         self.assertTrue(reply.predecessor_drained)
 
-    def test_drain_long_ago_says_nothing_of_who_came_between(self) -> None:
-        self.send(beat("bole-1-a", drained=True))
-        self.clock.advance(membership.DRAINED_VALID_MS)
-        self.assertFalse(self.send(beat("bole-1-b")).predecessor_drained)
+    def test_old_drain_report_of_predecessor_is_ignored(self) -> None:
+        self.send(make_heartbeat("bole-1-a", drained=True))
+        self.clock.advance(membership.DRAINED_VALIDITY_MS)
+        self.assertFalse(
+            self.send(make_heartbeat("bole-1-b")).predecessor_drained
+        )
 
-    def test_only_the_whole_zone_can_vouch_for_a_predecessor(self) -> None:
-        given = attrs.evolve(
+    def test_predecessor_is_drained_only_if_all_of_the_zone_report_it(
+        self,
+    ) -> None:
+        zone_settings = attrs.evolve(
             SETTINGS,
             peers=(
                 settings.PeerSettings("bole-1", "bole", "127.0.0.1:6"),
@@ -110,25 +118,33 @@
             ),
         )
         members = membership.Membership(
-            given, _Own(), metrics.Metrics(), self.clock
+            zone_settings, _FakeHeartbeatSource(), metrics.Metrics(), self.clock
         )
-        members.note_own_predecessor("bole-1", drained=True)
+        members.record_predecessor_report("bole-1", drained=True)
         self.assertFalse(members.is_predecessor_drained())
-        members.note_own_predecessor("bole-3", drained=True)
+        members.record_predecessor_report("bole-3", drained=True)
         self.assertTrue(members.is_predecessor_drained())
 
-    def test_successor_of_a_killed_process_hears_no_drain(self) -> None:
-        self.send(beat("bole-1-a"))
-        self.assertFalse(self.send(beat("bole-1-b")).predecessor_drained)
+    def test_killed_predecessor_is_not_reported_as_drained(self) -> None:
+        self.send(make_heartbeat("bole-1-a"))
+        self.assertFalse(
+            self.send(make_heartbeat("bole-1-b")).predecessor_drained
+        )
 
-    def test_woken_process_is_told_that_its_seat_is_taken(self) -> None:
-        self.send(beat("bole-1-a"))
-        self.send(beat("bole-1-b"))
-        self.assertEqual(membership.SUPERSEDED, self.refused(beat("bole-1-a")))
+    def test_resumed_process_is_refused_as_superseded(self) -> None:
+        self.send(make_heartbeat("bole-1-a"))
+        self.send(make_heartbeat("bole-1-b"))
+        self.assertEqual(
+            membership.SUPERSEDED, self.refused(make_heartbeat("bole-1-a"))
+        )
 
-    def test_other_protocol_is_refused_plainly(self) -> None:
-        self.assertEqual("protocol", self.refused(beat("bole-1-a", protocol=0)))
-        self.assertEqual("bole-2-a", self.send(beat("bole-1-a")).host_id)
+    def test_other_protocol_version_is_refused(self) -> None:
+        self.assertEqual(
+            "protocol", self.refused(make_heartbeat("bole-1-a", protocol=0))
+        )
+        self.assertEqual(
+            "bole-2-a", self.send(make_heartbeat("bole-1-a")).host_id
+        )
 
     def test_unknown_stream_is_refused(self) -> None:
         request = ttypes.CatchUpRequest("zone.nowhere", -1)
--- a/tests/process/test_operator_pages.py
+++ b/tests/process/test_operator_pages.py
@@ -1,4 +1,4 @@
-"""Tests of the pages a host shows about itself."""
+"""Tests of the operator pages of a host."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FixedClock:
-    """A clock that stands at one time."""
+    """A clock that always returns the same time."""
 
     def __init__(self, now_ms: int) -> None:
         self._now_ms = now_ms
@@ -34,7 +34,7 @@
         return self._now_ms
 
 
-def journal_of(
+def make_journal(
     host: str, now_ms: int, *names: str, max_decisions: int = 10
 ) -> journal_module.Journal:
     journal = journal_module.Journal(host, FixedClock(now_ms), max_decisions)
@@ -44,7 +44,7 @@
 
 
 class FakePeers:
-    """Peers with a journal each, or with a fixed answer."""
+    """Peers that answer from a journal or with a fixed answer."""
 
     def __init__(self, **answers: Any) -> None:
         self._answers = answers
@@ -66,12 +66,14 @@
             return result.Err(peers_port.PeerAnswerLost("late"))
         if isinstance(answer, bytes):
             return result.Ok(answer)
-        told = explanation.of_host(answer, reasons.Subject(subject), name)
-        return result.Ok(explanation.encode(told))
+        local_explanation = explanation.explain_locally(
+            answer, reasons.Subject(subject), name
+        )
+        return result.Ok(explanation.encode(local_explanation))
 
 
 class OperatorPagesTest(testtools.TestCase):
-    """The pages, through their routes."""
+    """Requests to the pages through their routes."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -80,7 +82,7 @@
 
     def pages(self, **status_sources: Any) -> routes.Routes:
         pages = operator_pages.OperatorPages(
-            journal_of("h1", 5),
+            make_journal("h1", 5),
             self.metrics,
             status_sources,
             lambda: self.is_ready,
@@ -93,12 +95,12 @@
         request = http.HttpRequest("GET", path, query, {}, b"")
         return self.pages(**status_sources).handle(request)
 
-    def test_host_that_is_not_ready_says_503(self) -> None:
+    def test_host_that_is_not_ready_replies_503(self) -> None:
         self.is_ready = False
         self.assertEqual(503, self.get("/health/ready").status)
         self.assertEqual(200, self.get("/health/live").status)
 
-    def test_failing_part_leaves_the_rest_of_the_status(self) -> None:
+    def test_failing_component_does_not_hide_other_statuses(self) -> None:
         reply = self.get("/status", bad=lambda: 1 / 0, good=lambda: [1])
         page = json.loads(reply.body)
         self.assertEqual([1], page["good"])
@@ -109,7 +111,7 @@
         body = self.get("/metrics").body
         self.assertEqual(b'appends{label="a\\"\\n"} 1\n', body)
 
-    def test_unknown_subject_is_a_clear_404(self) -> None:
+    def test_unknown_subject_is_404_and_lists_subjects(self) -> None:
         reply = self.get("/explain/planet/mars")
         self.assertEqual(404, reply.status)
         self.assertIn(b"request, job", reply.body)
@@ -120,7 +122,7 @@
 
 
 class ExplainerTest(testtools.TestCase):
-    """Joining the journals of several hosts."""
+    """Merging of the journals of several hosts."""
 
     def explain(
         self, own: journal_module.Journal, **answers: Any
@@ -129,35 +131,39 @@
         return explanation.Explainer(own, peers, 200).explain(JOB, "j")
 
     def test_decisions_of_all_hosts_are_ordered_by_time(self) -> None:
-        found = self.explain(
-            journal_of("h1", 20, "j"),
-            b=journal_of("h2", 10, "j"),
-            c=journal_of("h3", 30, "j", "other"),
+        explained = self.explain(
+            make_journal("h1", 20, "j"),
+            b=make_journal("h2", 10, "j"),
+            c=make_journal("h3", 30, "j", "other"),
         )
-        hosts = [decision.host for decision in found.decisions]
+        hosts = [decision.host for decision in explained.decisions]
         self.assertEqual(["h2", "h1", "h3"], hosts)
 
-    def test_unknown_everywhere(self) -> None:
-        found = self.explain(journal_of("h1", 1), b=journal_of("h2", 1))
-        self.assertEqual(explanation.Verdict.UNKNOWN, found.verdict)
+    def test_subject_without_decisions_is_unknown(self) -> None:
+        explained = self.explain(make_journal("h1", 1), b=make_journal("h2", 1))
+        self.assertEqual(explanation.Verdict.UNKNOWN, explained.verdict)
 
-    def test_full_journal_may_have_forgotten(self) -> None:
-        full = journal_of("h2", 1, "a", "b", max_decisions=1)
-        found = self.explain(journal_of("h1", 1), b=full)
-        self.assertEqual(explanation.Verdict.MAY_BE_FORGOTTEN, found.verdict)
+    def test_full_journal_gives_may_be_forgotten(self) -> None:
+        full = make_journal("h2", 1, "a", "b", max_decisions=1)
+        explained = self.explain(make_journal("h1", 1), b=full)
+        self.assertEqual(
+            explanation.Verdict.MAY_BE_FORGOTTEN, explained.verdict
+        )
 
-    def test_unreachable_peer_may_know_more(self) -> None:
-        found = self.explain(journal_of("h1", 1), b=None)
-        self.assertEqual(explanation.Verdict.MAY_BE_ELSEWHERE, found.verdict)
-        self.assertEqual("b", found.silent[0].seat)
+    def test_unreachable_peer_gives_may_be_elsewhere(self) -> None:
+        explained = self.explain(make_journal("h1", 1), b=None)
+        self.assertEqual(
+            explanation.Verdict.MAY_BE_ELSEWHERE, explained.verdict
+        )
+        self.assertEqual("b", explained.silent[0].seat)
 
-    def test_slow_peer_is_not_waited_for(self) -> None:
+    def test_slow_peer_times_out(self) -> None:
         slow = threading.Event()
         self.addCleanup(slow.set)
-        found = self.explain(journal_of("h1", 1, "j"), b=slow)
-        self.assertEqual("no answer in time", found.silent[0].detail)
-        self.assertEqual(1, len(found.decisions))
+        explained = self.explain(make_journal("h1", 1, "j"), b=slow)
+        self.assertEqual("no answer in time", explained.silent[0].detail)
+        self.assertEqual(1, len(explained.decisions))
 
-    def test_garbage_from_a_peer_is_named(self) -> None:
-        found = self.explain(journal_of("h1", 1), b=b"\xff{")
-        self.assertIn("can't be read", found.silent[0].detail)
+    def test_invalid_answer_of_a_peer_is_reported(self) -> None:
+        explained = self.explain(make_journal("h1", 1), b=b"\xff{")
+        self.assertIn("can't be read", explained.silent[0].detail)
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of fixed shares of endpoints' limits."""
+"""Tests of the fixed shares of endpoint limits."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from comfreylatch._version import objects
 from tests import fakes
 
-LONGEST_MS = shares.max_request_ms(configuration.Configuration())
+MAX_REQUEST_MS = shares.max_request_ms(configuration.Configuration())
 
 
 def make_shares(
     source: fakes.FakeSource,
     clock: fakes.FakeClock,
-    start_after_ms: int = 0,
+    startup_wait_ms: int = 0,
     peers: fakes.FakePeers | None = None,
 ) -> shares.FixedShares:
     return shares.FixedShares(
-        source, fakes.ZONE, "a", clock, start_after_ms, peers
+        source, fakes.ZONE, "a", clock, startup_wait_ms, peers
     )
 
 
@@ -33,7 +33,7 @@
 
 
 class SeatShareTest(testtools.TestCase):
-    """Division of an endpoint's limits."""
+    """Division of an endpoint's limits among seats."""
 
     @given(
         slots=strategies.integers(0, 100),
@@ -41,16 +41,18 @@
         seats=strategies.integers(1, 9),
         name=strategies.text(max_size=8),
     )
-    def test_parts_never_exceed_limits(
+    def test_shares_never_exceed_limits(
         self, slots: int, connections: int, seats: int, name: str
     ) -> None:
         endpoint = objects.Endpoint("s", "z", "a", slots, connections)
         zone = objects.Zone(tuple(f"seat-{i}" for i in range(seats)))
-        parts = [
+        divided = [
             shares.seat_share(name, endpoint, zone, seat) for seat in zone.seats
         ]
-        self.assertLessEqual(sum(part.slots for part in parts), slots)
-        self.assertEqual(connections, sum(part.connections for part in parts))
+        self.assertLessEqual(sum(share.slots for share in divided), slots)
+        self.assertEqual(
+            connections, sum(share.connections for share in divided)
+        )
 
     def test_unknown_seat_has_no_share(self) -> None:
         endpoint = objects.Endpoint("s", "z", "a")
@@ -61,81 +63,85 @@
 
 
 class FixedSharesTest(testtools.TestCase):
-    """Use of a share as configuration changes."""
+    """Use of a share while the configuration changes."""
 
     def setUp(self) -> None:
         super().setUp()
         self.clock = fakes.FakeClock()
 
     def test_share_is_never_exceeded(self) -> None:
-        held = make_shares(fakes.FakeSource(with_seats("a", "b")), self.clock)
-        taken = [held.try_take("ex-1", 1_000) for _ in range(8)]
+        fixed_shares = make_shares(
+            fakes.FakeSource(with_seats("a", "b")), self.clock
+        )
+        taken = [fixed_shares.try_take("ex-1", 1_000) for _ in range(8)]
         self.assertEqual(4, sum(taken))
-        held.give_back("ex-1")
-        self.assertEqual(1, held.free("ex-1"))
+        fixed_shares.give_back("ex-1")
+        self.assertEqual(1, fixed_shares.free("ex-1"))
 
     def test_no_slot_before_predecessors_requests_have_ended(self) -> None:
-        held = make_shares(
-            fakes.FakeSource(with_seats("a")), self.clock, LONGEST_MS
+        fixed_shares = make_shares(
+            fakes.FakeSource(with_seats("a")), self.clock, MAX_REQUEST_MS
         )
-        self.assertFalse(held.try_take("ex-1", 1_000))
-        self.clock.now_ms += LONGEST_MS
-        self.assertTrue(held.try_take("ex-1", 1_000))
+        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
+        self.clock.now_ms += MAX_REQUEST_MS
+        self.assertTrue(fixed_shares.try_take("ex-1", 1_000))
 
-    def test_loss_takes_effect_at_once(self) -> None:
+    def test_decrease_takes_effect_at_once(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
-        held = make_shares(source, self.clock)
+        fixed_shares = make_shares(source, self.clock)
         for _ in range(5):
-            held.try_take("ex-1", 1_000)
+            fixed_shares.try_take("ex-1", 1_000)
         source.replace(with_seats("a", "b", offset=2))
-        held.give_back("ex-1")
-        self.assertFalse(held.try_take("ex-1", 1_000))
+        fixed_shares.give_back("ex-1")
+        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
 
-    def test_gain_waits_for_longest_request(self) -> None:
+    def test_increase_waits_for_longest_request(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b"))
-        held = make_shares(source, self.clock)
+        fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", offset=2))
-        self.assertEqual(4, held.free("ex-1"))
-        self.clock.now_ms += LONGEST_MS - 1
-        self.assertEqual(4, held.free("ex-1"))
-        self.clock.now_ms += 1 + shares.RECHECK_MS
-        self.assertEqual(8, held.free("ex-1"))
+        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.clock.now_ms += MAX_REQUEST_MS - 1
+        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
+        self.assertEqual(8, fixed_shares.free("ex-1"))
 
-    def test_gain_waits_until_other_seats_have_applied_it(self) -> None:
+    def test_increase_waits_until_other_seats_have_applied_it(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c"))
         peers = fakes.FakePeers()
-        held = make_shares(source, self.clock, peers=peers)
+        fixed_shares = make_shares(source, self.clock, peers=peers)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=1),)
         source.replace(with_seats("a", "b", offset=2))
-        self.clock.now_ms += LONGEST_MS * 10
-        self.assertLess(held.free("ex-1"), 4)
+        self.clock.now_ms += MAX_REQUEST_MS * 10
+        self.assertLess(fixed_shares.free("ex-1"), 4)
         peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=2),)
-        self.clock.now_ms += shares.RECHECK_MS
-        held.free("ex-1")
-        self.clock.now_ms += LONGEST_MS + shares.RECHECK_MS
-        self.assertEqual(4, held.free("ex-1"))
+        self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
+        fixed_shares.free("ex-1")
+        self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
+        self.assertEqual(4, fixed_shares.free("ex-1"))
 
-    def test_changed_gain_starts_its_wait_anew(self) -> None:
+    def test_changed_increase_restarts_its_wait(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c", "d"))
-        held = make_shares(source, self.clock)
+        fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", "b", offset=2))
-        self.clock.now_ms += LONGEST_MS - 1
+        self.clock.now_ms += MAX_REQUEST_MS - 1
         source.replace(with_seats("a", offset=3))
-        self.clock.now_ms += LONGEST_MS - 1
-        self.assertEqual(2, held.free("ex-1"))
+        self.clock.now_ms += MAX_REQUEST_MS - 1
+        self.assertEqual(2, fixed_shares.free("ex-1"))
 
     def test_slot_is_given_back_after_endpoint_is_removed(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
-        held = make_shares(source, self.clock)
-        held.try_take("ex-1", 1_000)
+        fixed_shares = make_shares(source, self.clock)
+        fixed_shares.try_take("ex-1", 1_000)
         source.replace(fakes.make_configuration({}, offset=2))
-        held.give_back("ex-1")
-        self.assertEqual(0, held.free("ex-1"))
-
-    def test_freed_slot_is_told(self) -> None:
-        held = make_shares(fakes.FakeSource(with_seats("a")), self.clock)
-        told: list[str] = []
-        held.on_free(told.append)
-        held.try_take("ex-1", 1_000)
-        held.give_back("ex-1")
-        self.assertEqual(["ex-1"], told)
+        fixed_shares.give_back("ex-1")
+        self.assertEqual(0, fixed_shares.free("ex-1"))
+
+    def test_freed_slot_notifies_listeners(self) -> None:
+        fixed_shares = make_shares(
+            fakes.FakeSource(with_seats("a")), self.clock
+        )
+        notified: list[str] = []
+        fixed_shares.on_free(notified.append)
+        fixed_shares.try_take("ex-1", 1_000)
+        fixed_shares.give_back("ex-1")
+        self.assertEqual(["ex-1"], notified)
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -1,4 +1,4 @@
-"""Tests of slot shares and loans, and of their sum over several hosts."""
+"""Tests of slot accounts, and of the slots that several hosts use."""
 
 from __future__ import annotations
 
@@ -16,81 +16,81 @@
 HOSTS = 2
 LOAN_MS = 1_000
 RUN_MS = 700
-MOST_MUTANT_EXAMPLES = 5_000
+MAX_MUTANT_EXAMPLES = 5_000
 
 
-class SlotBookTest(testtools.TestCase):
-    """One host's book."""
+class SlotAccountTest(testtools.TestCase):
+    """The account of one host."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.book = slot_account.SlotAccount("ex-1")
-        self.book.set_own(2)
+        self.account = slot_account.SlotAccount("ex-1")
+        self.account.set_own_slots(2)
 
-    def test_own_share_bounds_takes(self) -> None:
-        taken = [self.book.take(0, RUN_MS) for _ in range(3)]
+    def test_own_share_limits_acquired_slots(self) -> None:
+        taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
         self.assertEqual([True, True, False], taken)
 
-    def test_lent_slot_is_gone_until_it_runs_out(self) -> None:
-        self.assertEqual(1, self.book.lend(0, 1, "h", 5, LOAN_MS))
-        self.assertEqual(1, self.book.free(LOAN_MS, RUN_MS))
-        self.assertEqual(2, self.book.free(LOAN_MS + 100, RUN_MS))
+    def test_lent_slot_is_unavailable_until_loan_expires(self) -> None:
+        self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
+        self.assertEqual(1, self.account.free(LOAN_MS, RUN_MS))
+        self.assertEqual(2, self.account.free(LOAN_MS + 100, RUN_MS))
 
     def test_last_free_slot_is_not_lent(self) -> None:
-        self.book.take(0, RUN_MS)
-        self.assertEqual(0, self.book.lend(0, 1, "h", 1, LOAN_MS))
+        self.account.acquire(0, RUN_MS)
+        self.assertEqual(0, self.account.lend(0, 1, "h", 1, LOAN_MS))
 
     def test_repeated_loan_request_debits_once(self) -> None:
-        self.book.lend(0, 1, "h", 1, LOAN_MS)
-        self.assertEqual(0, self.book.lend(1, 1, "h", 1, LOAN_MS))
-        self.assertEqual(1, self.book.lent_slots)
+        self.account.lend(0, 1, "h", 1, LOAN_MS)
+        self.assertEqual(0, self.account.lend(1, 1, "h", 1, LOAN_MS))
+        self.assertEqual(1, self.account.lent_slots)
 
-    def test_borrowed_slot_takes_only_requests_that_end_in_time(self) -> None:
-        self.book.set_own(0)
-        self.book.add_borrowed(slot_account.Borrowed("s", 1, 1, LOAN_MS))
+    def test_borrowed_slot_is_only_for_requests_that_end_in_time(self) -> None:
+        self.account.set_own_slots(0)
+        self.account.add_borrowed(slot_account.BorrowedLoan("s", 1, 1, LOAN_MS))
         late_ms = LOAN_MS - RUN_MS + 1
-        self.assertFalse(self.book.take(late_ms, RUN_MS))
-        self.assertTrue(self.book.take(late_ms - 1, RUN_MS))
+        self.assertFalse(self.account.acquire(late_ms, RUN_MS))
+        self.assertTrue(self.account.acquire(late_ms - 1, RUN_MS))
 
-    def test_given_back_slot_can_be_taken_again(self) -> None:
-        self.book.take(0, RUN_MS)
-        self.book.take(0, RUN_MS)
-        self.book.release(1)
-        self.assertEqual(1, self.book.free(1, RUN_MS))
+    def test_released_slot_can_be_acquired_again(self) -> None:
+        self.account.acquire(0, RUN_MS)
+        self.account.acquire(0, RUN_MS)
+        self.account.release(1)
+        self.assertEqual(1, self.account.free(1, RUN_MS))
 
 
 class LoanModel(stateful.RuleBasedStateMachine):
-    """Hosts that take, end, lend, lose messages, die and are replaced."""
+    """Hosts that serve, lend, lose messages, crash and are replaced."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = 0
         self.loan_id = 0
-        self.books = [self._new_book(own=True) for _ in range(HOSTS)]
+        self.accounts = [self._new_account(own=True) for _ in range(HOSTS)]
         self.start_ms = [0] * HOSTS
         self.running: list[tuple[int, int]] = []
-        self.orphans: list[int] = []
+        self.orphan_ends_ms: list[int] = []
 
-    def _new_book(self, own: bool) -> slot_account.SlotAccount:
-        book = slot_account.SlotAccount("ex-1")
-        book.set_own(SLOTS // HOSTS if own else 0)
-        return book
+    def _new_account(self, own: bool) -> slot_account.SlotAccount:
+        account = slot_account.SlotAccount("ex-1")
+        account.set_own_slots(SLOTS // HOSTS if own else 0)
+        return account
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def fill(self, host: int) -> None:
-        """Requests start while there are slots, and run as long as allowed."""
+        """Starts requests while there are slots; each runs to its bound."""
         while len(self.running) <= SLOTS:
-            if not self.books[host].take(self.now_ms, RUN_MS):
+            if not self.accounts[host].acquire(self.now_ms, RUN_MS):
                 return
             self.running.append((host, self.now_ms + RUN_MS))
 
     @stateful.rule(pick=strategies.integers(0, 99))
     def end(self, pick: int) -> None:
-        """Any request may end before its bound."""
+        """Ends any request before its bound."""
         if not self.running:
             return
         host, _ = self.running.pop(pick % len(self.running))
-        self.books[host].release(self.now_ms)
+        self.accounts[host].release(self.now_ms)
 
     @stateful.rule(
         lender=strategies.integers(0, HOSTS - 1),
@@ -101,57 +101,61 @@
     def borrow(
         self, lender: int, borrower: int, delay_ms: int, lost: bool
     ) -> None:
-        """A loan whose answer may come late or never."""
+        """Requests a loan whose reply may be late or lost."""
         if lender == borrower:
             return
         self.loan_id += 1
         asked_ms = self.now_ms
         self.advance(delay_ms)
-        slots = self.books[lender].lend(
+        slots = self.accounts[lender].lend(
             self.now_ms, self.loan_id, str(borrower), 2, LOAN_MS
         )
         if slots and not lost:
-            self.books[borrower].add_borrowed(
-                slot_account.Borrowed(
+            self.accounts[borrower].add_borrowed(
+                slot_account.BorrowedLoan(
                     str(lender), self.loan_id, slots, asked_ms + LOAN_MS
                 )
             )
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def give_back(self, host: int) -> None:
-        """Unused loans go back to their lenders."""
-        for loan in self.books[host].returnable(self.now_ms, 0):
-            self.books[int(loan.lender_seat)].take_back(loan.loan_id, str(host))
+        """Returns unused loans to their lenders."""
+        for loan in self.accounts[host].pop_idle_loans(self.now_ms, 0):
+            self.accounts[int(loan.lender_seat)].credit_return(
+                loan.loan_id, str(host)
+            )
 
     @stateful.rule(host=strategies.integers(0, HOSTS - 1))
     def replace(self, host: int) -> None:
-        """A host dies; its successor waits out what it may have left."""
+        """Crashes a host; its successor waits for its requests and loans."""
         for running_host, until_ms in self.running:
             if running_host == host:
-                self.orphans.append(until_ms)
+                self.orphan_ends_ms.append(until_ms)
         self.running = [r for r in self.running if r[0] != host]
-        self.books[host] = self._new_book(own=False)
+        self.accounts[host] = self._new_account(own=False)
         margin_ms = LOAN_MS // slot_account.CLOCK_DRIFT_DIVISOR + 1
         self.start_ms[host] = self.now_ms + LOAN_MS + margin_ms + RUN_MS
 
     @stateful.rule(step_ms=strategies.sampled_from([1, 100, 350, 500]))
     def advance(self, step_ms: int) -> None:
-        """Time passes; successors come into their shares."""
+        """Advances the time; successors that have waited get their shares."""
         self.now_ms += step_ms
-        self.orphans = [o for o in self.orphans if o > self.now_ms]
-        late = [r for r in self.running if r[1] <= self.now_ms]
+        self.orphan_ends_ms = [
+            end_ms for end_ms in self.orphan_ends_ms if end_ms > self.now_ms
+        ]
+        ended = [r for r in self.running if r[1] <= self.now_ms]
         self.running = [r for r in self.running if r[1] > self.now_ms]
-        for host, _ in late:
-            self.books[host].release(self.now_ms)
+        for host, _ in ended:
+            self.accounts[host].release(self.now_ms)
         for host, start_ms in enumerate(self.start_ms):
             if self.now_ms >= start_ms:
-                self.books[host].set_own(SLOTS // HOSTS)
+                self.accounts[host].set_own_slots(SLOTS // HOSTS)
 
     @stateful.invariant()
-    def never_over(self) -> None:
-        """The endpoint runs at most its slots."""
+    def within_slot_limit(self) -> None:
+        """The endpoint never runs more requests than it has slots."""
         total = SLOTS // HOSTS * HOSTS
-        assert len(self.running) + len(self.orphans) <= total
+        assert len(self.running) + len(self.orphan_ends_ms) <= total
 
 
 LoanModel.TestCase.settings = hypothesis.settings(
@@ -164,11 +168,11 @@
 LoanModelTest = LoanModel.TestCase
 
 
-class GuardTest(testtools.TestCase):
-    """Without any one guard the model finds an endpoint over its slots."""
+class MutantTest(testtools.TestCase):
+    """The model finds a violation if any one guard is removed."""
 
-    def _assert_found(self, name: str, without: Any) -> None:
-        with mock.patch.object(slot_account.SlotAccount, name, without):
+    def _assert_violation_found(self, name: str, mutant: Any) -> None:
+        with mock.patch.object(slot_account.SlotAccount, name, mutant):
             self.assertRaises(
                 AssertionError,
                 stateful.run_state_machine_as_test,
@@ -176,28 +180,32 @@
                 settings=hypothesis.settings(
                     LoanModel.TestCase.settings,
                     phases=[hypothesis.Phase.generate],
-                    max_examples=MOST_MUTANT_EXAMPLES,
+                    max_examples=MAX_MUTANT_EXAMPLES,
                 ),
             )
 
     def test_lender_that_does_not_debit(self) -> None:
-        self._assert_found("lend", lambda *_: 1)
+        self._assert_violation_found("lend", lambda *_: 1)
 
     def test_successor_that_does_not_wait(self) -> None:
-        new_book = LoanModel._new_book
+        new_account = LoanModel._new_account
 
         def with_share(model: LoanModel, own: bool) -> slot_account.SlotAccount:
             del own
-            return new_book(model, True)
+            return new_account(model, True)
 
-        with mock.patch.object(LoanModel, "_new_book", with_share):
-            self._assert_found("own_used", slot_account.SlotAccount.own_used)
+        with mock.patch.object(LoanModel, "_new_account", with_share):
+            self._assert_violation_found(
+                "own_used", slot_account.SlotAccount.own_used
+            )
 
     def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
         add = slot_account.SlotAccount.add_borrowed
 
-        def add_for_ever(book: slot_account.SlotAccount, loan: Any) -> None:
+        def add_without_end(
+            account: slot_account.SlotAccount, loan: Any
+        ) -> None:
             loan.ends_ms += 10 * LOAN_MS
-            add(book, loan)
+            add(account, loan)
 
-        self._assert_found("add_borrowed", add_for_ever)
+        self._assert_violation_found("add_borrowed", add_without_end)
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -33,9 +33,9 @@
     return attrs.evolve(event, **changes)
 
 
-def sent(name: str, outcome: str, body: bytes = b"") -> checker.Sent:
+def sent(name: str, outcome: str, body: bytes = b"") -> checker.SentRequest:
     answer = client.Answer(200, outcome, "", name, body, {}, 1.0)
-    return checker.Sent(name, b"q", False, answer)
+    return checker.SentRequest(name, b"q", False, answer)
 
 
 def worker_event(kind: str, at_ms: float, **changes: Any) -> Any:
@@ -55,8 +55,8 @@
     return attrs.evolve(event, **changes)
 
 
-def rules(breaches: list[checker.Breach]) -> list[str]:
-    return [breach.rule for breach in breaches]
+def rules(violations: list[checker.Violation]) -> list[str]:
+    return [breach.rule for breach in violations]
 
 
 class RequestChecksTest(testtools.TestCase):
