--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -90,7 +90,7 @@
         for key in ("seat", "zone"):
             name = named.get(key)
             if isinstance(name, str) and not name.strip():
-                name_path = schema.join(path, key)
+                name_path = schema.join_path(path, key)
                 yield schema.Problem(
                     name_path, "a name", schema.describe_value(name)
                 )
--- a/src/comfreylatch/_version/object_rules.py
+++ b/src/comfreylatch/_version/object_rules.py
@@ -39,7 +39,7 @@
         state: The object, already of the right types.
         path: Path of the change that sets it.
     """
-    where = schema.join(path, "state")
+    where = schema.join_path(path, "state")
     found = _bound_problems(state, where)
     match state:
         case objects.Endpoint():
@@ -50,7 +50,7 @@
             expected = f"the name {objects.FLEET_LIMITS_NAME!r}"
             found.append(
                 schema.Problem(
-                    schema.join(path, "name"),
+                    schema.join_path(path, "name"),
                     expected,
                     schema.describe_value(name),
                 )
@@ -64,7 +64,7 @@
     found: schema.Problems = []
     for field in attrs.fields(type(value)):
         member = getattr(value, field.name)
-        where = schema.join(path, field.name)
+        where = schema.join_path(path, field.name)
         if isinstance(member, workers.Resources):
             found += _bound_problems(member, where)
         elif type(member) is int:
@@ -85,12 +85,12 @@
     parsed = address.parse(text)
     if parsed.is_ok():
         return []
-    where = schema.join(path, "address")
+    where = schema.join_path(path, "address")
     return [schema.Problem(where, "IP:port", schema.describe_value(text))]
 
 
 def _seat_problems(seats: tuple[str, ...], path: str) -> schema.Problems:
-    where = schema.join(path, "seats")
+    where = schema.join_path(path, "seats")
     if len(set(seats)) != len(seats):
         return [schema.Problem(where, "each seat once", repr(list(seats)))]
     return []
--- a/src/comfreylatch/_version/schema.py
+++ b/src/comfreylatch/_version/schema.py
@@ -74,7 +74,7 @@
             expected = "one of " + ", ".join(known)
             problems.append(
                 Problem(
-                    join(path, key),
+                    join_path(path, key),
                     expected,
                     f"{UNKNOWN_KEY} {key!r}",
                     near[0] if near else "",
@@ -83,7 +83,7 @@
     return problems
 
 
-def join(path: str, key: str) -> str:
+def join_path(path: str, key: str) -> str:
     """The path of a member of the value at `path`."""
     return f"{path}.{key}" if path else key
 
@@ -147,7 +147,7 @@
     known = [field.name for field in fields]
     problems = unknown_keys(value, known, path)
     for field in fields:
-        where = join(path, field.name)
+        where = join_path(path, field.name)
         if field.name in value:
             problems += check(value[field.name], hints[field.name], where)
         elif field.default is attrs.NOTHING:
--- a/src/comfreylatch/_version/tickets.py
+++ b/src/comfreylatch/_version/tickets.py
@@ -139,7 +139,7 @@
     problems += _number_problems(value, "replaces", path, lowest=0)
     if "kind" not in value:
         return problems
-    where = schema.join(path, "kind")
+    where = schema.join_path(path, "kind")
     bad_kind = schema.check(value["kind"], objects.ObjectKind, where)
     if bad_kind or "state" not in value:
         return problems + bad_kind
@@ -148,7 +148,7 @@
 
 def _state_problems(value: Mapping[str, Any], path: str) -> schema.Problems:
     kind = objects.ObjectKind(value["kind"])
-    where = schema.join(path, "state")
+    where = schema.join_path(path, "state")
     state = value["state"]
     if state is None:
         if value.get("replaces") == 0:
@@ -169,7 +169,7 @@
     value: Mapping[str, Any], known: list[str], path: str
 ) -> schema.Problems:
     return [
-        schema.Problem(schema.join(path, key), "a value", "nothing")
+        schema.Problem(schema.join_path(path, key), "a value", "nothing")
         for key in known
         if key not in value
     ]
@@ -184,7 +184,7 @@
     if type(number) is int and lowest <= number <= MAX_NUMBER:
         return []
     expected = f"a whole number from {lowest}"
-    return [schema.Problem(schema.join(path, key), expected, repr(number))]
+    return [schema.Problem(schema.join_path(path, key), expected, repr(number))]
 
 
 def _text_problems(
@@ -197,7 +197,7 @@
     if usable and len(text) <= longest:
         return []
     expected = f"a text of 1 to {longest} printable characters"
-    where = schema.join(path, key)
+    where = schema.join_path(path, key)
     return [schema.Problem(where, expected, schema.describe_value(text))]
 
 
