--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -113,7 +113,7 @@
                 stream=self._stream,
                 offset=self._offset,
                 digest=self._fold.digest(),
-                writers=self._writers.lines(),
+                writers=self._writers.positions(),
                 fold=self._fold.snapshot(),
             )
 
@@ -215,7 +215,7 @@
         last_records: dict[str, writers.WriterPosition],
     ) -> None:
         writer = envelope.writer
-        if not self._writers.take(writer, envelope.sequence, offset):
+        if not self._writers.record(writer, envelope.sequence, offset):
             return
         last_records[writer] = writers.WriterPosition(
             writer, envelope.sequence, offset
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -24,8 +24,8 @@
 
 MAX_TICKETS = 2_000
 # Removed objects are forgotten after this many offsets.
-REMOVAL_KEPT_OFFSETS = 100_000
-SWEEP_OFFSETS = 1_024
+TOMBSTONE_RETENTION_OFFSETS = 100_000
+SWEEP_INTERVAL_OFFSETS = 1_024
 MAX_DETAIL_CHARACTERS = 2_000
 UNKNOWN_AGE_MS = 2**53
 DIGEST_MODULUS = 2**64
@@ -320,9 +320,9 @@
     def _sweep(self, offset: int) -> None:
         """Forgets removals of long ago, at offsets equal on every host."""
         before = self._current.offset
-        if offset // SWEEP_OFFSETS == before // SWEEP_OFFSETS:
+        if offset // SWEEP_INTERVAL_OFFSETS == before // SWEEP_INTERVAL_OFFSETS:
             return
-        oldest = offset - REMOVAL_KEPT_OFFSETS
+        oldest = offset - TOMBSTONE_RETENTION_OFFSETS
         for key, versioned in list(self._objects.items()):
             if versioned.state is None and versioned.offset < oldest:
                 self._sum -= _object_hash(key, versioned)
--- a/src/comfreylatch/_version/writers.py
+++ b/src/comfreylatch/_version/writers.py
@@ -9,8 +9,8 @@
 
 # A writer is forgotten when its last record lies this many offsets back. A
 # host is replaced long before, and none waits so long with an open append.
-WRITER_KEPT_OFFSETS = 200_000
-SWEEP_OFFSETS = 4_096
+WRITER_RETENTION_OFFSETS = 200_000
+SWEEP_INTERVAL_OFFSETS = 4_096
 
 
 @attrs.frozen
@@ -36,32 +36,32 @@
     equal on every host at the same offset.
     """
 
-    def __init__(self, lines: Iterable[WriterPosition] = ()) -> None:
-        self._lines = {line.writer: line for line in lines}
+    def __init__(self, positions: Iterable[WriterPosition] = ()) -> None:
+        self._positions = {position.writer: position for position in positions}
 
-    def take(self, writer: str, sequence: int, offset: int) -> bool:
+    def record(self, writer: str, sequence: int, offset: int) -> bool:
         """Notes a record; False when it is a repetition."""
-        known = self._lines.get(writer)
+        known = self._positions.get(writer)
         if known is not None and sequence <= known.sequence:
             return False
-        self._lines[writer] = WriterPosition(writer, sequence, offset)
+        self._positions[writer] = WriterPosition(writer, sequence, offset)
         return True
 
     def sweep(self, offset: int) -> None:
         """To be called at each offset; forgets writers of long ago."""
-        if offset % SWEEP_OFFSETS:
+        if offset % SWEEP_INTERVAL_OFFSETS:
             return
-        oldest = offset - WRITER_KEPT_OFFSETS
-        self._lines = {
-            writer: line
-            for writer, line in self._lines.items()
-            if line.offset >= oldest
+        oldest = offset - WRITER_RETENTION_OFFSETS
+        self._positions = {
+            writer: position
+            for writer, position in self._positions.items()
+            if position.offset >= oldest
         }
 
-    def line(self, writer: str) -> WriterPosition | None:
+    def position(self, writer: str) -> WriterPosition | None:
         """The last record of a writer; None when it is not known."""
-        return self._lines.get(writer)
+        return self._positions.get(writer)
 
-    def lines(self) -> tuple[WriterPosition, ...]:
+    def positions(self) -> tuple[WriterPosition, ...]:
         """All writers known."""
-        return tuple(self._lines.values())
+        return tuple(self._positions.values())
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -158,7 +158,7 @@
         "config",
         10_000 + folded,
         fold.digest(),
-        writers.WriterTable().lines(),
+        writers.WriterTable().positions(),
         fold.snapshot(),
     )
     chunks = snapshots.split(taken)
--- a/tests/process/test_stream_history.py
+++ b/tests/process/test_stream_history.py
@@ -59,7 +59,7 @@
     def test_without_sequence_check_a_violation_is_found(self) -> None:
         """Without the sequence check, a repeated append is folded twice."""
         patch = mock.patch.object(
-            writers.WriterTable, "take", return_value=True
+            writers.WriterTable, "record", return_value=True
         )
         self._assert_violation_found(patch)
 
--- a/tests/version/test_configuration_fold.py
+++ b/tests/version/test_configuration_fold.py
@@ -184,9 +184,9 @@
         self.put(samples.ticket(1, samples.zone("bole")))
         self.put(samples.ticket(2, samples.change("zone", "bole", 1, None)))
         with mock.patch.multiple(
-            configuration_fold, MAX_TICKETS=1, REMOVAL_KEPT_OFFSETS=10
+            configuration_fold, MAX_TICKETS=1, TOMBSTONE_RETENTION_OFFSETS=10
         ):
-            self.offset = 2 * configuration_fold.SWEEP_OFFSETS
+            self.offset = 2 * configuration_fold.SWEEP_INTERVAL_OFFSETS
             self.put(samples.ticket(3, samples.zone("kality")))
         restored = configuration_fold.ConfigurationFold()
         restored.restore(self.offset, self.fold.snapshot())
