--- a/src/comfreylatch/_version/__init__.py
+++ b/src/comfreylatch/_version/__init__.py
@@ -1,3 +1,3 @@
-"""State of one configuration version, and the folds that build it."""
+"""Configuration and zone state, and the folds that build them."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_version/configuration.py
+++ b/src/comfreylatch/_version/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force, as one immutable value per version."""
+"""The current configuration, as one immutable value per version."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @attrs.frozen
 class Versioned:
-    """An object in force, with its version.
+    """A configuration object with its version.
 
     Attributes:
-        version: 1 for a new object, one more with each ticket that sets it.
+        version: 1 for a new object; each ticket that sets it adds 1.
         ticket: Number of the ticket that set it.
         offset: Offset of that ticket's record.
-        state: The object; None once a ticket has removed it.
+        state: The object; None if a ticket has removed it.
     """
 
     version: int
@@ -28,10 +28,10 @@
 
 @attrs.frozen
 class Configuration:
-    """All objects in force after one offset of the configuration stream.
+    """All objects after one offset of the configuration stream.
 
     Attributes:
-        offset: Offset of the last record folded; -1 when none is.
+        offset: Offset of the last record folded; -1 for none.
         digest: Hash of the folded state.
     """
 
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -1,4 +1,4 @@
-"""Folds the configuration stream into the configuration in force."""
+"""Folds the configuration stream into the current configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 from comfreylatch._version import verdicts
 
 MAX_TICKETS = 2_000
-# Removed objects are forgotten after this many offsets.
+# The version of a removed object is kept for this many offsets, so that a
+# late ticket still conflicts with the removal.
 TOMBSTONE_RETENTION_OFFSETS = 100_000
 SWEEP_INTERVAL_OFFSETS = 1_024
 MAX_DETAIL_CHARACTERS = 2_000
@@ -38,7 +39,7 @@
 
 
 @attrs.frozen
-class _ObjectLine:
+class _ObjectEntry:
     kind: objects.ObjectKind
     name: str
     version: int
@@ -50,7 +51,7 @@
 @attrs.frozen
 class _Snapshot:
     offset: int
-    objects: tuple[_ObjectLine, ...]
+    objects: tuple[_ObjectEntry, ...]
     tickets: tuple[verdicts.TicketEntry, ...]
 
 
@@ -69,20 +70,20 @@
 class ConfigurationFold:
     """Implements `RecordFold` and `ConfigurationSource`.
 
-    One thread at a time may call `apply` and `restore`; the other methods may
-    be called from any thread. What is decided depends on the records and
-    their offsets alone.
+    `apply` and `restore` must not run concurrently; the other methods are
+    thread-safe. Decisions depend only on the records and their offsets, so
+    every host reaches the same state.
     """
 
     def __init__(self) -> None:
         self._objects: dict[Key, configuration.Versioned] = {}
         self._tickets: dict[int, verdicts.TicketEntry] = {}
-        self._sum = 0
-        self._current = configuration.Configuration(digest=_hex(0))
+        self._hash_sum = 0
+        self._current = configuration.Configuration(digest=_format_digest(0))
         self._listeners: list[Listener] = []
         self._ticket_listeners: list[TicketListener] = []
         self._age_source: Callable[[], int] = lambda: UNKNOWN_AGE_MS
-        self._ignored = 0
+        self._ignored_count = 0
 
     # ConfigurationSource
 
@@ -95,35 +96,35 @@
         self._listeners.append(listener)
 
     def age_ms(self) -> int:
-        """See `ConfigurationSource.age_ms`; needs `set_age_source` first."""
+        """See `ConfigurationSource.age_ms`; call `set_age_source` first."""
         return self._age_source()
 
     def set_age_source(self, age_ms: Callable[[], int]) -> None:
-        """Sets where `age_ms` comes from: the follower of the stream."""
+        """Sets the function that `age_ms` returns the value of."""
         self._age_source = age_ms
 
     # RecordFold
 
     def apply(self, offset: int, envelope: records.Envelope, body: Any) -> None:
-        """See `RecordFold.apply`; records that carry no ticket are counted."""
+        """See `RecordFold.apply`; counts records that are not tickets."""
         if not isinstance(body, tickets.TicketRecord):
-            self._ignored += 1
+            self._ignored_count += 1
             return
         del envelope
         match tickets.check(body.ticket):
             case result.Ok(ticket):
-                line = self._fold_ticket(offset, ticket)
+                entry = self._fold_ticket(offset, ticket)
             case result.Err(problems):
-                line = self._fold_malformed(offset, body.ticket, problems)
+                entry = self._fold_malformed(offset, body.ticket, problems)
         self._sweep(offset)
         self._publish(offset)
-        if line is not None:
-            _tell(self._ticket_listeners, line)
+        if entry is not None:
+            _notify(self._ticket_listeners, entry)
 
     def snapshot(self) -> bytes:
         """See `RecordFold.snapshot`."""
-        lines = tuple(
-            _ObjectLine(
+        entries = tuple(
+            _ObjectEntry(
                 kind,
                 name,
                 versioned.version,
@@ -133,65 +134,66 @@
             )
             for (kind, name), versioned in self._objects.items()
         )
-        known = tuple(self._tickets.values())
+        ticket_entries = tuple(self._tickets.values())
         return msgspec.json.encode(
-            _Snapshot(self._current.offset, lines, known)
+            _Snapshot(self._current.offset, entries, ticket_entries)
         )
 
     def restore(self, offset: int, snapshot: bytes) -> None:
         """See `RecordFold.restore`.
 
         Raises:
-            ValueError: The snapshot is malformed; nothing was changed.
+            ValueError: The snapshot is malformed; the state is unchanged.
         """
         del offset
-        taken = msgspec.json.decode(snapshot, type=_Snapshot)
+        decoded = msgspec.json.decode(snapshot, type=_Snapshot)
         self._objects = {
-            (line.kind, line.name): _versioned(line) for line in taken.objects
+            (entry.kind, entry.name): _versioned(entry)
+            for entry in decoded.objects
         }
-        self._tickets = {line.number: line for line in taken.tickets}
-        self._sum = sum(
+        self._tickets = {entry.number: entry for entry in decoded.tickets}
+        self._hash_sum = sum(
             _object_hash(key, versioned)
             for key, versioned in self._objects.items()
         )
-        self._sum += sum(map(_ticket_hash, self._tickets.values()))
+        self._hash_sum += sum(map(_ticket_hash, self._tickets.values()))
         self._current = configuration.Configuration(
-            **{field: self._collect(kind) for kind, field in _FIELDS},
+            **{field: self._states_by_name(kind) for kind, field in _FIELDS},
             limits=self._limits(),
         )
-        self._publish(taken.offset)
+        self._publish(decoded.offset)
 
     def digest(self) -> str:
         """See `RecordFold.digest`."""
-        return _hex(self._sum)
+        return _format_digest(self._hash_sum)
 
     # Tickets
 
     @property
     def ignored(self) -> int:
-        """Records folded so far that were no tickets."""
-        return self._ignored
+        """Number of folded records that were not valid tickets."""
+        return self._ignored_count
 
     def on_ticket(self, listener: TicketListener) -> None:
-        """Calls `listener` with every later verdict, in order."""
+        """Registers a listener for every later decision, in order."""
         self._ticket_listeners.append(listener)
 
     def ticket(self, number: int) -> verdicts.TicketEntry | None:
-        """What was decided about a ticket; None when it is not known."""
+        """Returns the decision on a ticket; None if it is unknown."""
         return self._tickets.get(number)
 
     def tickets(self) -> tuple[verdicts.TicketEntry, ...]:
-        """The tickets remembered, in the order of their offsets."""
+        """Returns the retained tickets in order of their offsets."""
         return tuple(self._tickets.copy().values())
 
     def objects(self) -> Mapping[Key, configuration.Versioned]:
-        """A copy of all objects, with those removed not long ago."""
+        """Returns a copy of all objects, including recent tombstones."""
         return self._objects.copy()
 
     def evaluate(
         self, offset: int, ticket: tickets.Ticket
     ) -> verdicts.TicketEntry:
-        """What the verdict would be if the ticket stood at `offset`."""
+        """Returns the decision on a ticket if it were folded at `offset`."""
         conflicts = self._conflicts(ticket)
         broken: list[str] = []
         verdict = verdicts.Verdict.ACCEPTED
@@ -220,8 +222,8 @@
     ) -> tuple[verdicts.Conflict, ...]:
         found: list[verdicts.Conflict] = []
         for change in ticket.changes:
-            held = self._objects.get((change.kind, change.name))
-            version = held.version if held else 0
+            existing = self._objects.get((change.kind, change.name))
+            version = existing.version if existing else 0
             if change.replaces != version:
                 found.append(
                     verdicts.Conflict(
@@ -229,8 +231,8 @@
                         name=change.name,
                         replaces=change.replaces,
                         current=version,
-                        winner=held.ticket if held else 0,
-                        removed=held is not None and held.state is None,
+                        winner=existing.ticket if existing else 0,
+                        removed=existing is not None and existing.state is None,
                     )
                 )
         return tuple(found)
@@ -238,25 +240,25 @@
     def _fold_ticket(
         self, offset: int, ticket: tickets.Ticket
     ) -> verdicts.TicketEntry | None:
-        """Decides on a ticket; None when its number is taken."""
+        """Decides on a ticket; returns None if its number is in use."""
         if ticket.number in self._tickets:
-            # The number belongs to its first record, whatever follows.
+            # The first record with a number owns it, whatever its content.
             return None
-        line = self.evaluate(offset, ticket)
-        self._remember(line)
-        if line.accepted:
-            self._put_in_force(offset, ticket)
-        return line
+        entry = self.evaluate(offset, ticket)
+        self._store_entry(entry)
+        if entry.accepted:
+            self._apply_changes(offset, ticket)
+        return entry
 
     def _fold_malformed(
         self, offset: int, value: Mapping[str, Any], problems: Any
     ) -> verdicts.TicketEntry | None:
-        """Remembers a malformed ticket by its number, if it has one."""
-        self._ignored += 1
+        """Stores a malformed ticket under its number, if that is valid."""
+        self._ignored_count += 1
         number = value.get("number")
         if not tickets.is_number(number) or number in self._tickets:
             return None
-        line = verdicts.TicketEntry(
+        entry = verdicts.TicketEntry(
             number=number,
             content_hash="",
             author="",
@@ -265,35 +267,35 @@
             verdict=verdicts.Verdict.MALFORMED,
             detail=tickets.format_problems(problems)[:MAX_DETAIL_CHARACTERS],
         )
-        self._remember(line)
-        return line
+        self._store_entry(entry)
+        return entry
 
-    def _remember(self, line: verdicts.TicketEntry) -> None:
-        self._tickets[line.number] = line
-        self._sum += _ticket_hash(line)
+    def _store_entry(self, entry: verdicts.TicketEntry) -> None:
+        self._tickets[entry.number] = entry
+        self._hash_sum += _ticket_hash(entry)
         while len(self._tickets) > MAX_TICKETS:
             oldest = next(iter(self._tickets))
-            self._sum -= _ticket_hash(self._tickets.pop(oldest))
+            self._hash_sum -= _ticket_hash(self._tickets.pop(oldest))
 
-    def _put_in_force(self, offset: int, ticket: tickets.Ticket) -> None:
+    def _apply_changes(self, offset: int, ticket: tickets.Ticket) -> None:
         for change in ticket.changes:
             key = (change.kind, change.name)
-            held = self._objects.get(key)
+            existing = self._objects.get(key)
             version = 1
-            if held is not None:
-                self._sum -= _object_hash(key, held)
-                version = held.version + 1
-            put = configuration.Versioned(
+            if existing is not None:
+                self._hash_sum -= _object_hash(key, existing)
+                version = existing.version + 1
+            updated = configuration.Versioned(
                 version, ticket.number, offset, change.state
             )
-            self._objects[key] = put
-            self._sum += _object_hash(key, put)
+            self._objects[key] = updated
+            self._hash_sum += _object_hash(key, updated)
         self._rebuild({change.kind for change in ticket.changes})
 
     def _rebuild(self, kinds: set[objects.ObjectKind]) -> None:
-        """Makes the configuration anew as far as some kinds changed."""
+        """Rebuilds the parts of the configuration that hold these kinds."""
         members: dict[str, Any] = {
-            field: self._collect(kind)
+            field: self._states_by_name(kind)
             for kind, field in _FIELDS
             if kind in kinds
         }
@@ -301,58 +303,59 @@
             members["limits"] = self._limits()
         self._current = attrs.evolve(self._current, **members)
 
-    def _collect(self, kind: objects.ObjectKind) -> Mapping[str, Any]:
+    def _states_by_name(self, kind: objects.ObjectKind) -> Mapping[str, Any]:
         return types.MappingProxyType(
             {
                 name: versioned.state
-                for (held, name), versioned in self._objects.items()
-                if held is kind and versioned.state is not None
+                for (object_kind, name), versioned in self._objects.items()
+                if object_kind is kind and versioned.state is not None
             }
         )
 
     def _limits(self) -> objects.Limits:
         key = (objects.ObjectKind.LIMITS, objects.FLEET_LIMITS_NAME)
-        held = self._objects.get(key)
-        if held is not None and isinstance(held.state, objects.Limits):
-            return held.state
+        existing = self._objects.get(key)
+        if existing is not None and isinstance(existing.state, objects.Limits):
+            return existing.state
         return objects.Limits()
 
     def _sweep(self, offset: int) -> None:
-        """Forgets removals of long ago, at offsets equal on every host."""
+        """Drops expired tombstones, at the same offsets on every host."""
         before = self._current.offset
         if offset // SWEEP_INTERVAL_OFFSETS == before // SWEEP_INTERVAL_OFFSETS:
             return
         oldest = offset - TOMBSTONE_RETENTION_OFFSETS
         for key, versioned in list(self._objects.items()):
             if versioned.state is None and versioned.offset < oldest:
-                self._sum -= _object_hash(key, versioned)
+                self._hash_sum -= _object_hash(key, versioned)
                 del self._objects[key]
 
     def _publish(self, offset: int) -> None:
         self._current = attrs.evolve(
             self._current, offset=offset, digest=self.digest()
         )
-        _tell(self._listeners, self._current)
+        _notify(self._listeners, self._current)
 
 
-def _tell(listeners: list[Callable[[Any], None]], news: Any) -> None:
+def _notify(listeners: list[Callable[[Any], None]], value: Any) -> None:
     for listener in listeners:
         try:
-            listener(news)
+            listener(value)
         except Exception:
-            # The state is right; one faulty listener must not stop it.
+            # The state is already updated; a failing listener must not
+            # prevent the others from being called.
             logs.exception(_events, "listener-failed")
 
 
 _FIELDS = tuple(_FIELD_BY_KIND.items())
 
 
-def _versioned(line: _ObjectLine) -> configuration.Versioned:
-    state = line.state
+def _versioned(entry: _ObjectEntry) -> configuration.Versioned:
+    state = entry.state
     if state is not None:
-        state = msgspec.convert(state, type=objects.CLASS_BY_KIND[line.kind])
+        state = msgspec.convert(state, type=objects.CLASS_BY_KIND[entry.kind])
     return configuration.Versioned(
-        line.version, line.ticket, line.offset, state
+        entry.version, entry.ticket, entry.offset, state
     )
 
 
@@ -360,9 +363,9 @@
     return xxhash.xxh3_64_intdigest(msgspec.json.encode((key, versioned)))
 
 
-def _ticket_hash(line: verdicts.TicketEntry) -> int:
-    return xxhash.xxh3_64_intdigest(msgspec.json.encode(line))
+def _ticket_hash(entry: verdicts.TicketEntry) -> int:
+    return xxhash.xxh3_64_intdigest(msgspec.json.encode(entry))
 
 
-def _hex(total: int) -> str:
+def _format_digest(total: int) -> str:
     return f"{total % DIGEST_MODULUS:016x}"
--- a/src/comfreylatch/_version/job_records.py
+++ b/src/comfreylatch/_version/job_records.py
@@ -1,7 +1,7 @@
 """Records of a zone's stream: jobs, their attempts, and the owner's claims.
 
 Records that only the zone's owner may write carry the term of its claim; the
-fold refuses them under any other term.
+fold ignores them under any other term.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def zone_stream(zone: str) -> str:
-    """Name of the stream that holds a zone's jobs and claims."""
+    """Returns the name of the stream of a zone's jobs and claims."""
     return f"zone.{zone}"
 
 
@@ -29,7 +29,7 @@
 
 
 class ParkReason(enum.StrEnum):
-    """Why a job is set aside until an operator looks at it."""
+    """Why a job is parked until an operator intervenes."""
 
     FAILED_OFTEN = "failed-often"
 
@@ -39,14 +39,14 @@
     """A job as submitted.
 
     Attributes:
-        id: The submitter's id; the same id with the same content is the same
-            job.
+        id: The submitter's id; a submission with the same id and content is
+            the same job.
         team: Team whose quota it uses.
         zone: Availability zone it runs in.
-        job_class: Kind of work, for learned sizes and interference.
-        resources: Declared size.
-        run_time_ms: Declared run time, unthrottled and undisturbed.
-        urgent: Whether it shall start within seconds, by eviction if needed.
+        job_class: Kind of work, by which sizes and interference are learned.
+        resources: Declared resources.
+        run_time_ms: Declared run time without throttling or interference.
+        urgent: Whether it must start within seconds, evicting jobs if needed.
     """
 
     id: str
@@ -60,14 +60,15 @@
 
 @attrs.frozen
 class ClaimBounds:
-    """Bounds that an owner keeps for the whole of its term.
+    """Bounds that an owner keeps throughout its term.
 
     Attributes:
-        claim_ms: How long the claim holds unrenewed.
-        lease_ms: Longest lease it grants to a worker.
-        autonomy_ms: How long it renews running leases without the log.
-        command_ttl_ms: Age at which workers refuse a quoted report.
-        drift_margin_ms: Added to each wait against drift of clocks.
+        claim_ms: Time after its last renewal at which the claim expires.
+        lease_ms: Maximum lease it grants to a worker.
+        autonomy_ms: How long it renews leases while the log is unreachable.
+        command_ttl_ms: Age of the quoted report at which workers refuse
+            commands.
+        drift_margin_ms: Added to each wait to cover clock drift.
     """
 
     claim_ms: int
@@ -79,7 +80,7 @@
 
 @attrs.frozen
 class JobAdmitted:
-    """A job is taken on; `checkpoint_ms` and `attempt` of a moved job."""
+    """A job is admitted; a moved job keeps `checkpoint_ms` and `attempt`."""
 
     spec: JobSpec
     checkpoint_ms: int = 0
@@ -88,14 +89,14 @@
 
 @attrs.frozen
 class JobCancelled:
-    """A submitter no longer wants a job."""
+    """A submitter cancelled a job."""
 
     job: str
 
 
 @attrs.frozen
 class OwnerClaimed:
-    """A host claims a zone's workers; valid if `replaces` is in force."""
+    """A host claims a zone's workers; valid if `replaces` is current."""
 
     term: int
     replaces: int
@@ -105,7 +106,7 @@
 
 @attrs.frozen
 class OwnerRenewed:
-    """The owner still is the owner."""
+    """The owner renews its claim."""
 
     term: int
     host: str
@@ -113,7 +114,7 @@
 
 @attrs.frozen
 class OwnerReleased:
-    """The owner has stopped; it sends nothing more under this term."""
+    """The owner has stopped and sends no more commands in this term."""
 
     term: int
     host: str
@@ -121,10 +122,10 @@
 
 @attrs.frozen
 class AttemptAssigned:
-    """An attempt may be started on a worker, from a checkpoint.
+    """An attempt is assigned to a worker, to resume from a checkpoint.
 
     Attributes:
-        reserved: What it may use there; the declared size when None.
+        reserved: Resources it may use; None for the declared ones.
     """
 
     term: int
@@ -137,7 +138,7 @@
 
 @attrs.frozen
 class AttemptCheckpointed:
-    """An attempt has kept its progress."""
+    """An attempt has written a checkpoint."""
 
     term: int
     job: str
@@ -147,13 +148,13 @@
 
 @attrs.frozen
 class AttemptEnded:
-    """An attempt runs no more, and never will.
+    """An attempt has ended and will not run again.
 
     Attributes:
-        progress_ms: How far it came.
-        checkpoint_ms: What of it is kept.
-        worker_fault: Whether its worker, not the job, is to blame; such a
-            failure doesn't count towards parking.
+        progress_ms: Work done in the attempt.
+        checkpoint_ms: Progress saved in the last checkpoint.
+        worker_fault: Whether the worker, not the job, caused the failure;
+            such a failure doesn't count towards parking.
     """
 
     term: int
@@ -167,7 +168,7 @@
 
 @attrs.frozen
 class JobParked:
-    """A job is set aside."""
+    """A queued job is parked."""
 
     term: int
     job: str
@@ -177,7 +178,7 @@
 
 @attrs.frozen
 class JobMoved:
-    """A job that runs nowhere is given up to another zone."""
+    """A queued job is handed over to another zone."""
 
     term: int
     job: str
--- a/src/comfreylatch/_version/job_state.py
+++ b/src/comfreylatch/_version/job_state.py
@@ -1,4 +1,4 @@
-"""One job as the zone's records tell it, and the claim on the zone."""
+"""State of a job and of a claim, as folded from a zone's records."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JobPhase(enum.StrEnum):
-    """Where a job stands."""
+    """Phase of a job."""
 
     QUEUED = "queued"
     ASSIGNED = "assigned"
@@ -32,24 +32,25 @@
 
 @attrs.frozen
 class JobState:
-    """One job.
+    """State of one job.
 
     Attributes:
         spec: The job as submitted.
         order: Offset of its admission; jobs queue in this order.
-        phase: Where it stands.
-        cancelled: Whether a cancellation was folded.
+        phase: Current phase.
+        cancelled: Whether a cancellation has been folded.
         attempt: Number of the last assigned attempt, 0 before the first.
         term: Term under which that attempt was assigned.
         worker: Worker of the last assigned attempt.
-        reserved: What the last attempt may use.
+        reserved: Resources that the last attempt may use; None for the
+            declared ones.
         checkpoint_ms: Progress from which the next attempt resumes.
-        failures: Failed attempts that were the job's own fault.
+        failures: Failed attempts not caused by the worker.
         failed_workers: Distinct workers on which those failed.
         evictions: Attempts ended by eviction.
         losses: Attempts lost with their worker or lease.
         changed_offset: Offset of the last record that changed it.
-        detail: Why it is parked.
+        detail: Why it is parked, or where it was moved.
     """
 
     spec: job_records.JobSpec
@@ -70,12 +71,12 @@
 
     @property
     def size(self) -> workers.Resources:
-        """What its running attempt holds, or the next one declares."""
+        """Resources reserved for its attempt, else the declared ones."""
         return self.reserved or self.spec.resources
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more will happen to it in this zone."""
+        """Whether the job has ended in this zone."""
         return self.phase in ENDED_PHASES
 
 
@@ -86,7 +87,7 @@
     Attributes:
         offset: Offset of the claim.
         touched_offset: Offset of its last renewal or release.
-        released: Whether its host gave it up.
+        released: Whether its host released it.
     """
 
     term: int
@@ -98,15 +99,15 @@
 
 
 def state_hash(state: JobState) -> int:
-    """64-bit hash of everything a job's state holds."""
+    """Returns a 64-bit hash of a job's complete state."""
     return xxhash.xxh3_64_intdigest(_encoder.encode(state))
 
 
 def spec_hash(spec: job_records.JobSpec) -> int:
-    """64-bit hash of a job's content."""
+    """Returns a 64-bit hash of a job's spec."""
     return xxhash.xxh3_64_intdigest(_encoder.encode(spec))
 
 
 def id_hash(job: str) -> int:
-    """64-bit hash of a job's id."""
+    """Returns a 64-bit hash of a job's id."""
     return xxhash.xxh3_64_intdigest(job.encode("utf-8", "surrogatepass"))
--- a/src/comfreylatch/_version/job_transitions.py
+++ b/src/comfreylatch/_version/job_transitions.py
@@ -1,4 +1,4 @@
-"""What each record of a zone's stream makes of a job or of the claim."""
+"""State transitions of jobs and claims for the records of a zone's stream."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class IgnoredReason(enum.StrEnum):
-    """Why a record changed nothing."""
+    """Why a fold ignored a record."""
 
     REPEATED_RECORD = "repeated-record"
     UNKNOWN_KIND = "unknown-kind"
@@ -45,7 +45,7 @@
 def next_claim(
     claim: job_state.Claim | None, offset: int, body: ClaimRecord
 ) -> job_state.Claim | IgnoredReason:
-    """The claim in force after a record, or why it changes nothing."""
+    """Returns the claim after a record, or why the record is ignored."""
     match body:
         case job_records.OwnerClaimed():
             term = 0 if claim is None else claim.term
@@ -63,40 +63,40 @@
             return attrs.evolve(claim, touched_offset=offset, released=released)
 
 
-def may_return(
-    known: job_state.JobState, body: job_records.JobAdmitted
+def can_be_readmitted(
+    existing: job_state.JobState, body: job_records.JobAdmitted
 ) -> bool:
-    """Whether a job that was moved away may come back."""
-    moved_away = known.phase is job_state.JobPhase.MOVED
-    return moved_away and body.attempt >= known.attempt > 0
+    """Whether an admission may bring a moved job back into the zone."""
+    moved_away = existing.phase is job_state.JobPhase.MOVED
+    return moved_away and body.attempt >= existing.attempt > 0
 
 
 def next_state(
     state: job_state.JobState, offset: int, body: JobRecord
 ) -> job_state.JobState | IgnoredReason:
-    """The job after a record in force, or why it changes nothing."""
+    """Returns the job after a record, or why the record is ignored."""
     changes: dict[str, Any] | IgnoredReason
     match body:
         case job_records.JobCancelled():
-            changes = _cancelled(state)
+            changes = _on_cancelled(state)
         case job_records.AttemptAssigned():
-            changes = _assigned(state, body)
+            changes = _on_assigned(state, body)
         case job_records.AttemptCheckpointed():
-            changes = _checkpointed(state, body)
+            changes = _on_checkpointed(state, body)
         case job_records.AttemptEnded():
-            changes = _ended(state, body)
+            changes = _on_ended(state, body)
         case job_records.JobParked():
             detail = f"{body.reason}: {body.detail}"
-            changes = _set_aside(state, job_state.JobPhase.PARKED, detail)
+            changes = _dequeued(state, job_state.JobPhase.PARKED, detail)
         case job_records.JobMoved():
             detail = f"moved to zone {body.zone}"
-            changes = _set_aside(state, job_state.JobPhase.MOVED, detail)
+            changes = _dequeued(state, job_state.JobPhase.MOVED, detail)
     if isinstance(changes, IgnoredReason):
         return changes
     return attrs.evolve(state, changed_offset=offset, **changes)
 
 
-def _cancelled(state: job_state.JobState) -> dict[str, Any] | IgnoredReason:
+def _on_cancelled(state: job_state.JobState) -> dict[str, Any] | IgnoredReason:
     if state.ended or state.cancelled:
         return IgnoredReason.JOB_ENDED
     if state.phase is job_state.JobPhase.ASSIGNED:
@@ -104,7 +104,7 @@
     return {"cancelled": True, "phase": job_state.JobPhase.CANCELLED}
 
 
-def _assigned(
+def _on_assigned(
     state: job_state.JobState, body: job_records.AttemptAssigned
 ) -> dict[str, Any] | IgnoredReason:
     queued = state.phase is job_state.JobPhase.QUEUED
@@ -119,24 +119,24 @@
     }
 
 
-def _runs(state: job_state.JobState, attempt: int) -> bool:
+def _is_current_attempt(state: job_state.JobState, attempt: int) -> bool:
     assigned = state.phase is job_state.JobPhase.ASSIGNED
     return assigned and state.attempt == attempt
 
 
-def _checkpointed(
+def _on_checkpointed(
     state: job_state.JobState, body: job_records.AttemptCheckpointed
 ) -> dict[str, Any] | IgnoredReason:
     newer = body.checkpoint_ms > state.checkpoint_ms
-    if not newer or not _runs(state, body.attempt):
+    if not newer or not _is_current_attempt(state, body.attempt):
         return IgnoredReason.LATE_CHECKPOINT
     return {"checkpoint_ms": body.checkpoint_ms}
 
 
-def _ended(
+def _on_ended(
     state: job_state.JobState, body: job_records.AttemptEnded
 ) -> dict[str, Any] | IgnoredReason:
-    if not _runs(state, body.attempt):
+    if not _is_current_attempt(state, body.attempt):
         return IgnoredReason.LATE_END
     changes: dict[str, Any] = {
         "phase": job_state.JobPhase.QUEUED,
@@ -160,7 +160,7 @@
     return changes
 
 
-def _set_aside(
+def _dequeued(
     state: job_state.JobState, phase: job_state.JobPhase, detail: str
 ) -> dict[str, Any] | IgnoredReason:
     if state.phase is not job_state.JobPhase.QUEUED:
--- a/src/comfreylatch/_version/object_rules.py
+++ b/src/comfreylatch/_version/object_rules.py
@@ -1,4 +1,4 @@
-"""Bounds on the values of configuration objects, each seen by itself."""
+"""Validation of the values of a single configuration object."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from comfreylatch._version import objects
 from comfreylatch._version import schema
 
-MAX_WHOLE_NUMBER = 2**53 - 1
+MAX_INTEGER = 2**53 - 1
 MAX_PERCENT = 100
-# Fields for which 0 has a meaning; all other whole numbers start at 1.
-_MAY_BE_ZERO = frozenset(
+# Integer fields that may be 0; the minimum of all others is 1.
+_FIELDS_WITH_ZERO = frozenset(
     {
         "retry_budget_percent",
         "hedge_percentile",
@@ -26,26 +26,26 @@
         "accelerators",
     }
 )
-_PERCENTS = frozenset({"retry_budget_percent", "hedge_percentile"})
+_PERCENT_FIELDS = frozenset({"retry_budget_percent", "hedge_percentile"})
 
 
 def problems(
     name: Any, state: objects.ConfigObject, path: str
 ) -> schema.Problems:
-    """Values of one object that are out of bounds.
+    """Returns the values of one object that are out of bounds.
 
     Args:
         name: Name of the object, as found in the ticket.
-        state: The object, already of the right types.
+        state: The object, with types already checked.
         path: Path of the change that sets it.
     """
-    where = schema.join_path(path, "state")
-    found = _bound_problems(state, where)
+    field_path = schema.join_path(path, "state")
+    found = _bound_problems(state, field_path)
     match state:
         case objects.Endpoint():
-            found += _address_problems(state.address, where)
+            found += _address_problems(state.address, field_path)
         case objects.Zone():
-            found += _seat_problems(state.seats, where)
+            found += _seat_problems(state.seats, field_path)
         case objects.Limits() if name != objects.FLEET_LIMITS_NAME:
             expected = f"the name {objects.FLEET_LIMITS_NAME!r}"
             found.append(
@@ -64,20 +64,20 @@
     found: schema.Problems = []
     for field in attrs.fields(type(value)):
         member = getattr(value, field.name)
-        where = schema.join_path(path, field.name)
+        field_path = schema.join_path(path, field.name)
         if isinstance(member, workers.Resources):
-            found += _bound_problems(member, where)
+            found += _bound_problems(member, field_path)
         elif type(member) is int:
-            found += _number_problems(member, field.name, where)
+            found += _number_problems(member, field.name, field_path)
     return found
 
 
 def _number_problems(number: int, name: str, path: str) -> schema.Problems:
-    lowest = 0 if name in _MAY_BE_ZERO else 1
-    highest = MAX_PERCENT if name in _PERCENTS else MAX_WHOLE_NUMBER
-    if lowest <= number <= highest:
+    minimum = 0 if name in _FIELDS_WITH_ZERO else 1
+    maximum = MAX_PERCENT if name in _PERCENT_FIELDS else MAX_INTEGER
+    if minimum <= number <= maximum:
         return []
-    expected = f"a whole number from {lowest} to {highest}"
+    expected = f"a whole number from {minimum} to {maximum}"
     return [schema.Problem(path, expected, str(number))]
 
 
@@ -85,12 +85,12 @@
     parsed = address.parse(text)
     if parsed.is_ok():
         return []
-    where = schema.join_path(path, "address")
-    return [schema.Problem(where, "IP:port", schema.describe_value(text))]
+    field_path = schema.join_path(path, "address")
+    return [schema.Problem(field_path, "IP:port", schema.describe_value(text))]
 
 
 def _seat_problems(seats: tuple[str, ...], path: str) -> schema.Problems:
-    where = schema.join_path(path, "seats")
+    field_path = schema.join_path(path, "seats")
     if len(set(seats)) != len(seats):
-        return [schema.Problem(where, "each seat once", repr(list(seats)))]
+        return [schema.Problem(field_path, "each seat once", repr(list(seats)))]
     return []
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -1,8 +1,8 @@
-"""The state of one zone, folded from its stream in order of offset.
+"""Folds a zone's stream, in order of offset, into the state of the zone.
 
-What is contested is settled by position alone: the first claim that names the
-term in force wins it, an owner's record counts only under the term in force,
-and a cancellation before an assignment makes the assignment void.
+Conflicts are resolved by position alone: the first claim that replaces the
+current term wins, records of an owner are ignored unless they carry the
+current term, and a cancellation invalidates a later assignment.
 """
 
 from __future__ import annotations
@@ -21,6 +21,7 @@
 from comfreylatch._version import job_transitions
 from comfreylatch._version import records
 
+# Records after its end at which a job is reduced to the hash of its spec.
 RETIRE_AFTER_RECORDS = 20_000
 MAX_RETIRED_IDS = 20_000
 MAX_CLAIMS = 16
@@ -47,7 +48,7 @@
 class ZoneFold:
     """Implements `streams.RecordFold` for a zone. Thread-safe.
 
-    Job states are immutable, so readers keep what they were given.
+    Job states are immutable, so a returned state never changes.
     """
 
     def __init__(
@@ -58,7 +59,9 @@
         self._retire_after_records = retire_after_records
         self._max_retired_ids = max_retired_ids
         self._lock = threading.RLock()
-        self._events: collections.Counter[IgnoredReason] = collections.Counter()
+        self._ignored_counts: collections.Counter[IgnoredReason] = (
+            collections.Counter()
+        )
         self._changed: dict[str, None] = {}
         self._all_changed = True
         self._clear()
@@ -75,20 +78,20 @@
         self._retired: dict[int, int] = {}
         self._claims: tuple[job_state.Claim, ...] = ()
 
-    # What `streams.RecordFold` asks for.
+    # streams.RecordFold
 
     def apply(self, offset: int, envelope: records.Envelope, body: Any) -> None:
         """See `streams.RecordFold.apply`."""
         del envelope
         with self._lock:
             if offset <= self._offset:
-                self._events[IgnoredReason.REPEATED_RECORD] += 1
+                self._ignored_counts[IgnoredReason.REPEATED_RECORD] += 1
                 return
             self._offset = offset
-            self._retire(offset)
-            refused = self._fold(offset, body)
-            if refused is not None:
-                self._events[refused] += 1
+            self._retire_ended_jobs(offset)
+            ignored_reason = self._fold(offset, body)
+            if ignored_reason is not None:
+                self._ignored_counts[ignored_reason] += 1
 
     def snapshot(self) -> bytes:
         """See `streams.RecordFold.snapshot`."""
@@ -104,78 +107,85 @@
             )
 
     def restore(self, offset: int, snapshot: bytes) -> None:
-        """See `streams.RecordFold.restore`; ValueError if malformed."""
+        """See `streams.RecordFold.restore`.
+
+        Raises:
+            ValueError: The snapshot is malformed; the state is unchanged.
+        """
         try:
-            taken = _snapshot_decoder.decode(snapshot)
+            decoded = _snapshot_decoder.decode(snapshot)
         except msgspec.MsgspecError as error:
             raise ValueError(str(error)) from error
         with self._lock:
             self._clear()
-            self._offset = max(offset, taken.offset)
-            self._ended.extend(taken.ended)
-            self._retired.update(taken.retired)
-            self._claims = taken.claims
-            for state in taken.jobs:
-                self._put(state)
+            self._offset = max(offset, decoded.offset)
+            self._ended.extend(decoded.ended)
+            self._retired.update(decoded.retired)
+            self._claims = decoded.claims
+            for state in decoded.jobs:
+                self._store_job(state)
             self._all_changed = True
 
     def digest(self) -> str:
         """See `streams.RecordFold.digest`."""
         with self._lock:
-            rest = _encoder.encode(
+            encoded = _encoder.encode(
                 (self._jobs_hash, len(self._jobs), self._claims)
             )
-        return xxhash.xxh3_64_hexdigest(rest)
+        return xxhash.xxh3_64_hexdigest(encoded)
 
-    # What the owner, the job desk and `status` read.
+    # Queries of the zone owner, the job handler and the status page.
 
     def offset(self) -> int:
-        """Offset of the last record folded; -1 before the first."""
+        """Returns the offset of the last record folded; -1 for none."""
         with self._lock:
             return self._offset
 
     def claims(self) -> tuple[job_state.Claim, ...]:
-        """The last claims, the one in force last; empty before the first."""
+        """Returns the latest claims, the current one last; empty for none."""
         return self._claims
 
     def job(self, job: str) -> job_state.JobState | None:
-        """A job still kept in full, else None."""
+        """Returns a job that is not retired yet; None if there is none."""
         with self._lock:
             return self._jobs.get(job)
 
     def retired_spec_hash(self, job: str) -> int | None:
-        """Hash of the content of a job that ended long ago, else None."""
+        """Returns the spec hash of a retired job; None if not retired."""
         with self._lock:
             return self._retired.get(job_state.id_hash(job))
 
     def jobs(self) -> tuple[job_state.JobState, ...]:
-        """All jobs kept in full, in order of admission."""
+        """Returns all jobs that are not retired, in order of admission."""
         with self._lock:
             return tuple(self._jobs.values())
 
     def jobs_on_worker(self, worker: str) -> tuple[job_state.JobState, ...]:
-        """Jobs whose running attempt is assigned to a worker."""
+        """Returns the jobs whose current attempt is assigned to a worker."""
         with self._lock:
             names = self._by_worker.get(worker, {})
             return tuple(self._jobs[name] for name in names)
 
     def assigned_workers(self) -> tuple[str, ...]:
-        """Workers to which any attempt is assigned."""
+        """Returns the workers that have an assigned attempt."""
         with self._lock:
             return tuple(self._by_worker)
 
     def count_in_phase(self, phase: job_state.JobPhase) -> int:
-        """How many jobs stand in a phase."""
+        """Returns the number of jobs in a phase."""
         with self._lock:
             return self._phase_counts[phase]
 
     def events(self) -> dict[IgnoredReason, int]:
-        """How many records changed nothing, by reason, since the start."""
+        """Returns the number of ignored records by reason."""
         with self._lock:
-            return dict(self._events)
+            return dict(self._ignored_counts)
 
     def drain_changes(self) -> tuple[str, ...] | None:
-        """Ids changed since the last call; None when any may have."""
+        """Returns the job ids changed since the last call.
+
+        None after a restore: every job may have changed.
+        """
         with self._lock:
             changed = tuple(self._changed)
             everything = self._all_changed
@@ -183,7 +193,7 @@
             self._all_changed = False
         return None if everything else changed
 
-    # Records.
+    # Folding of records.
 
     def _fold(self, offset: int, body: Any) -> IgnoredReason | None:
         match body:
@@ -194,7 +204,7 @@
             ):
                 return self._fold_claim(offset, body)
             case job_records.JobAdmitted():
-                return self._admit(offset, body)
+                return self._fold_admission(offset, body)
             case job_records.JobCancelled():
                 return self._fold_job(offset, body)
             case (
@@ -204,7 +214,7 @@
                 | job_records.JobParked()
                 | job_records.JobMoved()
             ):
-                if not self._is_owners(body.term):
+                if not self._is_active_term(body.term):
                     return IgnoredReason.WRONG_TERM
                 return self._fold_job(offset, body)
             case _:
@@ -217,39 +227,41 @@
         claim = job_transitions.next_claim(current, offset, body)
         if isinstance(claim, IgnoredReason):
             return claim
-        kept = self._claims
+        claims = self._claims
         if current is not None and current.term == claim.term:
-            kept = kept[:-1]
-        self._claims = (*kept, claim)[-MAX_CLAIMS:]
+            claims = claims[:-1]
+        self._claims = (*claims, claim)[-MAX_CLAIMS:]
         return None
 
-    def _is_owners(self, term: int) -> bool:
+    def _is_active_term(self, term: int) -> bool:
         if not self._claims:
             return False
         claim = self._claims[-1]
         return claim.term == term and not claim.released
 
-    def _admit(
+    def _fold_admission(
         self, offset: int, body: job_records.JobAdmitted
     ) -> IgnoredReason | None:
         spec = body.spec
-        known = self._jobs.get(spec.id)
-        if known is not None and not job_transitions.may_return(known, body):
-            same = known.spec == spec
+        existing = self._jobs.get(spec.id)
+        if existing is not None and not job_transitions.can_be_readmitted(
+            existing, body
+        ):
+            same = existing.spec == spec
             return (
                 IgnoredReason.DUPLICATE_JOB
                 if same
                 else IgnoredReason.JOB_ID_TAKEN
             )
         retired = self._retired.get(job_state.id_hash(spec.id))
-        if known is None and retired is not None:
+        if existing is None and retired is not None:
             same = retired == job_state.spec_hash(spec)
             return (
                 IgnoredReason.DUPLICATE_JOB
                 if same
                 else IgnoredReason.JOB_ID_TAKEN
             )
-        self._put(
+        self._store_job(
             job_state.JobState(
                 spec=spec,
                 order=offset,
@@ -269,15 +281,15 @@
         changed = job_transitions.next_state(state, offset, body)
         if isinstance(changed, IgnoredReason):
             return changed
-        self._put(changed)
+        self._store_job(changed)
         if changed.ended:
             self._ended.append((offset, body.job))
         return None
 
-    # Bookkeeping.
+    # Jobs and their indexes.
 
-    def _put(self, state: job_state.JobState) -> None:
-        self._drop(state.spec.id)
+    def _store_job(self, state: job_state.JobState) -> None:
+        self._unindex_job(state.spec.id)
         self._jobs[state.spec.id] = state
         self._jobs_hash ^= job_state.state_hash(state)
         self._phase_counts[state.phase] += 1
@@ -286,7 +298,7 @@
             names = self._by_worker.setdefault(state.worker, {})
             names[state.spec.id] = None
 
-    def _drop(self, job: str) -> None:
+    def _unindex_job(self, job: str) -> None:
         old = self._jobs.get(job)
         if old is None:
             return
@@ -298,14 +310,14 @@
             if not names:
                 del self._by_worker[old.worker]
 
-    def _retire(self, offset: int) -> None:
+    def _retire_ended_jobs(self, offset: int) -> None:
         due = offset - self._retire_after_records
         while self._ended and self._ended[0][0] <= due:
             ended_offset, name = self._ended.popleft()
             state = self._jobs.get(name)
             if state is None or state.changed_offset != ended_offset:
                 continue
-            self._drop(name)
+            self._unindex_job(name)
             del self._jobs[name]
             self._changed.pop(name, None)
             content = job_state.spec_hash(state.spec)
