--- a/src/comfreylatch/_version/objects.py
+++ b/src/comfreylatch/_version/objects.py
@@ -1,7 +1,7 @@
-"""Configuration objects: what operators put in force by tickets.
+"""Configuration objects, which operators set by tickets.
 
-Each object is immutable and holds the whole state of one named thing. Field
-names carry units. `msgspec` converts these classes from and to JSON.
+Each object is immutable and holds the complete state of one named entity.
+Field names carry units. `msgspec` converts these classes from and to JSON.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ObjectKind(enum.StrEnum):
-    """The kinds of object a ticket can set."""
+    """Kinds of object that a ticket can set."""
 
     SERVICE = "service"
     ENDPOINT = "endpoint"
@@ -29,16 +29,16 @@
     """A latency-critical service that callers reach by name.
 
     Attributes:
-        timeout_ms: Deadline of a request that names none.
-        longest_run_ms: Within this time from its sending an endpoint has ended
-            a request, also one whose caller has given up. Slots of requests
-            that were lost, and of hosts that died, are held for so long.
+        timeout_ms: Timeout of a request that doesn't specify one.
+        longest_run_ms: Maximum time from sending a request until the endpoint
+            has ended it, even if its caller has given up. Slots of lost
+            requests and of dead hosts stay reserved for this time.
         weight: Share of a contended host, relative to other services.
         retry_budget_percent: Retries and hedges allowed per first try.
         hedge_percentile: Latency percentile after which an idempotent request
-            is hedged; 0 turns hedging off.
-        max_body_bytes: Longest request body taken.
-        target_p99_ms: Tail latency the service shall keep.
+            is hedged; 0 disables hedging.
+        max_body_bytes: Maximum size of a request body.
+        target_p99_ms: Target for the 99th percentile of latency.
     """
 
     timeout_ms: int = 2_000
@@ -52,17 +52,17 @@
 
 @attrs.frozen
 class Endpoint:
-    """One back end of a service.
+    """One backend of a service.
 
     Attributes:
-        service: Name of the service it answers for.
+        service: Name of the service it serves.
         zone: Availability zone.
         address: `IP:port`.
-        slots: Requests it can run at once.
-        connections: Connections it can hold.
-        worker: Name of the worker host it runs on; empty when it has a host
-            of its own.
-        resources: What it takes of that worker.
+        slots: Maximum number of concurrent requests.
+        connections: Maximum number of open connections.
+        worker: Name of the worker host it runs on; empty if it has a
+            dedicated host.
+        resources: Resources it uses on that worker.
     """
 
     service: str
@@ -79,9 +79,9 @@
     """A group that submits jobs, and its quota.
 
     Attributes:
-        quota: What its running jobs may use at once.
-        may_borrow: Whether idle capacity above the quota may be used.
-        may_be_urgent: Whether its jobs may ask for urgent starts.
+        quota: Resources that its running jobs may use in total.
+        may_borrow: Whether its jobs may use idle capacity beyond the quota.
+        may_be_urgent: Whether its jobs may request an urgent start.
     """
 
     quota: workers.Resources
@@ -91,7 +91,7 @@
 
 @attrs.frozen
 class WorkerClass:
-    """A kind of worker: what each of its hosts has."""
+    """A class of workers, all with the same capacity."""
 
     capacity: workers.Resources
 
@@ -101,10 +101,10 @@
     """An availability zone.
 
     Attributes:
-        seats: Names of the places for entry hosts; an endpoint's slots and
-            connections are shared out among the seats of its zone.
-        autonomy_ms: How long the owner of the zone's workers goes on
-            renewing leases while it is cut off from the log.
+        seats: Names of the entry host positions; an endpoint's slots and
+            connections are divided among the seats of its zone.
+        autonomy_ms: How long the owner of the zone's workers continues to
+            renew leases while the log is unreachable.
     """
 
     seats: tuple[str, ...]
@@ -113,18 +113,24 @@
 
 @attrs.frozen
 class Limits:
-    """Fleet-wide bounds; there is one object of this kind, named `fleet`.
+    """Fleet-wide limits; there is one object of this kind, named `fleet`.
 
     Attributes:
-        lease_ms: Lease of a worker, renewed at a third of it. Longer than
-            twice the claim, running work survives the death of its owner.
-        claim_ms: How long a claim on a zone's workers holds unrenewed.
-        command_ttl_ms: Age at which a worker calls a quoted report stale.
-        drift_margin_ms: Added to every wait that guards against clocks.
-        evictions_per_hour: Evictions a zone may make, urgent starts aside.
+        lease_ms: Lease of a worker, renewed after a third of it. If it is
+            more than twice the claim, running work survives the death of the
+            owner.
+        claim_ms: Time after its last renewal at which a claim on a zone's
+            workers expires.
+        command_ttl_ms: Age of a quoted report above which a worker refuses
+            it as stale.
+        drift_margin_ms: Added to every wait that relies on clocks, to cover
+            their drift.
+        evictions_per_hour: Evictions allowed per zone, not counting those
+            for urgent starts.
         max_attempts: Failed attempts after which a job is parked.
-        service_slowdown_percent: How much batch work beside it may slow a
-            service down; placement keeps below, and steps are taken above.
+        service_slowdown_percent: How much colocated batch work may slow a
+            service down. Placement stays below it; batch work is throttled
+            or evicted above it.
     """
 
     lease_ms: int = 15_000
--- a/src/comfreylatch/_version/records.py
+++ b/src/comfreylatch/_version/records.py
@@ -1,9 +1,9 @@
 """Records on the platform's log: an envelope around a typed body.
 
-On the log a record is one line of JSON, so that operators can read a stream
-by eye. The envelope names the writer and its sequence number; a fold drops a
-record whose sequence it has already seen from that writer, which makes an
-append whose answer was lost safe to send again.
+A record is one line of JSON on the log, so that operators can read a stream
+directly. The envelope holds the writer and its sequence number. A fold drops
+a record whose sequence number it has already seen from that writer, so an
+append can be retried safely if its answer was lost.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 @attrs.frozen
 class Envelope:
-    """What surrounds the body of every record.
+    """Metadata around the body of every record.
 
     Attributes:
-        writer: Host id of the writer, new at each start of a process.
-        sequence: Rises by one with each record of a writer on one stream.
-        kind: Name of the body's class, as registered.
-        body: The body, still encoded.
+        writer: Host id of the writer; each process start creates a new one.
+        sequence: Increases by 1 with each record of a writer on a stream.
+        kind: Name under which the body's class is registered.
+        body: The encoded body.
     """
 
     writer: str
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class BadRecord:
-    """A payload that is no record; folds count it and go on."""
+    """A payload that is not a valid record; folds count and skip it."""
 
     detail: str
 
@@ -45,13 +45,13 @@
 
 
 def register(kind: str, body_class: type) -> None:
-    """Declares the class of the bodies of one kind of record."""
+    """Registers the body class of a kind of record."""
     _class_by_kind[kind] = body_class
     _kind_by_class[body_class] = kind
 
 
 def encode(writer: str, sequence: int, body: Any) -> bytes:
-    """Encodes a body of a registered class as one payload."""
+    """Encodes a body of a registered class as a payload."""
     envelope = Envelope(
         writer=writer,
         sequence=sequence,
@@ -62,7 +62,7 @@
 
 
 def decode(payload: bytes) -> result.Result[tuple[Envelope, Any], BadRecord]:
-    """Decodes a payload; Err when it is malformed or of an unknown kind."""
+    """Decodes a payload; Err if it is malformed or of an unknown kind."""
     try:
         envelope = msgspec.json.decode(payload, type=Envelope)
         body_class = _class_by_kind[envelope.kind]
--- a/src/comfreylatch/_version/reference_rules.py
+++ b/src/comfreylatch/_version/reference_rules.py
@@ -1,4 +1,4 @@
-"""Rules between objects: what one names exists, what it holds is its own."""
+"""Rules between objects: references must resolve, allocations be unique."""
 
 from __future__ import annotations
 
@@ -12,9 +12,11 @@
 from comfreylatch._version import objects
 from comfreylatch._version import tickets
 
-Touched = Mapping[tuple[objects.ObjectKind, str], objects.ConfigObject | None]
+ChangedObjects = Mapping[
+    tuple[objects.ObjectKind, str], objects.ConfigObject | None
+]
 T = TypeVar("T", objects.Endpoint, objects.Zone)
-Find = Callable[[objects.ObjectKind, str], objects.ConfigObject | None]
+FindObject = Callable[[objects.ObjectKind, str], objects.ConfigObject | None]
 
 _KIND_BY_CLASS = {
     object_class: kind for kind, object_class in objects.CLASS_BY_KIND.items()
@@ -24,32 +26,32 @@
 def broken_references(
     ticket: tickets.Ticket, current: configuration.Configuration
 ) -> list[str]:
-    """What would be wrong if the ticket came into force, as sentences.
+    """Returns an error message for each rule that the ticket would violate.
 
-    Only objects which the ticket touches, and those that name them, are
-    looked at.
+    Checks only the objects that the ticket changes and those that refer to
+    them.
     """
-    touched = {
+    changed = {
         (change.kind, change.name): change.state for change in ticket.changes
     }
 
     def find(
         kind: objects.ObjectKind, name: str
     ) -> objects.ConfigObject | None:
-        if (kind, name) in touched:
-            return touched[kind, name]
-        return _in_force(current, kind, name)
+        if (kind, name) in changed:
+            return changed[kind, name]
+        return _current_object(current, kind, name)
 
-    sentences: list[str] = []
+    errors: list[str] = []
     for change in ticket.changes:
         if isinstance(change.state, objects.Endpoint):
-            sentences += _endpoint_sentences(change.name, change.state, find)
+            errors += _missing_references(change.name, change.state, find)
         elif change.state is None:
-            sentences += _users_left(change, current, touched)
-    return sentences + _shared_things(current, touched)
+            errors += _remaining_users(change, current, changed)
+    return errors + _duplicate_allocations(current, changed)
 
 
-def _in_force(
+def _current_object(
     current: configuration.Configuration, kind: objects.ObjectKind, name: str
 ) -> objects.ConfigObject | None:
     match kind:
@@ -61,111 +63,120 @@
             return None
 
 
-def _endpoint_sentences(
-    name: str, endpoint: objects.Endpoint, find: Find
+def _missing_references(
+    name: str, endpoint: objects.Endpoint, find: FindObject
 ) -> list[str]:
-    sentences: list[str] = []
+    errors: list[str] = []
     if find(objects.ObjectKind.SERVICE, endpoint.service) is None:
-        sentences.append(
+        errors.append(
             f"endpoint {name!r} names service {endpoint.service!r}, which"
             " does not exist: set it in the same ticket or before"
         )
     if find(objects.ObjectKind.ZONE, endpoint.zone) is None:
-        sentences.append(
+        errors.append(
             f"endpoint {name!r} names zone {endpoint.zone!r}, which does not"
             " exist: set it in the same ticket or before"
         )
-    return sentences
+    return errors
 
 
-def _users_left(
+def _remaining_users(
     change: tickets.Change,
     current: configuration.Configuration,
-    touched: Touched,
+    changed: ChangedObjects,
 ) -> list[str]:
-    """Endpoints that would still name a removed service or zone."""
+    """Reports endpoints that would still refer to a removed object."""
     match change.kind:
         case objects.ObjectKind.SERVICE:
-            users = _named(current, lambda one: one.service == change.name)
+            users = _endpoints_where(
+                current, lambda endpoint: endpoint.service == change.name
+            )
         case objects.ObjectKind.ZONE:
-            users = _named(current, lambda one: one.zone == change.name)
+            users = _endpoints_where(
+                current, lambda endpoint: endpoint.zone == change.name
+            )
         case _:
             return []
-    left = [
+    remaining = [
         name
         for name in users
-        if (objects.ObjectKind.ENDPOINT, name) not in touched
+        if (objects.ObjectKind.ENDPOINT, name) not in changed
     ]
-    if not left:
+    if not remaining:
         return []
-    sentence = (
+    error = (
         f"{change.kind} {change.name!r} is still used by endpoint"
-        f" {_some(left)}: remove or move them in the same ticket or before"
+        f" {_join_names(remaining)}: remove or move them in the same ticket or"
+        " before"
     )
-    return [sentence]
+    return [error]
 
 
-def _shared_things(
-    current: configuration.Configuration, touched: Touched
+def _duplicate_allocations(
+    current: configuration.Configuration, changed: ChangedObjects
 ) -> list[str]:
-    """Addresses and seats that two objects would hold.
+    """Reports addresses and seats that would belong to two objects.
 
-    Limits are kept for each endpoint and for each zone's seats; one place
-    under two names would be given twice its limit.
+    Limits apply per endpoint and per zone seat, so an address or seat under
+    two names would get twice its limit.
     """
-    sentences: list[str] = []
-    kinds = {kind for kind, _ in touched}
+    errors: list[str] = []
+    kinds = {kind for kind, _ in changed}
     if objects.ObjectKind.ENDPOINT in kinds:
-        endpoints = _after(current.endpoints, objects.Endpoint, touched)
-        addresses = [(name, one.address) for name, one in endpoints]
-        sentences += _held_twice("address", "endpoints", addresses)
+        endpoints = _objects_after(current.endpoints, objects.Endpoint, changed)
+        addresses = [(name, endpoint.address) for name, endpoint in endpoints]
+        errors += _find_duplicates("address", "endpoints", addresses)
     if objects.ObjectKind.ZONE in kinds:
-        zones = _after(current.zones, objects.Zone, touched)
-        seats = [(name, seat) for name, one in zones for seat in one.seats]
-        sentences += _held_twice("seat", "zones", seats)
-    return sentences
+        zones = _objects_after(current.zones, objects.Zone, changed)
+        seats = [(name, seat) for name, zone in zones for seat in zone.seats]
+        errors += _find_duplicates("seat", "zones", seats)
+    return errors
 
 
-def _after(
-    in_force: Mapping[str, T], object_class: type[T], touched: Touched
+def _objects_after(
+    current_objects: Mapping[str, T],
+    object_class: type[T],
+    changed: ChangedObjects,
 ) -> Iterator[tuple[str, T]]:
-    """All objects of a class as they would be after the ticket."""
+    """Yields all objects of a class as they would be after the ticket."""
     kind = _KIND_BY_CLASS[object_class]
-    for name, state in in_force.items():
-        if (kind, name) not in touched:
+    for name, state in current_objects.items():
+        if (kind, name) not in changed:
             yield name, state
-    for (_, name), new_state in touched.items():
+    for (_, name), new_state in changed.items():
         if isinstance(new_state, object_class):
             yield name, new_state
 
 
-def _held_twice(
-    what: str, holders_are: str, held: Iterable[tuple[str, str]]
+def _find_duplicates(
+    value_kind: str, owner_kind: str, owned: Iterable[tuple[str, str]]
 ) -> list[str]:
-    holder_by_thing: dict[str, str] = {}
-    sentences: list[str] = []
-    for name, thing in held:
-        first = holder_by_thing.setdefault(thing, name)
+    owner_by_value: dict[str, str] = {}
+    errors: list[str] = []
+    for name, value in owned:
+        first = owner_by_value.setdefault(value, name)
         if first != name:
-            sentences.append(
-                f"{what} {thing!r} would belong to the {holders_are}"
+            errors.append(
+                f"{value_kind} {value!r} would belong to the {owner_kind}"
                 f" {first!r} and {name!r}: give each its own"
             )
-    return sentences
+    return errors
 
 
-def _named(
+def _endpoints_where(
     current: configuration.Configuration,
-    uses: Callable[[objects.Endpoint], bool],
+    matches: Callable[[objects.Endpoint], bool],
 ) -> list[str]:
     return sorted(
-        name for name, endpoint in current.endpoints.items() if uses(endpoint)
+        name
+        for name, endpoint in current.endpoints.items()
+        if matches(endpoint)
     )
 
 
-def _some(names: Iterable[str], most: int = 5) -> str:
+def _join_names(names: Iterable[str], max_names: int = 5) -> str:
     listed = list(names)
-    text = ", ".join(map(repr, listed[:most]))
-    if len(listed) > most:
-        text += f" and {len(listed) - most} more"
+    text = ", ".join(map(repr, listed[:max_names]))
+    if len(listed) > max_names:
+        text += f" and {len(listed) - max_names} more"
     return text
--- a/src/comfreylatch/_version/schema.py
+++ b/src/comfreylatch/_version/schema.py
@@ -1,4 +1,4 @@
-"""Checks a JSON value against an attrs class and finds all errors at once."""
+"""Validates a JSON value against an attrs class, reporting all errors."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
     """One error in a JSON value.
 
     Attributes:
-        path: Where, as in `changes[0].state.slots`.
-        expected: What should stand there.
-        found: What stands there.
-        nearest: The known key nearest to an unknown one, or empty.
+        path: Path of the value, such as `changes[0].state.slots`.
+        expected: Description of a valid value.
+        found: Description of the actual value.
+        nearest: Known name closest to an unknown one; empty for none.
     """
 
     path: str
@@ -44,13 +44,13 @@
 
 
 def check(value: Any, expected: Any, path: str) -> Problems:
-    """Returns all problems of `value` as an instance of a type.
+    """Returns all problems of a value of an expected type.
 
     Args:
         value: A value as decoded from JSON.
         expected: `int`, `float`, `str`, `bool`, an enum of strings,
             `tuple[T, ...]` or an attrs class of such fields.
-        path: Where `value` stands, for the messages.
+        path: Path of `value`, for the messages.
     """
     if typing.get_origin(expected) is tuple:
         return _check_list(value, typing.get_args(expected)[0], path)
@@ -60,36 +60,36 @@
         return _check_enum(value, expected, path)
     if type(value) is expected or (expected is float and type(value) is int):
         return []
-    return [Problem(path, _NAMES[expected], describe_value(value))]
+    return [Problem(path, _TYPE_NAMES[expected], describe_value(value))]
 
 
 def unknown_keys(
     value: Mapping[str, Any], known: list[str], path: str
 ) -> Problems:
-    """A problem for each key of `value` that is not among the known ones."""
+    """Returns a problem for each key of `value` that is not in `known`."""
     problems: Problems = []
     for key in value:
         if key not in known:
-            near = difflib.get_close_matches(key, known, n=1)
+            matches = difflib.get_close_matches(key, known, n=1)
             expected = "one of " + ", ".join(known)
             problems.append(
                 Problem(
                     join_path(path, key),
                     expected,
                     f"{UNKNOWN_KEY} {key!r}",
-                    near[0] if near else "",
+                    matches[0] if matches else "",
                 )
             )
     return problems
 
 
 def join_path(path: str, key: str) -> str:
-    """The path of a member of the value at `path`."""
+    """Returns the path of a member of the value at `path`."""
     return f"{path}.{key}" if path else key
 
 
 def describe_value(value: Any) -> str:
-    """A short text for a value found."""
+    """Returns a short description of a JSON value for messages."""
     if value is None:
         return "null"
     if isinstance(value, Mapping):
@@ -102,11 +102,11 @@
     return text
 
 
-_NAMES: Mapping[type, str] = types.MappingProxyType(
+_TYPE_NAMES: Mapping[type, str] = types.MappingProxyType(
     {
         int: "a whole number",
         float: "a number",
-        str: "a text",
+        str: "a string",
         bool: "true or false",
     }
 )
@@ -125,16 +125,16 @@
 def _check_enum(
     value: Any, expected: type[enum.StrEnum], path: str
 ) -> Problems:
-    words = [str(member) for member in expected]
-    if value in words:
+    values = [str(member) for member in expected]
+    if value in values:
         return []
-    near = difflib.get_close_matches(str(value), words, n=1)
+    matches = difflib.get_close_matches(str(value), values, n=1)
     return [
         Problem(
             path,
-            "one of " + ", ".join(words),
+            "one of " + ", ".join(values),
             describe_value(value),
-            near[0] if near else "",
+            matches[0] if matches else "",
         )
     ]
 
@@ -147,9 +147,9 @@
     known = [field.name for field in fields]
     problems = unknown_keys(value, known, path)
     for field in fields:
-        where = join_path(path, field.name)
+        field_path = join_path(path, field.name)
         if field.name in value:
-            problems += check(value[field.name], hints[field.name], where)
+            problems += check(value[field.name], hints[field.name], field_path)
         elif field.default is attrs.NOTHING:
-            problems.append(Problem(where, "a value", "nothing"))
+            problems.append(Problem(field_path, "a value", "nothing"))
     return problems
--- a/src/comfreylatch/_version/snapshots.py
+++ b/src/comfreylatch/_version/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of a stream's folded state, and their form on the log."""
+"""Snapshots of a stream's folded state, and their encoding on the log."""
 
 from __future__ import annotations
 
@@ -24,10 +24,11 @@
 
     Attributes:
         stream: Name of the stream.
-        offset: Offset of the last record in it.
+        offset: Offset of the last record it includes.
         digest: Digest of the fold at that offset.
-        writers: The writers known, so that repetitions are still dropped.
-        fold: The fold's own state.
+        writers: Positions of the known writers, so that repeated records are
+            still dropped after a restore.
+        fold: The fold's own snapshot.
     """
 
     stream: str
@@ -39,15 +40,15 @@
 
 @attrs.frozen
 class SnapshotChunk:
-    """Body of a record that carries a part of an encoded snapshot.
+    """Body of a record that carries one piece of an encoded snapshot.
 
     Attributes:
-        stream: Name of the stream that the snapshot is of.
+        stream: Name of the stream of the snapshot.
         offset: Offset of the snapshot.
-        checksum: Hash of the whole encoded snapshot; names it, too.
-        index: Number of this part, from 0.
-        count: Number of parts.
-        data: The part, in base 64.
+        checksum: Hash of the whole encoded snapshot, which also identifies it.
+        index: Number of this piece, from 0.
+        count: Number of pieces of the snapshot.
+        data: The piece, base64-encoded.
     """
 
     stream: str
@@ -60,7 +61,7 @@
 
 @attrs.frozen
 class BadSnapshot:
-    """Bytes that are no whole snapshot."""
+    """Bytes or chunks that don't form a complete, valid snapshot."""
 
     detail: str
 
@@ -69,27 +70,29 @@
 
 
 def encode(snapshot: StreamSnapshot) -> bytes:
-    """Encodes and compresses a snapshot; the form carries a checksum."""
+    """Encodes and compresses a snapshot; zlib adds a checksum."""
     return zlib.compress(msgspec.json.encode(snapshot))
 
 
 def decode(encoded: bytes) -> result.Result[StreamSnapshot, BadSnapshot]:
     """Reverses `encode`."""
     try:
-        opened = zlib.decompressobj()
-        plain = opened.decompress(encoded, MAX_SNAPSHOT_BYTES)
-        if not opened.eof:
-            return result.Err(BadSnapshot("cut short, or too long"))
+        decompressor = zlib.decompressobj()
+        plain = decompressor.decompress(encoded, MAX_SNAPSHOT_BYTES)
+        if not decompressor.eof:
+            return result.Err(
+                BadSnapshot("snapshot is truncated or exceeds the size limit")
+            )
         return result.Ok(msgspec.json.decode(plain, type=StreamSnapshot))
     except (zlib.error, msgspec.MsgspecError) as error:
         return result.Err(BadSnapshot(str(error)))
 
 
 def split(snapshot: StreamSnapshot) -> list[SnapshotChunk]:
-    """The chunks of a snapshot, in order."""
+    """Returns the chunks of a snapshot, in order."""
     encoded = encode(snapshot)
     checksum = xxhash.xxh3_128_hexdigest(encoded)
-    parts = [
+    pieces = [
         encoded[start : start + CHUNK_BYTES]
         for start in range(0, len(encoded), CHUNK_BYTES)
     ]
@@ -99,20 +102,20 @@
             offset=snapshot.offset,
             checksum=checksum,
             index=index,
-            count=len(parts),
-            data=base64.b64encode(part).decode("ascii"),
+            count=len(pieces),
+            data=base64.b64encode(piece).decode("ascii"),
         )
-        for index, part in enumerate(parts)
+        for index, piece in enumerate(pieces)
     ]
 
 
 def join(
     chunks: Iterable[SnapshotChunk],
 ) -> result.Result[StreamSnapshot, BadSnapshot]:
-    """Puts the chunks of one snapshot together and checks them."""
+    """Joins the chunks of one snapshot and verifies its checksum."""
     ordered = sorted(chunks, key=lambda chunk: chunk.index)
     if not ordered or len(ordered) != ordered[0].count:
-        return result.Err(BadSnapshot("chunks are missing"))
+        return result.Err(BadSnapshot("snapshot chunks are missing"))
     try:
         encoded = b"".join(
             base64.b64decode(chunk.data, validate=True) for chunk in ordered
@@ -120,5 +123,5 @@
     except ValueError as error:
         return result.Err(BadSnapshot(str(error)))
     if xxhash.xxh3_128_hexdigest(encoded) != ordered[0].checksum:
-        return result.Err(BadSnapshot("the checksum differs"))
+        return result.Err(BadSnapshot("snapshot checksum does not match"))
     return decode(encoded)
--- a/src/comfreylatch/_version/tickets.py
+++ b/src/comfreylatch/_version/tickets.py
@@ -1,7 +1,7 @@
-"""Change tickets: what operators submit, and the one schema they must meet.
+"""Change tickets that operators submit, and their schema.
 
-A ticket carries the whole new state of every object it touches, each with the
-version it replaces. `check` is used before a ticket is appended and again
+A ticket carries the complete new state of every object it changes, each with
+the version it replaces. `check` runs before a ticket is appended and again
 when its record is folded.
 """
 
@@ -21,21 +21,21 @@
 from comfreylatch._version import records
 from comfreylatch._version import schema
 
-MAX_NUMBER = 2**53 - 1
+MAX_INTEGER = 2**53 - 1
 MAX_TEXT_CHARACTERS = 1_000
 MAX_NAME_CHARACTERS = 128
 MAX_CHANGES = 1_000
-REMOVAL = "an object, or null to remove it"
+EXPECTED_STATE = "an object, or null to remove it"
 
 
 @attrs.frozen
 class Change:
-    """The whole new state of one object.
+    """The complete new state of one object.
 
     Attributes:
         kind: Kind of the object.
         name: Name of the object, unique within its kind.
-        replaces: Version it replaces, 0 for a new object.
+        replaces: Version it replaces; 0 for a new object.
         state: The new state; None removes the object.
     """
 
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Ticket:
-    """A numbered set of changes, in force whole or not at all."""
+    """A numbered set of changes, applied completely or not at all."""
 
     number: int
     author: str
@@ -57,7 +57,7 @@
 
 @attrs.frozen
 class TicketRecord:
-    """Body of a record that carries a ticket, in the form of `to_json`."""
+    """Body of a record that carries a ticket as `to_json` returns it."""
 
     ticket: dict[str, Any]
 
@@ -66,7 +66,7 @@
 
 
 def check(value: Any) -> result.Result[Ticket, tuple[schema.Problem, ...]]:
-    """Builds a ticket from a JSON value; Err holds every problem found."""
+    """Builds a ticket from a JSON value; Err holds all problems found."""
     problems = _ticket_problems(value)
     if problems:
         return result.Err(tuple(problems))
@@ -77,17 +77,17 @@
 
 
 def to_json(ticket: Ticket) -> dict[str, Any]:
-    """The ticket as a JSON value, all defaults filled in."""
+    """Returns the ticket as a JSON value, including all defaults."""
     return msgspec.json.decode(msgspec.json.encode(ticket))
 
 
 def is_number(value: Any) -> bool:
-    """Whether a JSON value can be the number of a ticket."""
-    return type(value) is int and 1 <= value <= MAX_NUMBER
+    """Whether a JSON value is a valid ticket number."""
+    return type(value) is int and 1 <= value <= MAX_INTEGER
 
 
 def content_hash(ticket: Ticket) -> str:
-    """Equal for tickets of equal content, however they were written."""
+    """Returns a hash that ignores key order and omitted defaults."""
     encoded = msgspec.json.encode(to_json(ticket), order="sorted")
     return xxhash.xxh3_128_hexdigest(encoded)
 
@@ -108,7 +108,7 @@
     known = [field.name for field in attrs.fields(Ticket)]
     problems = schema.unknown_keys(value, known, "")
     problems += _missing(value, known, "")
-    problems += _number_problems(value, "number", "", lowest=1)
+    problems += _number_problems(value, "number", "", minimum=1)
     for key in ("author", "reason"):
         problems += _text_problems(value, key, "", MAX_TEXT_CHARACTERS)
     if "changes" in value:
@@ -126,7 +126,7 @@
     problems: schema.Problems = []
     for index, change in enumerate(value):
         problems += _change_problems(change, f"changes[{index}]")
-    return problems + _repeated(value)
+    return problems + _duplicate_problems(value)
 
 
 def _change_problems(value: Any, path: str) -> schema.Problems:
@@ -136,11 +136,11 @@
     problems = schema.unknown_keys(value, known, path)
     problems += _missing(value, known, path)
     problems += _text_problems(value, "name", path, MAX_NAME_CHARACTERS)
-    problems += _number_problems(value, "replaces", path, lowest=0)
+    problems += _number_problems(value, "replaces", path, minimum=0)
     if "kind" not in value:
         return problems
-    where = schema.join_path(path, "kind")
-    bad_kind = schema.check(value["kind"], objects.ObjectKind, where)
+    field_path = schema.join_path(path, "kind")
+    bad_kind = schema.check(value["kind"], objects.ObjectKind, field_path)
     if bad_kind or "state" not in value:
         return problems + bad_kind
     return problems + _state_problems(value, path)
@@ -148,17 +148,21 @@
 
 def _state_problems(value: Mapping[str, Any], path: str) -> schema.Problems:
     kind = objects.ObjectKind(value["kind"])
-    where = schema.join_path(path, "state")
+    field_path = schema.join_path(path, "state")
     state = value["state"]
     if state is None:
         if value.get("replaces") == 0:
-            expected = "an object, as a new one can't be removed"
-            return [schema.Problem(where, expected, "null")]
+            expected = "an object, because a new one can't be removed"
+            return [schema.Problem(field_path, expected, "null")]
         return []
     if not isinstance(state, Mapping):
-        return [schema.Problem(where, REMOVAL, schema.describe_value(state))]
+        return [
+            schema.Problem(
+                field_path, EXPECTED_STATE, schema.describe_value(state)
+            )
+        ]
     object_class = objects.CLASS_BY_KIND[kind]
-    problems = schema.check(state, object_class, where)
+    problems = schema.check(state, object_class, field_path)
     if problems:
         return problems
     found = msgspec.convert(state, type=object_class)
@@ -176,33 +180,33 @@
 
 
 def _number_problems(
-    value: Mapping[str, Any], key: str, path: str, lowest: int
+    value: Mapping[str, Any], key: str, path: str, minimum: int
 ) -> schema.Problems:
     if key not in value:
         return []
     number = value[key]
-    if type(number) is int and lowest <= number <= MAX_NUMBER:
+    if type(number) is int and minimum <= number <= MAX_INTEGER:
         return []
-    expected = f"a whole number from {lowest}"
+    expected = f"a whole number from {minimum}"
     return [schema.Problem(schema.join_path(path, key), expected, repr(number))]
 
 
 def _text_problems(
-    value: Mapping[str, Any], key: str, path: str, longest: int
+    value: Mapping[str, Any], key: str, path: str, max_length: int
 ) -> schema.Problems:
     if key not in value:
         return []
     text = value[key]
     usable = isinstance(text, str) and text.strip() and text.isprintable()
-    if usable and len(text) <= longest:
+    if usable and len(text) <= max_length:
         return []
-    expected = f"a text of 1 to {longest} printable characters"
-    where = schema.join_path(path, key)
-    return [schema.Problem(where, expected, schema.describe_value(text))]
+    expected = f"a string of 1 to {max_length} printable characters"
+    field_path = schema.join_path(path, key)
+    return [schema.Problem(field_path, expected, schema.describe_value(text))]
 
 
-def _repeated(changes: list[Any]) -> schema.Problems:
-    """Problems for objects that one ticket touches twice."""
+def _duplicate_problems(changes: list[Any]) -> schema.Problems:
+    """Returns a problem for each object that a ticket changes twice."""
     problems: schema.Problems = []
     seen: set[tuple[str, str]] = set()
     for index, change in enumerate(changes):
@@ -222,5 +226,5 @@
 
 
 def format_problems(problems: typing.Iterable[schema.Problem]) -> str:
-    """All problems as one text."""
+    """Formats problems as one line."""
     return "; ".join(map(str, problems))
--- a/src/comfreylatch/_version/verdicts.py
+++ b/src/comfreylatch/_version/verdicts.py
@@ -1,4 +1,4 @@
-"""What the fold decided about a ticket."""
+"""The fold's decisions on tickets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """Whether a ticket is in force, and if not, why."""
+    """Whether a ticket was accepted, and if not, why."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -20,14 +20,14 @@
 
 @attrs.frozen
 class Conflict:
-    """A change that named a version which was no longer current.
+    """A change that replaces a version which is not the current one.
 
     Attributes:
         kind: Kind of the object.
         name: Name of the object.
-        replaces: Version the ticket named.
-        current: Version in force at the ticket's offset, 0 for none.
-        winner: Ticket that set the current version, 0 for none.
+        replaces: Version that the ticket replaces.
+        current: Current version at the ticket's offset; 0 for none.
+        winner: Ticket that set the current version; 0 for none.
         removed: Whether the current version is a removal.
     """
 
@@ -39,34 +39,34 @@
     removed: bool = False
 
     def __str__(self) -> str:
-        thing = f"{self.kind} {self.name!r}"
+        label = f"{self.kind} {self.name!r}"
         if self.current == 0:
             return (
-                f"{thing} does not exist, but the ticket replaces version"
-                f" {self.replaces}: name 0 to make it"
+                f"{label} does not exist, but the ticket replaces version"
+                f" {self.replaces}: use 0 to create it"
             )
-        did = "removed it as" if self.removed else "set"
+        action = "removed it as" if self.removed else "set"
         return (
-            f"ticket {self.winner} {did} version {self.current} of {thing},"
-            f" but the ticket replaces version {self.replaces}: look at the"
-            f" object and submit a new number that replaces {self.current}"
+            f"ticket {self.winner} {action} version {self.current} of {label},"
+            f" but the ticket replaces version {self.replaces}: read the"
+            f" object and submit a new ticket that replaces {self.current}"
         )
 
 
 @attrs.frozen
 class TicketEntry:
-    """A ticket as the fold remembers it.
+    """A ticket and the decision on it, as the fold stores it.
 
     Attributes:
         number: Number of the ticket.
-        content_hash: Tells tickets of one number apart.
-        author: Who wrote it.
-        reason: Why it was written.
+        content_hash: Distinguishes tickets that use the same number.
+        author: Author of the ticket.
+        reason: Author's reason for the change.
         offset: Offset of its first record.
-        verdict: Accepted, or why not.
-        detail: The same for a person; empty when accepted.
-        conflicts: The changes that lost, for `CONFLICT`.
-        objects: What it touches, as `kind/name`.
+        verdict: Whether it was accepted.
+        detail: Explanation for operators; empty if accepted.
+        conflicts: The conflicting changes, for `CONFLICT`.
+        objects: Objects it changes, as `kind/name`.
     """
 
     number: int
@@ -81,5 +81,5 @@
 
     @property
     def accepted(self) -> bool:
-        """Whether its changes came into force."""
+        """Whether its changes were applied."""
         return self.verdict is Verdict.ACCEPTED
--- a/src/comfreylatch/_version/writers.py
+++ b/src/comfreylatch/_version/writers.py
@@ -1,4 +1,4 @@
-"""Which records of which writers a stream's fold has seen."""
+"""Detects repeated records by their writers' sequence numbers."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 import attrs
 
-# A writer is forgotten when its last record lies this many offsets back. A
-# host is replaced long before, and none waits so long with an open append.
+# A writer is dropped this many offsets after its last record. No host lives
+# that long, and no append stays pending for that many offsets.
 WRITER_RETENTION_OFFSETS = 200_000
 SWEEP_INTERVAL_OFFSETS = 4_096
 
 
 @attrs.frozen
 class WriterPosition:
-    """The last record folded of one writer.
+    """The last folded record of a writer.
 
     Attributes:
         writer: Writer id.
-        sequence: Its highest sequence folded.
+        sequence: Its highest folded sequence number.
         offset: Offset of that record.
     """
 
@@ -30,17 +30,17 @@
 
 @final
 class WriterTable:
-    """Tells records from repetitions, by writer and sequence.
+    """Detects repeated records by writer and sequence number.
 
-    Its content depends on the records and their offsets alone, so that it is
-    equal on every host at the same offset.
+    Its content depends only on the records and their offsets, so it is equal
+    on every host at the same offset.
     """
 
     def __init__(self, positions: Iterable[WriterPosition] = ()) -> None:
         self._positions = {position.writer: position for position in positions}
 
     def record(self, writer: str, sequence: int, offset: int) -> bool:
-        """Notes a record; False when it is a repetition."""
+        """Records a sequence number; returns False if it was seen before."""
         known = self._positions.get(writer)
         if known is not None and sequence <= known.sequence:
             return False
@@ -48,7 +48,7 @@
         return True
 
     def sweep(self, offset: int) -> None:
-        """To be called at each offset; forgets writers of long ago."""
+        """Drops expired writers; must be called for every offset."""
         if offset % SWEEP_INTERVAL_OFFSETS:
             return
         oldest = offset - WRITER_RETENTION_OFFSETS
@@ -59,9 +59,9 @@
         }
 
     def position(self, writer: str) -> WriterPosition | None:
-        """The last record of a writer; None when it is not known."""
+        """Returns a writer's last record; None if the writer is unknown."""
         return self._positions.get(writer)
 
     def positions(self) -> tuple[WriterPosition, ...]:
-        """All writers known."""
+        """Returns the positions of all known writers."""
         return tuple(self._positions.values())
