--- a/src/comfreylatch/_ports/__init__.py
+++ b/src/comfreylatch/_ports/__init__.py
@@ -1,3 +1,3 @@
-"""Interfaces to the outside, declared apart from their adapters."""
+"""Interfaces to external systems, separate from their adapters."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_ports/advice.py
+++ b/src/comfreylatch/_ports/advice.py
@@ -1,4 +1,4 @@
-"""A service that says which workers a queue's policy allows for a step."""
+"""A service that returns the workers a queue's policy allows for a step."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class Advice:
-    """The workers, of those named, that may run a step.
+    """The workers, of those asked about, that may run a step.
 
     Attributes:
-        tickets: By allowed worker, what a start there has to carry.
-        valid_ms: For how long the tickets are good; 0 where it isn't said.
+        tickets: Ticket to send with a start order, by allowed worker.
+        valid_ms: How long the tickets are valid; 0 if unknown.
     """
 
     tickets: dict[str, str]
@@ -24,16 +24,16 @@
 
 @attrs.frozen
 class AdviceUnavailable:
-    """No advice was to be had; asking again later may bring some."""
+    """No advice is available now; the call may be retried later."""
 
     detail: str
 
 
 class AdviceService(Protocol):
-    """Gives advice, one call at a time for each host."""
+    """Access to the service, which accepts one call per host at a time."""
 
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
     ) -> result.Result[Advice, AdviceUnavailable]:
-        """Asks which of some workers may run a step, `job.occurrence.step`."""
+        """Returns which workers may run a step, `job.occurrence.step`."""
         ...
--- a/src/comfreylatch/_ports/cell_workers.py
+++ b/src/comfreylatch/_ports/cell_workers.py
@@ -1,8 +1,8 @@
-"""Workers that run the tasks of a cell, as the rest of the program sees them.
+"""Interface to the workers that run the tasks of a cell.
 
 A worker runs tasks under one lease with a deadline on its own clock. It obeys
-the highest fencing token that it has seen and ignores lower ones. Each start
-of a task has a run number; numbers of a task only rise.
+the highest fencing token that it has seen and refuses lower ones. Each start
+of a task has a run number; the run numbers of a task only increase.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Resources:
-    """What a worker has, or a task needs."""
+    """Resources that a worker has or a task needs."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
@@ -25,17 +25,18 @@
 
 @attrs.frozen
 class WorkerEntry:
-    """What a worker publishes about itself.
+    """Entry that a worker publishes about itself.
 
     Attributes:
-        worker_id: Its name; a new life may have the same one.
-        address: `IP:port` for orders.
-        service: The pool it belongs to.
+        worker_id: Name of the worker; its incarnations may share it.
+        address: `IP:port` that accepts orders.
+        service: Pool that it belongs to.
         zone: Its availability zone.
-        is_draining: It leaves soon and takes nothing new.
-        capacity: What all its tasks together may use.
-        labels: Its kind and its rack.
-        born_ms: Wall time at which this life began, which identifies it.
+        is_draining: Whether it shuts down soon and accepts no new tasks.
+        capacity: Resources that all its tasks may use in total.
+        labels: Labels for its kind and its rack.
+        born_ms: Wall time at which this incarnation started, which
+            identifies it.
     """
 
     worker_id: str
@@ -54,22 +55,22 @@
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     BROKEN = "broken"
     ALONE = "alone"
 
 
 @attrs.frozen
 class RunningTask:
-    """A task that a worker runs.
+    """A task that a worker is running.
 
     Attributes:
-        task: Its id.
-        run: Its run number.
-        checkpoint: Newest checkpoint; empty when there is none.
-        percent: Progress, or 100 for a lasting task that is at work.
-        reading: For a task with a tail target its tail in milliseconds, for
-            others the millicores in use; a rough figure of the last moments.
+        task: Task id.
+        run: Run number.
+        checkpoint: Latest checkpoint; empty for none.
+        percent: Progress, or 100 for a lasting task that is running.
+        reading: Tail latency in milliseconds for a task with a tail target,
+            else the millicores in use; a rough recent measurement.
     """
 
     task: str
@@ -81,7 +82,7 @@
 
 @attrs.frozen
 class EndedRun:
-    """An end that a worker reports until it is acknowledged by number."""
+    """An ended run, reported until its number is acknowledged."""
 
     number: int
     task: str
@@ -92,7 +93,7 @@
 
 @attrs.frozen
 class HoldAnswer:
-    """A worker's own clock, and all that it runs and has ended."""
+    """A worker's clock, its running tasks and its unacknowledged ends."""
 
     clock_ms: int
     running: tuple[RunningTask, ...]
@@ -101,13 +102,16 @@
 
 @attrs.frozen
 class HoldOrder:
-    """Renews the lease of all that a worker runs and asks for its lists.
+    """Renews the lease of a worker and requests its lists of runs.
 
     Attributes:
         token: Fencing token.
-        seen_end: Ends up to this number are recorded and may be forgotten.
-        deadline_ms: New end of the lease on the worker's clock; 0 leaves it.
-        wait_ms: How long the worker may wait for an end before it answers.
+        acknowledged_end: Ends up to this number are recorded; the worker may
+            drop them.
+        deadline_ms: New end of the lease on the worker's clock; 0 keeps the
+            current one.
+        wait_ms: Maximum time the worker may wait for an end before it
+            answers.
     """
 
     token: int
@@ -131,7 +135,7 @@
 
 @attrs.frozen
 class StopOrder:
-    """Ends one run of a task, which makes a last checkpoint."""
+    """Stops one run of a task, which writes a final checkpoint."""
 
     task: str
     run: int
@@ -140,7 +144,7 @@
 
 @attrs.frozen
 class PaceOrder:
-    """Lets a task use a share of what it would use; 100 is all of it."""
+    """Throttles a task to a percentage of its normal usage."""
 
     task: str
     run: int
@@ -149,7 +153,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why a worker did not do what it was told."""
+    """Why a worker refused an order."""
 
     FENCED = "fenced"
     OLD_RUN = "old-run"
@@ -163,21 +167,21 @@
 
 @attrs.frozen
 class OrderRefused:
-    """The worker answered that it has not carried out the order."""
+    """The worker refused the order and did not carry it out."""
 
     reason: Refusal
 
 
 @attrs.frozen
 class OrderNotSent:
-    """No connection could be made; the worker knows nothing of the order."""
+    """No connection could be made; the worker has not seen the order."""
 
     detail: str
 
 
 @attrs.frozen
 class OrderUnanswered:
-    """No answer came; the order may be carried out now, later or never."""
+    """No valid answer; the order may be carried out now, later or never."""
 
     detail: str
 
@@ -186,30 +190,33 @@
 
 
 class WorkerOrders(Protocol):
-    """Orders to one life of one worker. Calls may overlap."""
+    """Sends orders to one incarnation of a worker. Thread-safe."""
 
     def hold(
         self, order: HoldOrder, timeout_ms: int
     ) -> result.Result[HoldAnswer, OrderError]:
-        """Renews the lease and returns the worker's lists."""
+        """Renews the lease and returns the worker's lists of runs."""
         ...
 
     def start(
         self, order: StartOrder, timeout_ms: int
     ) -> result.Result[int, OrderError]:
-        """Starts a run; Ok, with the worker's clock, also when it runs."""
+        """Starts a run; Ok holds the worker's clock.
+
+        Succeeds as well if the run has been started before.
+        """
         ...
 
     def stop(
         self, order: StopOrder, timeout_ms: int
     ) -> result.Result[int, OrderError]:
-        """Stops a run, and keeps it from starting later."""
+        """Stops a run and prevents it from starting later."""
         ...
 
     def pace(
         self, order: PaceOrder, timeout_ms: int
     ) -> result.Result[int, OrderError]:
-        """Sets the pace of a run."""
+        """Sets the percentage of its normal usage that a run may use."""
         ...
 
     def close(self) -> None:
--- a/src/comfreylatch/_ports/clock.py
+++ b/src/comfreylatch/_ports/clock.py
@@ -1,4 +1,4 @@
-"""Time, as a port, so that tests can drive it."""
+"""Interface to the clocks, so that tests can control time."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     """A monotonic clock for durations and a wall clock for display."""
 
     def monotonic_ms(self) -> int:
-        """Milliseconds on a clock that never goes back."""
+        """Returns milliseconds on a clock that never goes back."""
         ...
 
     def wall_ms(self) -> int:
-        """Milliseconds since the epoch; never used to decide anything."""
+        """Returns milliseconds since the epoch; for display only."""
         ...
 
 
 class SystemClock:
-    """The machine's own clocks."""
+    """Clocks of the operating system."""
 
     def monotonic_ms(self) -> int:
-        """See `Clock.monotonic_ms`; counts time the host was suspended."""
+        """See `Clock.monotonic_ms`; includes time spent suspended."""
         return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1_000_000
 
     def wall_ms(self) -> int:
--- a/src/comfreylatch/_ports/configuration.py
+++ b/src/comfreylatch/_ports/configuration.py
@@ -1,4 +1,4 @@
-"""Where parts of a host get the configuration in force."""
+"""Interface to the current configuration."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class ConfigurationSource(Protocol):
-    """The configuration in force on this host; its offset never falls."""
+    """The current configuration of this host; its offset never decreases."""
 
     def current(self) -> configuration.Configuration:
-        """The version in force now; cheap, called for every request."""
+        """Returns the current version; cheap enough for every request."""
         ...
 
     def on_change(
         self, listener: Callable[[configuration.Configuration], None]
     ) -> None:
-        """Calls `listener` with every later version, in order."""
+        """Registers a listener for every later version, in order."""
         ...
 
     def age_ms(self) -> int:
-        """Time since this host last knew it was at the head of the log."""
+        """Returns the time since this host last was at the log's head."""
         ...
--- a/src/comfreylatch/_ports/hosts.py
+++ b/src/comfreylatch/_ports/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts. It lags behind the truth."""
+"""The platform's list of live and leaving hosts, which lags behind."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HostKind(enum.StrEnum):
-    """What a listed host is for."""
+    """Role of a listed host."""
 
     ENTRY = "entry"
     WORKER = "worker"
@@ -18,7 +18,7 @@
 
 
 class HostState(enum.StrEnum):
-    """Whether a listed host stays or is about to go."""
+    """Whether a listed host is live or about to shut down."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -26,16 +26,17 @@
 
 @attrs.frozen
 class ListedHost:
-    """One line of the list.
+    """One entry of the list.
 
     Attributes:
-        name: Unique within its kind; for an endpoint the endpoint's name.
-        kind: What the host is for.
+        name: Name, unique within the kind; an endpoint host has the name of
+            its endpoint.
+        kind: Role of the host.
         state: Live or leaving; a dead host is no longer listed.
         zone: Availability zone.
         rack: Rack within the zone.
         address: `IP:port` of its service.
-        worker_class: Name of the worker class; empty for other kinds.
+        worker_class: Name of the worker class; empty for other roles.
     """
 
     name: str
@@ -49,14 +50,14 @@
 
 @attrs.frozen
 class HostList:
-    """The whole list as the platform last published it."""
+    """The complete list as last published by the platform."""
 
     hosts: tuple[ListedHost, ...]
 
 
 @attrs.frozen
 class HostListUnavailable:
-    """The list can't be had now; the last known one stays in use."""
+    """The list can't be fetched now; the last known one stays in use."""
 
     detail: str
 
--- a/src/comfreylatch/_ports/log.py
+++ b/src/comfreylatch/_ports/log.py
@@ -1,9 +1,9 @@
-"""The platform's append-only log, as the rest of the program sees it.
+"""Interface to the platform's append-only log.
 
-A stream is an ordered list of payloads with ever-growing offsets. The
-platform keeps a payload for a limited time, so the first readable offset of a
-stream rises. An append is atomic: all payloads of one call get consecutive
-offsets, or none does.
+A stream is an ordered list of payloads with increasing offsets. The platform
+retains a payload for a limited time, so the first readable offset of a stream
+increases. An append is atomic: all payloads of a call get consecutive offsets,
+or none is appended.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
     """Consecutive entries of a stream.
 
     Attributes:
-        entries: In rising order of offset; empty when nothing new came.
-        first_offset: The lowest offset the platform still keeps.
-        next_offset: The offset to be read next; the head of the stream when
-            `entries` is empty.
+        entries: In increasing order of offset; empty if nothing new arrived.
+        first_offset: Lowest offset that the platform still retains.
+        next_offset: Offset to read next; the head of the stream if `entries`
+            is empty.
     """
 
     entries: tuple[LogEntry, ...]
@@ -41,21 +41,21 @@
 
 @attrs.frozen
 class LogUnavailable:
-    """The log did not take the call; nothing happened."""
+    """The log did not accept the call; nothing was done."""
 
     detail: str
 
 
 @attrs.frozen
 class LogAnswerLost:
-    """The call was sent but its answer was lost; it may have happened."""
+    """The call was sent but its answer was lost; it may have succeeded."""
 
     detail: str
 
 
 @attrs.frozen
 class LogExpired:
-    """The offset asked for is older than what the platform keeps."""
+    """The requested offset is older than the first retained one."""
 
     first_offset: int
 
--- a/src/comfreylatch/_ports/machines.py
+++ b/src/comfreylatch/_ports/machines.py
@@ -1,4 +1,4 @@
-"""The machines under the workers, and their maintenance in waves."""
+"""The machines that run the workers, and their maintenance in waves."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class MachineState(enum.StrEnum):
-    """Where a machine stands."""
+    """State of a machine."""
 
     UP = "up"
     MOVING = "moving"
@@ -20,12 +20,12 @@
 
 @attrs.frozen
 class Machine:
-    """A machine; each of its lives runs another worker.
+    """A machine; it runs a different worker after each restart.
 
     Attributes:
-        machine_id: Its name, which stays.
-        state: Where it stands.
-        worker_id: The worker that it runs now; empty for none.
+        machine_id: Name of the machine, which never changes.
+        state: State of the machine.
+        worker_id: Worker that it currently runs; empty for none.
     """
 
     machine_id: str
@@ -35,13 +35,13 @@
 
 @attrs.frozen
 class Wave:
-    """Operators want some machines to have their maintenance.
+    """Maintenance of a set of machines, requested by operators.
 
     Attributes:
-        number: Names the wave.
-        machines: Their names.
-        duration_ms: Time in which all should have had it.
-        most_at_once: Machines that may be down for it at the same time.
+        number: Identifies the wave.
+        machines: Names of the machines.
+        duration_ms: Time within which all should be maintained.
+        most_at_once: Maximum number of machines in maintenance at a time.
     """
 
     number: int
@@ -51,7 +51,7 @@
 
 
 class Refusal(enum.StrEnum):
-    """Why a machine's maintenance was not begun."""
+    """Why the maintenance of a machine was not started."""
 
     FENCED = "fenced"
     BUSY = "busy"
@@ -69,14 +69,14 @@
 
 @attrs.frozen
 class MaintenanceUnanswered:
-    """No answer came; the order may be carried out now, later or never."""
+    """No valid answer; the order may be carried out now, later or never."""
 
     detail: str
 
 
 @attrs.frozen
 class MachinesUnavailable:
-    """The machines could not be read, or a report not be written."""
+    """The machines could not be listed, or a report not be written."""
 
     detail: str
 
@@ -86,13 +86,13 @@
 
 @attrs.frozen
 class MaintenanceOrder:
-    """Begins a machine's maintenance, which ends all that it runs.
+    """Starts the maintenance of a machine, which ends all its runs.
 
     Attributes:
-        machine_id: The machine.
-        wave: Number of the wave that it belongs to.
-        holder: Name of the host that orders.
-        token: Its fencing token.
+        machine_id: Name of the machine.
+        wave: Number of the wave that the order belongs to.
+        holder: Name of the host that sends the order.
+        token: Fencing token of that host.
     """
 
     machine_id: str
@@ -102,22 +102,22 @@
 
 
 class Machines(Protocol):
-    """Access to machines."""
+    """Access to the platform's API of machines."""
 
     def machines(
         self, timeout_ms: int
     ) -> result.Result[tuple[Machine, ...], MachinesUnavailable]:
-        """All machines."""
+        """Returns all machines."""
         ...
 
     def maintain(
         self, order: MaintenanceOrder, timeout_ms: int
     ) -> result.Result[None, MaintenanceError]:
-        """Begins a maintenance; Ok also when the wave's was begun before."""
+        """Starts a maintenance; Ok as well if the wave had started it."""
         ...
 
     def report(
         self, wave: int, is_completed: bool, timeout_ms: int
     ) -> result.Result[None, MachinesUnavailable]:
-        """Tells the operators that a wave is running or completed."""
+        """Reports to the operators that a wave is running or completed."""
         ...
--- a/src/comfreylatch/_ports/peers.py
+++ b/src/comfreylatch/_ports/peers.py
@@ -1,4 +1,4 @@
-"""Other entry hosts, as the rest of the program sees them."""
+"""Interface to the other entry hosts."""
 
 from __future__ import annotations
 
@@ -13,19 +13,20 @@
 
 @attrs.frozen
 class PeerView:
-    """What this host last heard of another seat.
+    """The latest known state of another seat.
 
     Attributes:
         seat: Name of the seat.
         zone: Its availability zone.
-        host_id: Id of the process in it; empty before the first heartbeat.
-        reachable: Whether the last heartbeats were answered.
-        heard_ms: Monotonic time of the last answer; -1 before the first.
-        stopping: Whether it takes no more work.
-        config_offset: Configuration offset it has applied.
+        host_id: Id of the process in the seat; empty before the first
+            heartbeat.
+        reachable: Whether the latest heartbeats were answered.
+        heard_ms: Monotonic time of the latest answer; -1 before the first.
+        stopping: Whether it refuses new work because it shuts down.
+        config_offset: Offset up to which it has applied the configuration.
         config_digest: Digest of that configuration.
-        leaving_endpoints: Endpoints it has seen leave.
-        spare_slots: Slots it offers other zones, by service.
+        leaving_endpoints: Endpoints that it has seen listed as leaving.
+        spare_slots: Slots it offers to other zones, by service.
     """
 
     seat: str
@@ -42,7 +43,7 @@
 
 @attrs.frozen
 class PeerUnreachable:
-    """No byte of the call reached the peer."""
+    """No part of the call reached the peer."""
 
     detail: str
 
@@ -66,86 +67,86 @@
 
 
 class Peers(Protocol):
-    """The other entry hosts; every call names a seat."""
+    """Calls to the other entry hosts, addressed by seat."""
 
     def views(self) -> tuple[PeerView, ...]:
-        """All other seats, in the order of the settings."""
+        """Returns the state of all other seats, in order of the settings."""
         ...
 
     def forward(
         self, seat: str, request: ttypes.ForwardRequest, timeout_ms: int
     ) -> result.Result[ttypes.ForwardReply, PeerError]:
-        """Hands a caller's request to a host of another zone."""
+        """Forwards a caller's request to a host of another zone."""
         ...
 
     def mark(
         self, seat: str, request: ttypes.MarkRequest, timeout_ms: int
     ) -> result.Result[ttypes.MarkReply, PeerError]:
-        """Marks a request id as dispatched, at its home host or a copy."""
+        """Marks a request id as dispatched, on a host that holds its marks."""
         ...
 
     def borrow(
         self, seat: str, request: ttypes.LoanRequest, timeout_ms: int
     ) -> result.Result[ttypes.LoanReply, PeerError]:
-        """Asks for slots of an endpoint."""
+        """Requests a loan of slots of an endpoint."""
         ...
 
     def give_back(
         self, seat: str, loan: ttypes.LoanReturn, timeout_ms: int
     ) -> result.Result[None, PeerError]:
-        """Gives borrowed slots back."""
+        """Returns borrowed slots to their lender."""
         ...
 
     def catch_up(
         self, seat: str, request: ttypes.CatchUpRequest, timeout_ms: int
     ) -> result.Result[ttypes.CatchUpReply, PeerError]:
-        """Fetches records, or a snapshot, of a stream from a peer."""
+        """Fetches records or a snapshot of a stream from a peer."""
         ...
 
     def push(
         self, stream: str, entries: tuple[ttypes.StreamEntry, ...]
     ) -> None:
-        """Offers new records to every peer; never blocks on one."""
+        """Sends new records to every peer without waiting for any."""
         ...
 
     def explain(
         self, seat: str, subject: str, name: str, timeout_ms: int
     ) -> result.Result[bytes, PeerError]:
-        """Asks a peer what it knows of a subject; Ok holds JSON."""
+        """Fetches a peer's journal of a subject; Ok holds JSON."""
         ...
 
 
 class PeerHandler(Protocol):
-    """What this host does for its peers; one method per thrift call."""
+    """Handles the calls of peers; one method per thrift call."""
 
     def heartbeat(self, beat: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
-        """Answers with this host's own state."""
+        """Returns this host's state."""
         ...
 
     def catch_up(self, request: ttypes.CatchUpRequest) -> ttypes.CatchUpReply:
-        """Serves records or a snapshot of a stream this host follows."""
+        """Returns records or a snapshot of a stream that this host follows."""
         ...
 
     def push(self, stream: str, entries: list[ttypes.StreamEntry]) -> None:
-        """Takes records another host has read from the log."""
+        """Receives records that another host has read from the log."""
         ...
 
     def borrow(self, request: ttypes.LoanRequest) -> ttypes.LoanReply:
-        """Lends slots, debited before the answer."""
+        """Lends slots and debits them before it returns."""
         ...
 
     def give_back(self, loan: ttypes.LoanReturn) -> None:
-        """Takes lent slots back."""
+        """Credits returned slots."""
         ...
 
     def forward(self, request: ttypes.ForwardRequest) -> ttypes.ForwardReply:
-        """Runs a request of another zone on this zone's endpoints."""
+        """Dispatches a request of another zone to this zone's endpoints."""
         ...
 
     def mark(self, request: ttypes.MarkRequest) -> ttypes.MarkReply:
-        """Marks a request id, once."""
+        """Marks a request id as dispatched, at most once."""
         ...
 
     def explain(self, subject: str, name: str) -> bytes:
-        """Tells what this host's journal holds of a subject, as JSON."""
+        """Returns this host's journal of a subject as JSON."""
         ...
--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -1,4 +1,4 @@
-"""This host's part of the endpoints' limits, as the router sees it."""
+"""Interface to this host's share of the endpoints' limits."""
 
 from __future__ import annotations
 
@@ -7,31 +7,35 @@
 
 
 class SlotLedger(Protocol):
-    """Slots and connections of endpoints this host may use now."""
+    """Slots and connections of endpoints that this host may use."""
 
     def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """Takes a slot for a request that ends within `duration_ms`."""
+        """Reserves a slot for a request of at most `duration_ms`.
+
+        Returns False if no slot is available.
+        """
         ...
 
     def want(self, endpoint: str) -> None:
-        """Says that a request waits for a slot; never blocks."""
+        """Reports that a request is waiting for a slot; never blocks."""
         ...
 
     def give_back(self, endpoint: str) -> None:
-        """Gives back a taken slot, once its request has ended."""
+        """Releases a reserved slot once its request has ended."""
         ...
 
     def free(self, endpoint: str) -> int:
-        """Slots that can be taken now; never below 0."""
+        """Returns the number of available slots; never negative."""
         ...
 
     def on_free(self, callback: Callable[[str], None]) -> None:
-        """Calls back with an endpoint's name when it has a slot again.
+        """Registers a callback for endpoints that have a slot again.
 
-        Never from within `try_take` or `free`, whose callers hold locks.
+        It is never called from `try_take` or `free`, as their callers hold
+        locks.
         """
         ...
 
     def connection_share(self, endpoint: str) -> int:
-        """Connections this host may hold to the endpoint."""
+        """Returns the number of connections this host may open."""
         ...
--- a/src/comfreylatch/_ports/store.py
+++ b/src/comfreylatch/_ports/store.py
@@ -1,8 +1,9 @@
-"""The platform's store of records, as the rest of the program sees it.
+"""Interface to the platform's record store.
 
-A topic has partitions; a partition is an ordered list of records with rising
-offsets. Every record has a key, and the newest record of each key is kept for
-good, while older ones expire. A record without a value drops its key.
+A topic has partitions; a partition is an ordered list of records with
+increasing offsets. Every record has a key. The newest record of each key is
+retained indefinitely, while older ones expire. A record without a value is a
+tombstone that deletes its key.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @attrs.frozen
 class StoredRecord:
-    """A record as read. `value` is None where the key was dropped."""
+    """A record as read. `value` is None for a tombstone."""
 
     offset: int
     key: str
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class NewRecord:
-    """A record to be written; without a value it drops its key."""
+    """A record to write; without a value it is a tombstone."""
 
     key: str
     value: bytes | None
@@ -33,9 +34,9 @@
 
 @attrs.frozen
 class StoreBatch:
-    """Consecutive records, and the offset to read next.
+    """A batch of records, and the offset to read next.
 
-    `end_offset` is the end of the partition at the time of the answer.
+    `end_offset` is the end of the partition at the time of the read.
     """
 
     records: tuple[StoredRecord, ...]
@@ -48,10 +49,11 @@
     """Identifies one append of a fenced writer.
 
     Attributes:
-        name: Writers of one name exclude each other.
-        epoch: The store refuses appends of lower epochs than one it has seen.
-        sequence: Counts the appends of an epoch and partition; a repeat gets
-            the first answer again.
+        name: Name of the writer; only one epoch of a name may append.
+        epoch: The store refuses appends with an epoch lower than the highest
+            it has seen.
+        sequence: Number of the append within its epoch and partition; a
+            repeated append gets the answer of the first.
     """
 
     name: str
@@ -61,42 +63,42 @@
 
 @attrs.frozen
 class StoreUnavailable:
-    """The store did not take the call; nothing was done."""
+    """The store did not accept the call; nothing was done."""
 
     detail: str
 
 
 @attrs.frozen
 class StoreAnswerLost:
-    """No answer came; the append may have happened or may yet happen."""
+    """No valid answer; the append may have succeeded or still succeed."""
 
     detail: str
 
 
 @attrs.frozen
 class EndOffsetMismatch:
-    """The partition does not end where the append demanded."""
+    """The partition does not end at the offset the append requires."""
 
     end_offset: int
 
 
 @attrs.frozen
 class ProducerFenced:
-    """A producer of the same name and a higher epoch has written."""
+    """A producer with the same name and a higher epoch has written."""
 
     detail: str
 
 
 @attrs.frozen
 class SequenceMismatch:
-    """The producer's sequence does not follow the last one; this one would."""
+    """The producer's sequence is out of order; `sequence` is expected."""
 
     sequence: int
 
 
 @attrs.frozen
 class RecordsExpired:
-    """Some records asked for are gone; the newest of each key remain."""
+    """Some requested records have expired; the newest per key remain."""
 
     first_offset: int
 
@@ -124,21 +126,21 @@
         producer: Producer | None = None,
         timeout_ms: int,
     ) -> result.Result[int, AppendError]:
-        """Appends all records or none; Ok holds the first one's offset.
+        """Appends all records or none; Ok holds the offset of the first.
 
-        With `at_offset`, only if the partition ends there. Without records, a
-        producer's epoch is set and nothing else is done.
+        With `at_offset`, appends only if the partition ends there. Without
+        records, only sets the producer's epoch.
         """
         ...
 
     def read(
         self, topic: str, partition: int, from_offset: int, wait_ms: int
     ) -> result.Result[StoreBatch, ReadError]:
-        """Reads from an offset on; waits up to `wait_ms` for a record."""
+        """Reads from an offset; waits up to `wait_ms` for a record."""
         ...
 
     def newest(
         self, topic: str, partition: int
     ) -> result.Result[StoreBatch, StoreUnavailable]:
-        """The newest record of each key, and where to read on."""
+        """Returns the newest record of each key and the next offset."""
         ...
--- a/src/comfreylatch/_ports/streams.py
+++ b/src/comfreylatch/_ports/streams.py
@@ -1,4 +1,4 @@
-"""Writing to and following one stream of records."""
+"""Interfaces for appending to a stream of records and folding it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """Nothing was written and nothing will be.
 
     Attributes:
-        retry_after_ms: When to come back.
+        retry_after_ms: Time after which to retry.
     """
 
     detail: str
@@ -26,9 +26,9 @@
 
 @attrs.frozen
 class AppendUnknown:
-    """The time was up before it was known whether the records are kept.
+    """The call timed out before it was known whether the records are stored.
 
-    The appender goes on until it knows; the fold tells the end of it.
+    The appender keeps trying until it knows; the fold shows the outcome.
     """
 
     detail: str
@@ -39,9 +39,9 @@
     """The records are on the stream.
 
     Attributes:
-        offset: Offset of the first record of the call. After a resend it
-            may be that of a later copy; a fold that has passed it has folded
-            the record.
+        offset: Offset of the first record of the call. After a retry it may
+            be that of a later copy; a fold past this offset has folded the
+            record.
     """
 
     offset: int
@@ -51,30 +51,30 @@
 
 
 class RecordAppender(Protocol):
-    """Appends records to one stream, many callers' records in one append."""
+    """Appends records to a stream, batching concurrent callers."""
 
     def append(
         self, bodies: Sequence[Any], timeout_ms: int
     ) -> result.Result[Appended, AppendRefusal]:
-        """Appends bodies of registered classes, in order, and waits."""
+        """Appends bodies of registered classes in order and waits."""
         ...
 
 
 class RecordFold(Protocol):
-    """State built from one stream by a deterministic function."""
+    """State that a deterministic function builds from one stream."""
 
     def apply(self, offset: int, envelope: records.Envelope, body: Any) -> None:
-        """Folds one record; never raises for a bad one, but counts it."""
+        """Folds one record; counts an invalid one and never raises."""
         ...
 
     def snapshot(self) -> bytes:
-        """The whole state in a form `restore` takes."""
+        """Returns the complete state, encoded for `restore`."""
         ...
 
     def restore(self, offset: int, snapshot: bytes) -> None:
-        """Replaces the state by the snapshot taken after `offset`."""
+        """Replaces the state with the snapshot taken after `offset`."""
         ...
 
     def digest(self) -> str:
-        """Short hash of the state; equal on hosts with equal state."""
+        """Returns a hash that is equal on hosts with equal state."""
         ...
--- a/src/comfreylatch/_ports/workers.py
+++ b/src/comfreylatch/_ports/workers.py
@@ -1,12 +1,12 @@
-"""The platform's control of workers: leases, commands and reports.
-
-One call, `exchange`, carries everything between an owner host and a worker.
-A worker numbers its reports. An exchange quotes the report it is based on, and
-the worker refuses commands whose quoted report is older than the worker's own
-`command_ttl_ms`, by its own clock; a command that lay in a buffer while its
-sender was frozen thus goes stale. An exchange with a lower term than one the
-worker has seen is refused whole. A worker whose lease lapses stops every task
-it runs and keeps their last checkpoints.
+"""Interface to the platform's workers: leases, commands and reports.
+
+One call, `exchange`, carries all communication between an owner host and a
+worker. A worker numbers its reports, and an exchange quotes the report it is
+based on. The worker refuses commands whose quoted report is older than its
+`command_ttl_ms` by its own clock, so that a command delayed in a buffer while
+its sender was suspended is not carried out. An exchange with a lower term than
+the worker has seen is refused completely. A worker whose lease expires stops
+all its tasks and keeps their last checkpoints.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TaskState(enum.StrEnum):
-    """State of one attempt, as the worker tells it."""
+    """State of an attempt, as reported by the worker."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -28,7 +28,7 @@
 
 
 class CommandStatus(enum.StrEnum):
-    """What a worker did with one command."""
+    """Outcome of a command on a worker."""
 
     DONE = "done"
     REFUSED_STALE = "refused-stale"
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Resources:
-    """Amounts of what a host has or a task needs, in whole units."""
+    """Resources that a host has or a task needs, in whole units."""
 
     processors_milli: int
     memory_mib: int
@@ -55,10 +55,11 @@
     Attributes:
         job: Job id.
         attempt: Number of the attempt, from 1.
-        job_class: What kind of work it is, for interference and run times.
-        resources: What the attempt may use.
-        run_time_ms: Declared run time, unthrottled and undisturbed.
-        checkpoint_ms: Progress at which to resume; 0 starts afresh.
+        job_class: Kind of work, by which interference and run times are
+            learned.
+        resources: Resources that the attempt may use.
+        run_time_ms: Declared run time without throttling or interference.
+        checkpoint_ms: Progress from which to resume; 0 to start anew.
     """
 
     job: str
@@ -71,7 +72,7 @@
 
 @attrs.frozen
 class StopTask:
-    """Stops an attempt; the answer's task line says how far it came."""
+    """Stops an attempt; the report contains its final progress."""
 
     job: str
     attempt: int
@@ -79,7 +80,7 @@
 
 @attrs.frozen
 class CheckpointTask:
-    """Makes an attempt write a checkpoint now."""
+    """Makes an attempt write a checkpoint immediately."""
 
     job: str
     attempt: int
@@ -104,11 +105,11 @@
     Attributes:
         owner: Host id of the caller.
         term: Term of the caller's claim on the zone.
-        quoted_report: Number of the worker's report this is based on; 0 asks
-            for a first report and may carry no commands and no lease.
-        lease_ms: How long the lease shall last from the worker's receipt; 0
-            leaves the lease as it is.
-        commands: Carried out in order.
+        quoted_report: Number of the worker's report this is based on; 0
+            requests a first report, without commands or a lease.
+        lease_ms: Duration of the lease from its receipt by the worker; 0
+            leaves the lease unchanged.
+        commands: Commands to carry out, in order.
     """
 
     owner: str
@@ -120,16 +121,16 @@
 
 @attrs.frozen
 class TaskStatus:
-    """One attempt in a worker's report.
+    """Status of an attempt in a worker's report.
 
     Attributes:
         job: Job id.
         attempt: Attempt number.
-        state: Running or how it ended. Ended lines are kept by the worker
-            until a later exchange with a command for them, or for a while.
-        progress_ms: Work done so far, in undisturbed run time.
+        state: Running, or how it ended. The worker reports an ended attempt
+            until a later exchange has a command for it, or for some time.
+        progress_ms: Work done so far, as run time without interference.
         checkpoint_ms: Progress at the last checkpoint.
-        share_milli: Throttle in force, 1000 when none.
+        share_milli: Current throttle in thousandths; 1000 for none.
     """
 
     job: str
@@ -142,10 +143,10 @@
 
 @attrs.frozen
 class Usage:
-    """Measured usage; it arrives late.
+    """Measured usage, which arrives with a delay.
 
     Attributes:
-        age_ms: How old the measurement is, by the worker's clock.
+        age_ms: Age of the measurement by the worker's clock.
         processors_milli: Processor use of the whole host.
         memory_mib: Memory use of the whole host.
         services: Slowdown per latency-critical service on the host.
@@ -161,7 +162,7 @@
 
 @attrs.frozen
 class ServiceSlowdown:
-    """How much slower a service answered than when alone, in thousandths."""
+    """Slowdown of a service relative to running alone, in thousandths."""
 
     service: str
     slowdown_milli: int
@@ -169,7 +170,7 @@
 
 @attrs.frozen
 class TaskSlowdown:
-    """How much slower an attempt ran than when alone, in thousandths."""
+    """Slowdown of an attempt relative to running alone, in thousandths."""
 
     job: str
     attempt: int
@@ -185,13 +186,13 @@
     Attributes:
         worker: Name of the worker.
         boot: Changes whenever the worker restarts.
-        report: Number of this report, rising within a boot.
+        report: Number of this report, increasing within a boot.
         highest_term: Highest term the worker has seen.
-        lease_left_ms: What is left of the lease; 0 when lapsed.
-        capacity: What the worker has.
+        lease_left_ms: Remaining time of the lease; 0 if expired.
+        capacity: Resources of the worker.
         tasks: Running and recently ended attempts.
-        usage: Late measurements; the latest is last.
-        statuses: One per command of the exchange, in order.
+        usage: Delayed measurements, oldest first.
+        statuses: Outcomes of the exchange's commands, in order.
     """
 
     worker: str
@@ -207,7 +208,7 @@
 
 @attrs.frozen
 class WorkerUnreachable:
-    """No byte of the exchange reached the worker."""
+    """No part of the exchange reached the worker."""
 
     detail: str
 
