--- a/src/comfreylatch/platform/callers.py
+++ b/src/comfreylatch/platform/callers.py
@@ -32,7 +32,7 @@
 
 
 @final
-class CallerPages:
+class CallerHandler:
     """Handles one caller's request at a time; many threads may call it."""
 
     def __init__(
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -232,7 +232,7 @@
             self._metrics,
             self._clock,
         )
-        pages = callers.CallerPages(
+        pages = callers.CallerHandler(
             lambda: self._configured.current,
             job_api,
             self._metrics,
