--- a/src/comfreylatch/_ports/cell_workers.py
+++ b/src/comfreylatch/_ports/cell_workers.py
@@ -144,7 +144,7 @@
 
 @attrs.frozen
 class PaceOrder:
-    """Throttles a task to a percentage of its normal usage."""
+    """Throttles a task to a percentage of its usage; 100 for no limit."""
 
     task: str
     run: int
--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -25,7 +25,7 @@
         ...
 
     def free(self, endpoint: str) -> int:
-        """Returns the number of available slots; never negative."""
+        """Returns the number of available slots; never below 0."""
         ...
 
     def on_free(self, callback: Callable[[str], None]) -> None:
--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -23,7 +23,7 @@
     """Makes one call at a time. A context manager.
 
     Args:
-        adviser: The advice service.
+        advice_service: The advice service.
         post: Receives the outcome of each call as an event.
         clock: Measures the times of calls.
     """
