--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -34,7 +34,7 @@
 )
 from comfreylatch._process.cell import records
 from comfreylatch.platform import advice
-from comfreylatch.platform import callers
+from comfreylatch.platform import caller_handler
 from comfreylatch.platform import configuration
 from comfreylatch.platform import machines
 from comfreylatch.platform import store
@@ -232,7 +232,7 @@
             self._metrics,
             self._clock,
         )
-        pages = callers.CallerHandler(
+        pages = caller_handler.CallerHandler(
             lambda: self._configured.current,
             job_api,
             self._metrics,
