--- a/src/comfreylatch/platform/__init__.py
+++ b/src/comfreylatch/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Runs the program on the users' platform: translation only.
+"""Adapter that runs the program on the users' platform.
 
-Nothing outside this package knows the platform's names. Decisions, state and
-recovery are in `comfreylatch._process.cell`.
+It only translates: the platform's names are used in no other package, and
+decisions, state and recovery are in `comfreylatch._process.cell`.
 """
 
 from __future__ import annotations
--- a/src/comfreylatch/platform/advice.py
+++ b/src/comfreylatch/platform/advice.py
@@ -1,4 +1,4 @@
-"""The platform's service for advice over HTTP."""
+"""HTTP client of the platform's advice service."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from comfreylatch._ports import advice as advice_port
 from comfreylatch.platform import wire
 
-# The service answers one call of a host at a time.
-CONNECTIONS = 1
+# The service accepts one call per host at a time.
+POOL_SIZE = 1
 
 
 @final
@@ -22,7 +22,7 @@
     """Implements `AdviceService`. A context manager."""
 
     def __init__(self, address: str) -> None:
-        self._pool = json_call.open_pool(address, CONNECTIONS)
+        self._pool = json_call.open_pool(address, POOL_SIZE)
 
     def __enter__(self) -> Self:
         return self
--- a/src/comfreylatch/platform/caller_handler.py
+++ b/src/comfreylatch/platform/caller_handler.py
@@ -1,4 +1,4 @@
-"""The callers' interface: paths and statuses for what the intake says."""
+"""HTTP handler for callers: maps requests and outcomes of the job API."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from comfreylatch.platform import configuration
 from comfreylatch.platform import wire
 
-# Time kept back from a caller's deadline to answer it.
-ANSWER_MARGIN_MS = 150
+# Part of a caller's deadline that is reserved for sending the reply.
+REPLY_MARGIN_MS = 150
 DEFAULT_DEADLINE_MS = 3_000
 NO_CONFIGURATION_RETRY_MS = 500
 MAX_PAYLOAD_BYTES = 4_000
@@ -28,29 +28,29 @@
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 _logger = logbook.Logger(__name__)
 
-Configured = Callable[[], specs.FleetConfiguration | None]
+GetConfiguration = Callable[[], specs.FleetConfiguration | None]
 
 
 @final
 class CallerHandler:
-    """Handles one caller's request at a time; many threads may call it."""
+    """Handles the HTTP requests of callers. Thread-safe."""
 
     def __init__(
         self,
-        configured: Configured,
+        get_configuration: GetConfiguration,
         job_api: job_api_module.JobApi,
         metrics: metrics_module.Metrics,
         clock: clock_port.Clock,
     ) -> None:
-        self._configured = configured
+        self._get_configuration = get_configuration
         self._job_api = job_api
         self._metrics = metrics
         self._clock = clock
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers a request."""
-        configured = self._configured()
-        if configured is None:
+        """Returns the reply to a request."""
+        current = self._get_configuration()
+        if current is None:
             return self._refuse(
                 503,
                 reasons.Refusal.NO_CONFIGURATION,
@@ -58,20 +58,20 @@
                 NO_CONFIGURATION_RETRY_MS,
             )
         host = request.headers.get("host", "").partition(":")[0]
-        queue = configured.find_queue(host, request.path)
+        queue = current.find_queue(host, request.path)
         if queue is None:
             return self._refuse(
                 404,
                 reasons.Refusal.UNKNOWN_QUEUE,
                 f"no queue at {host}{request.path}; configuration version "
-                f"{configured.version}",
+                f"{current.version}",
             )
         job_id = request.path[len(queue.prefix) :]
         match request.method:
             case "GET" if not job_id:
-                return self._waiting(queue)
+                return self._queue_length_reply(queue)
             case "GET":
-                return self._state(job_id)
+                return self._job_state_reply(job_id)
             case "POST":
                 return self._submit(request, queue, job_id)
             case "DELETE":
@@ -79,17 +79,17 @@
         return self._refuse(
             405,
             reasons.Refusal.METHOD_NOT_ALLOWED,
-            f"a queue takes GET, POST and DELETE, not {request.method}",
+            f"a queue accepts GET, POST and DELETE, not {request.method}",
         )
 
-    def _wait_ms(self, request: http.HttpRequest) -> int:
-        """How long the caller can be kept waiting."""
+    def _remaining_ms(self, request: http.HttpRequest) -> int:
+        """Returns the time left to process a request before its deadline."""
         text = request.headers.get("x-deadline-ms", "")
         deadline_ms = int(text) if text.isdigit() else DEFAULT_DEADLINE_MS
         used_ms = 0
         if request.received_ms >= 0:
             used_ms = self._clock.monotonic_ms() - request.received_ms
-        return max(deadline_ms - used_ms - ANSWER_MARGIN_MS, 1)
+        return max(deadline_ms - used_ms - REPLY_MARGIN_MS, 1)
 
     def _submit(
         self,
@@ -115,32 +115,32 @@
             return self._refuse(
                 400,
                 reasons.Refusal.PAYLOAD_TOO_LONG,
-                f"the text of job {job_id} is over {MAX_PAYLOAD_BYTES} bytes",
+                f"payload of job {job_id} exceeds {MAX_PAYLOAD_BYTES} bytes",
             )
         return self._outcome_reply(
-            job_id, self._job_api.submit(spec, self._wait_ms(request))
+            job_id, self._job_api.submit(spec, self._remaining_ms(request))
         )
 
     def _cancel(self, request: http.HttpRequest, job_id: str) -> http.HttpReply:
         return self._outcome_reply(
-            job_id, self._job_api.cancel(job_id, self._wait_ms(request))
+            job_id, self._job_api.cancel(job_id, self._remaining_ms(request))
         )
 
-    def _state(self, job_id: str) -> http.HttpReply:
+    def _job_state_reply(self, job_id: str) -> http.HttpReply:
         match self._job_api.state(job_id):
             case records.JobState() as state:
                 return http.json_reply(200, {"State": state.value})
             case job_api_module.UnknownJob():
-                return self._unknown(job_id)
+                return self._unknown_job_reply(job_id)
             case job_api_module.StaleView(age_ms):
-                return self._stale(age_ms)
+                return self._stale_view_reply(age_ms)
 
-    def _waiting(self, queue: specs.QueueSpec) -> http.HttpReply:
+    def _queue_length_reply(self, queue: specs.QueueSpec) -> http.HttpReply:
         match self._job_api.count_queued(queue):
             case int() as count:
                 return http.json_reply(200, {"Waiting": count})
             case job_api_module.StaleView(age_ms):
-                return self._stale(age_ms)
+                return self._stale_view_reply(age_ms)
 
     def _refuse(
         self,
@@ -149,25 +149,25 @@
         detail: str,
         retry_after_ms: int = 0,
     ) -> http.HttpReply:
-        """An error reply, logged and counted by its reason."""
+        """Returns an error reply, logging and counting its reason."""
         logs.event(
             _logger, "refused", reason=reason, status=status, detail=detail
         )
         self._metrics.count(metrics_module.Counter.REFUSALS, reason)
         return http.error_reply(status, reason, detail, retry_after_ms)
 
-    def _unknown(self, job_id: str) -> http.HttpReply:
+    def _unknown_job_reply(self, job_id: str) -> http.HttpReply:
         return self._refuse(
             410,
             reasons.Refusal.UNKNOWN_JOB,
-            f"no job {job_id} was ever accepted",
+            f"job {job_id} was never accepted",
         )
 
-    def _stale(self, age_ms: int) -> http.HttpReply:
+    def _stale_view_reply(self, age_ms: int) -> http.HttpReply:
         return self._refuse(
             503,
             reasons.Refusal.VIEW_TOO_OLD,
-            f"this host's view of jobs is {age_ms} ms old; ask another one",
+            f"this host's view of jobs is {age_ms} ms old; ask another host",
             job_api_module.RETRY_AFTER_MS,
         )
 
@@ -183,14 +183,14 @@
                 return self._refuse(
                     503,
                     reason,
-                    f"nothing was kept for job {job_id}",
+                    f"job {job_id}: the request was not stored",
                     retry_after_ms,
                 )
             case job_api_module.Undecided(detail):
                 return self._refuse(
                     504,
                     reasons.Refusal.UNDECIDED,
-                    f"job {job_id} may have been kept: {detail}",
+                    f"job {job_id}: the request may have been stored: {detail}",
                 )
             case job_api_module.UnknownJob():
-                return self._unknown(job_id)
+                return self._unknown_job_reply(job_id)
--- a/src/comfreylatch/platform/configuration.py
+++ b/src/comfreylatch/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration, from the store's form to the product's."""
+"""Decodes the operators' configuration and callers' submissions."""
 
 from __future__ import annotations
 
@@ -10,11 +10,15 @@
 
 
 def decode_configuration(value: bytes) -> specs.FleetConfiguration:
-    """Decodes a configuration; raises `BadMessageError`."""
+    """Decodes a configuration.
+
+    Raises:
+        wire.BadMessageError: The record is malformed.
+    """
     record = wire.decode(wire.Configuration, value)
     return specs.FleetConfiguration(
         version=record.version,
-        queues=tuple(_queue(route) for route in record.routes),
+        queues=tuple(_decode_queue(route) for route in record.routes),
         services=tuple(
             specs.ServiceSpec(
                 service.name, service.guards_capacity, service.is_standby
@@ -24,7 +28,7 @@
     )
 
 
-def _queue(route: wire.Route) -> specs.QueueSpec:
+def _decode_queue(route: wire.Route) -> specs.QueueSpec:
     advice = None
     if route.advice is not None:
         advice = specs.AdviceSpec(
@@ -48,23 +52,27 @@
 def decode_submission(
     job_id: str, queue: specs.QueueSpec, body: bytes, wall_ms: int
 ) -> specs.JobSpec:
-    """Decodes a submission; raises `BadMessageError`."""
+    """Decodes a submission.
+
+    Raises:
+        wire.BadMessageError: The body is malformed, or a step is invalid.
+    """
     record = wire.decode(wire.Submission, body)
     if not record.steps:
         raise wire.BadMessageError("a job needs at least one step")
     for number, step in enumerate(record.steps):
         if step.task_count < 1:
             raise wire.BadMessageError(f"step {number} has no tasks")
-        if any(not 0 <= before < number for before in step.depends_on):
+        if any(not 0 <= earlier < number for earlier in step.depends_on):
             raise wire.BadMessageError(
                 f"step {number} depends on {list(step.depends_on)}; it may "
-                "depend on earlier steps only"
+                "depend only on earlier steps"
             )
     return specs.JobSpec(
         job_id=job_id,
         queue=queue,
         payload=record.payload,
-        steps=tuple(_step(step) for step in record.steps),
+        steps=tuple(_decode_step(step) for step in record.steps),
         repetitions=max(record.repetitions, 0),
         first_due_ms=int(record.first_due_ms),
         interval_ms=int(record.interval_ms),
@@ -72,7 +80,7 @@
     )
 
 
-def _step(step: wire.Step) -> specs.StepSpec:
+def _decode_step(step: wire.Step) -> specs.StepSpec:
     return specs.StepSpec(
         task_count=step.task_count,
         cpu_millicores=int(step.cpu_millicores),
--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -1,4 +1,4 @@
-"""Composes and runs a host of the system on the users' platform."""
+"""Builds and runs a host process on the users' platform."""
 
 from __future__ import annotations
 
@@ -43,30 +43,30 @@
 from comfreylatch.platform import workers
 
 SETTINGS_VARIABLE = "COMFREYLATCH_CONFIG"
-# The one cell, and the only partition of what the platform publishes.
+# The only cell, and the only partition of the platform's topics.
 CELL = 0
 WORKERS_TOPIC = "servers"
 MAX_BODY_BYTES = 1 << 20
 CALLER_THREADS = 6
-# Beside the readiness page, on the address that callers do not use.
+# Served on the readiness address, which callers do not use.
 METRICS_PATH = "/metrics"
 READINESS_THREADS = 1
-# A connection that went silent is noticed after this and a call's timeout; the
-# configuration has to be in force two seconds after it was confirmed.
-CONFIGURATION_WAIT_MS = 1_000
-# Leases at workers: long enough to outlive a takeover, short enough that the
-# tasks of a dead worker are soon run elsewhere.
+# A dead connection is detected after this wait plus a call's timeout. A
+# configuration must be in force two seconds after it was confirmed.
+CONFIGURATION_READ_WAIT_MS = 1_000
+# Leases of workers: long enough to outlast a takeover, short enough that the
+# tasks of a dead worker are soon rescheduled.
 LEASE_MS = 4_500
-# The balancer asks each second and gives up after two misses.
+# The load balancer probes each second and removes a host after two failures.
 LEAVE_ROTATION_MS = 2_200
-# Requests are answered in far less; the rest of the grace period is spare.
+# Requests take much less; the rest of the grace period is a reserve.
 DRAIN_MS = 1_500
 RELEASE_MS = 1_500
-# A host that has not reached the store for this long can accept nothing.
-OLDEST_READY_VIEW_MS = 1_500
-# Ended jobs are kept this many times as long as callers must be told of them:
-# the end is seen later than it is shown, and clocks differ.
-KEEP_FACTOR = 1.5
+# A host that has not reached the store for this long can't accept requests.
+MAX_READY_VIEW_AGE_MS = 1_500
+# Ended jobs are retained this many times the period for which callers can
+# query them, because their end is seen with a delay and clocks differ.
+RETENTION_FACTOR = 1.5
 THREAD_STACK_BYTES = 256 * 1024
 FAULTY_SETTINGS_EXIT_CODE = 2
 
@@ -74,15 +74,15 @@
 
 
 def run() -> int:
-    """Runs a host until it is told to stop; returns its exit code."""
+    """Runs a host until it is signalled to stop; returns its exit code."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     try:
         text = pathlib.Path(path).read_bytes()
         settings = wire.decode(wire.Settings, text)
     except (OSError, wire.BadMessageError) as error:
         print(
-            f"comfreylatch: can't read the settings file {path!r} that "
-            f"{SETTINGS_VARIABLE} names: {error}",
+            f"comfreylatch: can't read the settings file {path!r} set by "
+            f"{SETTINGS_VARIABLE}: {error}",
             file=sys.stderr,
         )
         return FAULTY_SETTINGS_EXIT_CODE
@@ -92,16 +92,16 @@
     return 0
 
 
-def _note_reload() -> None:
-    """Logs that the settings file changed; its values hold for a life."""
+def _log_settings_change() -> None:
+    """Logs a change of the settings file, which takes effect on restart."""
     logs.event(_logger, "settings-changed", in_force="at the next start")
 
 
 def _serve(settings: wire.Settings) -> None:
-    """Serves until told to stop, then stops in order."""
+    """Serves until signalled to stop, then shuts down gracefully."""
     stopping = threading.Event()
     signal.signal(signal.SIGTERM, lambda *_: stopping.set())
-    signal.signal(signal.SIGHUP, lambda *_: _note_reload())
+    signal.signal(signal.SIGHUP, lambda *_: _log_settings_change())
     with _Host(settings, stopping) as host:
         logs.event(_logger, "started", host=settings.name)
         stopping.wait()
@@ -112,7 +112,7 @@
 
 @final
 class _Host:
-    """The composition root: wires the parts of a host and owns them."""
+    """Composition root: creates, connects and owns a host's components."""
 
     def __init__(
         self, settings: wire.Settings, stopping: threading.Event
@@ -123,18 +123,20 @@
         self._clock = clock_port.SystemClock()
         self._metrics = metrics_module.Metrics()
         self._store = store.StoreClient(settings.store.address)
-        self._configured = views.ConfigurationView()
+        self._configuration = views.ConfigurationView()
         self._waves = views.WavesView()
         self._replica = job_replica.JobReplica(self._clock)
-        self._jobs_reader = self._tail(records.JOBS_TOPIC, self._replica.apply)
+        self._jobs_reader = self._make_reader(
+            records.JOBS_TOPIC, self._replica.apply
+        )
         self._appender = job_api_module.BatchAppender(
             self._store, CELL, self._clock
         )
         self._ownership = self._make_ownership()
-        self._callers = self._make_callers()
+        self._callers = self._make_caller_server()
         self._readiness = http_server.HttpServer(
             settings.listen.readiness,
-            self._answer_readiness,
+            self._handle_readiness,
             READINESS_THREADS,
             MAX_BODY_BYTES,
         )
@@ -143,10 +145,10 @@
         enter = self._stack.enter_context
         enter(self._store)
         enter(
-            self._tail(
+            self._make_reader(
                 configuration.TOPIC,
-                self._apply_operators_records,
-                CONFIGURATION_WAIT_MS,
+                self._apply_operator_records,
+                CONFIGURATION_READ_WAIT_MS,
             )
         )
         enter(self._jobs_reader)
@@ -164,13 +166,13 @@
     ) -> None:
         self._stack.__exit__(exc_type, exc, traceback)
 
-    def _apply_operators_records(
+    def _apply_operator_records(
         self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        self._configured.apply(batch, is_complete)
+        self._configuration.apply(batch, is_complete)
         self._waves.apply(batch, is_complete)
 
-    def _tail(
+    def _make_reader(
         self,
         topic: str,
         apply: partition_reader_module.ApplyRecords,
@@ -189,15 +191,15 @@
             cpu_cores=settings.limits.cpu_share * settings.limits.cores,
         )
         logs.event(_logger, "starting", host=host.name, boot=host.boot)
-        keep_ended_s = settings.bounds.status_s * KEEP_FACTOR
+        retention_s = settings.bounds.status_s * RETENTION_FACTOR
         advice_service = None
         if settings.advice_address:
             advice_service = self._stack.enter_context(
                 advice.AdviceClient(settings.advice_address)
             )
-        api = None
+        machine_client = None
         if settings.machine_api is not None and settings.machine_api.address:
-            api = self._stack.enter_context(
+            machine_client = self._stack.enter_context(
                 machines.MachineClient(
                     settings.machine_api.address, self._store
                 )
@@ -209,22 +211,22 @@
                 replica=self._replica,
                 jobs_reader=self._jobs_reader,
                 connect=workers.WorkerClient,
-                follow_workers=lambda tell: self._tail(
-                    WORKERS_TOPIC, views.WorkersView(tell).apply
+                follow_workers=lambda on_change: self._make_reader(
+                    WORKERS_TOPIC, views.WorkersView(on_change).apply
                 ),
                 lease_ms=min(LEASE_MS, int(settings.bounds.lease_ms)),
-                keep_ended_ms=int(keep_ended_s * 1_000),
+                keep_ended_ms=int(retention_s * 1_000),
                 metrics=self._metrics,
                 clock=self._clock,
                 advice_service=advice_service,
-                machines=api,
+                machines=machine_client,
                 waves=self._waves.current,
                 handover_ms=int(settings.bounds.handover_ms),
             ),
             host,
         )
 
-    def _make_callers(self) -> http_server.HttpServer:
+    def _make_caller_server(self) -> http_server.HttpServer:
         job_api = job_api_module.JobApi(
             self._replica,
             self._jobs_reader,
@@ -232,35 +234,35 @@
             self._metrics,
             self._clock,
         )
-        pages = caller_handler.CallerHandler(
-            lambda: self._configured.current,
+        handler = caller_handler.CallerHandler(
+            lambda: self._configuration.current,
             job_api,
             self._metrics,
             self._clock,
         )
         return http_server.HttpServer(
             self._settings.listen.callers,
-            pages.handle,
+            handler.handle,
             CALLER_THREADS,
             MAX_BODY_BYTES,
         )
 
     def _is_ready(self) -> bool:
-        """Whether callers are better served here than elsewhere."""
+        """Whether the load balancer should send callers to this host."""
         return (
             not self._stopping.is_set()
-            and self._configured.current is not None
-            and self._jobs_reader.age_ms < OLDEST_READY_VIEW_MS
+            and self._configuration.current is not None
+            and self._jobs_reader.age_ms < MAX_READY_VIEW_AGE_MS
         )
 
-    def _answer_readiness(self, request: http.HttpRequest) -> http.HttpReply:
+    def _handle_readiness(self, request: http.HttpRequest) -> http.HttpReply:
         if request.path == METRICS_PATH:
             text = metrics_text.render(self._metrics.page())
             return http.HttpReply(200, text.encode())
         return http.HttpReply(200 if self._is_ready() else 503)
 
     def stop(self) -> None:
-        """Gives the cell up, leaves the rotation and answers what has come."""
+        """Releases the cell, leaves the rotation and drains requests."""
         self._callers.close_after_replies()
         self._ownership.stop(RELEASE_MS)
         time.sleep(LEAVE_ROTATION_MS / 1_000)
--- a/src/comfreylatch/platform/machines.py
+++ b/src/comfreylatch/platform/machines.py
@@ -1,4 +1,4 @@
-"""The platform's API of machines, and its records of waves."""
+"""Client of the platform's machines API, and its records of waves."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch.platform import wire
 
-# One call at a time; the API has rates of its own.
-CONNECTIONS = 1
+# One call at a time, as the API limits its call rate.
+POOL_SIZE = 1
 WAVE_PREFIX = "wave/"
 STATUS_TOPIC = "status"
 STATUS_PARTITION = 0
-# Pages of a list at most, so that a list without end can't hold up its reader.
-MOST_PAGES = 100
+# Maximum number of pages per list, so that an endless list can't block its
+# reader.
+MAX_PAGES = 100
 _STATES = {
     "up": machines_port.MachineState.UP,
     "moving": machines_port.MachineState.MOVING,
@@ -35,7 +36,11 @@
 
 
 def decode_wave(value: bytes) -> machines_port.Wave:
-    """A wave as the operators wrote it; raises `BadMessageError`."""
+    """Decodes a wave as written by operators.
+
+    Raises:
+        wire.BadMessageError: The record is malformed.
+    """
     record = wire.decode(wire.WaveRecord, value)
     return machines_port.Wave(
         record.number,
@@ -51,11 +56,11 @@
 
     Args:
         address: `IP:port` of the API.
-        store: Where reports on waves are written.
+        store: Store to which reports on waves are written.
     """
 
     def __init__(self, address: str, store: store_port.RecordStore) -> None:
-        self._pool = json_call.open_pool(address, CONNECTIONS)
+        self._pool = json_call.open_pool(address, POOL_SIZE)
         self._store = store
 
     def __enter__(self) -> Self:
@@ -77,7 +82,7 @@
         """See `Machines.machines`."""
         found: list[machines_port.Machine] = []
         target = "/v1/machines"
-        for _ in range(MOST_PAGES):
+        for _ in range(MAX_PAGES):
             match json_call.call(self._pool, "GET", target, None, timeout_ms):
                 case result.Ok(answer) if answer.status == 200:
                     pass
@@ -89,12 +94,14 @@
                 page = wire.decode(wire.MachinesReply, answer.body)
             except wire.BadMessageError as error:
                 return _unavailable(str(error))
-            found.extend(_machine(entry) for entry in page.machines)
+            found.extend(_decode_machine(entry) for entry in page.machines)
             if not page.next_page:
                 return result.Ok(tuple(found))
             query = urllib.parse.urlencode({"PageToken": page.next_page})
             target = f"/v1/machines?{query}"
-        return _unavailable(f"more than {MOST_PAGES} pages")
+        return _unavailable(
+            f"the list of machines has more than {MAX_PAGES} pages"
+        )
 
     def maintain(
         self, order: machines_port.MaintenanceOrder, timeout_ms: int
@@ -117,7 +124,7 @@
             case result.Ok(answer) if answer.status == 200:
                 return result.Ok(None)
             case result.Ok(answer):
-                return result.Err(_refusal(answer))
+                return result.Err(_decode_refusal(answer))
             case result.Err(json_call.NotSent(_)):
                 return result.Err(
                     machines_port.MaintenanceRefused(
@@ -150,13 +157,13 @@
     return result.Err(machines_port.MachinesUnavailable(detail))
 
 
-def _machine(entry: wire.MachineEntry) -> machines_port.Machine:
-    # A state that isn't known is one in which nothing can be ordered.
+def _decode_machine(entry: wire.MachineEntry) -> machines_port.Machine:
+    # No maintenance can be ordered in an unknown state, as in state DOWN.
     state = _STATES.get(entry.state, machines_port.MachineState.DOWN)
     return machines_port.Machine(entry.machine_id, state, entry.worker_id or "")
 
 
-def _refusal(answer: json_call.Answer) -> machines_port.MaintenanceError:
+def _decode_refusal(answer: json_call.Answer) -> machines_port.MaintenanceError:
     match answer.status:
         case 400:
             return machines_port.MaintenanceRefused(
--- a/src/comfreylatch/platform/store.py
+++ b/src/comfreylatch/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP."""
+"""HTTP client of the platform's record store."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from comfreylatch._ports import store as store_port
 from comfreylatch.platform import wire
 
-# Two tails, two writers of records, the owner's reads, and one to spare.
-CONNECTIONS = 6
-# The store answers in 4 ms; sixty times slower, as on some days, in 240.
+# Two partition readers, two appenders, the owner's reads, and one spare.
+POOL_SIZE = 6
+# The store replies in 4 ms; at its slowest, 60 times slower, in 240 ms.
 CALL_TIMEOUT_MS = 900
-# A page of the newest records has up to 1 MB, which takes a second on a link of
+# A page of the newest records has up to 1 MB. It takes a second on a link of
 # 10 Mbit/s, and several while all hosts read after a restart.
 PAGE_TIMEOUT_MS = 8_000
 KEYED_PREFIX = "keyed."
-_LENGTH = struct.Struct(">I")
-_ENDS = struct.Struct(">QQ")
-_RAW = {"Content-Type": "application/octet-stream"}
-# The store answers these without having done anything.
-_NOTHING_DONE = frozenset({400, 403, 404, 413, 429, 503, 507})
+_LENGTH_PREFIX = struct.Struct(">I")
+_OFFSETS_HEADER = struct.Struct(">QQ")
+_BINARY_HEADERS = {"Content-Type": "application/octet-stream"}
+# Statuses with which the store rejects a call without any effect.
+_REJECTED_STATUSES = frozenset({400, 403, 404, 413, 429, 503, 507})
 
 
 @final
@@ -35,7 +35,7 @@
     """Implements `RecordStore` on keyed topics. Thread-safe."""
 
     def __init__(self, address: str) -> None:
-        self._pool = json_call.open_pool(address, CONNECTIONS)
+        self._pool = json_call.open_pool(address, POOL_SIZE)
 
     def __enter__(self) -> Self:
         return self
@@ -76,10 +76,10 @@
             "/v1/log-append?" + urllib.parse.urlencode(query),
             body,
             timeout_ms,
-            _RAW,
+            _BINARY_HEADERS,
         ):
             case result.Ok(answer):
-                return _append_result(answer)
+                return _decode_append(answer)
             case result.Err(json_call.NotSent(detail)):
                 return result.Err(store_port.StoreUnavailable(detail))
             case result.Err(json_call.AnswerLost(detail)):
@@ -104,7 +104,7 @@
             case result.Ok(answer) if answer.status == 200:
                 return _decode_batch(answer.body, from_offset)
             case result.Ok(answer) if answer.status == 410:
-                return _expired(answer.body)
+                return _decode_expired(answer.body)
             case result.Ok(answer):
                 return result.Err(_unavailable(answer))
             case result.Err(error):
@@ -133,8 +133,8 @@
             except wire.BadMessageError as error:
                 return result.Err(store_port.StoreUnavailable(str(error)))
             if end_offset < 0:
-                # Pages are no snapshot; what changes after the first one is
-                # read again from its end on.
+                # The pages are not a consistent snapshot. Changes after the
+                # first page are read again from its end offset.
                 end_offset = page.end_offset
             for item in page.items:
                 found[item.key] = store_port.StoredRecord(
@@ -142,8 +142,8 @@
                 )
             if not page.has_more or not page.items:
                 break
-            # The name of this parameter is the one of a step's dependencies;
-            # here it holds the last key of the page before.
+            # This parameter shares its name with a step's dependencies; here
+            # it holds the last key of the previous page.
             query["DependsOn"] = page.items[-1].key
         ordered = sorted(found.values(), key=lambda record: record.offset)
         return result.Ok(
@@ -171,7 +171,7 @@
 def _encode_record(record: store_port.NewRecord) -> bytes:
     key = record.key.encode()
     content = bytes((len(key),)) + key + (record.value or b"")
-    return _LENGTH.pack(len(content)) + content
+    return _LENGTH_PREFIX.pack(len(content)) + content
 
 
 def _unavailable(answer: json_call.Answer) -> store_port.StoreUnavailable:
@@ -179,10 +179,10 @@
     return store_port.StoreUnavailable(detail)
 
 
-def _append_result(
+def _decode_append(
     answer: json_call.Answer,
 ) -> result.Result[int, store_port.AppendError]:
-    if answer.status in _NOTHING_DONE:
+    if answer.status in _REJECTED_STATUSES:
         return result.Err(_unavailable(answer))
     try:
         reply = wire.decode(wire.AppendReply, answer.body)
@@ -199,7 +199,7 @@
     return result.Err(store_port.StoreAnswerLost(f"status {answer.status}"))
 
 
-def _expired(
+def _decode_expired(
     body: bytes,
 ) -> result.Result[store_port.StoreBatch, store_port.ReadError]:
     try:
@@ -212,16 +212,16 @@
 def _decode_batch(
     body: bytes, from_offset: int
 ) -> result.Result[store_port.StoreBatch, store_port.ReadError]:
-    if len(body) < _ENDS.size:
-        detail = f"a read answered {len(body)} bytes"
+    if len(body) < _OFFSETS_HEADER.size:
+        detail = f"the reply to a read has only {len(body)} bytes"
         return result.Err(store_port.StoreUnavailable(detail))
-    end_offset, _ = _ENDS.unpack_from(body)
+    end_offset, _ = _OFFSETS_HEADER.unpack_from(body)
     records = []
     offset = from_offset
-    position = _ENDS.size
-    while position + _LENGTH.size <= len(body):
-        (length,) = _LENGTH.unpack_from(body, position)
-        position += _LENGTH.size
+    position = _OFFSETS_HEADER.size
+    while position + _LENGTH_PREFIX.size <= len(body):
+        (length,) = _LENGTH_PREFIX.unpack_from(body, position)
+        position += _LENGTH_PREFIX.size
         content = body[position : position + length]
         position += length
         records.append(_decode_record(offset, content))
--- a/src/comfreylatch/platform/views.py
+++ b/src/comfreylatch/platform/views.py
@@ -1,4 +1,4 @@
-"""What operators and executors publish in the store, as the host sees it."""
+"""This host's views of what operators and executors publish in the store."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from comfreylatch.platform import wire
 from comfreylatch.platform import workers
 
-Tell = Callable[[dict[str, cell_workers.WorkerEntry]], None]
+OnWorkersChanged = Callable[[dict[str, cell_workers.WorkerEntry]], None]
 
 _logger = logbook.Logger(__name__)
 
 
 @final
 class ConfigurationView:
-    """The newest configuration; versions never fall within a life."""
+    """The newest configuration; its version never decreases."""
 
     def __init__(self) -> None:
         self.current: specs.FleetConfiguration | None = None
 
     def apply(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        """Takes in records of the operators' topic."""
-        del is_whole  # A version that is gone was replaced by a higher one.
+        """Applies records of the operators' topic."""
+        del is_complete  # An expired version was replaced by a higher one.
         for record in batch:
             if record.key != configuration.CONFIGURATION_KEY:
                 continue
             if record.value is None:
                 continue
             try:
-                found = configuration.decode_configuration(record.value)
+                decoded = configuration.decode_configuration(record.value)
             except wire.BadMessageError as error:
                 logs.warning(
                     _logger,
@@ -50,34 +50,34 @@
                 )
                 continue
             current = self.current
-            if current is None or found.version > current.version:
-                self.current = found
+            if current is None or decoded.version > current.version:
+                self.current = decoded
                 logs.event(
                     _logger,
                     "configured",
-                    version=found.version,
-                    queues=len(found.queues),
+                    version=decoded.version,
+                    queues=len(decoded.queues),
                     offset=record.offset,
                 )
 
 
 @final
 class WavesView:
-    """Waves of maintenance that operators want; they are never taken back."""
+    """Maintenance waves that operators requested; none is ever withdrawn."""
 
     def __init__(self) -> None:
         self._waves: dict[int, machines_port.Wave] = {}
 
     def current(self) -> tuple[machines_port.Wave, ...]:
-        """All waves, the oldest first; any thread may ask."""
+        """Returns all waves in order of their numbers. Thread-safe."""
         waves = self._waves
         return tuple(waves[number] for number in sorted(waves))
 
     def apply(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        """Takes in records of the operators' topic."""
-        del is_whole  # What is gone was cleaned up after it was completed.
+        """Applies records of the operators' topic."""
+        del is_complete  # Expired waves were deleted after completion.
         for record in batch:
             if not record.key.startswith(machines.WAVE_PREFIX):
                 continue
@@ -95,21 +95,21 @@
 
 @final
 class WorkersView:
-    """The listed workers, told whole at each change."""
+    """The listed workers; reports the complete list on each change."""
 
     def __init__(
         self,
-        tell: Tell,
+        on_change: OnWorkersChanged,
     ) -> None:
-        self._tell = tell
+        self._on_change = on_change
         self._entries: dict[str, cell_workers.WorkerEntry] = {}
 
     def apply(
-        self, batch: tuple[store_port.StoredRecord, ...], is_whole: bool
+        self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
-        """Takes in records of the executors' topic."""
-        before = dict(self._entries)
-        if is_whole:
+        """Applies records of the executors' topic."""
+        previous = dict(self._entries)
+        if is_complete:
             self._entries = {}
         for record in batch:
             entry = None
@@ -119,8 +119,8 @@
                 self._entries.pop(record.key, None)
             else:
                 self._entries[record.key] = entry
-        if self._entries != before or is_whole:
-            self._tell(dict(self._entries))
+        if self._entries != previous or is_complete:
+            self._on_change(dict(self._entries))
 
     def _decode(
         self, key: str, value: bytes
--- a/src/comfreylatch/platform/wire.py
+++ b/src/comfreylatch/platform/wire.py
@@ -1,7 +1,7 @@
-"""The platform's messages, with what each field holds.
+"""The platform's messages.
 
-The attribute names are the project's; `rename` gives the platform's. All
-numbers may come as whole numbers or fractions unless a page says otherwise.
+The attribute names are the project's; `rename` maps them to the platform's.
+Numbers may be integers or fractions unless the platform's pages say otherwise.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class BadMessageError(ValueError):
-    """A message does not have the form that the platform's pages give."""
+    """A message does not have the format that the platform specifies."""
 
 
 class Capacity(
@@ -27,7 +27,7 @@
         "gpus": "Gpus",
     },
 ):
-    """What an executor has. The memory is its own, not a request."""
+    """Capacity of an executor, whose memory is not a request here."""
 
     cpu_millicores: float = 0
     memory_mb: float = 0
@@ -94,7 +94,7 @@
         "interval_ms": "IntervalMs",
     },
 ):
-    """What a caller hands in; `Specification` is text for the tasks."""
+    """A job as submitted; `Specification` is passed to its tasks."""
 
     steps: tuple[Step, ...]
     payload: str = ""
@@ -112,7 +112,7 @@
         "valid_ms": "ValidityMs",
     },
 ):
-    """A queue's terms for advice."""
+    """Parameters of the advice service for a queue."""
 
     decision_ms: float = 0
     per_worker_ms: float = 0
@@ -134,7 +134,7 @@
         "advice": "Recommendation",
     },
 ):
-    """A queue. `TargetCompletionMs` is added to the slack, not a total."""
+    """A queue; `TargetCompletionMs` is added to the slack and no total."""
 
     name: str
     host: str
@@ -172,7 +172,7 @@
         "services": "Services",
     },
 ):
-    """The newest configuration, in full."""
+    """A complete configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -191,7 +191,7 @@
         "labels": "Labels",
     },
 ):
-    """What an executor publishes; its id is the record's key."""
+    """Entry of an executor, whose id is the record's key."""
 
     service: str
     address: str
@@ -211,10 +211,10 @@
         "ended": "Ended",
     },
 ):
-    """An executor's lists.
+    """An executor's reply to a hold, with its lists of runs.
 
-    `running` has rows of task, run, checkpoint, percent and reading, `ended`
-    rows of number, task, run, how it ended and checkpoint.
+    Rows of `running` are task, run, checkpoint, percent and reading; rows of
+    `ended` are number, task, run, how it ended and checkpoint.
     """
 
     clock_ms: float
@@ -228,7 +228,7 @@
     frozen=True,
     rename={"clock_ms": "ClockMs", "reason": "Reason"},
 ):
-    """An executor's answer to an order."""
+    """An executor's reply to an order."""
 
     clock_ms: float = 0
     reason: str = ""
@@ -239,7 +239,7 @@
     frozen=True,
     rename={"allowed": "Allowed", "valid_ms": "ValidityMs"},
 ):
-    """The answer to a call for advice: rows of executor and ticket."""
+    """Reply of the advice service, with rows of executor and ticket."""
 
     allowed: tuple[tuple[str, str], ...] = ()
     valid_ms: float = 0
@@ -255,7 +255,7 @@
         "most_at_once": "Cap",
     },
 ):
-    """A wave of upkeep that the operators want."""
+    """A maintenance wave that operators request."""
 
     number: int
     machines: tuple[str, ...]
@@ -268,7 +268,7 @@
     frozen=True,
     rename={"machine_id": "Machine", "state": "State", "worker_id": "Id"},
 ):
-    """A machine; `Id` is the one of the executor that it runs."""
+    """A machine; `Id` is the id of the executor that it runs."""
 
     machine_id: str
     state: str = ""
@@ -280,7 +280,7 @@
     frozen=True,
     rename={"machines": "Machines", "next_page": "NextPageToken"},
 ):
-    """A page of the machines."""
+    """A page of the list of machines."""
 
     machines: tuple[MachineEntry, ...] = ()
     next_page: str | None = None
@@ -291,7 +291,7 @@
     frozen=True,
     rename={"address": "Address"},
 ):
-    """Where the machines' API is."""
+    """Address of the machines API."""
 
     address: str | None = None
 
@@ -307,7 +307,7 @@
         "first_offset": "FirstOffset",
     },
 ):
-    """The store's answer to an append or a read that it refused."""
+    """The store's reply to an append, or to a read that it refuses."""
 
     offset: int = 0
     end_offset: int = 0
@@ -321,7 +321,7 @@
     frozen=True,
     rename={"key": "Key", "value": "Value", "offset": "Offset"},
 ):
-    """The newest record of a key; the value is base64."""
+    """The newest record of a key; the value is base64-encoded."""
 
     key: str
     value: bytes
@@ -345,7 +345,7 @@
     frozen=True,
     rename={"address": "Address", "partitions": "parts"},
 ):
-    """Where the store is, and the partitions of a topic."""
+    """Address of the store and the number of partitions per topic."""
 
     address: str
     partitions: int = 1
@@ -356,7 +356,7 @@
     frozen=True,
     rename={"cpu_share": "CpuShare", "cores": "Cores"},
 ):
-    """What the machine may use; `CpuShare` is of each of its cores."""
+    """Limits of the host's machine; `CpuShare` applies to each core."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
@@ -382,11 +382,11 @@
         "handover_ms": "LeaseDurationMs",
     },
 ):
-    """Bounds that the platform sets.
+    """Time limits that the platform sets.
 
-    `MaxHoldMs` is the longest lease; `status_s` is for how long the state of
-    an ended job is to be had; `LeaseDurationMs` is the time in which two hosts
-    must not both order something of one machine.
+    `MaxHoldMs` is the maximum lease. `status_s` is how long the state of an
+    ended job must be available. Within `LeaseDurationMs` no two hosts may send
+    orders for the same machine.
     """
 
     lease_ms: float = 6_000
@@ -409,7 +409,7 @@
         "machine_api": "CloudApi",
     },
 ):
-    """The settings file of a process, as far as it is used."""
+    """The used part of a process's settings file."""
 
     name: str
     address: str
@@ -423,7 +423,11 @@
 
 
 def decode(kind: type[_Message], body: bytes) -> _Message:
-    """Decodes a message; raises `BadMessageError`."""
+    """Decodes a message.
+
+    Raises:
+        BadMessageError: The body is not a valid message of this kind.
+    """
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -431,5 +435,5 @@
 
 
 def encode(message: object) -> bytes:
-    """Encodes a body."""
+    """Encodes the body of a message."""
     return msgspec.json.encode(message)
--- a/src/comfreylatch/platform/workers.py
+++ b/src/comfreylatch/platform/workers.py
@@ -1,4 +1,4 @@
-"""Executors over HTTP, and what they publish in the store."""
+"""HTTP client of executors, and their entries in the store."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from comfreylatch._ports import cell_workers
 from comfreylatch.platform import wire
 
-# One connection for the hold that waits, one for orders.
-CONNECTIONS = 2
+# One connection for the long-polling hold, one for other orders.
+POOL_SIZE = 2
 _DRAINING = "draining"
 _STATES = frozenset({"ready", _DRAINING})
 _REFUSALS = {
@@ -33,15 +33,21 @@
 def decode_worker(
     worker_id: str, value: bytes, services: frozenset[str] | None
 ) -> cell_workers.WorkerEntry:
-    """An executor's entry; raises `BadMessageError` for one of no use.
+    """Decodes an executor's entry.
 
-    `services` are the configured ones; None leaves the service unchecked.
+    Args:
+        worker_id: Key of the record.
+        value: Value of the record.
+        services: Configured services; None to accept any.
+
+    Raises:
+        wire.BadMessageError: The entry is malformed or unusable.
     """
     record = wire.decode(wire.WorkerRecord, value)
     if record.state not in _STATES:
-        raise wire.BadMessageError(f"state {record.state!r} is not known")
+        raise wire.BadMessageError(f"unknown state {record.state!r}")
     if services is not None and record.service not in services:
-        raise wire.BadMessageError(f"service {record.service!r} is not known")
+        raise wire.BadMessageError(f"unknown service {record.service!r}")
     host, _, port = record.address.rpartition(":")
     if not host or not port.isdigit():
         raise wire.BadMessageError(f"address {record.address!r} has no port")
@@ -63,11 +69,11 @@
 
 @final
 class WorkerClient:
-    """Implements `WorkerOrders` for one life of an executor. Thread-safe."""
+    """Implements `WorkerOrders` for an executor's incarnation. Thread-safe."""
 
     def __init__(self, entry: cell_workers.WorkerEntry) -> None:
         self._entry = entry
-        self._pool = json_call.open_pool(entry.address, CONNECTIONS)
+        self._pool = json_call.open_pool(entry.address, POOL_SIZE)
         self._headers = {
             "Content-Type": "application/json",
             "X-Expected-Instance": entry.worker_id,
@@ -79,7 +85,7 @@
         """See `WorkerOrders.hold`."""
         body: dict[str, Any] = {
             "FencingToken": order.token,
-            # Ends up to this number are forgotten there.
+            # The executor drops ends up to this number.
             "LastSeen": order.acknowledged_end,
         }
         if order.deadline_ms:
@@ -107,8 +113,8 @@
             return result.Ok(
                 cell_workers.HoldAnswer(
                     int(reply.clock_ms),
-                    tuple(_running(row) for row in reply.running),
-                    tuple(_ended(row) for row in reply.ended),
+                    tuple(_decode_running(row) for row in reply.running),
+                    tuple(_decode_ended(row) for row in reply.ended),
                 )
             )
         except (wire.BadMessageError, ValueError, IndexError) as error:
@@ -129,7 +135,7 @@
             body["Checkpoint"] = order.checkpoint
         if order.ticket:
             body["Ticket"] = order.ticket
-        return self._order("/v1/run-start", body, timeout_ms)
+        return self._send_order("/v1/run-start", body, timeout_ms)
 
     def stop(
         self, order: cell_workers.StopOrder, timeout_ms: int
@@ -140,7 +146,7 @@
             "Run": order.run,
             "FencingToken": order.token,
         }
-        return self._order("/v1/run-stop", body, timeout_ms)
+        return self._send_order("/v1/run-stop", body, timeout_ms)
 
     def pace(
         self, order: cell_workers.PaceOrder, timeout_ms: int
@@ -152,13 +158,13 @@
             "Percent": order.percent,
             "FencingToken": order.token,
         }
-        return self._order("/v1/pace", body, timeout_ms)
+        return self._send_order("/v1/pace", body, timeout_ms)
 
     def close(self) -> None:
         """See `WorkerOrders.close`."""
         self._pool.close()
 
-    def _order(
+    def _send_order(
         self, path: str, body: dict[str, Any], timeout_ms: int
     ) -> result.Result[int, cell_workers.OrderError]:
         match self._call(path, body, timeout_ms):
@@ -185,14 +191,14 @@
             case result.Ok(answer) if answer.status == 200:
                 return result.Ok(answer.body)
             case result.Ok(answer):
-                return result.Err(_refusal(answer))
+                return result.Err(_decode_refusal(answer))
             case result.Err(json_call.NotSent(detail)):
                 return result.Err(cell_workers.OrderNotSent(detail))
             case result.Err(json_call.AnswerLost(detail)):
                 return result.Err(cell_workers.OrderUnanswered(detail))
 
 
-def _refusal(answer: json_call.Answer) -> cell_workers.OrderError:
+def _decode_refusal(answer: json_call.Answer) -> cell_workers.OrderError:
     if answer.status == 409:
         try:
             reply = wire.decode(wire.OrderReply, answer.body)
@@ -205,7 +211,7 @@
     return cell_workers.OrderUnanswered(f"status {answer.status}")
 
 
-def _running(row: tuple[Any, ...]) -> cell_workers.RunningTask:
+def _decode_running(row: tuple[Any, ...]) -> cell_workers.RunningTask:
     return cell_workers.RunningTask(
         task=str(row[0]),
         run=int(row[1]),
@@ -215,7 +221,7 @@
     )
 
 
-def _ended(row: tuple[int, str, int, str, str]) -> cell_workers.EndedRun:
+def _decode_ended(row: tuple[int, str, int, str, str]) -> cell_workers.EndedRun:
     number, task, run, how, checkpoint = row
     return cell_workers.EndedRun(
         number, task, run, cell_workers.RunEnd(how), checkpoint
