--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -176,7 +176,7 @@
         with self._lock:
             return self._phase_counts[phase]
 
-    def events(self) -> dict[IgnoredReason, int]:
+    def ignored_counts(self) -> dict[IgnoredReason, int]:
         """Returns the number of ignored records by reason."""
         with self._lock:
             return dict(self._ignored_counts)
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the adapter to the users' platform."""
+"""Tests of the adapter for the users' platform."""
 
 from __future__ import annotations
--- a/tests/platform/test_advice.py
+++ b/tests/platform/test_advice.py
@@ -1,4 +1,4 @@
-"""Tests of the client for advice against a raw server."""
+"""Tests of the advice client against a raw server."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class AdviceClientTest(testtools.TestCase):
-    """One call, and what may come of it."""
+    """Outcomes of a single call."""
 
     def call(self, answer: http_server.Answer) -> object:
-        """What comes of a call; the request is kept."""
+        """Returns the outcome of a call and stores its request."""
         with http_server.RawServer(answer) as server:
             with advice.AdviceClient(server.address) as client:
                 outcome = client.advise("a.0.1", ("i-1", "i-2"), TIMEOUT_MS)
@@ -33,14 +33,14 @@
         sent = json.loads(self.request.partition(b"\r\n\r\n")[2])
         self.assertEqual({"Step": "a.0.1", "Workers": ["i-1", "i-2"]}, sent)
 
-    def test_turned_away_call_is_no_advice(self) -> None:
+    def test_rejected_call_returns_unavailable(self) -> None:
         outcome = self.call(http_server.reply(429, b""))
         self.assertEqual(advice_port.AdviceUnavailable("status 429"), outcome)
 
-    def test_unreadable_answer_is_no_advice(self) -> None:
+    def test_malformed_reply_returns_unavailable(self) -> None:
         outcome = self.call(http_server.reply(200, b'{"Allowed": [7]}'))
         self.assertIsInstance(outcome, advice_port.AdviceUnavailable)
 
-    def test_broken_connection_is_no_advice(self) -> None:
+    def test_broken_connection_returns_unavailable(self) -> None:
         outcome = self.call(http_server.close)
         self.assertIsInstance(outcome, advice_port.AdviceUnavailable)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""Tests of decoding what operators, executors and callers write."""
+"""Tests of decoding input from operators, executors and callers."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class WorkerEntryTest(testtools.TestCase):
-    """Entries in the store, of executors and of other writers."""
+    """Decoding of executors' entries, including malformed ones."""
 
     def decode(self, **changes: Any) -> Any:
-        """The entry with some fields changed."""
+        """Decodes the entry with some fields changed."""
         value = json.dumps({**ENTRY, **changes}).encode()
         return workers.decode_worker("i-1", value, None)
 
@@ -41,7 +41,7 @@
     def test_draining_executor(self) -> None:
         self.assertTrue(self.decode(State="draining").is_draining)
 
-    def test_entries_of_no_use(self) -> None:
+    def test_unusable_entries_are_rejected(self) -> None:
         for changes in (
             {"State": "sleeping"},
             {"Address": 7},
@@ -52,7 +52,7 @@
         ):
             self.assertRaises(wire.BadMessageError, self.decode, **changes)
 
-    def test_bytes_that_are_no_text(self) -> None:
+    def test_invalid_utf8_is_rejected(self) -> None:
         self.assertRaises(
             wire.BadMessageError,
             workers.decode_worker,
@@ -63,15 +63,15 @@
 
 
 class SubmissionTest(testtools.TestCase):
-    """Bodies that callers send."""
+    """Decoding of submissions."""
 
     def decode(self, body: Any) -> specs.JobSpec:
-        """A job from a body."""
+        """Decodes a body as a submission."""
         return configuration.decode_submission(
             "0" * 16, QUEUE, json.dumps(body).encode(), 5
         )
 
-    def test_left_out_fields_are_zero(self) -> None:
+    def test_omitted_fields_have_defaults(self) -> None:
         job = self.decode({"JobSteps": [{"TaskCount": 2}]})
         self.assertEqual(specs.StepSpec(2), job.steps[0])
 
@@ -79,7 +79,7 @@
         job = self.decode({"JobSteps": [{"TaskCount": 1, "New": 1}]})
         self.assertEqual(1, len(job.steps))
 
-    def test_faulty_bodies_are_refused(self) -> None:
+    def test_invalid_bodies_are_rejected(self) -> None:
         for body in (
             {},
             [],
@@ -93,7 +93,7 @@
 
 
 class ConfigurationTest(testtools.TestCase):
-    """The operators' newest configuration."""
+    """Decoding of the operators' configuration."""
 
     def test_longest_prefix_wins(self) -> None:
         routes = [
@@ -107,7 +107,7 @@
         self.assertEqual("r2", queue.name)
         self.assertIs(None, found.find_queue("b", "/a/b/0"))
 
-    def test_faulty_configuration_is_refused(self) -> None:
+    def test_malformed_configuration_is_rejected(self) -> None:
         self.assertRaises(
             wire.BadMessageError,
             configuration.decode_configuration,
--- a/tests/platform/test_host.py
+++ b/tests/platform/test_host.py
@@ -1,4 +1,4 @@
-"""Tests of a real host process against stand-ins of the platform."""
+"""Tests of a host process against stand-ins of the platform."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from testing.standins import platform
 
 WAIT_S = 20.0
-ID = "5c0e7a21d94b36f8"
+JOB_ID = "5c0e7a21d94b36f8"
 ROUTE = {
     "Name": "calib",
     "Host": "a.example",
@@ -42,14 +42,14 @@
 
 
 def free_address() -> str:
-    """An address on which nothing listens now."""
+    """Returns an address on which nothing is listening."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 class HostProcessTest(testtools.TestCase):
-    """One host, one store, one executor."""
+    """A host process with a store and one executor."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -62,8 +62,8 @@
         executor = self.stack.enter_context(
             platform.ExecutorStandIn(self.worker).serve()
         )
-        self.put("op", "config", {"Version": 1, "Routes": [ROUTE]})
-        self.put(
+        self.write_record("op", "config", {"Version": 1, "Routes": [ROUTE]})
+        self.write_record(
             "servers",
             "w1",
             {
@@ -81,13 +81,13 @@
         self.readiness = free_address()
         self.process = self.start(store_server.address)
 
-    def put(self, topic: str, key: str, value: Any) -> None:
-        """Writes a record as an operator or executor does."""
+    def write_record(self, topic: str, key: str, value: Any) -> None:
+        """Writes a record as an operator or executor would."""
         record = store_port.NewRecord(key, json.dumps(value).encode())
         self.store.kept.append("keyed." + topic, 0, (record,))
 
     def start(self, store_address: str) -> subprocess.Popen[bytes]:
-        """Starts the host."""
+        """Starts the host process."""
         folder = pathlib.Path(
             self.stack.enter_context(tempfile.TemporaryDirectory())
         )
@@ -116,10 +116,10 @@
         self.stack.callback(process.kill)
         return process
 
-    def ask(
+    def request(
         self, method: str, address: str, path: str, body: Any = None
     ) -> Any:
-        """One request; None when nobody answers."""
+        """Sends a request; returns None if there is no reply."""
         try:
             return urllib3.request(
                 method,
@@ -133,42 +133,48 @@
             return None
 
     def wait_for(self, condition: Any) -> None:
-        """Waits until something holds."""
-        until_s = time.monotonic() + WAIT_S
+        """Waits until a condition holds."""
+        deadline_s = time.monotonic() + WAIT_S
         while not condition():
-            self.assertLess(time.monotonic(), until_s, "not in time")
+            self.assertLess(
+                time.monotonic(), deadline_s, "condition not met in time"
+            )
             time.sleep(0.02)
 
     def is_ready(self) -> bool:
-        """Whether the balancer would send callers."""
-        reply = self.ask("GET", self.readiness, "/v1/readiness")
+        """Whether the readiness page reports ready."""
+        reply = self.request("GET", self.readiness, "/v1/readiness")
         return reply is not None and reply.status == 200
 
     def state(self) -> str:
-        """The state that callers are shown."""
-        reply = self.ask("GET", self.callers, f"/calib/{ID}")
+        """Returns the job state that callers see."""
+        reply = self.request("GET", self.callers, f"/calib/{JOB_ID}")
         return reply.json().get("State", "") if reply else ""
 
-    def test_job_goes_from_submission_to_completed(self) -> None:
+    def test_submitted_job_runs_to_completion(self) -> None:
         self.wait_for(self.is_ready)
-        self.assertEqual(404, self.ask("GET", self.callers, "/x/").status)
+        self.assertEqual(404, self.request("GET", self.callers, "/x/").status)
+        self.assertEqual(
+            410, self.request("GET", self.callers, f"/calib/{JOB_ID}").status
+        )
+        path = f"/calib/{JOB_ID}"
+        self.assertEqual(
+            400, self.request("POST", self.callers, path, {}).status
+        )
         self.assertEqual(
-            410, self.ask("GET", self.callers, f"/calib/{ID}").status
+            200, self.request("POST", self.callers, path, JOB).status
         )
-        path = f"/calib/{ID}"
-        self.assertEqual(400, self.ask("POST", self.callers, path, {}).status)
-        self.assertEqual(200, self.ask("POST", self.callers, path, JOB).status)
         self.wait_for(lambda: len(self.worker.running) == 2)
         self.worker.end_all("done")
         self.wait_for(lambda: len(self.worker.running) == 1)
-        # Callers may be shown what is two seconds old.
+        # The state shown to callers may lag by two seconds.
         self.wait_for(lambda: self.state() == "running")
         self.worker.end_all("done")
         self.wait_for(lambda: self.state() == "completed")
-        metrics = self.ask("GET", self.readiness, host.METRICS_PATH)
+        metrics = self.request("GET", self.readiness, host.METRICS_PATH)
         self.assertIn(b"tasks_started", metrics.data)
 
-    def test_stop_gives_the_cell_up_and_ends_in_order(self) -> None:
+    def test_sigterm_releases_the_cell_and_exits_cleanly(self) -> None:
         self.wait_for(self.is_ready)
         jobs = ("keyed.jobs", 0)
         self.wait_for(lambda: "owner" in self.store.kept.keys(*jobs))
@@ -176,17 +182,17 @@
         self.wait_for(lambda: self.process.poll() is not None)
         self.assertEqual(0, self.process.returncode)
         newest = self.store.kept.newest(*jobs).unwrap()
-        (beat,) = newest.records
-        assert beat.value is not None
-        self.assertTrue(json.loads(beat.value)["is_released"])
+        (heartbeat,) = newest.records
+        assert heartbeat.value is not None
+        self.assertTrue(json.loads(heartbeat.value)["is_released"])
 
-    def test_missing_settings_are_told(self) -> None:
-        done = subprocess.run(
+    def test_missing_settings_file_is_reported(self) -> None:
+        completed = subprocess.run(
             [sys.executable, "-m", "comfreylatch.platform"],
             env={**os.environ, host.SETTINGS_VARIABLE: "no-such-file"},
             capture_output=True,
             check=False,
             timeout=WAIT_S,
         )
-        self.assertEqual(host.FAULTY_SETTINGS_EXIT_CODE, done.returncode)
-        self.assertIn(b"no-such-file", done.stderr)
+        self.assertEqual(host.FAULTY_SETTINGS_EXIT_CODE, completed.returncode)
+        self.assertIn(b"no-such-file", completed.stderr)
--- a/tests/platform/test_machines.py
+++ b/tests/platform/test_machines.py
@@ -1,4 +1,4 @@
-"""Tests of the machines' client, and of waves as operators write them."""
+"""Tests of the machines client and of decoding operators' waves."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 class MachineClientTest(testtools.TestCase):
-    """One call, and what may come of it."""
+    """Outcomes of a single call."""
 
     def client(self, address: str) -> machines.MachineClient:
-        """A client, and the store that it reports to."""
+        """Returns a client that reports to a new `self.store`."""
         self.store = record_store.MemoryStore()
         return machines.MachineClient(address, self.store)
 
     def maintain(self, answer: http_server.Answer) -> object:
-        """What comes of an order."""
+        """Returns the outcome of an order and stores its request."""
         with http_server.RawServer(answer) as server:
             with self.client(server.address) as client:
                 outcome = client.maintain(ORDER, TIMEOUT_MS)
@@ -34,7 +34,7 @@
     def assert_refused(
         self, reason: machines_port.Refusal, status: int, body: bytes = b""
     ) -> None:
-        """An answer means a refusal."""
+        """Asserts that a reply is decoded as a refusal."""
         outcome = self.maintain(http_server.reply(status, body))
         self.assertEqual(machines_port.MaintenanceRefused(reason), outcome)
 
@@ -59,13 +59,13 @@
             found,
         )
 
-    def test_order_carries_holder_and_token(self) -> None:
+    def test_order_contains_holder_and_token(self) -> None:
         self.assertIsNone(self.maintain(http_server.reply(200, b"{}")))
         self.assertIn(b"X-Lease-Holder: bole-1", self.request)
         self.assertIn(b"X-Fencing-Token: 12", self.request)
         self.assertTrue(self.request.endswith(b'{"Machine":"m-1","Wave":3}'))
 
-    def test_refusals_are_told_apart(self) -> None:
+    def test_refusal_reasons_are_decoded(self) -> None:
         refusal = machines_port.Refusal
         self.assert_refused(refusal.FENCED, 409, b'{"Reason": "fence"}')
         self.assert_refused(refusal.BUSY, 409, b'{"Reason": "busy"}')
@@ -73,26 +73,26 @@
         self.assert_refused(refusal.NO_SUCH_MACHINE, 400)
         self.assert_refused(refusal.OVERLOADED, 429)
 
-    def test_lost_answer_leaves_it_open(self) -> None:
+    def test_lost_answer_returns_unanswered(self) -> None:
         self.assertIsInstance(
             self.maintain(http_server.close),
             machines_port.MaintenanceUnanswered,
         )
 
-    def test_report_goes_to_the_operators_topic(self) -> None:
+    def test_report_is_written_to_the_status_topic(self) -> None:
         with self.client("127.0.0.1:1") as client:
             client.report(3, True, TIMEOUT_MS)
         batch = self.store.newest("status", 0).unwrap()
         self.assertEqual(
             [("wave/3", b'{"State":"completed"}')],
-            [(one.key, one.value) for one in batch.records],
+            [(record.key, record.value) for record in batch.records],
         )
 
 
 class WavesViewTest(testtools.TestCase):
-    """Waves among the operators' records."""
+    """Reading of waves from the operators' records."""
 
-    def test_waves_are_read_and_malformed_ones_passed_over(self) -> None:
+    def test_malformed_waves_are_skipped(self) -> None:
         view = views.WavesView()
         wave = b'{"Wave": 2, "Machines": ["m-1"], "DurationS": 20, "Cap": 1}'
         view.apply(
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""Tests that the platform's names stay within the adapter."""
+"""Tests that the platform's names are used only in the adapter."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from comfreylatch.platform import wire
 
 SOURCE = pathlib.Path(wire.__file__).parents[1]
-# Names of the platform that are no ordinary words of a program.
+# Names of the platform that other code would not use by chance.
 NAMES = re.compile(
     r"FencingToken|LastSeen|run-start|run-stop|log-append|log-read|log-newest"
     r"|JobSteps|CpuMillicores|RequestedMemoryMb|ClockMs|MaxHoldMs|NodeName"
@@ -19,9 +19,9 @@
 
 
 class NamesTest(testtools.TestCase):
-    """Every source file outside the adapter."""
+    """Searches all source files outside the adapter."""
 
-    def test_no_name_of_the_platform_stands_elsewhere(self) -> None:
+    def test_platform_names_are_used_only_in_the_adapter(self) -> None:
         found = [
             f"{path.relative_to(SOURCE)}: {match.group()}"
             for path in sorted(SOURCE.rglob("*.py"))
--- a/tests/version/test_tickets.py
+++ b/tests/version/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tests of the schema of tickets."""
+"""Tests of ticket validation."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 
 
 def problems(value: Any) -> dict[str, schema.Problem]:
-    """Problems of a ticket by their path."""
+    """Returns the problems of a ticket by path."""
     checked = tickets.check(value)
     return {problem.path: problem for problem in checked.unwrap_err()}
 
 
 class CheckTest(testtools.TestCase):
-    """One schema for operators and for the fold."""
+    """Checks of tickets against the schema."""
 
-    def test_ticket_survives_its_json_form(self) -> None:
+    def test_ticket_round_trips_through_json(self) -> None:
         value = samples.ticket(
             1,
             samples.service("skyproc", timeout_ms=5),
@@ -60,7 +60,7 @@
         again = tickets.check(tickets.to_json(ticket)).unwrap()
         self.assertEqual(ticket, again)
 
-    def test_all_errors_are_told_at_once(self) -> None:
+    def test_all_errors_are_reported_together(self) -> None:
         found = problems(
             {
                 "number": 0,
@@ -92,7 +92,7 @@
             "timeout_ms", found["changes[1].state.timout_ms"].nearest
         )
 
-    def test_values_out_of_bounds_are_named(self) -> None:
+    def test_out_of_bounds_values_are_reported(self) -> None:
         bad_endpoint = samples.endpoint("ex-1", "skyproc", "bole")
         bad_endpoint["state"]["address"] = "localhost:80"
         bad_endpoint["state"]["slots"] = 0
@@ -108,7 +108,7 @@
             set(problems(value)),
         )
 
-    def test_object_twice_in_a_ticket_is_refused(self) -> None:
+    def test_duplicate_object_in_a_ticket_is_rejected(self) -> None:
         twice = samples.ticket(1, samples.zone("bole"), samples.zone("bole"))
         self.assertEqual({"changes[1]"}, set(problems(twice)))
 
@@ -116,7 +116,7 @@
         value = samples.ticket(1, samples.change("team", "faculty", 0, None))
         self.assertEqual({"changes[0].state"}, set(problems(value)))
 
-    def test_content_hash_overlooks_order_and_defaults(self) -> None:
+    def test_content_hash_ignores_order_and_defaults(self) -> None:
         short = tickets.check(samples.ticket(1, samples.service("a"))).unwrap()
         full = dict(reversed(tickets.to_json(short).items()))
         same = tickets.check(full).unwrap()
@@ -124,7 +124,7 @@
             tickets.content_hash(short), tickets.content_hash(same)
         )
 
-    def test_any_json_gets_a_verdict(self) -> None:
+    def test_any_json_is_checked_without_an_exception(self) -> None:
         @hypothesis.settings(derandomize=True, deadline=None, database=None)
         @hypothesis.given(JSON)
         def check(value: Any) -> None:
--- a/tests/version/test_zone_fold.py
+++ b/tests/version/test_zone_fold.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of a zone's stream."""
+"""Tests of folding a zone's stream."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from comfreylatch._version import zone_fold
 
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
-EVENT = zone_fold.IgnoredReason
+REASON = zone_fold.IgnoredReason
 PHASE = job_state.JobPhase
 
 
 def spec(job: str, run_time_ms: int = 1_000) -> job_records.JobSpec:
-    """A small job."""
+    """Returns the spec of a small job."""
     size = workers.Resources(1_000, 100)
     return job_records.JobSpec(
         job, "faculty", "bole", "stack", size, run_time_ms
@@ -26,35 +26,35 @@
 
 
 def end(term: int, attempt: int, how: str = "finished") -> Any:
-    """An end of an attempt of the job `a`."""
+    """Returns the end of an attempt of job `a`."""
     return job_records.AttemptEnded(
         term, "a", attempt, job_records.AttemptEnd(how), 900, 500
     )
 
 
-class Stream:
-    """A fold that is given bodies one by one."""
+class ZoneStream:
+    """A zone fold to which bodies are applied in order."""
 
-    def __init__(self, **given: int) -> None:
-        self.fold = zone_fold.ZoneFold(**given)
+    def __init__(self, **limits: int) -> None:
+        self.fold = zone_fold.ZoneFold(**limits)
         self.offset = -1
 
     def add(self, *bodies: Any) -> None:
-        """Folds bodies as the next records."""
+        """Folds bodies as the next records of the stream."""
         for body in bodies:
             self.offset += 1
             payload = records.encode("host", self.offset, body)
             envelope, decoded = records.decode(payload).unwrap()
             self.fold.apply(self.offset, envelope, decoded)
 
-    def count(self, event: zone_fold.IgnoredReason) -> int:
-        """How many records were refused for a reason."""
-        return self.fold.events().get(event, 0)
+    def count(self, reason: zone_fold.IgnoredReason) -> int:
+        """Returns the number of records ignored for a reason."""
+        return self.fold.ignored_counts().get(reason, 0)
 
 
-def running() -> Stream:
+def stream_with_running_job() -> ZoneStream:
     """Host `h` owns the zone, and attempt 1 of `a` is assigned."""
-    stream = Stream()
+    stream = ZoneStream()
     stream.add(
         job_records.OwnerClaimed(1, 0, "h", BOUNDS),
         job_records.JobAdmitted(spec("a")),
@@ -64,32 +64,32 @@
 
 
 class ClaimTest(testtools.TestCase):
-    """Claims are settled by position."""
+    """Competing claims are resolved by position."""
 
     def test_first_of_two_claims_wins(self) -> None:
-        """Both name the same term; the second one changes nothing."""
-        stream = Stream()
+        """Both claim the same term; the second is ignored."""
+        stream = ZoneStream()
         stream.add(
             job_records.OwnerClaimed(1, 0, "h", BOUNDS),
             job_records.OwnerClaimed(1, 0, "other", BOUNDS),
         )
         self.assertEqual("h", stream.fold.claims()[-1].host)
-        self.assertEqual(1, stream.count(EVENT.CLAIM_LOST))
+        self.assertEqual(1, stream.count(REASON.CLAIM_LOST))
 
-    def test_records_of_a_replaced_owner_are_refused(self) -> None:
-        """Its end and its renewal change nothing and are counted."""
-        stream = running()
+    def test_records_of_a_replaced_owner_are_ignored(self) -> None:
+        """Its end of an attempt and its renewal are ignored and counted."""
+        stream = stream_with_running_job()
         stream.add(
             job_records.OwnerClaimed(2, 1, "other", BOUNDS),
             end(1, 1),
             job_records.OwnerRenewed(1, "h"),
         )
         self.assertEqual(PHASE.ASSIGNED, stream.fold.job("a").phase)
-        self.assertEqual(2, stream.count(EVENT.WRONG_TERM))
+        self.assertEqual(2, stream.count(REASON.WRONG_TERM))
 
-    def test_records_after_a_release_are_refused(self) -> None:
-        """A released term is over."""
-        stream = running()
+    def test_records_after_a_release_are_ignored(self) -> None:
+        """A release ends the term."""
+        stream = stream_with_running_job()
         stream.add(job_records.OwnerReleased(1, "h"), end(1, 1))
         self.assertEqual(PHASE.ASSIGNED, stream.fold.job("a").phase)
 
@@ -98,29 +98,29 @@
     """Jobs and their attempts."""
 
     def test_same_id_and_content_is_the_same_job(self) -> None:
-        """It is admitted once."""
-        stream = running()
+        """The job is admitted once."""
+        stream = stream_with_running_job()
         stream.add(job_records.JobAdmitted(spec("a")))
-        self.assertEqual(1, stream.count(EVENT.DUPLICATE_JOB))
+        self.assertEqual(1, stream.count(REASON.DUPLICATE_JOB))
         self.assertEqual(PHASE.ASSIGNED, stream.fold.job("a").phase)
 
-    def test_same_id_with_other_content_is_refused(self) -> None:
-        """The first content stays."""
-        stream = running()
+    def test_same_id_with_other_content_is_rejected(self) -> None:
+        """The first content is kept."""
+        stream = stream_with_running_job()
         stream.add(job_records.JobAdmitted(spec("a", 2_000)))
-        self.assertEqual(1, stream.count(EVENT.JOB_ID_TAKEN))
+        self.assertEqual(1, stream.count(REASON.JOB_ID_TAKEN))
         self.assertEqual(1_000, stream.fold.job("a").spec.run_time_ms)
 
-    def test_completion_counts_once(self) -> None:
-        """The second one is counted and dropped."""
-        stream = running()
+    def test_completion_is_applied_once(self) -> None:
+        """The second end is ignored and counted."""
+        stream = stream_with_running_job()
         stream.add(end(1, 1), end(1, 1, "failed"))
         self.assertEqual(PHASE.FINISHED, stream.fold.job("a").phase)
-        self.assertEqual(1, stream.count(EVENT.LATE_END))
+        self.assertEqual(1, stream.count(REASON.LATE_END))
 
-    def test_late_end_of_an_old_attempt_changes_nothing(self) -> None:
-        """Attempt 2 goes on when attempt 1 is heard of again."""
-        stream = running()
+    def test_late_end_of_an_old_attempt_is_ignored(self) -> None:
+        """Attempt 2 stays assigned when a late end of attempt 1 arrives."""
+        stream = stream_with_running_job()
         stream.add(
             end(1, 1, "lost"),
             job_records.AttemptAssigned(1, "a", 2, "w1", 500),
@@ -130,8 +130,8 @@
         self.assertEqual((PHASE.ASSIGNED, 2), (state.phase, state.attempt))
 
     def test_evicted_job_resumes_from_its_checkpoint(self) -> None:
-        """It queues again with what was kept."""
-        stream = running()
+        """The job is queued again with its checkpoint."""
+        stream = stream_with_running_job()
         stream.add(end(1, 1, "evicted"))
         state = stream.fold.job("a")
         self.assertEqual(
@@ -139,8 +139,8 @@
         )
 
     def test_cancellation_before_assignment_wins(self) -> None:
-        """The assignment that was on its way is void."""
-        stream = Stream()
+        """An assignment after the cancellation is ignored."""
+        stream = ZoneStream()
         stream.add(
             job_records.OwnerClaimed(1, 0, "h", BOUNDS),
             job_records.JobAdmitted(spec("a")),
@@ -148,11 +148,11 @@
             job_records.AttemptAssigned(1, "a", 1, "w0", 0),
         )
         self.assertEqual(PHASE.CANCELLED, stream.fold.job("a").phase)
-        self.assertEqual(1, stream.count(EVENT.ASSIGN_REFUSED))
+        self.assertEqual(1, stream.count(REASON.ASSIGN_REFUSED))
 
-    def test_moved_job_comes_back_with_its_attempts(self) -> None:
-        """The same job may return from another zone."""
-        stream = running()
+    def test_moved_job_returns_with_its_attempts(self) -> None:
+        """A job may return from another zone with its progress."""
+        stream = stream_with_running_job()
         stream.add(
             end(1, 1, "lost"),
             job_records.JobMoved(1, "a", "entoto"),
@@ -161,9 +161,9 @@
         state = stream.fold.job("a")
         self.assertEqual((PHASE.QUEUED, 3), (state.phase, state.attempt))
 
-    def test_repeated_id_is_known_after_the_job_retired(self) -> None:
-        """An id is not run again just because its job ended long ago."""
-        stream = Stream(retire_after_records=5)
+    def test_resubmitted_id_of_a_retired_job_is_a_duplicate(self) -> None:
+        """The id of a job that ended long ago must not run again."""
+        stream = ZoneStream(retire_after_records=5)
         stream.add(
             job_records.OwnerClaimed(1, 0, "h", BOUNDS),
             job_records.JobAdmitted(spec("a")),
@@ -173,31 +173,31 @@
         self.assertIsNone(stream.fold.job("a"))
         stream.add(job_records.JobAdmitted(spec("a")))
         self.assertIsNone(stream.fold.job("a"))
-        self.assertEqual(1, stream.count(EVENT.DUPLICATE_JOB))
+        self.assertEqual(1, stream.count(REASON.DUPLICATE_JOB))
 
 
 class SnapshotTest(testtools.TestCase):
-    """State taken and put back."""
+    """Snapshot and restore."""
 
-    def test_restored_fold_goes_on_alike(self) -> None:
-        """Digest and later states are those of the original."""
-        stream = running()
-        copy = Stream()
+    def test_restored_fold_continues_identically(self) -> None:
+        """Its digest and later states equal those of the original."""
+        stream = stream_with_running_job()
+        copy = ZoneStream()
         copy.fold.restore(stream.offset, stream.fold.snapshot())
         copy.offset = stream.offset
         self.assertEqual(stream.fold.digest(), copy.fold.digest())
-        for each in (stream, copy):
-            each.add(end(1, 1), job_records.JobAdmitted(spec("b")))
+        for instance in (stream, copy):
+            instance.add(end(1, 1), job_records.JobAdmitted(spec("b")))
         self.assertEqual(stream.fold.digest(), copy.fold.digest())
 
     def test_digest_differs_with_the_state(self) -> None:
-        """One record more gives another digest."""
-        stream = running()
+        """A further record changes the digest."""
+        stream = stream_with_running_job()
         before = stream.fold.digest()
         stream.add(end(1, 1))
         self.assertNotEqual(before, stream.fold.digest())
 
-    def test_malformed_snapshot_is_refused(self) -> None:
-        """As a ValueError, which followers expect."""
+    def test_malformed_snapshot_is_rejected(self) -> None:
+        """It raises ValueError, which followers handle."""
         fold = zone_fold.ZoneFold()
         self.assertRaises(ValueError, fold.restore, 1, b"{}")
