--- a/src/comfreylatch/_ports/store.py
+++ b/src/comfreylatch/_ports/store.py
@@ -49,7 +49,7 @@
     """Identifies one append of a fenced writer.
 
     Attributes:
-        name: Name of the writer; only one epoch of a name may append.
+        name: Name of the writer; only its highest epoch may append.
         epoch: The store refuses appends with an epoch lower than the highest
             it has seen.
         sequence: Number of the append within its epoch and partition; a
--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -100,7 +100,7 @@
         return self._age_source()
 
     def set_age_source(self, age_ms: Callable[[], int]) -> None:
-        """Sets the function that `age_ms` returns the value of."""
+        """Sets the source of `age_ms`: the follower of the stream."""
         self._age_source = age_ms
 
     # RecordFold
--- a/src/comfreylatch/_version/objects.py
+++ b/src/comfreylatch/_version/objects.py
@@ -129,8 +129,8 @@
             for urgent starts.
         max_attempts: Failed attempts after which a job is parked.
         service_slowdown_percent: How much colocated batch work may slow a
-            service down. Placement stays below it; batch work is throttled
-            or evicted above it.
+            service down. Placement stays below it; above it, batch work is
+            throttled, moved or stopped.
     """
 
     lease_ms: int = 15_000
--- a/src/comfreylatch/_version/writers.py
+++ b/src/comfreylatch/_version/writers.py
@@ -7,8 +7,8 @@
 
 import attrs
 
-# A writer is dropped this many offsets after its last record. No host lives
-# that long, and no append stays pending for that many offsets.
+# A writer is dropped this many offsets after its last record. Its host has
+# been replaced long before, and no append stays pending for that long.
 WRITER_RETENTION_OFFSETS = 200_000
 SWEEP_INTERVAL_OFFSETS = 4_096
 
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -21,7 +21,8 @@
 from comfreylatch._version import job_transitions
 from comfreylatch._version import records
 
-# Records after its end at which a job is reduced to the hash of its spec.
+# Number of records after the end of a job at which only the hash of its spec
+# is retained, to recognise a repeated submission.
 RETIRE_AFTER_RECORDS = 20_000
 MAX_RETIRED_IDS = 20_000
 MAX_CLAIMS = 16
