--- a/tests/ports/__init__.py
+++ b/tests/ports/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of ports."""
+"""Tests of the ports package."""
 
 from __future__ import annotations
--- a/tests/version/__init__.py
+++ b/tests/version/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of version."""
+"""Tests of the version package."""
 
 from __future__ import annotations
