--- a/tests/version/test_configuration_fold.py
+++ b/tests/version/test_configuration_fold.py
@@ -207,7 +207,7 @@
         self.assertEqual(restored.digest(), self.fold.digest())
 
 
-# Each ticket replaces the version its author last read, up to 2 versions behind.
+# Each ticket replaces the version its author last read, up to 2 behind.
 RACES = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["a", "b"]), strategies.integers(0, 2)
