--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -94,7 +94,7 @@
     return lease_ms
 
 
-def owner(running: fleet_module.Fleet) -> str:
+def find_owner(running: fleet_module.Fleet) -> str:
     """The seat whose host may start work now; empty if there is none."""
     for seat, host in running.hosts.items():
         if host.process is None or host.process.exit_code is not None:
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -66,7 +66,7 @@
 
 def after_death(running: fleet_module.Fleet) -> float:
     """Kills the owner; seconds to the first start under a higher term."""
-    owner = batch_fleet.owner(running)
+    owner = batch_fleet.find_owner(running)
     term = max(event.term for event in running.worker_events())
     died_ms = time.monotonic() * 1_000
     running.kill_host(owner)
--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -47,7 +47,7 @@
         super().setUp()
         self.fleet = batch_fleet.start(self, workers=2, endpoints=0)
         self.submitted = batch_fleet.submitter(self.fleet)
-        owner = batch_fleet.owner(self.fleet)
+        owner = batch_fleet.find_owner(self.fleet)
         self.submit("resident", RESIDENTS, False, owner)
         self.fleet.wait_until(
             lambda: batch_fleet.starts(self.fleet) >= RESIDENTS,
--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -78,7 +78,7 @@
         running.log.control(keep_records=KEPT_RECORDS)
         with batch_fleet.submitter(running) as submitted:
             batch_fleet.wait_started(running, KEPT_RECORDS)
-            running.replace_host(batch_fleet.owner(running))
+            running.replace_host(batch_fleet.find_owner(running))
             batch_fleet.wait_started(running, 15, 20.0)
         batch_fleet.check(self, running, submitted)
 
--- a/tests/system/test_batch_owner_faults.py
+++ b/tests/system/test_batch_owner_faults.py
@@ -22,7 +22,7 @@
     def test_owner_killed(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
-            owner = batch_fleet.owner(self.fleet)
+            owner = batch_fleet.find_owner(self.fleet)
             self.fleet.kill_host(owner)
             batch_fleet.wait_owner(self.fleet, owner)
             batch_fleet.wait_started(self.fleet, 20)
@@ -33,7 +33,7 @@
     def test_owner_frozen_past_its_claim_and_woken(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
-            owner = batch_fleet.owner(self.fleet)
+            owner = batch_fleet.find_owner(self.fleet)
             self.fleet.signal_host(owner, signal.SIGSTOP)
             batch_fleet.wait_owner(self.fleet, owner)
             batch_fleet.wait_started(self.fleet, 5)
@@ -44,7 +44,7 @@
     def test_owner_frozen_and_its_successor_killed(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
-            first = batch_fleet.owner(self.fleet)
+            first = batch_fleet.find_owner(self.fleet)
             self.fleet.signal_host(first, signal.SIGSTOP)
             second = batch_fleet.wait_owner(self.fleet, first)
             batch_fleet.wait_started(self.fleet, 3)
@@ -59,7 +59,7 @@
     def test_owner_cut_from_the_log_only(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
-            owner = batch_fleet.owner(self.fleet)
+            owner = batch_fleet.find_owner(self.fleet)
             self.fleet.network.set(f"log/{owner}", cut=True)
             batch_fleet.wait_owner(self.fleet, owner)
             batch_fleet.wait_started(self.fleet, 10)
@@ -70,7 +70,7 @@
     def test_owner_cut_from_its_peers_only(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
-            owner = batch_fleet.owner(self.fleet)
+            owner = batch_fleet.find_owner(self.fleet)
             self.fleet.network.set(f"peer/*/{owner}/*", cut=True)
             self.fleet.network.set(f"peer/*/*/*/{owner}", cut=True)
             time.sleep(5.0)
@@ -82,7 +82,7 @@
         names = self.fleet.deployment.worker_names()
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
-            owner = batch_fleet.owner(self.fleet)
+            owner = batch_fleet.find_owner(self.fleet)
             self.fleet.network.set(f"worker/{owner}/*", cut=True)
             time.sleep(7.0)
             self.fleet.network.set(f"worker/{owner}/*", cut=False)
@@ -102,7 +102,7 @@
         )
         with load as submitted:
             batch_fleet.wait_started(running, 12)
-            owner = batch_fleet.owner(running)
+            owner = batch_fleet.find_owner(running)
             for seat in running.hosts:
                 if seat != owner:
                     running.network.set(f"worker/{seat}/wk-1", cut=True)
--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -80,7 +80,7 @@
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 15)
             self.fleet.workers.control(worker="wk-1", pause=True)
-            owner = batch_fleet.owner(self.fleet)
+            owner = batch_fleet.find_owner(self.fleet)
             self.fleet.kill_host(owner)
             batch_fleet.wait_owner(self.fleet, owner)
             time.sleep(2.0)
@@ -149,7 +149,7 @@
         # Long enough for an attempt to end unheard within its lease.
         limits = attrs.evolve(batch_fleet.LIMITS, lease_ms=5_000)
         running = batch_fleet.start(self, workers=2, endpoints=0, limits=limits)
-        seat = batch_fleet.owner(running)
+        seat = batch_fleet.find_owner(running)
         running.submit_job(job("late", 4_600), seat)
         first = wait_started(running, "late", 1)
         running.network.set(f"worker/*/{first.worker}", cut=True)
@@ -171,7 +171,7 @@
 
     def test_start_in_a_buffer_is_refused_by_the_worker(self) -> None:
         running = batch_fleet.start(self, workers=2)
-        owner = batch_fleet.owner(running)
+        owner = batch_fleet.find_owner(running)
         host_id = running.status(owner)["host"]["host_id"]
         name, worker = self.hold_start(running, owner)
         running.signal_host(owner, signal.SIGSTOP)
