--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -135,15 +135,15 @@
     running: fleet_module.Fleet, more: int, timeout_s: float = TAKEOVER_S
 ) -> None:
     """Waits until workers have started so many more attempts."""
-    before = starts(running)
+    before = count_starts(running)
     running.wait_until(
-        lambda: starts(running) >= before + more,
+        lambda: count_starts(running) >= before + more,
         f"{more} more starts",
         timeout_s,
     )
 
 
-def starts(running: fleet_module.Fleet) -> int:
+def count_starts(running: fleet_module.Fleet) -> int:
     """Attempts that workers have started."""
     return sum(event.kind == "start" for event in running.worker_events())
 
--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -50,7 +50,7 @@
         owner = batch_fleet.find_owner(self.fleet)
         self.submit("resident", RESIDENTS, False, owner)
         self.fleet.wait_until(
-            lambda: batch_fleet.starts(self.fleet) >= RESIDENTS,
+            lambda: batch_fleet.count_starts(self.fleet) >= RESIDENTS,
             "the workers are full",
             EVICTION_S,
         )
--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -92,11 +92,11 @@
         running.wait_until(
             lambda: snapshots(running) > before, "a snapshot", SNAPSHOT_S
         )
-        starts = batch_fleet.starts(running)
+        starts = batch_fleet.count_starts(running)
         replace_all(running)
         batch_fleet.wait_owner(running)
         batch_fleet.check(self, running, submitted)
-        self.assertEqual(starts, batch_fleet.starts(running))
+        self.assertEqual(starts, batch_fleet.count_starts(running))
 
 
 def replace_all(running: fleet_module.Fleet) -> None:
