--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -193,7 +193,7 @@
                 put=[attrs.asdict(entry) for entry in listed], at_once=True
             )
 
-    def list_host(
+    def update_listed_host(
         self, kind: hosts_port.HostKind, name: str, **changes: Any
     ) -> None:
         """Changes one line of the host list, seen after its lag."""
--- a/tests/system/test_fleet.py
+++ b/tests/system/test_fleet.py
@@ -40,7 +40,7 @@
 
     def test_host_list_changes_are_seen_after_the_lag(self) -> None:
         running = self.start(list_lag_ms=300)
-        running.list_host(
+        running.update_listed_host(
             hosts_port.HostKind.ENDPOINT,
             "ex-1",
             state=hosts_port.HostState.LEAVING,
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -157,7 +157,7 @@
         with callers.Callers(running, load) as sending:
             time.sleep(1.0)
             left_ms = time.monotonic() * 1_000
-            running.list_host(
+            running.update_listed_host(
                 hosts_port.HostKind.ENDPOINT,
                 "ex-1",
                 state=hosts_port.HostState.LEAVING,
