--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -78,7 +78,7 @@
         running.log.control(keep_records=KEPT_RECORDS)
         with batch_fleet.submitter(running) as submitted:
             batch_fleet.wait_started(running, KEPT_RECORDS)
-            running.replace_host(batch_fleet.owner(running))
+            running.replace_host(batch_fleet.find_owner(running))
             batch_fleet.wait_started(running, 15, 20.0)
         batch_fleet.check(self, running, submitted)
 
@@ -92,11 +92,11 @@
         running.wait_until(
             lambda: snapshots(running) > before, "a snapshot", SNAPSHOT_S
         )
-        starts = batch_fleet.starts(running)
+        starts = batch_fleet.count_starts(running)
         replace_all(running)
         batch_fleet.wait_owner(running)
         batch_fleet.check(self, running, submitted)
-        self.assertEqual(starts, batch_fleet.starts(running))
+        self.assertEqual(starts, batch_fleet.count_starts(running))
 
 
 def replace_all(running: fleet_module.Fleet) -> None:
