--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -94,7 +94,7 @@
             session.clear()
         self._events.clear()
 
-    def take_events(self) -> list[worker_session.LinkEvent]:
+    def drain_events(self) -> list[worker_session.LinkEvent]:
         """Returns events since the last call, in order for each worker."""
         taken: list[worker_session.LinkEvent] = []
         while self._events:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -258,7 +258,7 @@
     def _process_link_events(
         self, bounds: job_records.ClaimBounds, now_ms: int
     ) -> None:
-        for event in self._pool.take_events():
+        for event in self._pool.drain_events():
             if event.term != self._term:
                 continue
             match event:
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -63,8 +63,8 @@
         """See `LinkPool.update`."""
         del listed, needed
 
-    def take_events(self) -> list[Any]:
-        """See `LinkPool.take_events`."""
+    def drain_events(self) -> list[Any]:
+        """See `LinkPool.drain_events`."""
         return []
 
     def clear_commands(self) -> None:
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -187,8 +187,8 @@
             session.clear()
         self.events.clear()
 
-    def take_events(self) -> list[worker_session.LinkEvent]:
-        """See `LinkPool.take_events`."""
+    def drain_events(self) -> list[worker_session.LinkEvent]:
+        """See `LinkPool.drain_events`."""
         taken = list(self.events)
         self.events.clear()
         return taken
