--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -62,7 +62,7 @@
         """Returns the assigned attempt of a job, or None."""
         return self._attempts.get(job)
 
-    def on_worker(self, worker: str) -> tuple[attempt_module.Attempt, ...]:
+    def attempts_on(self, worker: str) -> tuple[attempt_module.Attempt, ...]:
         """Attempts assigned to a worker."""
         return tuple(self._by_worker.get(worker, {}).values())
 
@@ -139,7 +139,7 @@
         tasks_by_attempt = {
             (task.job, task.attempt): task for task in event.report.tasks
         }
-        for attempt in self.on_worker(event.worker):
+        for attempt in self.attempts_on(event.worker):
             task = tasks_by_attempt.pop(
                 (attempt.job, attempt.state.attempt), None
             )
@@ -159,7 +159,7 @@
         remaining_ms = min(
             (
                 attempt.remaining_ms()
-                for attempt in self.on_worker(worker)
+                for attempt in self.attempts_on(worker)
                 if attempt.confirmed and not self._pending.has_end(attempt.job)
             ),
             default=MAX_POLL_DELAY_MS,
@@ -315,7 +315,7 @@
             bounds.lease_ms + bounds.command_ttl_ms + bounds.drift_margin_ms
         )
         lease_end_ms = sent_ms + lease_span_ms if sent_ms >= 0 else 0
-        for attempt in self.on_worker(worker):
+        for attempt in self.attempts_on(worker):
             inherited = attempt.state.term < self._term
             may_run_until_ms = (
                 max(lease_end_ms, predecessor_tasks_until_ms)
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -64,7 +64,7 @@
         )
         self.attempts.reset(term)
         self.planner = eviction_planner.EvictionPlanner(
-            self.ledger, self.attempts.on_worker
+            self.ledger, self.attempts.attempts_on
         )
 
     def sync_job(self, state: job_state.JobState, now_ms: int) -> None:
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -236,7 +236,7 @@
             case worker_health.HealthState.GOOD:
                 return True
             case worker_health.HealthState.PROBED:
-                return not self._scheduling.attempts.on_worker(host.name)
+                return not self._scheduling.attempts.attempts_on(host.name)
             case worker_health.HealthState.QUARANTINED:
                 return False
 
@@ -274,7 +274,7 @@
     def _process_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
         if self._policy is placement_module.Policy.FIRST_FIT:
             return
-        attempts = self._scheduling.attempts.on_worker(report.worker)
+        attempts = self._scheduling.attempts.attempts_on(report.worker)
         action = self._usage.process(report, self._fold.job, attempts, now_ms)
         if self._usage.control.needs_frequent_reports(report.worker):
             self._pool.poll_by(
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -144,7 +144,7 @@
             "worker-0", batch_slopes.TERM, report, (), now_ms, False
         )
         scheduling.attempts.on_reported(event, batch_slopes.BOUNDS, now_ms)
-        attempts = scheduling.attempts.on_worker("worker-0")
+        attempts = scheduling.attempts.attempts_on("worker-0")
         usage.process(report, zone.fold.job, attempts, now_ms)
 
     made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
