--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -22,7 +22,7 @@
 class CommandSink(Protocol):
     """Queues commands for workers."""
 
-    def request(
+    def queue_command(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
         """Queues a command; drops it if the worker is unknown.
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -39,7 +39,7 @@
             attempt.retry_stop()
             return
         attempt.stop_queued_ms = now_ms
-        self._sink.request(worker, command)
+        self._sink.queue_command(worker, command)
 
     def _checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Queues the checkpoint of an eviction, or abandons the eviction."""
@@ -56,7 +56,7 @@
         queued_ms = attempt.checkpoint_queued_ms
         if queued_ms < 0 or now_ms - queued_ms >= RESEND_INTERVAL_MS:
             attempt.checkpoint_queued_ms = now_ms
-            self._sink.request(worker, command)
+            self._sink.queue_command(worker, command)
 
     def on_checkpoint_taken(
         self, attempt: attempt_module.Attempt, now_ms: int
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -111,7 +111,7 @@
         if attempt.confirmed:
             # Makes the worker forget the ended attempt.
             command = attempt.stop_command()
-            self._sink.request(worker, command, at_once=False)
+            self._sink.queue_command(worker, command, at_once=False)
         elif attempt.start_queued_ms >= 0:
             self._sink.withdraw(worker, attempt.start_command())
 
@@ -238,7 +238,7 @@
             return
         attempt.checkpoint_requested_ms = now_ms
         command = attempt.checkpoint_command()
-        self._sink.request(attempt.state.worker, command, at_once=False)
+        self._sink.queue_command(attempt.state.worker, command, at_once=False)
 
     def _process_command_status(
         self,
@@ -289,7 +289,7 @@
             )
         running = task.state is workers.TaskState.RUNNING
         command = workers.StopTask(task.job, task.attempt)
-        self._sink.request(worker, command, at_once=running)
+        self._sink.queue_command(worker, command, at_once=running)
 
     def _record_lost(self, attempt: attempt_module.Attempt) -> None:
         self._pending.end(attempt, job_records.AttemptEnd.LOST)
@@ -380,10 +380,12 @@
             return
         attempt.start_queued_ms = now_ms
         worker = attempt.state.worker
-        self._sink.request(worker, attempt.start_command())
+        self._sink.queue_command(worker, attempt.start_command())
         share_milli = self._share_for(attempt.job)
         if share_milli < FULL_SHARE_MILLI:
-            self._sink.request(worker, attempt.throttle_command(share_milli))
+            self._sink.queue_command(
+                worker, attempt.throttle_command(share_milli)
+            )
 
     def _stop(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         own = attempt.state.term == self._term
@@ -401,7 +403,7 @@
         # an end that isn't recorded yet would be lost.
         if attempt and attempt.confirmed and not self._pending.has_end(job):
             command = attempt.throttle_command(share_milli)
-            self._sink.request(attempt.state.worker, command)
+            self._sink.queue_command(attempt.state.worker, command)
 
     def evict(
         self, job: str, now_ms: int, checkpoint_first: bool = True
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -105,14 +105,14 @@
         """See `attempt.CommandSink.session`."""
         return self._sessions.get(worker)
 
-    def request(
+    def queue_command(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
-        """See `attempt.CommandSink.request`."""
+        """See `attempt.CommandSink.queue_command`."""
         session = self._sessions.get(worker)
         if session is None:
             return
-        session.request(command, at_once)
+        session.queue_command(command, at_once)
         link = self._links.get(worker)
         if at_once and link is not None:
             link.wake()
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -101,7 +101,9 @@
         """Number of unanswered exchanges since the last answer."""
         return self._failures
 
-    def request(self, command: workers.Command, at_once: bool = True) -> None:
+    def queue_command(
+        self, command: workers.Command, at_once: bool = True
+    ) -> None:
         """Queues a command; unless `at_once`, for the next renewal."""
         with self._lock:
             queue = self._commands if at_once else self._deferred_commands
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -162,8 +162,10 @@
 class Sink:
     """Workers that all answered a moment ago and are told nothing."""
 
-    def request(self, worker: str, command: Any, at_once: bool = True) -> None:
-        """See `attempt.CommandSink.request`."""
+    def queue_command(
+        self, worker: str, command: Any, at_once: bool = True
+    ) -> None:
+        """See `attempt.CommandSink.queue_command`."""
         del worker, command, at_once
 
     def withdraw(self, worker: str, command: Any) -> bool:
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -197,13 +197,13 @@
         """See `attempt.CommandSink.session`."""
         return self.sessions.get(worker)
 
-    def request(
+    def queue_command(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
-        """See `attempt.CommandSink.request`."""
+        """See `attempt.CommandSink.queue_command`."""
         session = self.sessions.get(worker)
         if session is not None:
-            session.request(command, at_once)
+            session.queue_command(command, at_once)
 
     def poll_by(self, worker: str, due_ms: int) -> None:
         """See `attempt.CommandSink.poll_by`."""
