--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -35,7 +35,7 @@
         """Requests a report from a worker by `due_ms`."""
         ...
 
-    def withdraw(self, worker: str, command: workers.Command) -> bool:
+    def withdraw_command(self, worker: str, command: workers.Command) -> bool:
         """Removes a queued command; False if it may have been sent."""
         ...
 
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -34,7 +34,7 @@
             return
         worker = attempt.state.worker
         command = attempt.stop_command()
-        if queued_ms >= 0 and self._sink.withdraw(worker, command):
+        if queued_ms >= 0 and self._sink.withdraw_command(worker, command):
             # The stop was never sent; the attempt has progressed since.
             attempt.retry_stop()
             return
@@ -46,7 +46,7 @@
         worker = attempt.state.worker
         command = attempt.checkpoint_command()
         if now_ms - attempt.evicted_ms >= EVICTION_TIMEOUT_MS:
-            self._sink.withdraw(worker, command)
+            self._sink.withdraw_command(worker, command)
             attempt.stop_reason = None
             return
         if attempt.checkpointed:
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -113,7 +113,7 @@
             command = attempt.stop_command()
             self._sink.queue_command(worker, command, at_once=False)
         elif attempt.start_queued_ms >= 0:
-            self._sink.withdraw(worker, attempt.start_command())
+            self._sink.withdraw_command(worker, attempt.start_command())
 
     def on_reported(
         self,
@@ -345,7 +345,7 @@
         if attempt.start_queued_ms < 0:
             return True
         command = attempt.start_command()
-        if not self._sink.withdraw(attempt.state.worker, command):
+        if not self._sink.withdraw_command(attempt.state.worker, command):
             return False
         attempt.start_queued_ms = -1
         return True
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -125,10 +125,10 @@
             session.poll_by(due_ms)
             link.wake()
 
-    def withdraw(self, worker: str, command: workers.Command) -> bool:
-        """See `attempt.CommandSink.withdraw`."""
+    def withdraw_command(self, worker: str, command: workers.Command) -> bool:
+        """See `attempt.CommandSink.withdraw_command`."""
         session = self._sessions.get(worker)
-        return session is not None and session.withdraw(command)
+        return session is not None and session.withdraw_command(command)
 
     def _ensure_link(self, session: worker_session.WorkerSession) -> None:
         if session.worker in self._links:
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -114,7 +114,7 @@
         """Requests an exchange by `due_ms`, as when an attempt should end."""
         self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
-    def withdraw(self, command: workers.Command) -> bool:
+    def withdraw_command(self, command: workers.Command) -> bool:
         """Removes a queued command; False if it may have been sent."""
         with self._lock:
             if command not in self._commands:
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -168,8 +168,8 @@
         """See `attempt.CommandSink.queue_command`."""
         del worker, command, at_once
 
-    def withdraw(self, worker: str, command: Any) -> bool:
-        """See `attempt.CommandSink.withdraw`."""
+    def withdraw_command(self, worker: str, command: Any) -> bool:
+        """See `attempt.CommandSink.withdraw_command`."""
         del worker, command
         return True
 
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -211,10 +211,10 @@
         if session is not None:
             session.poll_by(due_ms)
 
-    def withdraw(self, worker: str, command: workers.Command) -> bool:
-        """See `attempt.CommandSink.withdraw`."""
+    def withdraw_command(self, worker: str, command: workers.Command) -> bool:
+        """See `attempt.CommandSink.withdraw_command`."""
         session = self.sessions.get(worker)
-        return session is not None and session.withdraw(command)
+        return session is not None and session.withdraw_command(command)
 
 
 @final
