--- a/src/comfreylatch/_commands/replay.py
+++ b/src/comfreylatch/_commands/replay.py
@@ -70,7 +70,7 @@
     operator addresses (--host). Exits 1 when an outcome that the trace
     states was not kept.
     """
-    from comfreylatch._commands import load
+    from comfreylatch._commands import load_generator
     from comfreylatch._commands import replay_run
 
     found = _read(trace, as_json)
@@ -80,7 +80,7 @@
             "the trace has jobs, and they need a host of each zone",
             param_hint="--host",
         )
-    load_options = load.LoadOptions(
+    load_options = load_generator.LoadOptions(
         callers=_callers_by_zone(callers),
         run=run or f"replay-{time.time_ns() // 1_000_000}",
         speed=speed,
--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -9,7 +9,7 @@
 import attrs
 from hdrh import histogram
 
-from comfreylatch._commands import load
+from comfreylatch._commands import load_generator
 from comfreylatch._commands import replay_jobs
 from comfreylatch._commands import trace as traces
 
@@ -124,10 +124,12 @@
 
 
 def request_reports(
-    samples: Sequence[load.Sample], duration_ms: float
+    samples: Sequence[load_generator.Sample], duration_ms: float
 ) -> tuple[RequestReport, ...]:
     """One report a service."""
-    by_service: dict[str, list[load.Sample]] = collections.defaultdict(list)
+    by_service: dict[str, list[load_generator.Sample]] = (
+        collections.defaultdict(list)
+    )
     for sample in samples:
         by_service[sample.service].append(sample)
     return tuple(
@@ -137,9 +139,11 @@
 
 
 def _request_report(
-    service: str, samples: list[load.Sample], duration_ms: float
+    service: str, samples: list[load_generator.Sample], duration_ms: float
 ) -> RequestReport:
-    missed = [one for one in samples if one.seen is not load.Seen.ANSWERED]
+    missed = [
+        one for one in samples if one.seen is not load_generator.Seen.ANSWERED
+    ]
     return RequestReport(
         service=service,
         sent=len(samples),
@@ -148,7 +152,9 @@
         statuses=_counts(str(one.status) for one in samples),
         latency=latency_report(samples),
         goodput_per_s=_goodput(samples, duration_ms),
-        late_starts=sum(one.late_ms > load.LATE_START_MS for one in samples),
+        late_starts=sum(
+            one.late_ms > load_generator.LATE_START_MS for one in samples
+        ),
         told_when_to_return=sum(one.retry_after_ms > 0 for one in missed),
     )
 
@@ -157,9 +163,11 @@
     return dict(sorted(collections.Counter(map(str, words)).items()))
 
 
-def _goodput(samples: Iterable[load.Sample], duration_ms: float) -> float:
+def _goodput(
+    samples: Iterable[load_generator.Sample], duration_ms: float
+) -> float:
     good = sum(
-        one.seen is load.Seen.ANSWERED
+        one.seen is load_generator.Seen.ANSWERED
         and one.status < 500
         and one.elapsed_ms <= one.timeout_ms
         for one in samples
@@ -167,11 +175,11 @@
     return round(good / max(duration_ms / 1_000, 0.001), 2)
 
 
-def latency_report(samples: Iterable[load.Sample]) -> LatencyReport:
+def latency_report(samples: Iterable[load_generator.Sample]) -> LatencyReport:
     """Quantiles over answered requests."""
     found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
     for one in samples:
-        if one.seen is load.Seen.ANSWERED:
+        if one.seen is load_generator.Seen.ANSWERED:
             elapsed_us = int(one.elapsed_ms * 1_000)
             found.record_value(min(max(elapsed_us, LOWEST_US), HIGHEST_US))
     return LatencyReport(
@@ -227,7 +235,7 @@
 
 def outcome_lines(
     stated: traces.StatedOutcomes,
-    samples: Sequence[load.Sample],
+    samples: Sequence[load_generator.Sample],
     jobs: Sequence[replay_jobs.JobSample],
     tries_per_request: float | None,
 ) -> tuple[OutcomeLine, ...]:
@@ -253,14 +261,18 @@
 
 
 def _request_measures(
-    samples: Sequence[load.Sample],
+    samples: Sequence[load_generator.Sample],
 ) -> dict[str, float | None]:
     if not samples:
         return {}
     seen = collections.Counter(one.seen for one in samples)
-    doubtful = seen[load.Seen.UNKNOWN] + seen[load.Seen.LOST]
+    doubtful = (
+        seen[load_generator.Seen.UNKNOWN] + seen[load_generator.Seen.LOST]
+    )
     measures: dict[str, float | None] = {
-        "answered_percent_min": 100 * seen[load.Seen.ANSWERED] / len(samples),
+        "answered_percent_min": 100
+        * seen[load_generator.Seen.ANSWERED]
+        / len(samples),
         "unknown_percent_max": 100 * doubtful / len(samples),
     }
     latency = latency_report(samples)
--- a/src/comfreylatch/_commands/replay_run.py
+++ b/src/comfreylatch/_commands/replay_run.py
@@ -10,7 +10,7 @@
 import result
 
 from comfreylatch._commands import client as clients
-from comfreylatch._commands import load
+from comfreylatch._commands import load_generator
 from comfreylatch._commands import replay_jobs
 from comfreylatch._commands import replay_report
 from comfreylatch._commands import trace as traces
@@ -24,7 +24,7 @@
 
 def run(
     trace: traces.Trace,
-    options: load.LoadOptions,
+    options: load_generator.LoadOptions,
     hosts: Sequence[addresses.Address],
     label: str,
     settle_ms: int,
@@ -36,7 +36,7 @@
     """
     tries_before = _tries(hosts)
     started_s = time.monotonic() + HEAD_START_S
-    sender = load.Load(trace, options)
+    sender = load_generator.Load(trace, options)
     sender.start(started_s)
     with replay_jobs.JobReplay(
         trace, hosts, options.run, options.speed
