--- a/src/comfreylatch/_commands/host.py
+++ b/src/comfreylatch/_commands/host.py
@@ -37,7 +37,7 @@
             case result.Err(error):
                 unreached = output.CommandError("not reached", str(error))
                 pages[host] = unreached
-    output.show(pages, as_json)
+    output.print_value(pages, as_json)
     if any(isinstance(p, output.CommandError) for p in pages.values()):
         raise typer.Exit(exits.ExitCode.REFUSED)
 
--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -28,7 +28,7 @@
     detail: str
 
 
-def show(value: Any, as_json: bool) -> None:
+def print_value(value: Any, as_json: bool) -> None:
     """Prints a value of JSON types or an attrs object."""
     if as_json:
         encoded = msgspec.json.encode(value)
@@ -62,7 +62,7 @@
 def show_file_errors(errors: json_file.FileErrors, as_json: bool) -> None:
     """Prints every error of a file, on standard error unless as JSON."""
     if as_json:
-        show(errors, as_json=True)
+        print_value(errors, as_json=True)
         return
     for error in errors.errors:
         typer.echo(str(error), err=True)
@@ -92,7 +92,7 @@
                 exits.ExitCode.UNKNOWN,
             )
         case result.Ok(reply):
-            show(reply.value, as_json)
+            print_value(reply.value, as_json)
             code = exit_code(reply.status)
             if code is exits.ExitCode.UNKNOWN:
                 typer.echo(f"comfreylatch: {on_unknown}", err=True)
--- a/src/comfreylatch/_commands/replay.py
+++ b/src/comfreylatch/_commands/replay.py
@@ -96,7 +96,7 @@
     from comfreylatch._commands import replay_text
 
     if as_json:
-        output.show(report, as_json)
+        output.print_value(report, as_json)
         return
     for line in replay_text.text_lines(report):
         typer.echo(line)
@@ -110,7 +110,7 @@
             detail = f"{path}:{bad.line}: {bad.detail}"
             if as_json:
                 error = output.CommandError("bad trace", detail)
-                output.show(error, as_json)
+                output.print_value(error, as_json)
                 raise typer.Exit(exits.ExitCode.USAGE)
             return output.fail("bad trace", detail, exits.ExitCode.USAGE)
 
--- a/src/comfreylatch/_commands/serve.py
+++ b/src/comfreylatch/_commands/serve.py
@@ -40,6 +40,6 @@
             raise typer.Exit(exits.ExitCode.USAGE)
         case result.Ok(settings):
             if as_json:
-                output.show(settings, as_json)
+                output.print_value(settings, as_json)
             else:
                 typer.echo(f"{file}: ok (seat {settings.seat})")
--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -106,7 +106,7 @@
     """Checks a ticket file by itself and lists every error at once."""
     value = _read(file, as_json)
     if as_json:
-        output.show(value, as_json)
+        output.print_value(value, as_json)
     else:
         count = len(value["changes"])
         typer.echo(f"{file}: ok (ticket {value['number']}, {count} changes)")
@@ -181,7 +181,7 @@
         key = (change["kind"], change["name"])
         unknown = ticket_file.ObjectInForce(*key, 0, None)
         differences.append(difference(change, in_force.get(key, unknown)))
-    output.show(differences, as_json)
+    output.print_value(differences, as_json)
     if any(each.replaces != each.in_force for each in differences):
         output.fail(
             "would be refused",
