--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -173,7 +173,7 @@
         self._lock = threading.Lock()
         self._pools: dict[str, _Pool] = {}
 
-    def take(
+    def acquire(
         self, address: str, max_idle_ms: int, max_connections: int
     ) -> Lease | None:
         """A kept connection, or the right to open one; None when neither.
--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -157,7 +157,9 @@
             if request.idempotent
             else connection_pool.FRESH_IDLE_MS
         )
-        lease = self._pools.take(address, max_idle_ms, limits.max_connections)
+        lease = self._pools.acquire(
+            address, max_idle_ms, limits.max_connections
+        )
         if lease is None:
             detail = f"all {limits.max_connections} connections are in use"
             return result.Err(
