--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -141,7 +141,7 @@
         """Gives the connection back after a whole answer."""
         connection = self._connection
         if reusable and connection is not None and connection.sock is not None:
-            self._pools.keep(self._address, connection)
+            self._pools.add_idle(self._address, connection)
         else:
             self.close()
 
@@ -197,7 +197,7 @@
             return None
         return Lease(self, address, kept)
 
-    def keep(
+    def add_idle(
         self, address: str, connection: urllib3_connection.HTTPConnection
     ) -> None:
         """Keeps a connection whose request was answered whole."""
