--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -153,7 +153,7 @@
             self._channel.close()
         self.mark_closed()
 
-    def hand_over(self) -> socket.socket:
+    def detach_socket(self) -> socket.socket:
         """The socket, out of this object's care; it stays counted."""
         channel = self.channel
         handed = socket.socket(fileno=channel.detach())
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -89,7 +89,7 @@
             self._hold()
             return
         # The socket now belongs to the watcher, which closes it.
-        watched = lease.hand_over()
+        watched = lease.detach_socket()
         self._late.watch(
             watched,
             self._limits.hold_until_ms,
