--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -108,7 +108,7 @@
         self._pools = pools
         self._address = address
         self._connection = connection
-        self._channel = None if connection is None else connection.sock
+        self._deadline_socket = None if connection is None else connection.sock
 
     @property
     def is_connected(self) -> bool:
@@ -124,17 +124,17 @@
     @property
     def channel(self) -> DeadlineSocket:
         """The socket of the connection."""
-        assert isinstance(self._channel, DeadlineSocket)
-        return self._channel
+        assert isinstance(self._deadline_socket, DeadlineSocket)
+        return self._deadline_socket
 
     def attach(self, connection: urllib3_connection.HTTPConnection) -> None:
         """Takes a new, open connection."""
         plain = connection.sock
         family, kind, protocol = plain.family, plain.type, plain.proto
-        self._channel = DeadlineSocket(
+        self._deadline_socket = DeadlineSocket(
             family, kind, protocol, fileno=plain.detach()
         )
-        connection.sock = self._channel
+        connection.sock = self._deadline_socket
         self._connection = connection
 
     def release(self, reusable: bool) -> None:
@@ -149,8 +149,8 @@
         """Closes the connection, if there is one."""
         if self._connection is not None:
             self._connection.close()
-        if self._channel is not None:
-            self._channel.close()
+        if self._deadline_socket is not None:
+            self._deadline_socket.close()
         self.mark_closed()
 
     def detach_socket(self) -> socket.socket:
