--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -122,7 +122,7 @@
         return self._connection
 
     @property
-    def channel(self) -> DeadlineSocket:
+    def deadline_socket(self) -> DeadlineSocket:
         """The socket of the connection."""
         assert isinstance(self._deadline_socket, DeadlineSocket)
         return self._deadline_socket
@@ -155,8 +155,8 @@
 
     def detach_socket(self) -> socket.socket:
         """The socket, out of this object's care; it stays counted."""
-        channel = self.channel
-        handed = socket.socket(fileno=channel.detach())
+        deadline_socket = self.deadline_socket
+        handed = socket.socket(fileno=deadline_socket.detach())
         self.connection.sock = None
         return handed
 
--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -99,7 +99,7 @@
             ended()
             return result.Err(late)
         remaining_ms = limits.deadline_ms - now_ms
-        lease.channel.set_deadline(remaining_ms)
+        lease.deadline_socket.set_deadline(remaining_ms)
         try:
             _write(lease.connection, request, remaining_ms)
         except ValueError as error:
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -50,7 +50,7 @@
 
     def fileno(self) -> int:
         """The socket, readable as soon as the answer begins to arrive."""
-        return self._lease.channel.fileno()
+        return self._lease.deadline_socket.fileno()
 
     def finish(self) -> exchange.TryResult:
         """Reads the whole answer, up to the try's deadline."""
@@ -84,7 +84,7 @@
     def abandon(self) -> None:
         """Stops waiting; the end of the request is still watched for."""
         lease = self._lease
-        if lease.channel.received:
+        if lease.deadline_socket.received:
             lease.close()
             self._hold()
             return
@@ -107,7 +107,7 @@
     def _loss_of(self, error: Exception) -> exchange.Loss:
         if isinstance(error, http.client.RemoteDisconnected):
             return exchange.Loss.RESET
-        if self._lease.channel.ended:
+        if self._lease.deadline_socket.ended:
             return exchange.Loss.TRUNCATED
         if isinstance(error, urllib3_exceptions.ProtocolError):
             return exchange.Loss.RESET
@@ -130,7 +130,7 @@
             )
         body = _read_body(response)
         # Cut short within its headers, an answer may look whole.
-        if self._lease.channel.ended:
+        if self._lease.deadline_socket.ended:
             return result.Err(
                 exchange.LostAfterSend(
                     exchange.Loss.TRUNCATED, "the answer was cut short"
