--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -67,7 +67,7 @@
     idle: collections.deque[_Idle] = attrs.field(factory=collections.deque)
 
     def pop_usable(
-        self, oldest_s: float, useless: list[urllib3_connection.HTTPConnection]
+        self, oldest_s: float, to_close: list[urllib3_connection.HTTPConnection]
     ) -> urllib3_connection.HTTPConnection | None:
         """Takes the connection used last, if it is young and still open."""
         while self.idle and self.idle[-1].since_s >= oldest_s:
@@ -76,22 +76,22 @@
             if connection.is_connected:
                 return connection
             self.open_count -= 1
-            useless.append(connection)
+            to_close.append(connection)
         return None
 
     def drop_old(
-        self, oldest_s: float, useless: list[urllib3_connection.HTTPConnection]
+        self, oldest_s: float, to_close: list[urllib3_connection.HTTPConnection]
     ) -> None:
         """Drops connections unused since before a monotonic time."""
         while self.idle and self.idle[0].since_s < oldest_s:
-            self.drop_oldest(useless)
+            self.drop_oldest(to_close)
 
     def drop_oldest(
-        self, useless: list[urllib3_connection.HTTPConnection]
+        self, to_close: list[urllib3_connection.HTTPConnection]
     ) -> None:
         """Drops the connection unused for longest, if there is one."""
         if self.idle:
-            useless.append(self.idle.popleft().connection)
+            to_close.append(self.idle.popleft().connection)
             self.open_count -= 1
 
 
@@ -181,17 +181,17 @@
         A kept connection is one that was last used `max_idle_ms` ago at most.
         """
         now_s = time.monotonic()
-        useless: list[urllib3_connection.HTTPConnection] = []
+        to_close: list[urllib3_connection.HTTPConnection] = []
         with self._lock:
             pool = self._pools.setdefault(address, _Pool())
-            pool.drop_old(now_s - MAX_IDLE_MS / 1_000, useless)
-            kept = pool.pop_usable(now_s - max_idle_ms / 1_000, useless)
+            pool.drop_old(now_s - MAX_IDLE_MS / 1_000, to_close)
+            kept = pool.pop_usable(now_s - max_idle_ms / 1_000, to_close)
             if kept is None and pool.open_count >= max_connections:
-                pool.drop_oldest(useless)
+                pool.drop_oldest(to_close)
             may_open = pool.open_count < max_connections
             if kept is None and may_open:
                 pool.open_count += 1
-        for connection in useless:
+        for connection in to_close:
             connection.close()
         if kept is None and not may_open:
             return None
@@ -222,14 +222,14 @@
         Addresses without a limit are no longer used at all.
         """
         oldest_s = time.monotonic() - MAX_IDLE_MS / 1_000
-        useless: list[urllib3_connection.HTTPConnection] = []
+        to_close: list[urllib3_connection.HTTPConnection] = []
         with self._lock:
             for address, pool in self._pools.items():
-                pool.drop_old(oldest_s, useless)
+                pool.drop_old(oldest_s, to_close)
                 excess = pool.open_count - limits.get(address, 0)
                 for _ in range(excess):
-                    pool.drop_oldest(useless)
-        for connection in useless:
+                    pool.drop_oldest(to_close)
+        for connection in to_close:
             connection.close()
 
     def close_idle(self, address: str) -> None:
