--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -79,7 +79,7 @@
             to_close.append(connection)
         return None
 
-    def drop_old(
+    def drop_expired(
         self, oldest_s: float, to_close: list[urllib3_connection.HTTPConnection]
     ) -> None:
         """Drops connections unused since before a monotonic time."""
@@ -184,7 +184,7 @@
         to_close: list[urllib3_connection.HTTPConnection] = []
         with self._lock:
             pool = self._pools.setdefault(address, _Pool())
-            pool.drop_old(now_s - MAX_IDLE_MS / 1_000, to_close)
+            pool.drop_expired(now_s - MAX_IDLE_MS / 1_000, to_close)
             kept = pool.pop_usable(now_s - max_idle_ms / 1_000, to_close)
             if kept is None and pool.open_count >= max_connections:
                 pool.drop_oldest(to_close)
@@ -225,7 +225,7 @@
         to_close: list[urllib3_connection.HTTPConnection] = []
         with self._lock:
             for address, pool in self._pools.items():
-                pool.drop_old(oldest_s, to_close)
+                pool.drop_expired(oldest_s, to_close)
                 excess = pool.open_count - limits.get(address, 0)
                 for _ in range(excess):
                     pool.drop_oldest(to_close)
