--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -16,7 +16,7 @@
 MAX_IDLE_MS = 4_000
 # An endpoint rarely closes a connection this soon after an answer; a request
 # that must not run twice goes on no older one.
-FRESH_IDLE_MS = 500
+NON_IDEMPOTENT_MAX_IDLE_MS = 500
 
 
 @final
--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -155,7 +155,7 @@
         max_idle_ms = (
             connection_pool.MAX_IDLE_MS
             if request.idempotent
-            else connection_pool.FRESH_IDLE_MS
+            else connection_pool.NON_IDEMPOTENT_MAX_IDLE_MS
         )
         lease = self._pools.acquire(
             address, max_idle_ms, limits.max_connections
