--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -52,7 +52,7 @@
 
 
 @attrs.define(eq=False)
-class _Idle:
+class _IdleConnection:
     """A connection without a request, and since when."""
 
     connection: urllib3_connection.HTTPConnection
@@ -64,7 +64,9 @@
     """The connections to one address."""
 
     open_count: int = 0
-    idle: collections.deque[_Idle] = attrs.field(factory=collections.deque)
+    idle: collections.deque[_IdleConnection] = attrs.field(
+        factory=collections.deque
+    )
 
     def pop_usable(
         self, oldest_s: float, to_close: list[urllib3_connection.HTTPConnection]
@@ -203,7 +205,7 @@
         """Keeps a connection whose request was answered whole."""
         with self._lock:
             pool = self._pools[address]
-            pool.idle.append(_Idle(connection, time.monotonic()))
+            pool.idle.append(_IdleConnection(connection, time.monotonic()))
 
     def count_closed(self, address: str) -> None:
         """Notes that a connection no longer exists."""
