--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -29,13 +29,13 @@
     """
 
     deadline_s = 0.0
-    received = False
+    has_received_data = False
     ended = False
 
     def set_deadline(self, remaining_ms: int) -> None:
         """Sets the deadline, counted from now."""
         self.deadline_s = time.monotonic() + remaining_ms / 1_000
-        self.received = False
+        self.has_received_data = False
 
     def recv_into(self, *arguments: Any) -> int:
         """Reads what is there, waiting no longer than the deadline."""
@@ -47,7 +47,7 @@
         if count == 0:
             self.ended = True
         else:
-            self.received = True
+            self.has_received_data = True
         return count
 
 
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -84,7 +84,7 @@
     def abandon(self) -> None:
         """Stops waiting; the end of the request is still watched for."""
         lease = self._lease
-        if lease.deadline_socket.received:
+        if lease.deadline_socket.has_received_data:
             lease.close()
             self._hold()
             return
