--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -30,7 +30,7 @@
 
     deadline_s = 0.0
     has_received_data = False
-    ended = False
+    at_eof = False
 
     def set_deadline(self, remaining_ms: int) -> None:
         """Sets the deadline, counted from now."""
@@ -45,7 +45,7 @@
         self.settimeout(remaining_s)
         count = super().recv_into(*arguments)
         if count == 0:
-            self.ended = True
+            self.at_eof = True
         else:
             self.has_received_data = True
         return count
