--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -46,7 +46,7 @@
         self._lease = lease
         self._request = request
         self._limits = limits
-        self._ended = ended
+        self._on_ended = ended
 
     def fileno(self) -> int:
         """The socket, readable as soon as the answer begins to arrive."""
@@ -78,7 +78,7 @@
                 self._hold()
             case _:
                 self._lease.release(reusable=not _is_closing(response))
-                self._ended()
+                self._on_ended()
         return outcome
 
     def abandon(self) -> None:
@@ -93,7 +93,7 @@
         self._late.watch(
             watched,
             self._limits.hold_until_ms,
-            _both(lease.mark_closed, self._ended),
+            _both(lease.mark_closed, self._on_ended),
         )
 
     def _lost(self, loss: exchange.Loss, detail: str) -> exchange.TryResult:
@@ -102,7 +102,7 @@
         return result.Err(exchange.LostAfterSend(loss, detail))
 
     def _hold(self) -> None:
-        self._late.watch(None, self._limits.hold_until_ms, self._ended)
+        self._late.watch(None, self._limits.hold_until_ms, self._on_ended)
 
     def _loss_of(self, error: Exception) -> exchange.Loss:
         if isinstance(error, http.client.RemoteDisconnected):
