--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -65,14 +65,14 @@
         address: str,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        ended: Callable[[], None] = _ignore,
+        on_ended: Callable[[], None] = _ignore,
     ) -> exchange.TryResult:
         """Sends a request and waits for its whole answer.
 
-        `ended` is called once, when the endpoint no longer runs the request:
+        `on_ended` is called once, when the endpoint no longer runs the request:
         before this returns if that is known, else later from a thread.
         """
-        match self.begin(address, request, limits, ended):
+        match self.begin(address, request, limits, on_ended):
             case result.Ok(pending):
                 return pending.finish()
             case result.Err(error):
@@ -83,20 +83,20 @@
         address: str,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        ended: Callable[[], None] = _ignore,
+        on_ended: Callable[[], None] = _ignore,
     ) -> result.Result[pending_answer.PendingAnswer, exchange.EndpointError]:
         """Sends a request; the answer is read from the `PendingAnswer`."""
         match self._connect(address, request, limits):
             case result.Ok(lease):
                 pass
             case result.Err(not_sent):
-                ended()
+                on_ended()
                 return result.Err(not_sent)
         now_ms = self._clock.monotonic_ms()
         late = _lateness(limits, now_ms)
         if late is not None:
             lease.release(reusable=True)
-            ended()
+            on_ended()
             return result.Err(late)
         remaining_ms = limits.deadline_ms - now_ms
         lease.deadline_socket.set_deadline(remaining_ms)
@@ -105,19 +105,19 @@
         except ValueError as error:
             # Raised while headers are checked, before the first byte.
             lease.close()
-            ended()
+            on_ended()
             return result.Err(
                 exchange.NotSent(exchange.SendFailure.BAD_REQUEST, str(error))
             )
         except (OSError, http.client.HTTPException) as error:
             lease.close()
-            self._late.watch(None, limits.hold_until_ms, ended)
+            self._late.watch(None, limits.hold_until_ms, on_ended)
             return result.Err(
                 exchange.LostAfterSend(_loss_in_write(error), repr(error))
             )
         return result.Ok(
             pending_answer.PendingAnswer(
-                self._late, lease, request, limits, ended
+                self._late, lease, request, limits, on_ended
             )
         )
 
--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -38,7 +38,7 @@
     """One abandoned request; `connection` is None once it is closed."""
 
     connection: socket.socket | None
-    ended: Callable[[], None]
+    on_ended: Callable[[], None]
     done: bool = False
 
 
@@ -85,14 +85,14 @@
         self,
         connection: socket.socket | None,
         hold_until_ms: int,
-        ended: Callable[[], None],
+        on_ended: Callable[[], None],
     ) -> None:
-        """Calls `ended` once, when the request has or must have ended.
+        """Calls `on_ended` once, when the request has or must have ended.
 
         Owns `connection` from now on and closes it; None means that it is
         closed already and only `hold_until_ms`, a monotonic time, tells.
         """
-        watched = _Watched(connection, ended)
+        watched = _Watched(connection, on_ended)
         with self._lock:
             self._push(hold_until_ms, watched)
             if connection is not None:
@@ -186,7 +186,7 @@
             return
         watched.done = True
         try:
-            watched.ended()
+            watched.on_ended()
         except Exception:
             _log.exception("end-of-request-failed")
 
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -40,13 +40,13 @@
         lease: connection_pool.Lease,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        ended: Callable[[], None],
+        on_ended: Callable[[], None],
     ) -> None:
         self._late = late
         self._lease = lease
         self._request = request
         self._limits = limits
-        self._on_ended = ended
+        self._on_ended = on_ended
 
     def fileno(self) -> int:
         """The socket, readable as soon as the answer begins to arrive."""
@@ -107,7 +107,7 @@
     def _loss_of(self, error: Exception) -> exchange.Loss:
         if isinstance(error, http.client.RemoteDisconnected):
             return exchange.Loss.RESET
-        if self._lease.deadline_socket.ended:
+        if self._lease.deadline_socket.on_ended:
             return exchange.Loss.TRUNCATED
         if isinstance(error, urllib3_exceptions.ProtocolError):
             return exchange.Loss.RESET
@@ -130,7 +130,7 @@
             )
         body = _read_body(response)
         # Cut short within its headers, an answer may look whole.
-        if self._lease.deadline_socket.ended:
+        if self._lease.deadline_socket.on_ended:
             return result.Err(
                 exchange.LostAfterSend(
                     exchange.Loss.TRUNCATED, "the answer was cut short"
