--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -45,7 +45,7 @@
         self._connect_timeout_ms = connect_timeout_ms
         self._pools = connection_pool.ConnectionPools()
         self._clock = clock or clock_port.SystemClock()
-        self._late = late_answers.LateAnswers(self._clock)
+        self._late = late_answers.LateAnswerWatcher(self._clock)
 
     def __enter__(self) -> Self:
         self._late.__enter__()
--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -43,7 +43,7 @@
 
 
 @final
-class LateAnswers:
+class LateAnswerWatcher:
     """One thread that waits for the ends of abandoned requests."""
 
     def __init__(self, clock: clock_port.Clock) -> None:
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        late: late_answers.LateAnswers,
+        late: late_answers.LateAnswerWatcher,
         lease: connection_pool.Lease,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
--- a/tests/connection/test_late_answers.py
+++ b/tests/connection/test_late_answers.py
@@ -21,7 +21,9 @@
     def setUp(self) -> None:
         super().setUp()
         self.clock = clock_port.SystemClock()
-        self.late = self.enterContext(late_answers.LateAnswers(self.clock))
+        self.late = self.enterContext(
+            late_answers.LateAnswerWatcher(self.clock)
+        )
         self.ours, self.endpoint = socket.socketpair()
         self.addCleanup(self.endpoint.close)
         self.ended = threading.Event()
