--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -45,10 +45,10 @@
         self._connect_timeout_ms = connect_timeout_ms
         self._pools = connection_pool.ConnectionPools()
         self._clock = clock or clock_port.SystemClock()
-        self._late = late_answers.LateAnswerWatcher(self._clock)
+        self._watcher = late_answers.LateAnswerWatcher(self._clock)
 
     def __enter__(self) -> Self:
-        self._late.__enter__()
+        self._watcher.__enter__()
         return self
 
     def __exit__(
@@ -57,7 +57,7 @@
         exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._late.__exit__(exception_type, exception, traceback)
+        self._watcher.__exit__(exception_type, exception, traceback)
         self._pools.close()
 
     def send(
@@ -111,13 +111,13 @@
             )
         except (OSError, http.client.HTTPException) as error:
             lease.close()
-            self._late.watch(None, limits.hold_until_ms, on_ended)
+            self._watcher.watch(None, limits.hold_until_ms, on_ended)
             return result.Err(
                 exchange.LostAfterSend(_loss_in_write(error), repr(error))
             )
         return result.Ok(
             pending_answer.PendingAnswer(
-                self._late, lease, request, limits, on_ended
+                self._watcher, lease, request, limits, on_ended
             )
         )
 
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -42,7 +42,7 @@
         limits: exchange.TryLimits,
         on_ended: Callable[[], None],
     ) -> None:
-        self._late = late
+        self._watcher = late
         self._lease = lease
         self._request = request
         self._limits = limits
@@ -90,7 +90,7 @@
             return
         # The socket now belongs to the watcher, which closes it.
         watched = lease.detach_socket()
-        self._late.watch(
+        self._watcher.watch(
             watched,
             self._limits.hold_until_ms,
             _both(lease.mark_closed, self._on_ended),
@@ -102,7 +102,7 @@
         return result.Err(exchange.LostAfterSend(loss, detail))
 
     def _hold(self) -> None:
-        self._late.watch(None, self._limits.hold_until_ms, self._on_ended)
+        self._watcher.watch(None, self._limits.hold_until_ms, self._on_ended)
 
     def _loss_of(self, error: Exception) -> exchange.Loss:
         if isinstance(error, http.client.RemoteDisconnected):
