--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -18,7 +18,7 @@
 from comfreylatch._connection import late_answers
 
 MAX_ANSWER_BYTES = 64 * 1_024 * 1_024
-READ_BYTES = 65_536
+READ_CHUNK_BYTES = 65_536
 NOT_RUN = "not-run"
 
 _BODILESS_STATUSES = frozenset({204, 304})
@@ -188,7 +188,7 @@
         return response.read(decode_content=False)
     parts: list[bytes] = []
     total = 0
-    while part := response.read(READ_BYTES, decode_content=False):
+    while part := response.read(READ_CHUNK_BYTES, decode_content=False):
         parts.append(part)
         total += len(part)
         if total > MAX_ANSWER_BYTES:
