--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -19,7 +19,7 @@
 
 MAX_ANSWER_BYTES = 64 * 1_024 * 1_024
 READ_CHUNK_BYTES = 65_536
-NOT_RUN = "not-run"
+OUTCOME_NOT_RUN = "not-run"
 
 _BODILESS_STATUSES = frozenset({204, 304})
 
@@ -157,7 +157,8 @@
         closing = _is_closing(response)
         if (
             response.status == http.client.SERVICE_UNAVAILABLE
-            and response.headers.get(endpoint_headers.OUTCOME_HEADER) == NOT_RUN
+            and response.headers.get(endpoint_headers.OUTCOME_HEADER)
+            == OUTCOME_NOT_RUN
         ):
             return result.Err(
                 exchange.DeclinedByEndpoint(
