--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -26,7 +26,7 @@
 _log = logbook.Logger("comfreylatch.pending-answer")
 
 
-class _TooLongError(Exception):
+class _AnswerTooLongError(Exception):
     """The answer is longer than `MAX_ANSWER_BYTES`."""
 
 
@@ -62,7 +62,7 @@
             return result.Err(
                 exchange.LostAfterSend(exchange.Loss.TIMED_OUT, repr(error))
             )
-        except (http.client.IncompleteRead, _TooLongError) as error:
+        except (http.client.IncompleteRead, _AnswerTooLongError) as error:
             return self._lost(exchange.Loss.TRUNCATED, repr(error))
         except (urllib3_exceptions.HTTPError, http.client.HTTPException) as e:
             return self._lost(self._loss_of(e), repr(e))
@@ -185,7 +185,7 @@
     remaining = response.length_remaining
     if remaining is not None:
         if remaining > MAX_ANSWER_BYTES:
-            raise _TooLongError(f"the answer has {remaining} bytes")
+            raise _AnswerTooLongError(f"the answer has {remaining} bytes")
         return response.read(decode_content=False)
     parts: list[bytes] = []
     total = 0
@@ -193,7 +193,7 @@
         parts.append(part)
         total += len(part)
         if total > MAX_ANSWER_BYTES:
-            raise _TooLongError(f"the answer has over {total} bytes")
+            raise _AnswerTooLongError(f"the answer has over {total} bytes")
     return b"".join(parts)
 
 
