--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -75,7 +75,7 @@
         match outcome:
             case result.Err(exchange.LostAfterSend()):
                 self._lease.close()
-                self._hold()
+                self._watch_closed()
             case _:
                 self._lease.release(reusable=not _is_closing(response))
                 self._on_ended()
@@ -86,7 +86,7 @@
         lease = self._lease
         if lease.deadline_socket.has_received_data:
             lease.close()
-            self._hold()
+            self._watch_closed()
             return
         # The socket now belongs to the watcher, which closes it.
         watched = lease.detach_socket()
@@ -98,10 +98,10 @@
 
     def _lost(self, loss: exchange.Loss, detail: str) -> exchange.TryResult:
         self._lease.close()
-        self._hold()
+        self._watch_closed()
         return result.Err(exchange.LostAfterSend(loss, detail))
 
-    def _hold(self) -> None:
+    def _watch_closed(self) -> None:
         self._watcher.watch(None, self._limits.hold_until_ms, self._on_ended)
 
     def _loss_of(self, error: Exception) -> exchange.Loss:
