--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -63,15 +63,15 @@
                 exchange.LostAfterSend(exchange.Loss.TIMED_OUT, repr(error))
             )
         except (http.client.IncompleteRead, _AnswerTooLongError) as error:
-            return self._lost(exchange.Loss.TRUNCATED, repr(error))
+            return self._fail_lost(exchange.Loss.TRUNCATED, repr(error))
         except (urllib3_exceptions.HTTPError, http.client.HTTPException) as e:
-            return self._lost(self._loss_of(e), repr(e))
+            return self._fail_lost(self._loss_of(e), repr(e))
         except OSError as error:
-            return self._lost(exchange.Loss.RESET, repr(error))
+            return self._fail_lost(exchange.Loss.RESET, repr(error))
         except Exception as error:
             # Whatever a faulty answer does to the library, it is lost.
             _log.exception("answer-unreadable id={}", self._request.request_id)
-            return self._lost(exchange.Loss.MALFORMED, repr(error))
+            return self._fail_lost(exchange.Loss.MALFORMED, repr(error))
         match outcome:
             case result.Err(exchange.LostAfterSend()):
                 self._lease.close()
@@ -96,7 +96,9 @@
             _both(lease.mark_closed, self._on_ended),
         )
 
-    def _lost(self, loss: exchange.Loss, detail: str) -> exchange.TryResult:
+    def _fail_lost(
+        self, loss: exchange.Loss, detail: str
+    ) -> exchange.TryResult:
         self._lease.close()
         self._watch_closed()
         return result.Err(exchange.LostAfterSend(loss, detail))
