--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -65,7 +65,7 @@
         except (http.client.IncompleteRead, _AnswerTooLongError) as error:
             return self._fail_lost(exchange.Loss.TRUNCATED, repr(error))
         except (urllib3_exceptions.HTTPError, http.client.HTTPException) as e:
-            return self._fail_lost(self._loss_of(e), repr(e))
+            return self._fail_lost(self._classify_loss(e), repr(e))
         except OSError as error:
             return self._fail_lost(exchange.Loss.RESET, repr(error))
         except Exception as error:
@@ -106,7 +106,7 @@
     def _watch_closed(self) -> None:
         self._watcher.watch(None, self._limits.hold_until_ms, self._on_ended)
 
-    def _loss_of(self, error: Exception) -> exchange.Loss:
+    def _classify_loss(self, error: Exception) -> exchange.Loss:
         if isinstance(error, http.client.RemoteDisconnected):
             return exchange.Loss.RESET
         if self._lease.deadline_socket.on_ended:
