--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -145,9 +145,9 @@
                     f"status {response.status}",
                 )
             )
-        return self._checked(response, body)
+        return self._check_answer(response, body)
 
-    def _checked(
+    def _check_answer(
         self, response: urllib3_response.HTTPResponse, body: bytes
     ) -> exchange.TryResult:
         answered_id = response.headers.get(endpoint_headers.ID_HEADER, "")
