--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -93,7 +93,7 @@
         self._watcher.watch(
             watched,
             self._limits.hold_until_ms,
-            _both(lease.mark_closed, self._on_ended),
+            _call_both(lease.mark_closed, self._on_ended),
         )
 
     def _fail_lost(
@@ -199,7 +199,7 @@
     return b"".join(parts)
 
 
-def _both(
+def _call_both(
     first: Callable[[], None], second: Callable[[], None]
 ) -> Callable[[], None]:
     def run() -> None:
