--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -26,7 +26,7 @@
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     return
 
 
@@ -65,7 +65,7 @@
         address: str,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        on_ended: Callable[[], None] = _ignore,
+        on_ended: Callable[[], None] = _do_nothing,
     ) -> exchange.TryResult:
         """Sends a request and waits for its whole answer.
 
@@ -83,7 +83,7 @@
         address: str,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        on_ended: Callable[[], None] = _ignore,
+        on_ended: Callable[[], None] = _do_nothing,
     ) -> result.Result[pending_answer.PendingAnswer, exchange.EndpointError]:
         """Sends a request; the answer is read from the `PendingAnswer`."""
         match self._connect(address, request, limits):
