--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -93,7 +93,7 @@
                 on_ended()
                 return result.Err(not_sent)
         now_ms = self._clock.monotonic_ms()
-        late = _lateness(limits, now_ms)
+        late = _check_send_time(limits, now_ms)
         if late is not None:
             lease.release(reusable=True)
             on_ended()
@@ -196,7 +196,7 @@
     return result.Ok(lease)
 
 
-def _lateness(
+def _check_send_time(
     limits: exchange.TryLimits, now_ms: int
 ) -> exchange.NotSent | None:
     """Why it is too late to send, if it is.
