--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -113,7 +113,9 @@
             lease.close()
             self._watcher.watch(None, limits.hold_until_ms, on_ended)
             return result.Err(
-                exchange.LostAfterSend(_loss_in_write(error), repr(error))
+                exchange.LostAfterSend(
+                    _classify_write_error(error), repr(error)
+                )
             )
         return result.Ok(
             pending_answer.PendingAnswer(
@@ -224,7 +226,7 @@
     return exchange.SendFailure.CONNECT_FAILED
 
 
-def _loss_in_write(error: Exception) -> exchange.Loss:
+def _classify_write_error(error: Exception) -> exchange.Loss:
     return (
         exchange.Loss.TIMED_OUT
         if isinstance(error, TimeoutError)
