--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(eq=False)
-class _Watched:
+class _AbandonedRequest:
     """One abandoned request; `connection` is None once it is closed."""
 
     connection: socket.socket | None
@@ -50,7 +50,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._selector = selectors.DefaultSelector()
-        self._due: list[tuple[int, int, _Watched]] = []
+        self._due: list[tuple[int, int, _AbandonedRequest]] = []
         self._sequence = itertools.count()
         self._wake_read, self._wake_write = os.pipe()
         os.set_blocking(self._wake_read, False)
@@ -92,7 +92,7 @@
         Owns `connection` from now on and closes it; None means that it is
         closed already and only `hold_until_ms`, a monotonic time, tells.
         """
-        watched = _Watched(connection, on_ended)
+        watched = _AbandonedRequest(connection, on_ended)
         with self._lock:
             self._push(hold_until_ms, watched)
             if connection is not None:
@@ -108,7 +108,7 @@
         with self._lock:
             return sum(not watched.done for _, _, watched in self._due)
 
-    def _push(self, due_ms: int, watched: _Watched) -> None:
+    def _push(self, due_ms: int, watched: _AbandonedRequest) -> None:
         heapq.heappush(self._due, (due_ms, next(self._sequence), watched))
 
     def _wake(self) -> None:
@@ -142,7 +142,7 @@
         except BlockingIOError:
             pass
 
-    def _on_readable(self, watched: _Watched) -> None:
+    def _on_readable(self, watched: _AbandonedRequest) -> None:
         answered = self._has_answer(watched.connection)
         self._close(watched)
         # A closed connection doesn't tell that the request has ended.
@@ -161,7 +161,7 @@
 
     def _end_due(self) -> None:
         now_ms = self._clock.monotonic_ms()
-        over: list[_Watched] = []
+        over: list[_AbandonedRequest] = []
         with self._lock:
             while self._due and self._due[0][0] <= now_ms:
                 watched = heapq.heappop(self._due)[2]
@@ -172,7 +172,7 @@
         for watched in over:
             self._end(watched)
 
-    def _close(self, watched: _Watched) -> None:
+    def _close(self, watched: _AbandonedRequest) -> None:
         connection = watched.connection
         if connection is None:
             return
@@ -181,7 +181,7 @@
             self._selector.unregister(connection)
         connection.close()
 
-    def _end(self, watched: _Watched) -> None:
+    def _end(self, watched: _AbandonedRequest) -> None:
         if watched.done:
             return
         watched.done = True
