--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -25,7 +25,7 @@
 from comfreylatch._ports import clock as clock_port
 
 MAX_WAIT_S = 1.0
-RECHECK_MS = 1_000
+RECHECK_INTERVAL_MS = 1_000
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
@@ -168,7 +168,7 @@
                 if watched.connection is None:
                     over.append(watched)
                 else:
-                    self._push(now_ms + RECHECK_MS, watched)
+                    self._push(now_ms + RECHECK_INTERVAL_MS, watched)
         for watched in over:
             self._end(watched)
 
