--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -50,7 +50,7 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._selector = selectors.DefaultSelector()
-        self._due: list[tuple[int, int, _AbandonedRequest]] = []
+        self._queue: list[tuple[int, int, _AbandonedRequest]] = []
         self._sequence = itertools.count()
         self._wake_read, self._wake_write = os.pipe()
         os.set_blocking(self._wake_read, False)
@@ -106,10 +106,10 @@
     def watched_count(self) -> int:
         """Abandoned requests that may still be running."""
         with self._lock:
-            return sum(not watched.done for _, _, watched in self._due)
+            return sum(not watched.done for _, _, watched in self._queue)
 
     def _push(self, due_ms: int, watched: _AbandonedRequest) -> None:
-        heapq.heappush(self._due, (due_ms, next(self._sequence), watched))
+        heapq.heappush(self._queue, (due_ms, next(self._sequence), watched))
 
     def _wake(self) -> None:
         try:
@@ -128,11 +128,11 @@
 
     def _next_wait_s(self) -> float:
         with self._lock:
-            while self._due and self._due[0][2].done:
-                heapq.heappop(self._due)
-            if not self._due:
+            while self._queue and self._queue[0][2].done:
+                heapq.heappop(self._queue)
+            if not self._queue:
                 return MAX_WAIT_S
-            wait_ms = self._due[0][0] - self._clock.monotonic_ms()
+            wait_ms = self._queue[0][0] - self._clock.monotonic_ms()
         return min(max(wait_ms, 1) / 1_000, MAX_WAIT_S)
 
     def _drain_wakes(self) -> None:
@@ -163,8 +163,8 @@
         now_ms = self._clock.monotonic_ms()
         over: list[_AbandonedRequest] = []
         with self._lock:
-            while self._due and self._due[0][0] <= now_ms:
-                watched = heapq.heappop(self._due)[2]
+            while self._queue and self._queue[0][0] <= now_ms:
+                watched = heapq.heappop(self._queue)[2]
                 if watched.connection is None:
                     over.append(watched)
                 else:
