--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -147,7 +147,7 @@
         self._close(watched)
         # A closed connection doesn't tell that the request has ended.
         if answered:
-            self._end(watched)
+            self._notify_ended(watched)
 
     @staticmethod
     def _has_answer(connection: socket.socket | None) -> bool:
@@ -170,7 +170,7 @@
                 else:
                     self._push(now_ms + RECHECK_INTERVAL_MS, watched)
         for watched in over:
-            self._end(watched)
+            self._notify_ended(watched)
 
     def _close(self, watched: _AbandonedRequest) -> None:
         connection = watched.connection
@@ -181,7 +181,7 @@
             self._selector.unregister(connection)
         connection.close()
 
-    def _end(self, watched: _AbandonedRequest) -> None:
+    def _notify_ended(self, watched: _AbandonedRequest) -> None:
         if watched.done:
             return
         watched.done = True
