--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -96,7 +96,7 @@
         with self._lock:
             self._push(hold_until_ms, watched)
             if connection is not None:
-                _keep_alive(connection)
+                _enable_keepalive(connection)
                 self._selector.register(
                     connection, selectors.EVENT_READ, watched
                 )
@@ -191,7 +191,7 @@
             _log.exception("end-of-request-failed")
 
 
-def _keep_alive(connection: socket.socket) -> None:
+def _enable_keepalive(connection: socket.socket) -> None:
     """Has the kernel find out when the endpoint's host is gone."""
     tcp = socket.IPPROTO_TCP
     try:
