--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -124,7 +124,7 @@
                     self._drain_wakes()
                 else:
                     self._on_readable(key.data)
-            self._end_due()
+            self._process_due()
 
     def _next_wait_s(self) -> float:
         with self._lock:
@@ -159,7 +159,7 @@
         except OSError:
             return False
 
-    def _end_due(self) -> None:
+    def _process_due(self) -> None:
         now_ms = self._clock.monotonic_ms()
         over: list[_AbandonedRequest] = []
         with self._lock:
