--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -22,7 +22,7 @@
 IDLE_TIMEOUT_MS = 10_000
 KEPT_CONNECTIONS = 2_048
 LISTEN_BACKLOG = 512
-QUIET_MS = 150
+QUIET_PERIOD_MS = 150
 MAX_ARRIVAL_MS = 2_000
 POLL_INTERVAL_S = 0.05
 ACCEPT_WAIT_S = 0.2
@@ -135,7 +135,7 @@
         state.last_arrival_ms = started_ms
         while True:
             now_ms = state.clock.monotonic_ms()
-            if now_ms - state.last_arrival_ms >= QUIET_MS:
+            if now_ms - state.last_arrival_ms >= QUIET_PERIOD_MS:
                 return
             if now_ms - started_ms >= MAX_ARRIVAL_MS:
                 return
