--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -23,7 +23,7 @@
 KEPT_CONNECTIONS = 2_048
 LISTEN_BACKLOG = 512
 QUIET_PERIOD_MS = 150
-MAX_ARRIVAL_MS = 2_000
+MAX_ARRIVAL_WAIT_MS = 2_000
 POLL_INTERVAL_S = 0.05
 ACCEPT_WAIT_S = 0.2
 # Not negative: connections accepted meanwhile get it as their timeout.
@@ -137,7 +137,7 @@
             now_ms = state.clock.monotonic_ms()
             if now_ms - state.last_arrival_ms >= QUIET_PERIOD_MS:
                 return
-            if now_ms - started_ms >= MAX_ARRIVAL_MS:
+            if now_ms - started_ms >= MAX_ARRIVAL_WAIT_MS:
                 return
             time.sleep(POLL_INTERVAL_S)
 
