--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -20,7 +20,7 @@
 
 MAX_HEADER_BYTES = 32_768
 IDLE_TIMEOUT_MS = 10_000
-KEPT_CONNECTIONS = 2_048
+MAX_KEEPALIVE_CONNECTIONS = 2_048
 LISTEN_BACKLOG = 512
 QUIET_PERIOD_MS = 150
 MAX_ARRIVAL_WAIT_MS = 2_000
@@ -211,7 +211,7 @@
 
     ConnectionClass = _Connection
     request_queue_size = LISTEN_BACKLOG
-    keep_alive_conn_limit = KEPT_CONNECTIONS
+    keep_alive_conn_limit = MAX_KEEPALIVE_CONNECTIONS
     expiration_interval = ACCEPT_WAIT_S
     state: http_gateway.ServingState
 
