--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -25,7 +25,7 @@
 QUIET_PERIOD_MS = 150
 MAX_ARRIVAL_WAIT_MS = 2_000
 POLL_INTERVAL_S = 0.05
-ACCEPT_WAIT_S = 0.2
+EXPIRATION_INTERVAL_S = 0.2
 # Not negative: connections accepted meanwhile get it as their timeout.
 EXPIRE_AT_ONCE_S = 0.001
 
@@ -149,7 +149,7 @@
         last looked, with the requests that came in between.
         """
         self._server.timeout = EXPIRE_AT_ONCE_S
-        time.sleep(2 * ACCEPT_WAIT_S)
+        time.sleep(2 * EXPIRATION_INTERVAL_S)
         self._state.wait_no_open_requests(IDLE_TIMEOUT_MS)
 
     def drain(self, timeout_ms: int) -> bool:
@@ -212,7 +212,7 @@
     ConnectionClass = _Connection
     request_queue_size = LISTEN_BACKLOG
     keep_alive_conn_limit = MAX_KEEPALIVE_CONNECTIONS
-    expiration_interval = ACCEPT_WAIT_S
+    expiration_interval = EXPIRATION_INTERVAL_S
     state: http_gateway.ServingState
 
     def process_conn(self, conn: _Connection) -> None:
