--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -27,7 +27,7 @@
 POLL_INTERVAL_S = 0.05
 EXPIRATION_INTERVAL_S = 0.2
 # Not negative: connections accepted meanwhile get it as their timeout.
-EXPIRE_AT_ONCE_S = 0.001
+IMMEDIATE_EXPIRY_S = 0.001
 
 
 _log = logbook.Logger("comfreylatch.http-server")
@@ -148,7 +148,7 @@
         Stopping the server closes them too, but up to half a second after it
         last looked, with the requests that came in between.
         """
-        self._server.timeout = EXPIRE_AT_ONCE_S
+        self._server.timeout = IMMEDIATE_EXPIRY_S
         time.sleep(2 * EXPIRATION_INTERVAL_S)
         self._state.wait_no_open_requests(IDLE_TIMEOUT_MS)
 
