--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -124,7 +124,7 @@
         """Ends each connection with its next reply; still serves all."""
         self._state.closing = True
 
-    def _wait_no_arrivals(self) -> None:
+    def _wait_until_no_arrivals(self) -> None:
         """Waits until callers have stopped coming, for a bounded time.
 
         Who sent before they could know of the stop gets an answer: closing
@@ -162,10 +162,10 @@
             return True
         self._stopped = True
         self._state.draining = True
-        self._wait_no_arrivals()
+        self._wait_until_no_arrivals()
         if not listener.stop_new_connections(self._server.socket):
             _log.warning("can't-stop-new-connections address={}", self.address)
-        self._wait_no_arrivals()
+        self._wait_until_no_arrivals()
         finished = self._state.wait_no_open_requests(timeout_ms)
         self._close_idle_connections()
         self._server.shutdown_timeout = 1 if finished else POLL_INTERVAL_S
