--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -61,7 +61,7 @@
             if self.open_requests == 0:
                 self._changed.notify_all()
 
-    def wait_no_open_requests(self, timeout_ms: int) -> bool:
+    def wait_until_idle(self, timeout_ms: int) -> bool:
         with self._changed:
             return self._changed.wait_for(
                 lambda: self.open_requests == 0, timeout_ms / 1_000
--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -150,7 +150,7 @@
         """
         self._server.timeout = IMMEDIATE_EXPIRY_S
         time.sleep(2 * EXPIRATION_INTERVAL_S)
-        self._state.wait_no_open_requests(IDLE_TIMEOUT_MS)
+        self._state.wait_until_idle(IDLE_TIMEOUT_MS)
 
     def drain(self, timeout_ms: int) -> bool:
         """Stops taking requests, answers those in progress, then stops.
@@ -166,7 +166,7 @@
         if not listener.stop_new_connections(self._server.socket):
             _log.warning("can't-stop-new-connections address={}", self.address)
         self._wait_until_no_arrivals()
-        finished = self._state.wait_no_open_requests(timeout_ms)
+        finished = self._state.wait_until_idle(timeout_ms)
         self._close_idle_connections()
         self._server.shutdown_timeout = 1 if finished else POLL_INTERVAL_S
         stopper = threading.Thread(
