--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -38,7 +38,7 @@
 
 
 @final
-class ServingState:
+class ServerState:
     """What the gateway needs of its server, and how many requests are open."""
 
     def __init__(self, handler: http.Handler, clock: clock_port.Clock) -> None:
@@ -170,7 +170,7 @@
         return result.Ok(body)
 
     def _handle(
-        self, state: ServingState, request: http.HttpRequest
+        self, state: ServerState, request: http.HttpRequest
     ) -> http.HttpReply:
         try:
             return state.handler(request)
--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -64,7 +64,7 @@
             case result.Err(bad):
                 raise ServerStartError(bad.detail)
         self.address = address
-        self._state = http_gateway.ServingState(
+        self._state = http_gateway.ServerState(
             handler, clock or clock_port.SystemClock()
         )
         self._server = _Server(
@@ -213,7 +213,7 @@
     request_queue_size = LISTEN_BACKLOG
     keep_alive_conn_limit = MAX_KEEPALIVE_CONNECTIONS
     expiration_interval = EXPIRATION_INTERVAL_S
-    state: http_gateway.ServingState
+    state: http_gateway.ServerState
 
     def process_conn(self, conn: _Connection) -> None:
         """Queues a readable connection; a new one waits until it is."""
