--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -80,7 +80,7 @@
             # under a caller that is still sending, and be lost with it.
             self._read_body()
             self.req.close_connection = True
-            self._send(self._identified(_stopping_reply()))
+            self._send(self._with_request_id(_stopping_reply()))
             return
         with state:
             match self._read_body():
@@ -88,12 +88,12 @@
                     reply = self._handle(state, self._request(body))
                 case result.Err(bad):
                     self.req.close_connection = True
-                    reply = self._identified(_bad_body_reply(bad))
+                    reply = self._with_request_id(_bad_body_reply(bad))
             if state.draining or state.closing:
                 self.req.close_connection = True
             self._send(reply)
 
-    def _identified(self, reply: http.HttpReply) -> http.HttpReply:
+    def _with_request_id(self, reply: http.HttpReply) -> http.HttpReply:
         """The reply with the id that the caller gave its request, if any."""
         request_id = self.req.inheaders.get(b"X-Request-Id")
         if request_id is None:
