--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class _BadBody:
+class _BodyError:
     """The body can't be taken; `status` is the HTTP status that says so."""
 
     status: int
@@ -123,7 +123,7 @@
             received_ms=req.conn.arrived_ms,
         )
 
-    def _read_body(self) -> result.Result[bytes, _BadBody]:
+    def _read_body(self) -> result.Result[bytes, _BodyError]:
         headers = self.req.inheaders
         length_text = headers.get(b"Content-Length")
         try:
@@ -133,28 +133,28 @@
                 return result.Ok(b"")
             if not _CONTENT_LENGTH.fullmatch(length_text):
                 return result.Err(
-                    _BadBody(400, "bad-request", "bad Content-Length")
+                    _BodyError(400, "bad-request", "bad Content-Length")
                 )
             return self._read_known(int(length_text))
         except TimeoutError:
             return result.Err(
-                _BadBody(408, "bad-request", "the body came too slowly")
+                _BodyError(408, "bad-request", "the body came too slowly")
             )
 
-    def _read_known(self, length: int) -> result.Result[bytes, _BadBody]:
+    def _read_known(self, length: int) -> result.Result[bytes, _BodyError]:
         body = self.req.rfile.read(length) if length else b""
         if len(body) < length:
             detail = f"the body ended after {len(body)} of {length} bytes"
-            return result.Err(_BadBody(400, "bad-request", detail))
+            return result.Err(_BodyError(400, "bad-request", detail))
         return result.Ok(body)
 
     def _read_chunked(
         self, length_text: bytes | None
-    ) -> result.Result[bytes, _BadBody]:
+    ) -> result.Result[bytes, _BodyError]:
         if length_text is not None:
             detail = "both Content-Length and Transfer-Encoding given"
-            return result.Err(_BadBody(400, "bad-request", detail))
-        too_long = _BadBody(413, "body-too-long", "the body is too long")
+            return result.Err(_BodyError(400, "bad-request", detail))
+        too_long = _BodyError(413, "body-too-long", "the body is too long")
         try:
             body = self.req.rfile.read()
             for _ in self.req.rfile.read_trailer_lines():
@@ -162,7 +162,7 @@
         except cheroot_errors.MaxSizeExceeded:
             return result.Err(too_long)
         except ValueError as error:
-            return result.Err(_BadBody(400, "bad-request", str(error)))
+            return result.Err(_BodyError(400, "bad-request", str(error)))
         except TimeoutError:
             raise
         except OSError:
@@ -239,7 +239,7 @@
     )
 
 
-def _bad_body_reply(bad: _BadBody) -> http.HttpReply:
+def _bad_body_reply(bad: _BodyError) -> http.HttpReply:
     reply = http.error_reply(bad.status, bad.reason, bad.detail)
     return attrs.evolve(
         reply, headers={**reply.headers, "X-Outcome": "not-run"}
