--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -135,13 +135,15 @@
                 return result.Err(
                     _BodyError(400, "bad-request", "bad Content-Length")
                 )
-            return self._read_known(int(length_text))
+            return self._read_fixed_length(int(length_text))
         except TimeoutError:
             return result.Err(
                 _BodyError(408, "bad-request", "the body came too slowly")
             )
 
-    def _read_known(self, length: int) -> result.Result[bytes, _BodyError]:
+    def _read_fixed_length(
+        self, length: int
+    ) -> result.Result[bytes, _BodyError]:
         body = self.req.rfile.read(length) if length else b""
         if len(body) < length:
             detail = f"the body ended after {len(body)} of {length} bytes"
