--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -19,7 +19,7 @@
 from comfreylatch._connection import http
 from comfreylatch._ports import clock as clock_port
 
-RETRY_AFTER_STOP_MS = 1_000
+STOPPING_RETRY_AFTER_MS = 1_000
 
 _CONTENT_LENGTH = re.compile(rb"[0-9]{1,15}")
 _PHRASES = {status.value: status.phrase for status in http_statuses.HTTPStatus}
@@ -234,7 +234,7 @@
         503,
         "stopping",
         "this host is stopping; ask again through another one",
-        RETRY_AFTER_STOP_MS,
+        STOPPING_RETRY_AFTER_MS,
     )
     return attrs.evolve(
         reply, headers={**reply.headers, "X-Outcome": "not-run"}
