--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -16,7 +16,7 @@
 POOL_CONNECTIONS = 4
 # A peer that vanished without a reset is noticed after this long, as sent
 # bytes or probes go without an acknowledgement.
-SILENCE_MS = 2_000
+TCP_USER_TIMEOUT_MS = 2_000
 PROBE_INTERVAL_S = 1
 PROBES = 2
 # A connection takes one round trip; more means that a packet was lost or the
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_MS = 700
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS),
+    (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
