--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -17,7 +17,7 @@
 # A peer that vanished without a reset is noticed after this long, as sent
 # bytes or probes go without an acknowledgement.
 TCP_USER_TIMEOUT_MS = 2_000
-PROBE_INTERVAL_S = 1
+KEEPALIVE_INTERVAL_S = 1
 PROBES = 2
 # A connection takes one round trip; more means that a packet was lost or the
 # path is cut, and a new try is sooner than the system's repeats.
@@ -26,8 +26,8 @@
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
 )
 JSON_HEADERS = {"Content-Type": "application/json"}
