--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -18,7 +18,7 @@
 # bytes or probes go without an acknowledgement.
 TCP_USER_TIMEOUT_MS = 2_000
 KEEPALIVE_INTERVAL_S = 1
-PROBES = 2
+KEEPALIVE_PROBES = 2
 # A connection takes one round trip; more means that a packet was lost or the
 # path is cut, and a new try is sooner than the system's repeats.
 CONNECT_TIMEOUT_MS = 700
@@ -28,7 +28,7 @@
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S),
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
 )
 JSON_HEADERS = {"Content-Type": "application/json"}
 
