--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -12,7 +12,7 @@
 import urllib3
 
 MAX_ANSWER_BYTES = 64 * 1_024 * 1_024
-CHUNK_BYTES = 65_536
+READ_CHUNK_BYTES = 65_536
 POOL_CONNECTIONS = 4
 # A peer that vanished without a reset is noticed after this long, as sent
 # bytes or probes go without an acknowledgement.
@@ -122,7 +122,7 @@
 ) -> result.Result[Answer, CallError]:
     body = bytearray()
     try:
-        while chunk := response.read1(CHUNK_BYTES):
+        while chunk := response.read1(READ_CHUNK_BYTES):
             body += chunk
             if len(body) > MAX_ANSWER_BYTES or time.monotonic() > deadline:
                 response.close()
