--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -114,10 +114,10 @@
         return result.Err(NotSent(str(error)))
     except (urllib3.exceptions.HTTPError, OSError) as error:
         return result.Err(AnswerLost(str(error)))
-    return _read_whole(response, deadline)
+    return _read_answer(response, deadline)
 
 
-def _read_whole(
+def _read_answer(
     response: Any, deadline: float
 ) -> result.Result[Answer, CallError]:
     body = bytearray()
