--- a/src/comfreylatch/_connection/log_client.py
+++ b/src/comfreylatch/_connection/log_client.py
@@ -45,7 +45,7 @@
 
 
 # Statuses by which a server says that it did not take a request at all.
-_NOT_TAKEN = frozenset(
+_REJECTED_STATUSES = frozenset(
     {
         http.HTTPStatus.BAD_REQUEST,
         http.HTTPStatus.NOT_FOUND,
@@ -118,7 +118,7 @@
 def _append_result(
     answer: json_call.Answer,
 ) -> result.Result[int, log_port.AppendError]:
-    if answer.status in _NOT_TAKEN:
+    if answer.status in _REJECTED_STATUSES:
         return result.Err(log_port.LogUnavailable(f"status {answer.status}"))
     if answer.status != http.HTTPStatus.OK:
         return result.Err(log_port.LogAnswerLost(f"status {answer.status}"))
