--- a/src/comfreylatch/_connection/worker_client.py
+++ b/src/comfreylatch/_connection/worker_client.py
@@ -20,7 +20,7 @@
 MAX_REPORT_BYTES = 4_194_304
 MAX_CONNECT_TIMEOUT_MS = 500
 
-_MEMBER_BY_CLASS: dict[type, str] = {
+_COMMAND_KEY_BY_CLASS: dict[type, str] = {
     workers.StartTask: "start",
     workers.StopTask: "stop",
     workers.CheckpointTask: "checkpoint",
@@ -34,7 +34,7 @@
 def encode_exchange(exchange: workers.Exchange) -> bytes:
     """The body of an exchange as `docs/PLATFORM.md` states it."""
     commands = [
-        {_MEMBER_BY_CLASS[type(command)]: command}
+        {_COMMAND_KEY_BY_CLASS[type(command)]: command}
         for command in exchange.commands
     ]
     return _encoder.encode(
