--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -101,7 +101,7 @@
         self._socket.setTimeout(min(connect_timeout_ms, timeout_ms))
         self._socket.open()
         self._socket.setTimeout(timeout_ms)
-        peer_transport.send_at_once(self._socket)
+        peer_transport.disable_nagle(self._socket)
         self.client = Peer.Client(peer_transport.make_protocol(self._socket))
 
     def usable(self, timeout_ms: int) -> bool:
--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -96,7 +96,7 @@
         transport = TSocket.TSocket()
         transport.setHandle(connection)
         transport.setTimeout(IDLE_TIMEOUT_MS)
-        peer_transport.send_at_once(transport)
+        peer_transport.disable_nagle(transport)
         protocol = peer_transport.make_protocol(transport)
         try:
             while True:
--- a/src/comfreylatch/_connection/peer_transport.py
+++ b/src/comfreylatch/_connection/peer_transport.py
@@ -29,6 +29,6 @@
     )
 
 
-def send_at_once(transport: TSocket.TSocket) -> None:
+def disable_nagle(transport: TSocket.TSocket) -> None:
     """Turns off the delay with which TCP gathers small messages."""
     transport.handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
