--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -56,7 +56,7 @@
     ) -> result.Result[_Reply, peers.PeerError]:
         """Runs one call of the generated client within `timeout_ms`."""
         try:
-            connection = self._take(timeout_ms)
+            connection = self._acquire(timeout_ms)
         except TTransport.TTransportException as error:
             return result.Err(peers.PeerUnreachable(str(error)))
         try:
@@ -72,7 +72,7 @@
         self._put_back(connection)
         return result.Ok(reply)
 
-    def _take(self, timeout_ms: int) -> _Connection:
+    def _acquire(self, timeout_ms: int) -> _Connection:
         while True:
             with self._lock:
                 connection = self._idle.pop() if self._idle else None
