--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -62,14 +62,14 @@
         try:
             reply = send(connection.client)
         except ttypes.PeerRefused as refused:
-            self._put_back(connection)
+            self._release(connection)
             return result.Err(peers.PeerRefusal(refused.reason, refused.detail))
         except (Thrift.TException, EOFError, OSError, ValueError) as error:
             connection.close()
             return result.Err(
                 peers.PeerAnswerLost(f"{type(error).__name__}: {error}")
             )
-        self._put_back(connection)
+        self._release(connection)
         return result.Ok(reply)
 
     def _acquire(self, timeout_ms: int) -> _Connection:
@@ -83,7 +83,7 @@
             if connection.usable(timeout_ms):
                 return connection
 
-    def _put_back(self, connection: _Connection) -> None:
+    def _release(self, connection: _Connection) -> None:
         with self._lock:
             if not self._closed and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(connection)
