--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -80,7 +80,7 @@
                 return _Connection(
                     self._peer, self._connect_timeout_ms, timeout_ms
                 )
-            if connection.usable(timeout_ms):
+            if connection.prepare_reuse(timeout_ms):
                 return connection
 
     def _release(self, connection: _Connection) -> None:
@@ -104,7 +104,7 @@
         peer_transport.disable_nagle(self._socket)
         self.client = Peer.Client(peer_transport.make_protocol(self._socket))
 
-    def usable(self, timeout_ms: int) -> bool:
+    def prepare_reuse(self, timeout_ms: int) -> bool:
         """Whether the peer still holds it open; sets the call's timeout."""
         if not self._socket.isOpen():
             return False
