--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -105,7 +105,7 @@
                     metrics_module.Counter.PEER_MESSAGES, "received"
                 )
         except TTransport.TTransportException as error:
-            self._note_end(error)
+            self._record_end(error)
         except Exception as error:
             # Whatever bytes came, only this connection may suffer.
             self._count_bad(type(error).__name__)
@@ -114,7 +114,7 @@
                 self._open.discard(connection)
             _shut(connection)
 
-    def _note_end(self, error: TTransport.TTransportException) -> None:
+    def _record_end(self, error: TTransport.TTransportException) -> None:
         size_errors = (
             TTransport.TTransportException.SIZE_LIMIT,
             TTransport.TTransportException.NEGATIVE_SIZE,
