--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -108,7 +108,7 @@
             self._record_end(error)
         except Exception as error:
             # Whatever bytes came, only this connection may suffer.
-            self._count_bad(type(error).__name__)
+            self._record_bad_message(type(error).__name__)
         finally:
             with self._lock:
                 self._open.discard(connection)
@@ -120,9 +120,9 @@
             TTransport.TTransportException.NEGATIVE_SIZE,
         )
         if error.type in size_errors:
-            self._count_bad("bad-frame")
+            self._record_bad_message("bad-frame")
 
-    def _count_bad(self, label: str) -> None:
+    def _record_bad_message(self, label: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_PEER_MESSAGES, label)
         logs.warning(_logger, "bad-peer-message", kind=label)
 
