--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -62,9 +62,9 @@
             self._stopping = True
             open_now = list(self._open)
         if self._listener is not None:
-            _shut(self._listener)
+            _shut_down(self._listener)
         for connection in open_now:
-            _shut(connection)
+            _shut_down(connection)
 
     @property
     def address(self) -> address.Address:
@@ -112,7 +112,7 @@
         finally:
             with self._lock:
                 self._open.discard(connection)
-            _shut(connection)
+            _shut_down(connection)
 
     def _record_end(self, error: TTransport.TTransportException) -> None:
         size_errors = (
@@ -127,7 +127,7 @@
         logs.warning(_logger, "bad-peer-message", kind=label)
 
 
-def _shut(connection: socket.socket) -> None:
+def _shut_down(connection: socket.socket) -> None:
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
