--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -39,7 +39,7 @@
         self._processor = Peer.Processor(handler)
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._open: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self._stopping = False
         self._listener: socket.socket | None = None
 
@@ -60,7 +60,7 @@
     def __exit__(self, *_: object) -> None:
         with self._lock:
             self._stopping = True
-            open_now = list(self._open)
+            open_now = list(self._connections)
         if self._listener is not None:
             _shut_down(self._listener)
         for connection in open_now:
@@ -84,7 +84,7 @@
                 if self._stopping:
                     connection.close()
                     return
-                self._open.add(connection)
+                self._connections.add(connection)
             threading.Thread(
                 target=self._serve,
                 args=(connection,),
@@ -111,7 +111,7 @@
             self._record_bad_message(type(error).__name__)
         finally:
             with self._lock:
-                self._open.discard(connection)
+                self._connections.discard(connection)
             _shut_down(connection)
 
     def _record_end(self, error: TTransport.TTransportException) -> None:
