--- a/src/comfreylatch/_connection/routes.py
+++ b/src/comfreylatch/_connection/routes.py
@@ -53,7 +53,7 @@
         method = "GET" if request.method == "HEAD" else request.method
         allowed = []
         for route, pattern in self._routes:
-            if not _fits(pattern, segments):
+            if not _matches(pattern, segments):
                 continue
             if route.method == method:
                 return route.handler(request)
@@ -87,7 +87,7 @@
     return path.rstrip("/").rpartition("/")[2]
 
 
-def _fits(pattern: tuple[str, ...], segments: tuple[str, ...]) -> bool:
+def _matches(pattern: tuple[str, ...], segments: tuple[str, ...]) -> bool:
     if pattern[-1] == ANY_REST and len(segments) >= len(pattern):
         pattern = pattern[:-1]
         segments = segments[: len(pattern)]
