--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -17,7 +17,7 @@
 from comfreylatch._connection import address as addresses
 
 CONNECT_TIMEOUT_MS = 2_000
-NOTHING_DONE_STATUS = 503
+NOT_RUN_STATUS = 503
 NOT_KNOWN_STATUS = 404
 
 
@@ -106,7 +106,7 @@
     ) -> result.Result[Reply, CallError]:
         details = []
         refused = None
-        passed_over = [NOTHING_DONE_STATUS]
+        passed_over = [NOT_RUN_STATUS]
         if method == "GET":
             passed_over.append(NOT_KNOWN_STATUS)
         for host in self._hosts:
