--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -18,7 +18,7 @@
 
 CONNECT_TIMEOUT_MS = 2_000
 NOT_RUN_STATUS = 503
-NOT_KNOWN_STATUS = 404
+NOT_FOUND_STATUS = 404
 
 
 @attrs.frozen
@@ -108,7 +108,7 @@
         refused = None
         passed_over = [NOT_RUN_STATUS]
         if method == "GET":
-            passed_over.append(NOT_KNOWN_STATUS)
+            passed_over.append(NOT_FOUND_STATUS)
         for host in self._hosts:
             match self._call(host, method, path, body):
                 case result.Ok(reply) if reply.status in passed_over:
