--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -93,15 +93,15 @@
 
     def read(self, path: str) -> result.Result[Reply, CallError]:
         """GETs a page from the first host that has an answer."""
-        return self._first("GET", path, b"")
+        return self._call_in_order("GET", path, b"")
 
     def change(
         self, method: str, path: str, body: bytes = b""
     ) -> result.Result[Reply, CallError]:
         """Sends a change, never to a second host after a doubtful first."""
-        return self._first(method, path, body)
+        return self._call_in_order(method, path, body)
 
-    def _first(
+    def _call_in_order(
         self, method: str, path: str, body: bytes
     ) -> result.Result[Reply, CallError]:
         details = []
