--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -106,12 +106,12 @@
     ) -> result.Result[Reply, CallError]:
         details = []
         refused = None
-        passed_over = [NOT_RUN_STATUS]
+        skipped_statuses = [NOT_RUN_STATUS]
         if method == "GET":
-            passed_over.append(NOT_FOUND_STATUS)
+            skipped_statuses.append(NOT_FOUND_STATUS)
         for host in self._hosts:
             match self._call(host, method, path, body):
-                case result.Ok(reply) if reply.status in passed_over:
+                case result.Ok(reply) if reply.status in skipped_statuses:
                     refused = reply
                 case result.Ok() as answered:
                     return answered
