--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -139,9 +139,13 @@
             exceptions.NewConnectionError,
             exceptions.ConnectTimeoutError,
         ) as error:
-            return result.Err(NoHostReached((f"{host}: {_short(error)}",)))
+            return result.Err(
+                NoHostReached((f"{host}: {_strip_connection_repr(error)}",))
+            )
         except (exceptions.HTTPError, OSError) as error:
-            return result.Err(AnswerLost(str(host), _short(error)))
+            return result.Err(
+                AnswerLost(str(host), _strip_connection_repr(error))
+            )
         reply_headers = {
             key.lower(): value for key, value in response.headers.items()
         }
@@ -157,6 +161,6 @@
         return body.decode("utf-8", "replace")
 
 
-def _short(error: Exception) -> str:
+def _strip_connection_repr(error: Exception) -> str:
     # urllib3 starts its messages with the repr of a connection object.
     return str(error).rpartition(">: ")[2]
