--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -127,7 +127,7 @@
 
 
 @final
-class Load:
+class LoadGenerator:
     """Sends each request when it is due, on a thread of its own.
 
     Args:
--- a/src/comfreylatch/_commands/replay_run.py
+++ b/src/comfreylatch/_commands/replay_run.py
@@ -36,7 +36,7 @@
     """
     tries_before = _tries(hosts)
     started_s = time.monotonic() + HEAD_START_S
-    sender = load_generator.Load(trace, options)
+    sender = load_generator.LoadGenerator(trace, options)
     sender.start(started_s)
     with replay_jobs.JobReplay(
         trace, hosts, options.run, options.speed
