--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -30,7 +30,7 @@
 PASSED_OVER_MS = 1_000.0
 
 
-class Seen(enum.StrEnum):
+class ObservedOutcome(enum.StrEnum):
     """What became of a request, as its caller saw it."""
 
     ANSWERED = "answered"
@@ -60,7 +60,7 @@
     late_ms: float
     elapsed_ms: float
     timeout_ms: int
-    seen: Seen
+    seen: ObservedOutcome
     status: int
     reason: str
     retry_after_ms: int
@@ -118,9 +118,13 @@
                 return usable[next(self._turn) % len(usable)]
         return self._everyone[next(self._turn) % len(self._everyone)]
 
-    def told(self, address: addresses.Address, seen: Seen, reason: str) -> None:
+    def told(
+        self, address: addresses.Address, seen: ObservedOutcome, reason: str
+    ) -> None:
         """Takes note of what became of a request sent to a host."""
-        failed = seen is Seen.UNREACHABLE or seen is Seen.LOST
+        failed = (
+            seen is ObservedOutcome.UNREACHABLE or seen is ObservedOutcome.LOST
+        )
         if failed or reason == reasons.RefusalReason.STOPPING:
             until_s = time.monotonic() + PASSED_OVER_MS / 1_000
             self._until_s[address] = until_s
@@ -204,9 +208,9 @@
             exceptions.NewConnectionError,
             exceptions.ConnectTimeoutError,
         ) as error:
-            seen, reason = Seen.UNREACHABLE, type(error).__name__
+            seen, reason = ObservedOutcome.UNREACHABLE, type(error).__name__
         except (exceptions.HTTPError, OSError) as error:
-            seen, reason = Seen.LOST, type(error).__name__
+            seen, reason = ObservedOutcome.LOST, type(error).__name__
         else:
             status = answer.status
             seen, reason = _classify(answer, name)
@@ -257,15 +261,21 @@
         )
 
 
-def _classify(answer: urllib3.BaseHTTPResponse, name: str) -> tuple[Seen, str]:
+def _classify(
+    answer: urllib3.BaseHTTPResponse, name: str
+) -> tuple[ObservedOutcome, str]:
     reason = answer.headers.get("X-Reason", "")
     outcome = answer.headers.get("X-Outcome", "")
-    if outcome not in (Seen.ANSWERED, Seen.NOT_RUN, Seen.UNKNOWN):
+    if outcome not in (
+        ObservedOutcome.ANSWERED,
+        ObservedOutcome.NOT_RUN,
+        ObservedOutcome.UNKNOWN,
+    ):
         # Cut within its headers, or no answer of an entry host at all.
-        return Seen.LOST, f"no outcome, status {answer.status}"
+        return ObservedOutcome.LOST, f"no outcome, status {answer.status}"
     if answer.headers.get("X-Request-Id") != name:
-        return Seen.MISMATCHED, reason
-    return Seen(outcome), reason
+        return ObservedOutcome.MISMATCHED, reason
+    return ObservedOutcome(outcome), reason
 
 
 def _whole(text: str | None) -> int:
--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -142,7 +142,9 @@
     service: str, samples: list[load_generator.Sample], duration_ms: float
 ) -> RequestReport:
     missed = [
-        one for one in samples if one.seen is not load_generator.Seen.ANSWERED
+        one
+        for one in samples
+        if one.seen is not load_generator.ObservedOutcome.ANSWERED
     ]
     return RequestReport(
         service=service,
@@ -167,7 +169,7 @@
     samples: Iterable[load_generator.Sample], duration_ms: float
 ) -> float:
     good = sum(
-        one.seen is load_generator.Seen.ANSWERED
+        one.seen is load_generator.ObservedOutcome.ANSWERED
         and one.status < 500
         and one.elapsed_ms <= one.timeout_ms
         for one in samples
@@ -179,7 +181,7 @@
     """Quantiles over answered requests."""
     found = histogram.HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
     for one in samples:
-        if one.seen is load_generator.Seen.ANSWERED:
+        if one.seen is load_generator.ObservedOutcome.ANSWERED:
             elapsed_us = int(one.elapsed_ms * 1_000)
             found.record_value(min(max(elapsed_us, LOWEST_US), HIGHEST_US))
     return LatencyReport(
@@ -267,11 +269,12 @@
         return {}
     seen = collections.Counter(one.seen for one in samples)
     doubtful = (
-        seen[load_generator.Seen.UNKNOWN] + seen[load_generator.Seen.LOST]
+        seen[load_generator.ObservedOutcome.UNKNOWN]
+        + seen[load_generator.ObservedOutcome.LOST]
     )
     measures: dict[str, float | None] = {
         "answered_percent_min": 100
-        * seen[load_generator.Seen.ANSWERED]
+        * seen[load_generator.ObservedOutcome.ANSWERED]
         / len(samples),
         "unknown_percent_max": 100 * doubtful / len(samples),
     }
