--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -118,7 +118,7 @@
                 return usable[next(self._turn) % len(usable)]
         return self._everyone[next(self._turn) % len(self._everyone)]
 
-    def told(
+    def record_outcome(
         self, address: addresses.Address, seen: ObservedOutcome, reason: str
     ) -> None:
         """Takes note of what became of a request sent to a host."""
@@ -215,7 +215,7 @@
             status = answer.status
             seen, reason = _classify(answer, name)
             retry_after_ms = _whole(answer.headers.get("X-Retry-After-Ms"))
-        self._balancer.told(address, seen, reason)
+        self._balancer.record_outcome(address, seen, reason)
         return Sample(
             service=request.service,
             due_ms=due.due_ms,
