--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -27,7 +27,7 @@
 LATE_START_MS = 10.0
 MAX_POOLS = 256
 # How long a host is passed over after it failed or said that it stops.
-PASSED_OVER_MS = 1_000.0
+HOST_AVOIDANCE_MS = 1_000.0
 
 
 class ObservedOutcome(enum.StrEnum):
@@ -126,7 +126,7 @@
             seen is ObservedOutcome.UNREACHABLE or seen is ObservedOutcome.LOST
         )
         if failed or reason == reasons.RefusalReason.STOPPING:
-            until_s = time.monotonic() + PASSED_OVER_MS / 1_000
+            until_s = time.monotonic() + HOST_AVOIDANCE_MS / 1_000
             self._until_s[address] = until_s
 
 
