--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -22,7 +22,7 @@
 
 CONNECT_TIMEOUT_MS = 2_000
 # What a caller waits beyond the deadline it gave, for the answer's way back.
-GRACE_MS = 2_000
+ANSWER_GRACE_MS = 2_000
 # A request that starts later than this was held up by the tool itself.
 LATE_START_MS = 10.0
 MAX_POOLS = 256
@@ -256,7 +256,7 @@
             redirect=False,
             timeout=urllib3.Timeout(
                 connect=CONNECT_TIMEOUT_MS / 1_000,
-                read=(request.timeout_ms + GRACE_MS) / 1_000,
+                read=(request.timeout_ms + ANSWER_GRACE_MS) / 1_000,
             ),
         )
 
