--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -85,7 +85,7 @@
 
 
 @attrs.frozen
-class _Due:
+class _ScheduledRequest:
     number: int
     request: traces.TracedRequest
     due_ms: float
@@ -149,7 +149,7 @@
         )
         self._due = iter(
             [
-                _Due(number, one, one.at_ms / options.speed)
+                _ScheduledRequest(number, one, one.at_ms / options.speed)
                 for number, one in enumerate(requests)
             ]
         )
@@ -195,7 +195,7 @@
     def _now_ms(self) -> float:
         return (time.monotonic() - self._started_s) * 1_000
 
-    def _send(self, due: _Due) -> Sample:
+    def _send(self, due: _ScheduledRequest) -> Sample:
         request = due.request
         late_ms = self._now_ms() - due.due_ms
         name = f"{self._options.run}-{due.number}"
@@ -228,7 +228,7 @@
             retry_after_ms=retry_after_ms,
         )
 
-    def _body(self, due: _Due) -> bytes:
+    def _body(self, due: _ScheduledRequest) -> bytes:
         generator = random.Random(f"{self._seed}/{due.number}")
         return generator.randbytes(due.request.body_bytes)
 
