--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -214,7 +214,7 @@
         else:
             status = answer.status
             seen, reason = _classify(answer, name)
-            retry_after_ms = _whole(answer.headers.get("X-Retry-After-Ms"))
+            retry_after_ms = _parse_int(answer.headers.get("X-Retry-After-Ms"))
         self._balancer.record_outcome(address, seen, reason)
         return Sample(
             service=request.service,
@@ -278,5 +278,5 @@
     return ObservedOutcome(outcome), reason
 
 
-def _whole(text: str | None) -> int:
+def _parse_int(text: str | None) -> int:
     return int(text) if text and text.isascii() and text.isdigit() else 0
