--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -104,7 +104,7 @@
         self._by_zone = callers
         self._everyone = [one for each in callers.values() for one in each]
         self._turn = itertools.count()
-        self._until_s: dict[addresses.Address, float] = {}
+        self._avoided_until_s: dict[addresses.Address, float] = {}
 
     def pick(self, zone: str) -> addresses.Address:
         """The next host of the zone; of any zone when it has none left."""
@@ -112,7 +112,9 @@
         of_zone = self._by_zone.get(zone) or self._by_zone.get("", ())
         for choices in (of_zone, self._everyone):
             usable = [
-                one for one in choices if self._until_s.get(one, 0.0) <= now_s
+                one
+                for one in choices
+                if self._avoided_until_s.get(one, 0.0) <= now_s
             ]
             if usable:
                 return usable[next(self._turn) % len(usable)]
@@ -127,7 +129,7 @@
         )
         if failed or reason == reasons.RefusalReason.STOPPING:
             until_s = time.monotonic() + HOST_AVOIDANCE_MS / 1_000
-            self._until_s[address] = until_s
+            self._avoided_until_s[address] = until_s
 
 
 @final
