--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -102,7 +102,7 @@
         self, callers: Mapping[str, Sequence[addresses.Address]]
     ) -> None:
         self._by_zone = callers
-        self._everyone = [one for each in callers.values() for one in each]
+        self._all_hosts = [one for each in callers.values() for one in each]
         self._turn = itertools.count()
         self._avoided_until_s: dict[addresses.Address, float] = {}
 
@@ -110,7 +110,7 @@
         """The next host of the zone; of any zone when it has none left."""
         now_s = time.monotonic()
         of_zone = self._by_zone.get(zone) or self._by_zone.get("", ())
-        for choices in (of_zone, self._everyone):
+        for choices in (of_zone, self._all_hosts):
             usable = [
                 one
                 for one in choices
@@ -118,7 +118,7 @@
             ]
             if usable:
                 return usable[next(self._turn) % len(usable)]
-        return self._everyone[next(self._turn) % len(self._everyone)]
+        return self._all_hosts[next(self._turn) % len(self._all_hosts)]
 
     def record_outcome(
         self, address: addresses.Address, seen: ObservedOutcome, reason: str
