--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -103,7 +103,7 @@
     ) -> None:
         self._by_zone = callers
         self._all_hosts = [one for each in callers.values() for one in each]
-        self._turn = itertools.count()
+        self._counter = itertools.count()
         self._avoided_until_s: dict[addresses.Address, float] = {}
 
     def pick(self, zone: str) -> addresses.Address:
@@ -117,8 +117,8 @@
                 if self._avoided_until_s.get(one, 0.0) <= now_s
             ]
             if usable:
-                return usable[next(self._turn) % len(usable)]
-        return self._all_hosts[next(self._turn) % len(self._all_hosts)]
+                return usable[next(self._counter) % len(usable)]
+        return self._all_hosts[next(self._counter) % len(self._all_hosts)]
 
     def record_outcome(
         self, address: addresses.Address, seen: ObservedOutcome, reason: str
