--- a/src/comfreylatch/_commands/replay_run.py
+++ b/src/comfreylatch/_commands/replay_run.py
@@ -18,7 +18,7 @@
 from comfreylatch._process import metrics
 
 # Time for threads to start before the first request is due.
-HEAD_START_S = 0.2
+START_DELAY_S = 0.2
 METRICS_TIMEOUT_MS = 5_000
 
 
@@ -35,7 +35,7 @@
     jobs get `settle_ms` to end after the last line of the trace.
     """
     tries_before = _tries(hosts)
-    started_s = time.monotonic() + HEAD_START_S
+    started_s = time.monotonic() + START_DELAY_S
     sender = load_generator.LoadGenerator(trace, options)
     sender.start(started_s)
     with replay_jobs.JobReplay(
