--- a/src/comfreylatch/_commands/replay_run.py
+++ b/src/comfreylatch/_commands/replay_run.py
@@ -34,7 +34,7 @@
     `hosts` are operator addresses, for jobs and for the count of tries;
     jobs get `settle_ms` to end after the last line of the trace.
     """
-    tries_before = _tries(hosts)
+    tries_before = _count_tries(hosts)
     started_s = time.monotonic() + START_DELAY_S
     sender = load_generator.LoadGenerator(trace, options)
     sender.start(started_s)
@@ -44,7 +44,7 @@
         jobs = player.play(started_s, settle_ms)
     samples = sender.finish()
     elapsed_ms = (time.monotonic() - started_s) * 1_000
-    tries = _tries_per_request(tries_before, _tries(hosts), len(samples))
+    tries = _tries_per_request(tries_before, _count_tries(hosts), len(samples))
     duration_ms = trace.header.duration_ms / options.speed
     stated = trace.header.outcomes
     return replay_report.ReplayReport(
@@ -61,7 +61,7 @@
     )
 
 
-def _tries(hosts: Sequence[addresses.Address]) -> int | None:
+def _count_tries(hosts: Sequence[addresses.Address]) -> int | None:
     """Tries at endpoints so far; None unless every host tells its count."""
     total = 0
     for host in hosts:
