--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -127,7 +127,7 @@
             while not self._closing.wait(POLL_INTERVAL_S):
                 with self._lock:
                     pending = sorted(self._pending)
-                list(pool.map(self._look, pending))
+                list(pool.map(self._refresh, pending))
 
     def _wait_for_ends(self, settle_ms: int) -> None:
         until_ms = self._now_ms() + settle_ms
@@ -187,7 +187,7 @@
             if answer.is_ok() and answer.ok_value.status == 200:
                 return
 
-    def _look(self, name: str) -> None:
+    def _refresh(self, name: str) -> None:
         sample = self._samples[name]
         path = "/jobs/" + parse.quote(sample.id, safe="")
         for client in self._ordered(sample.zone):
