--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -193,10 +193,12 @@
         for client in self._ordered(sample.zone):
             answer = client.read(path)
             if answer.is_ok() and answer.ok_value.status == 200:
-                self._take(name, sample, answer.ok_value.value)
+                self._update_sample(name, sample, answer.ok_value.value)
                 return
 
-    def _take(self, name: str, sample: JobSample, page: dict[str, Any]) -> None:
+    def _update_sample(
+        self, name: str, sample: JobSample, page: dict[str, Any]
+    ) -> None:
         sample.phase = str(page.get("phase", ""))
         sample.evictions = int(page.get("evictions", sample.evictions))
         sample.losses = int(page.get("losses", sample.losses))
