--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -146,7 +146,7 @@
         self._samples[line.job.id] = sample
         return sample
 
-    def _ordered(self, zone: str) -> list[clients.Client]:
+    def _order_clients(self, zone: str) -> list[clients.Client]:
         """All clients, the one that last took a job of the zone first."""
         known = self._client_by_zone.get(zone)
         if known is None:
@@ -157,7 +157,7 @@
         document = attrs.evolve(line.job, id=sample.id)
         body = msgspec.json.encode(document)
         answered: Any = None
-        for client in self._ordered(document.zone):
+        for client in self._order_clients(document.zone):
             answered = client.change("POST", "/jobs", body)
             if not _is_other_zone(answered):
                 self._client_by_zone[document.zone] = client
@@ -182,7 +182,7 @@
             return
         sample.cancelled = True
         path = "/jobs/" + parse.quote(sample.id, safe="")
-        for client in self._ordered(sample.zone):
+        for client in self._order_clients(sample.zone):
             answer = client.change("DELETE", path)
             if answer.is_ok() and answer.ok_value.status == 200:
                 return
@@ -190,7 +190,7 @@
     def _refresh(self, name: str) -> None:
         sample = self._samples[name]
         path = "/jobs/" + parse.quote(sample.id, safe="")
-        for client in self._ordered(sample.zone):
+        for client in self._order_clients(sample.zone):
             answer = client.read(path)
             if answer.is_ok() and answer.ok_value.status == 200:
                 self._update_sample(name, sample, answer.ok_value.value)
