--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -159,7 +159,7 @@
         answered: Any = None
         for client in self._order_clients(document.zone):
             answered = client.change("POST", "/jobs", body)
-            if not _is_other_zone(answered):
+            if not _should_try_next_host(answered):
                 self._client_by_zone[document.zone] = client
                 break
         match answered:
@@ -210,7 +210,7 @@
                 self._pending.discard(name)
 
 
-def _is_other_zone(
+def _should_try_next_host(
     answer: result.Result[clients.Reply, clients.CallError],
 ) -> bool:
     """Whether a job should be offered to another host."""
