--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -24,7 +24,7 @@
 CALL_TIMEOUT_MS = 10_000
 POLL_INTERVAL_S = 0.5
 THREADS = 8
-END_PHASES = ("finished", "cancelled", "parked", "ended")
+FINAL_PHASES = ("finished", "cancelled", "parked", "ended")
 
 
 @attrs.define
@@ -204,7 +204,7 @@
         sample.losses = int(page.get("losses", sample.losses))
         if int(page.get("attempt", 0)) > 0 and not sample.started_ms:
             sample.started_ms = self._now_ms()
-        if sample.phase in END_PHASES:
+        if sample.phase in FINAL_PHASES:
             sample.ended_ms = self._now_ms()
             with self._lock:
                 self._pending.discard(name)
