--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -23,7 +23,7 @@
 
 CALL_TIMEOUT_MS = 10_000
 POLL_INTERVAL_S = 0.5
-THREADS = 8
+CALL_THREADS = 8
 FINAL_PHASES = ("finished", "cancelled", "parked", "ended")
 
 
@@ -105,7 +105,7 @@
         self._started_s = started_s
         poller = threading.Thread(target=self._poll, daemon=True)
         poller.start()
-        with futures.ThreadPoolExecutor(THREADS) as pool:
+        with futures.ThreadPoolExecutor(CALL_THREADS) as pool:
             for line in self._lines:
                 left_ms = line.at_ms / self._speed - self._now_ms()
                 time.sleep(max(left_ms, 0.0) / 1_000)
@@ -123,7 +123,7 @@
 
     def _poll(self) -> None:
         """Looks at every job that has not ended, again and again."""
-        with futures.ThreadPoolExecutor(THREADS) as pool:
+        with futures.ThreadPoolExecutor(CALL_THREADS) as pool:
             while not self._closing.wait(POLL_INTERVAL_S):
                 with self._lock:
                     pending = sorted(self._pending)
