--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -113,7 +113,7 @@
                     pool.submit(self._submit, self._add(line), line)
                 else:
                     pool.submit(self._cancel, line)
-        self._wait_for_ends(settle_ms)
+        self._wait_until_settled(settle_ms)
         self._closing.set()
         poller.join()
         return list(self._samples.values())
@@ -129,7 +129,7 @@
                     pending = sorted(self._pending)
                 list(pool.map(self._refresh, pending))
 
-    def _wait_for_ends(self, settle_ms: int) -> None:
+    def _wait_until_settled(self, settle_ms: int) -> None:
         until_ms = self._now_ms() + settle_ms
         while self._pending and self._now_ms() < until_ms:
             time.sleep(POLL_INTERVAL_S)
