--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -229,10 +229,12 @@
     return sorted(one.started_ms - one.due_ms for one in jobs if one.started_ms)
 
 
-def _quantile(ordered: Sequence[float], part: float) -> float:
+def _quantile(ordered: Sequence[float], fraction: float) -> float:
     if not ordered:
         return 0.0
-    return round(ordered[min(int(part * len(ordered)), len(ordered) - 1)], 1)
+    return round(
+        ordered[min(int(fraction * len(ordered)), len(ordered) - 1)], 1
+    )
 
 
 def outcome_lines(
