--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -245,7 +245,7 @@
 ) -> tuple[OutcomeLine, ...]:
     """Compares what was measured with what was stated."""
     measured = {
-        **_request_measures(samples),
+        **_measure_requests(samples),
         **_job_measures(jobs),
         "tries_per_request_max": tries_per_request,
     }
@@ -264,7 +264,7 @@
     return tuple(lines)
 
 
-def _request_measures(
+def _measure_requests(
     samples: Sequence[load_generator.Sample],
 ) -> dict[str, float | None]:
     if not samples:
