--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -246,7 +246,7 @@
     """Compares what was measured with what was stated."""
     measured = {
         **_measure_requests(samples),
-        **_job_measures(jobs),
+        **_measure_jobs(jobs),
         "tries_per_request_max": tries_per_request,
     }
     lines = []
@@ -288,7 +288,7 @@
     return measures
 
 
-def _job_measures(
+def _measure_jobs(
     jobs: Sequence[replay_jobs.JobSample],
 ) -> dict[str, float | None]:
     wanted = [
