--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -14,7 +14,7 @@
 from comfreylatch._commands import trace as traces
 
 MIN_LATENCY_US = 1
-HIGHEST_US = 600_000_000
+MAX_LATENCY_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
 
 
@@ -180,12 +180,14 @@
 def latency_report(samples: Iterable[load_generator.Sample]) -> LatencyReport:
     """Quantiles over answered requests."""
     found = histogram.HdrHistogram(
-        MIN_LATENCY_US, HIGHEST_US, SIGNIFICANT_DIGITS
+        MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
     )
     for one in samples:
         if one.seen is load_generator.ObservedOutcome.ANSWERED:
             elapsed_us = int(one.elapsed_ms * 1_000)
-            found.record_value(min(max(elapsed_us, MIN_LATENCY_US), HIGHEST_US))
+            found.record_value(
+                min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
+            )
     return LatencyReport(
         count=found.get_total_count(),
         p50_ms=found.get_value_at_percentile(50) / 1_000,
