--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -87,7 +87,7 @@
 
 
 @attrs.frozen
-class OutcomeLine:
+class OutcomeCheck:
     """One stated outcome; `measured` is None when it was not measured."""
 
     name: str
@@ -115,7 +115,7 @@
     requests: tuple[RequestReport, ...]
     jobs: JobReport | None
     tries_per_request: float | None
-    outcomes: tuple[OutcomeLine, ...]
+    outcomes: tuple[OutcomeCheck, ...]
 
     @property
     def kept(self) -> bool:
@@ -246,7 +246,7 @@
     samples: Sequence[load_generator.Sample],
     jobs: Sequence[replay_jobs.JobSample],
     tries_per_request: float | None,
-) -> tuple[OutcomeLine, ...]:
+) -> tuple[OutcomeCheck, ...]:
     """Compares what was measured with what was stated."""
     measured = {
         **_measure_requests(samples),
@@ -264,7 +264,7 @@
             kept = value >= limit
         else:
             kept = value <= limit
-        lines.append(OutcomeLine(name, limit, value, kept))
+        lines.append(OutcomeCheck(name, limit, value, kept))
     return tuple(lines)
 
 
