--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -101,7 +101,7 @@
             return reply
 
 
-def value_of(
+def require_value(
     answer: result.Result[client.Reply, client.CallError], error: str
 ) -> Any:
     """The value of a page that a command needs; fails the command if none."""
--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -254,7 +254,7 @@
 ) -> dict[tuple[str, str], ticket_file.ObjectInForce]:
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/objects")
-    page = output.value_of(answer, "objects not read")
+    page = output.require_value(answer, "objects not read")
     try:
         found = msgspec.convert(page, ticket_file.ObjectsPage).objects
     except msgspec.ValidationError as error:
