--- a/src/comfreylatch/_commands/job.py
+++ b/src/comfreylatch/_commands/job.py
@@ -56,7 +56,7 @@
             body = msgspec.json.encode(value)
     with output.connect(hosts, timeout_ms) as client:
         answer = client.change("POST", "/jobs", body)
-    output.finish(
+    output.print_answer(
         answer,
         as_json,
         f"ask `comfreylatch job show {value['id']}` whether it was taken; "
@@ -74,7 +74,7 @@
     """Shows one job: its state, zone, worker and attempts."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/jobs/" + parse.quote(job_id, safe=""))
-    output.finish(answer, as_json, "nothing was changed; ask again")
+    output.print_answer(answer, as_json, "nothing was changed; ask again")
 
 
 @app.command("list")
@@ -86,7 +86,7 @@
     """Lists the jobs that the host asked knows."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/jobs")
-    output.finish(answer, as_json, "nothing was changed; ask again")
+    output.print_answer(answer, as_json, "nothing was changed; ask again")
 
 
 @app.command()
@@ -100,7 +100,7 @@
     with output.connect(hosts, timeout_ms) as client:
         path = "/jobs/" + parse.quote(job_id, safe="")
         answer = client.change("DELETE", path)
-    output.finish(
+    output.print_answer(
         answer,
         as_json,
         f"ask `comfreylatch job show {job_id}` whether it was cancelled; "
--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -68,7 +68,7 @@
         typer.echo(str(error), err=True)
 
 
-def finish(
+def print_answer(
     answer: result.Result[client.Reply, client.CallError],
     as_json: bool,
     on_unknown: str,
--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -127,7 +127,7 @@
     value = _read(file, as_json)
     with output.connect(hosts, timeout_ms) as client:
         answer = client.change("POST", "/tickets", msgspec.json.encode(value))
-    output.finish(
+    output.print_answer(
         answer,
         as_json,
         f"find out with `comfreylatch ticket show {value['number']}`; "
@@ -147,7 +147,7 @@
     """Shows one ticket: accepted or refused, why, and where in force."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read(f"/tickets/{number}")
-    output.finish(answer, as_json, _READ_AGAIN)
+    output.print_answer(answer, as_json, _READ_AGAIN)
 
 
 @app.command("list")
@@ -159,7 +159,7 @@
     """Lists the tickets that the host asked knows."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/tickets")
-    output.finish(answer, as_json, _READ_AGAIN)
+    output.print_answer(answer, as_json, _READ_AGAIN)
 
 
 @app.command()
