--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -17,7 +17,7 @@
 from comfreylatch._process import json_file
 
 INDENT = "  "
-MAX_CELL_LETTERS = 40
+MAX_CELL_CHARS = 40
 
 
 @attrs.frozen
@@ -178,7 +178,7 @@
         return []
     rows = [names]
     rows += [[_cell(member[name]) for name in names] for member in value]
-    if any(len(cell) > MAX_CELL_LETTERS for row in rows for cell in row):
+    if any(len(cell) > MAX_CELL_CHARS for row in rows for cell in row):
         return []
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
