--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -40,11 +40,11 @@
     plain = msgspec.json.decode(msgspec.json.encode(value))
     if isinstance(plain, dict) and plain.get("sentence"):
         typer.echo(plain.pop("sentence"))
-    for line in plain_lines(plain):
+    for line in format_lines(plain):
         typer.echo(line)
 
 
-def plain_lines(value: Any, indent: str = "") -> list[str]:
+def format_lines(value: Any, indent: str = "") -> list[str]:
     """A value of JSON types as indented `key: value` lines."""
     if isinstance(value, dict):
         return _object_lines(value, indent)
@@ -150,7 +150,7 @@
     for key, member in value.items():
         if isinstance(member, dict | list) and member:
             lines.append(f"{indent}{key}:")
-            lines.extend(plain_lines(member, indent + INDENT))
+            lines.extend(format_lines(member, indent + INDENT))
         else:
             lines.append(f"{indent}{key}: {_scalar(member)}")
     return lines
@@ -162,7 +162,7 @@
         return table
     lines = []
     for member in value:
-        inner = plain_lines(member, indent + INDENT)
+        inner = format_lines(member, indent + INDENT)
         first = inner[0][len(indent) + len(INDENT) :]
         lines.append(f"{indent}- {first}")
         lines.extend(inner[1:])
