--- a/src/comfreylatch/_commands/host.py
+++ b/src/comfreylatch/_commands/host.py
@@ -15,7 +15,7 @@
 from comfreylatch._commands import output
 from comfreylatch._process import reasons
 
-_READ_AGAIN = "nothing was changed; ask again"
+_RETRY_HINT = "nothing was changed; ask again"
 
 
 def status(
@@ -51,7 +51,7 @@
     path = "/metrics" if as_json else "/metrics?format=text"
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read(path)
-    output.print_answer(answer, as_json, _READ_AGAIN)
+    output.print_answer(answer, as_json, _RETRY_HINT)
 
 
 def explain(
@@ -74,7 +74,7 @@
         answer = client.read(path)
     is_page = answer.is_ok() and answer.ok_value.status == 200
     if as_json or not is_page:
-        page = output.print_answer(answer, as_json, _READ_AGAIN).value
+        page = output.print_answer(answer, as_json, _RETRY_HINT).value
     else:
         page = answer.ok_value.value
         for line in explanation_lines(page):
--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -28,7 +28,7 @@
 TicketPath = Annotated[
     str, typer.Argument(metavar="FILE", help="Ticket: JSON with comments.")
 ]
-_READ_AGAIN = "nothing was changed; ask again"
+_RETRY_HINT = "nothing was changed; ask again"
 
 
 @attrs.frozen
@@ -147,7 +147,7 @@
     """Shows one ticket: accepted or refused, why, and where in force."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read(f"/tickets/{number}")
-    output.print_answer(answer, as_json, _READ_AGAIN)
+    output.print_answer(answer, as_json, _RETRY_HINT)
 
 
 @app.command("list")
@@ -159,7 +159,7 @@
     """Lists the tickets that the host asked knows."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/tickets")
-    output.print_answer(answer, as_json, _READ_AGAIN)
+    output.print_answer(answer, as_json, _RETRY_HINT)
 
 
 @app.command()
