--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -90,7 +90,7 @@
     for kind, name in wanted:
         unknown = ticket_file.ObjectInForce(kind, name, 0, None)
         found.append(in_force.get((kind, name), unknown))
-    text = ticket_file.template(number, author, reason, found)
+    text = ticket_file.render_template(number, author, reason, found)
     if not to_file:
         typer.echo(text, nl=False)
         return
--- a/src/comfreylatch/_commands/ticket_file.py
+++ b/src/comfreylatch/_commands/ticket_file.py
@@ -49,7 +49,7 @@
             return list(problems)
 
 
-def template(
+def render_template(
     number: int,
     author: str,
     reason: str,
