--- a/src/comfreylatch/_commands/ticket_file.py
+++ b/src/comfreylatch/_commands/ticket_file.py
@@ -75,7 +75,7 @@
     inner = margin + INDENT
     state = found.state
     if state is None:
-        state = example(objects.ObjectKind(found.kind))
+        state = example_state(objects.ObjectKind(found.kind))
     version_note = "new" if found.version == 0 else "the version in force"
     return [
         f"{margin}{{",
@@ -93,7 +93,7 @@
     return text.replace("\n", "\n" + margin)
 
 
-def example(kind: objects.ObjectKind) -> dict[str, Any]:
+def example_state(kind: objects.ObjectKind) -> dict[str, Any]:
     """Every field of a kind of object, with its default or an example."""
     return _example_of(objects.CLASS_BY_KIND[kind])
 
