--- a/src/comfreylatch/_commands/ticket_file.py
+++ b/src/comfreylatch/_commands/ticket_file.py
@@ -95,10 +95,10 @@
 
 def example_state(kind: objects.ObjectKind) -> dict[str, Any]:
     """Every field of a kind of object, with its default or an example."""
-    return _example_of(objects.CLASS_BY_KIND[kind])
+    return _example_fields(objects.CLASS_BY_KIND[kind])
 
 
-def _example_of(state_class: type) -> dict[str, Any]:
+def _example_fields(state_class: type) -> dict[str, Any]:
     hints = get_type_hints(state_class)
     values = {}
     for field in attrs.fields(state_class):
@@ -111,7 +111,7 @@
 
 def _example_value(name: str, kind: Any) -> Any:
     if attrs.has(kind):
-        return _example_of(kind)
+        return _example_fields(kind)
     if name == "address":
         return "10.0.0.1:8080"
     if kind is int:
