--- a/src/comfreylatch/_commands/trace.py
+++ b/src/comfreylatch/_commands/trace.py
@@ -154,7 +154,7 @@
             continue
         try:
             if header is None:
-                header = _header(text)
+                header = _decode_header(text)
                 continue
             found.append(_line(text, found[-1].at_ms if found else 0.0))
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -176,7 +176,7 @@
     return b"\n".join(texts) + b"\n"
 
 
-def _header(text: bytes) -> Header:
+def _decode_header(text: bytes) -> Header:
     header = msgspec.json.decode(text, type=Header)
     if header.format != FORMAT:
         raise ValueError(
