--- a/src/comfreylatch/_commands/trace.py
+++ b/src/comfreylatch/_commands/trace.py
@@ -156,7 +156,7 @@
             if header is None:
                 header = _decode_header(text)
                 continue
-            found.append(_line(text, found[-1].at_ms if found else 0.0))
+            found.append(_decode_line(text, found[-1].at_ms if found else 0.0))
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             return result.Err(BadTrace(number, str(error)))
     if header is None:
@@ -185,7 +185,7 @@
     return header
 
 
-def _line(text: bytes, earliest_ms: float) -> TraceLine:
+def _decode_line(text: bytes, earliest_ms: float) -> TraceLine:
     value: Any = msgspec.json.decode(text)
     if not isinstance(value, dict):
         raise ValueError("expected an object")
