--- a/src/comfreylatch/__main__.py
+++ b/src/comfreylatch/__main__.py
@@ -9,7 +9,7 @@
 from comfreylatch._process import resident
 
 # The package that unpacks the one-file program before this module runs.
-UNPACKER = "_bootstrap"
+BOOTSTRAP_MODULE = "_bootstrap"
 
 
 def main() -> None:
@@ -35,7 +35,7 @@
     What the one-file program imported to unpack itself would stay in a
     serving process's memory for good.
     """
-    if UNPACKER not in sys.modules:
+    if BOOTSTRAP_MODULE not in sys.modules:
         return
     site = str(pathlib.Path(__file__).resolve().parent.parent)
     os.environ["PYTHONPATH"] = site
