--- a/src/comfreylatch/__main__.py
+++ b/src/comfreylatch/__main__.py
@@ -17,7 +17,7 @@
     resident.mark(resident.INTERPRETER)
     match sys.argv[1:]:
         case ["serve", path] if not path.startswith("-"):
-            _drop_unpacker(path)
+            _reexec_without_bootstrap(path)
             # The command-line library would stay in a serving process's
             # memory for good.
             from comfreylatch._process import entry_host
@@ -29,7 +29,7 @@
             commands.run()
 
 
-def _drop_unpacker(path: str) -> None:
+def _reexec_without_bootstrap(path: str) -> None:
     """Goes on in a fresh interpreter, in the same process.
 
     What the one-file program imported to unpack itself would stay in a
