--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -164,7 +164,7 @@
 
     def mark_closed(self) -> None:
         """Stops counting the connection; something else closes it."""
-        self._pools.count_closed(self._address)
+        self._pools.mark_closed(self._address)
 
 
 @final
@@ -207,7 +207,7 @@
             pool = self._pools[address]
             pool.idle.append(_IdleConnection(connection, time.monotonic()))
 
-    def count_closed(self, address: str) -> None:
+    def mark_closed(self, address: str) -> None:
         """Notes that a connection no longer exists."""
         with self._lock:
             self._pools[address].open_count -= 1
