--- a/src/comfreylatch/_connection/__init__.py
+++ b/src/comfreylatch/_connection/__init__.py
@@ -1,3 +1,3 @@
-"""Adapters that live as long as a connection to one peer."""
+"""Network clients and servers: HTTP, Thrift and their connection pools."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_connection/address.py
+++ b/src/comfreylatch/_connection/address.py
@@ -1,4 +1,4 @@
-"""Addresses as written in settings and configuration: `IP:port`."""
+"""Parses addresses of the form `IP:port` in settings and configuration."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Address:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     ip: str
     port: int
@@ -31,7 +31,7 @@
 
 
 def parse(text: str) -> result.Result[Address, BadAddress]:
-    """Parses `IP:port`; names are refused, as hosts speak by IP numbers."""
+    """Parses `IP:port`; host names are refused, as no name is resolved."""
     ip_text, separator, port_text = text.rpartition(":")
     if not separator or not port_text.isascii() or not port_text.isdigit():
         return result.Err(BadAddress(f"{text!r} is not of the form IP:port"))
@@ -41,5 +41,5 @@
     try:
         ip = ipaddress.ip_address(ip_text.strip("[]"))
     except ValueError:
-        return result.Err(BadAddress(f"{ip_text!r} is not an IP number"))
+        return result.Err(BadAddress(f"{ip_text!r} is not an IP address"))
     return result.Ok(Address(str(ip), port))
--- a/src/comfreylatch/_connection/host_list_client.py
+++ b/src/comfreylatch/_connection/host_list_client.py
@@ -1,4 +1,4 @@
-"""The platform's list of hosts over HTTP."""
+"""HTTP client of the platform's host list."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 @final
 class HostListClient:
-    """Implements `HostListPort`. Thread-safe; a call takes `timeout_ms`."""
+    """Implements `HostListPort`; calls time out after `timeout_ms`.
+
+    Thread-safe.
+    """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
         self._timeout_ms = timeout_ms
@@ -46,7 +49,7 @@
     def fetch(
         self,
     ) -> result.Result[hosts_port.HostList, hosts_port.HostListUnavailable]:
-        """See `HostListPort.fetch`; a malformed line is logged and left out."""
+        """See `HostListPort.fetch`; skips and logs malformed entries."""
         answer = json_call.call(
             self._pool, "GET", "/hosts", None, self._timeout_ms
         )
@@ -67,7 +70,9 @@
     try:
         lines = msgspec.json.decode(body, type=_ListAnswer).hosts
     except msgspec.MsgspecError as error:
-        return result.Err(hosts_port.HostListUnavailable(f"answer: {error}"))
+        return result.Err(
+            hosts_port.HostListUnavailable(f"malformed answer: {error}")
+        )
     hosts: list[hosts_port.ListedHost] = []
     for line in lines:
         try:
--- a/src/comfreylatch/_connection/http.py
+++ b/src/comfreylatch/_connection/http.py
@@ -1,4 +1,4 @@
-"""Requests and replies of both HTTP servers, free of any library's types."""
+"""HTTP requests and replies, independent of the server library."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 @attrs.frozen
 class HttpRequest:
-    """A request as received.
+    """A request received by a server.
 
     Attributes:
         method: Upper-case method.
         path: Path without the query, percent-decoded.
         query: Last value of each query parameter.
         headers: Keys in lower case.
-        body: The whole body.
-        client: IP number of the sender.
+        body: The complete body.
+        client: IP address of the sender.
         target: Path and query as sent, still percent-encoded.
-        received_ms: Monotonic time of the request's first bytes; -1 when not
-            known. A deadline counts from here, not from the start of handling.
+        received_ms: Monotonic time at which the first bytes arrived; -1 if
+            unknown. Deadlines count from then, not from the handler's start.
     """
 
     method: str
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class HttpReply:
-    """A reply to be sent whole."""
+    """A complete reply to a request."""
 
     status: int
     body: bytes = b""
@@ -53,7 +53,7 @@
 def json_reply(
     status: int, value: Any, headers: Mapping[str, str] | None = None
 ) -> HttpReply:
-    """A reply whose body is a value encoded as JSON."""
+    """Builds a reply whose body is a value encoded as JSON."""
     merged = {"Content-Type": JSON_TYPE, **(headers or {})}
     return HttpReply(status, msgspec.json.encode(value), merged)
 
@@ -61,7 +61,7 @@
 def error_reply(
     status: int, reason: str, detail: str, retry_after_ms: int = 0
 ) -> HttpReply:
-    """A JSON reply that says what was wrong and when to come back."""
+    """Builds a JSON error reply with an optional time to retry after."""
     headers = {"X-Reason": reason}
     if retry_after_ms > 0:
         headers["Retry-After"] = str(-(-retry_after_ms // 1_000))
--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -1,4 +1,4 @@
-"""From cheroot's requests to ours and back, for the HTTP server."""
+"""Converts between cheroot's and the project's requests and replies."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class _BodyError:
-    """The body can't be taken; `status` is the HTTP status that says so."""
+    """The request body is invalid; `status` is the HTTP status to send."""
 
     status: int
     reason: str
@@ -39,7 +39,7 @@
 
 @final
 class ServerState:
-    """What the gateway needs of its server, and how many requests are open."""
+    """State shared by the server and its gateways."""
 
     def __init__(self, handler: http.Handler, clock: clock_port.Clock) -> None:
         self.handler = handler
@@ -69,15 +69,15 @@
 
 
 class Gateway(cheroot_server.Gateway):
-    """Turns cheroot's request into ours and sends the handler's reply."""
+    """Calls the handler with a converted request and sends its reply."""
 
     def respond(self) -> None:
-        """Answers one request; exceptions of the handler become a 500."""
+        """Answers one request; an exception in the handler is a 500."""
         state = self.req.server.state
         if state.draining:
             state.last_arrival_ms = state.clock.monotonic_ms()
-            # A reply before the end of the body would break the connection
-            # under a caller that is still sending, and be lost with it.
+            # Closing before the body is read would reset the connection while
+            # the caller still sends, and the reply would be lost.
             self._read_body()
             self.req.close_connection = True
             self._send(self._with_request_id(_stopping_reply()))
@@ -86,15 +86,15 @@
             match self._read_body():
                 case result.Ok(body):
                     reply = self._handle(state, self._request(body))
-                case result.Err(bad):
+                case result.Err(error):
                     self.req.close_connection = True
-                    reply = self._with_request_id(_bad_body_reply(bad))
+                    reply = self._with_request_id(_body_error_reply(error))
             if state.draining or state.closing:
                 self.req.close_connection = True
             self._send(reply)
 
     def _with_request_id(self, reply: http.HttpReply) -> http.HttpReply:
-        """The reply with the id that the caller gave its request, if any."""
+        """Adds the request id that the caller sent, if any."""
         request_id = self.req.inheaders.get(b"X-Request-Id")
         if request_id is None:
             return reply
@@ -133,12 +133,18 @@
                 return result.Ok(b"")
             if not _CONTENT_LENGTH.fullmatch(length_text):
                 return result.Err(
-                    _BodyError(400, "bad-request", "bad Content-Length")
+                    _BodyError(
+                        400,
+                        "bad-request",
+                        "Content-Length is not a valid number",
+                    )
                 )
             return self._read_fixed_length(int(length_text))
         except TimeoutError:
             return result.Err(
-                _BodyError(408, "bad-request", "the body came too slowly")
+                _BodyError(
+                    408, "bad-request", "timed out reading the request body"
+                )
             )
 
     def _read_fixed_length(
@@ -154,9 +160,11 @@
         self, length_text: bytes | None
     ) -> result.Result[bytes, _BodyError]:
         if length_text is not None:
-            detail = "both Content-Length and Transfer-Encoding given"
+            detail = "both Content-Length and Transfer-Encoding are present"
             return result.Err(_BodyError(400, "bad-request", detail))
-        too_long = _BodyError(413, "body-too-long", "the body is too long")
+        too_long = _BodyError(
+            413, "body-too-long", "the request body is too long"
+        )
         try:
             body = self.req.rfile.read()
             for _ in self.req.rfile.read_trailer_lines():
@@ -181,7 +189,9 @@
                 "handler-failed method={} path={}", request.method, request.path
             )
             return http.error_reply(
-                500, "internal-error", "the handler failed; see the host's log"
+                500,
+                "internal-error",
+                "the request handler failed; see the log of the host",
             )
 
     def _send(self, reply: http.HttpReply) -> None:
@@ -208,11 +218,11 @@
     headers: Mapping[str, str],
     body_bytes: int | None,
 ) -> bytes:
-    """Status line and headers of a reply.
+    """Encodes the status line and headers of a reply.
 
-    `body_bytes` is None for a reply without a body, which keeps whatever
-    length its headers state. Values of `Set-Cookie` can't be joined by
-    commas; several come as one text with a line each.
+    `body_bytes` is None for a reply without a body; a Content-Length among
+    its headers is then kept. `Set-Cookie` values can't be joined by commas,
+    so several of them arrive as one text with a line for each.
     """
     lines = [f"{protocol} {status} {_PHRASES.get(status, 'Status')}"]
     for key, value in headers.items():
@@ -233,7 +243,7 @@
     reply = http.error_reply(
         503,
         "stopping",
-        "this host is stopping; ask again through another one",
+        "this host is stopping; retry on another host",
         STOPPING_RETRY_AFTER_MS,
     )
     return attrs.evolve(
@@ -241,8 +251,8 @@
     )
 
 
-def _bad_body_reply(bad: _BodyError) -> http.HttpReply:
-    reply = http.error_reply(bad.status, bad.reason, bad.detail)
+def _body_error_reply(error: _BodyError) -> http.HttpReply:
+    reply = http.error_reply(error.status, error.reason, error.detail)
     return attrs.evolve(
         reply, headers={**reply.headers, "X-Outcome": "not-run"}
     )
--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server for callers and for operators, over cheroot."""
+"""HTTP/1.1 server for callers and operators, based on cheroot."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 MAX_ARRIVAL_WAIT_MS = 2_000
 POLL_INTERVAL_S = 0.05
 EXPIRATION_INTERVAL_S = 0.2
-# Not negative: connections accepted meanwhile get it as their timeout.
+# Must not be negative: connections accepted meanwhile use it as timeout.
 IMMEDIATE_EXPIRY_S = 0.001
 
 
@@ -34,18 +34,19 @@
 
 
 class ServerStartError(Exception):
-    """The address can't be listened on."""
+    """The server can't listen on its address."""
 
 
 @final
 class HttpServer:
-    """Serves a handler on an address, a thread for each open request.
+    """Serves a handler on an address, with one thread per open request.
 
-    A context manager: entering binds and serves, leaving stops at once after
-    the requests in progress. Use `drain` first for a stop in good order.
+    A context manager: entering binds the address and starts serving, leaving
+    drains the server with a fixed timeout. Call `drain` first to choose the
+    timeout.
 
     Attributes:
-        address: `IP:port` bound; the port is the real one when 0 was asked.
+        address: Bound `IP:port`; port 0 is replaced by the port assigned.
     """
 
     def __init__(
@@ -81,8 +82,8 @@
         self._stopped = False
 
     def __enter__(self) -> Self:
-        # Started from a daemon thread, the server's threads are daemons too,
-        # so that a handler that never returns can't keep the process alive.
+        # Threads inherit the daemon flag: worker threads started from a
+        # daemon thread can't keep the process alive when a handler hangs.
         failures: list[OSError] = []
         starter = threading.Thread(
             target=self._prepare, args=(failures,), daemon=True
@@ -117,18 +118,19 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests whose handler is running now."""
+        """Number of requests whose handler is running."""
         return self._state.open_requests
 
     def close_after_replies(self) -> None:
-        """Ends each connection with its next reply; still serves all."""
+        """Closes each connection after its next reply; accepts new ones."""
         self._state.closing = True
 
     def _wait_until_no_arrivals(self) -> None:
-        """Waits until callers have stopped coming, for a bounded time.
+        """Waits until no requests arrive, for a bounded time.
 
-        Who sent before they could know of the stop gets an answer: closing
-        the listening socket resets the connections it has not accepted.
+        Closing the listening socket resets connections that are not accepted
+        yet. The wait lets requests be answered whose callers could not know
+        of the shutdown.
         """
         state = self._state
         started_ms = state.clock.monotonic_ms()
@@ -142,21 +144,24 @@
             time.sleep(POLL_INTERVAL_S)
 
     def _close_idle_connections(self) -> None:
-        """Has the server's own loop close what it keeps alive.
+        """Lets the server's own loop close keep-alive connections.
 
-        The loop closes a connection only where it has just seen no request.
-        Stopping the server closes them too, but up to half a second after it
-        last looked, with the requests that came in between.
+        The loop closes a connection only right after a check that no request
+        has arrived on it. Stopping the server closes them up to half a second
+        after the last check and drops requests that arrived in between.
         """
         self._server.timeout = IMMEDIATE_EXPIRY_S
         time.sleep(2 * EXPIRATION_INTERVAL_S)
         self._state.wait_until_idle(IDLE_TIMEOUT_MS)
 
     def drain(self, timeout_ms: int) -> bool:
-        """Stops taking requests, answers those in progress, then stops.
+        """Shuts down gracefully: completes open requests, refuses new ones.
 
         Requests that arrive while connections are being closed are answered
-        503 `not-run`. Returns whether every request was answered in time.
+        with 503 and outcome `not-run`.
+
+        Returns:
+            Whether every open request was answered within `timeout_ms`.
         """
         if self._stopped:
             return True
@@ -178,10 +183,10 @@
 
 
 class _Request(cheroot_server.HTTPRequest):
-    """Cheroot's request, with errors in our own form."""
+    """Cheroot's request, with errors as JSON replies."""
 
     def simple_response(self, status: str, msg: str = "") -> None:
-        """Sends an error found before or around the handler, and closes."""
+        """Sends an error raised outside the handler and closes."""
         code = int(str(status)[:3])
         reply = http.error_reply(code, "bad-request", msg or str(status))
         headers = dict(reply.headers)
@@ -199,7 +204,7 @@
 
 
 class _Connection(cheroot_server.HTTPConnection):
-    """Cheroot's connection, with the time its current request arrived."""
+    """Cheroot's connection with the arrival time of its current request."""
 
     RequestHandlerClass = _Request
     arrived_ms = -1
@@ -207,7 +212,7 @@
 
 
 class _Server(cheroot_server.HTTPServer):
-    """Cheroot's server, logging by logbook and reading only when readable."""
+    """Cheroot's server that logs to logbook and reads only readable sockets."""
 
     ConnectionClass = _Connection
     request_queue_size = LISTEN_BACKLOG
@@ -216,7 +221,7 @@
     state: http_gateway.ServerState
 
     def process_conn(self, conn: _Connection) -> None:
-        """Queues a readable connection; a new one waits until it is."""
+        """Queues a readable connection; a new one first waits for data."""
         if not conn.seen_before:
             conn.seen_before = True
             self._connections.put(conn)
@@ -225,7 +230,7 @@
         super().process_conn(conn)
 
     def put_conn(self, conn: _Connection) -> None:
-        """Keeps a connection for its next request, unless stopping."""
+        """Keeps a connection open for its next request, unless stopping."""
         try:
             super().put_conn(conn)
         except (OSError, ValueError, KeyError) as error:
@@ -235,7 +240,7 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Logs what cheroot has to say."""
+        """Logs messages of cheroot."""
         if traceback:
             _log.exception("http-server-error detail={!r}", msg)
         elif level >= 30:
--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -1,4 +1,4 @@
-"""One bounded HTTP call with a JSON answer to a service of the platform."""
+"""HTTP calls with JSON bodies and bounded duration to platform services."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 MAX_ANSWER_BYTES = 64 * 1_024 * 1_024
 READ_CHUNK_BYTES = 65_536
 POOL_CONNECTIONS = 4
-# A peer that vanished without a reset is noticed after this long, as sent
-# bytes or probes go without an acknowledgement.
+# A peer that disappears without a reset is detected after this time, because
+# data or keepalive probes remain unacknowledged.
 TCP_USER_TIMEOUT_MS = 2_000
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 2
-# A connection takes one round trip; more means that a packet was lost or the
-# path is cut, and a new try is sooner than the system's repeats.
+# Connecting takes one round trip; if it takes longer, a packet was lost or the
+# path is down, and a new attempt succeeds sooner than a retransmitted SYN.
 CONNECT_TIMEOUT_MS = 700
 SOCKET_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Answer:
-    """A whole answer: its status and its body."""
+    """Status and body of a complete answer."""
 
     status: int
     body: bytes
@@ -43,14 +43,14 @@
 
 @attrs.frozen
 class NotSent:
-    """No connection could be made, so that no byte of the call was sent."""
+    """No connection could be opened, so no byte of the call was sent."""
 
     detail: str
 
 
 @attrs.frozen
 class AnswerLost:
-    """The call was sent, but no whole answer came back in time."""
+    """The call was sent, but no complete answer arrived in time."""
 
     detail: str
 
@@ -61,7 +61,7 @@
 def open_pool(
     address: str, connections: int = POOL_CONNECTIONS
 ) -> urllib3.HTTPConnectionPool:
-    """A pool of connections to `IP:port` which never retries by itself."""
+    """Creates a connection pool for `IP:port` that never retries."""
     host, _, port = address.rpartition(":")
     return urllib3.HTTPConnectionPool(
         host,
@@ -82,14 +82,14 @@
     headers: Mapping[str, str] = JSON_HEADERS,
     silence_ms: int | None = None,
 ) -> result.Result[Answer, CallError]:
-    """Makes a call and reads its answer whole within `timeout_ms`.
+    """Makes a call and reads its complete answer within `timeout_ms`.
 
-    With `silence_ms` it is given up sooner, when nothing has come for so long;
-    a long answer over a narrow link then gets its time without a dead peer
-    getting as much.
+    `silence_ms` is the timeout of a single read. It lets `timeout_ms` be long
+    enough for a large answer over a slow link, while an unresponsive peer is
+    detected sooner.
 
-    Only a failed connection is `NotSent`. A kept connection that turns out to
-    be broken is `AnswerLost`, as the other side may have read the call.
+    Only a failure to connect is `NotSent`. A broken pooled connection is
+    `AnswerLost`, because the peer may have read the call.
     """
     deadline = time.monotonic() + timeout_ms / 1_000
     try:
@@ -126,7 +126,9 @@
             body += chunk
             if len(body) > MAX_ANSWER_BYTES or time.monotonic() > deadline:
                 response.close()
-                return result.Err(AnswerLost("answer too long or too slow"))
+                return result.Err(
+                    AnswerLost("the answer is too long or arrived too slowly")
+                )
     except (urllib3.exceptions.HTTPError, OSError) as error:
         response.close()
         return result.Err(AnswerLost(str(error)))
--- a/src/comfreylatch/_connection/listener.py
+++ b/src/comfreylatch/_connection/listener.py
@@ -1,11 +1,11 @@
-"""Closing a listening socket without cutting off who has just connected."""
+"""Stops new connections on a listening socket before it is closed."""
 
 from __future__ import annotations
 
 import ctypes
 import socket
 
-# From linux/filter.h and asm-generic/socket.h; Python names neither.
+# From linux/filter.h and asm-generic/socket.h; not defined by Python.
 _SO_ATTACH_FILTER = 26
 _RETURN_CONSTANT = 0x06
 _DROP = 0
@@ -28,14 +28,15 @@
 
 
 def stop_new_connections(listener: socket.socket) -> bool:
-    """Lets the kernel drop new connections, not those it holds already.
+    """Makes the kernel drop new connections; pending ones are unaffected.
 
-    Closing a listening socket resets the connections that wait to be
-    accepted, with whatever requests they have sent. After this call no more
-    of them come, so that the waiting ones can be accepted and answered first.
+    Closing a listening socket resets the connections in its accept queue and
+    loses the requests they sent. After this call the queue no longer grows,
+    so its connections can be accepted and answered before the close.
 
     Returns:
-        False where the kernel doesn't do it; closing may then cut some off.
+        False if the kernel doesn't support it; closing the socket may then
+        reset connections.
     """
     instruction = _Instruction(_RETURN_CONSTANT, 0, 0, _DROP)
     program = _Program(1, ctypes.pointer(instruction))
--- a/src/comfreylatch/_connection/log_client.py
+++ b/src/comfreylatch/_connection/log_client.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP, as `docs/PLATFORM.md` describes it."""
+"""HTTP client of the platform's log, specified in `docs/PLATFORM.md`."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     first: int
 
 
-# Statuses by which a server says that it did not take a request at all.
+# Statuses with which a server states that it did not process the request.
 _REJECTED_STATUSES = frozenset(
     {
         http.HTTPStatus.BAD_REQUEST,
@@ -59,9 +59,9 @@
 
 @final
 class LogClient:
-    """Implements `LogPort` with a pool of kept connections. Thread-safe.
+    """Implements `LogPort` over pooled connections. Thread-safe.
 
-    `timeout_ms` bounds each call; a read may wait its `wait_ms` on top.
+    Calls time out after `timeout_ms`; a read adds its `wait_ms` to that.
     """
 
     def __init__(self, address: str, timeout_ms: int) -> None:
@@ -96,7 +96,7 @@
     def read(
         self, stream: str, offset: int, max_entries: int, wait_ms: int
     ) -> result.Result[log_port.LogBatch, log_port.ReadError]:
-        """See `LogPort.read`; a lost answer is `LogUnavailable`, too."""
+        """See `LogPort.read`; a lost answer is `LogUnavailable` too."""
         query = f"?from={offset}&max={max_entries}&wait_ms={wait_ms}"
         target = _target(stream) + query
         match self._call("GET", target, None, self._timeout_ms + wait_ms):
@@ -125,7 +125,7 @@
     try:
         decoded = msgspec.json.decode(answer.body, type=_AppendAnswer)
     except msgspec.MsgspecError as error:
-        return result.Err(log_port.LogAnswerLost(f"answer: {error}"))
+        return result.Err(log_port.LogAnswerLost(f"malformed answer: {error}"))
     return result.Ok(decoded.offset)
 
 
@@ -142,7 +142,7 @@
             )
         decoded = msgspec.json.decode(answer.body, type=_ReadAnswer)
     except msgspec.MsgspecError as error:
-        return result.Err(log_port.LogUnavailable(f"answer: {error}"))
+        return result.Err(log_port.LogUnavailable(f"malformed answer: {error}"))
     entries = tuple(
         log_port.LogEntry(record.offset, record.payload.encode("utf-8"))
         for record in decoded.records
--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -1,4 +1,4 @@
-"""Client side of the protocol between entry hosts: calls to one peer."""
+"""Client side of the protocol between entry hosts."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 @final
 class PeerLink:
-    """Connections to one peer; a call has one of them to itself.
+    """Pools connections to one peer; each call has exclusive use of one.
 
-    A connection is reused only when the peer has not closed it, and never
-    after a call that failed, so a late answer can't reach another call.
+    A connection is reused only if the peer has not closed it, and never after
+    a failed call, so a late answer can't be read by another call.
     """
 
     def __init__(self, peer: address.Address, connect_timeout_ms: int) -> None:
@@ -92,7 +92,7 @@
 
 
 class _Connection:
-    """One open connection; raises TTransportException if it can't be had."""
+    """An open connection; raises TTransportException if connecting fails."""
 
     def __init__(
         self, peer: address.Address, connect_timeout_ms: int, timeout_ms: int
@@ -105,12 +105,12 @@
         self.client = Peer.Client(peer_transport.make_protocol(self._socket))
 
     def prepare_reuse(self, timeout_ms: int) -> bool:
-        """Whether the peer still holds it open; sets the call's timeout."""
+        """Sets the timeout of a call; returns whether the peer is connected."""
         if not self._socket.isOpen():
             return False
         self._socket.setTimeout(timeout_ms)
         return True
 
     def close(self) -> None:
-        """Closes it; a second time does nothing."""
+        """Closes the connection; may be called again."""
         self._socket.close()
--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -1,4 +1,4 @@
-"""Server side of the protocol between entry hosts: a thread a connection."""
+"""Server side of the protocol between entry hosts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @final
 class PeerServer:
-    """Accepts peers' connections and hands their calls to a handler."""
+    """Serves calls of peers, with one thread per connection."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._listener: socket.socket | None = None
 
     def __enter__(self) -> Self:
-        # The library logs every connection that fails; ours are counted.
+        # thrift logs every failed connection; this class counts them instead.
         logging.getLogger("thrift").setLevel(logging.CRITICAL)
         family = socket.AF_INET6 if ":" in self._listen.ip else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
@@ -60,15 +60,15 @@
     def __exit__(self, *_: object) -> None:
         with self._lock:
             self._stopping = True
-            open_now = list(self._connections)
+            connections = list(self._connections)
         if self._listener is not None:
             _shut_down(self._listener)
-        for connection in open_now:
+        for connection in connections:
             _shut_down(connection)
 
     @property
     def address(self) -> address.Address:
-        """Where it listens; the real port when the setting said 0."""
+        """The bound address; port 0 is replaced by the port assigned."""
         assert self._listener is not None
         ip, port = self._listener.getsockname()[:2]
         return address.Address(ip, port)
@@ -107,7 +107,7 @@
         except TTransport.TTransportException as error:
             self._record_end(error)
         except Exception as error:
-            # Whatever bytes came, only this connection may suffer.
+            # Malformed input must end only this connection.
             self._record_bad_message(type(error).__name__)
         finally:
             with self._lock:
--- a/src/comfreylatch/_connection/peer_transport.py
+++ b/src/comfreylatch/_connection/peer_transport.py
@@ -1,4 +1,4 @@
-"""Framing of the protocol between entry hosts: thrift, compact, bounded."""
+"""Thrift framing and encoding of the protocol between entry hosts."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 def make_protocol(
     transport: TTransport.TTransportBase,
 ) -> TCompactProtocol.TCompactProtocolAccelerated:
-    """The protocol both sides speak over a socket.
+    """Creates the protocol that both sides use over a socket.
 
-    Frames and strings are bounded, so that garbage read as a length doesn't
-    keep a thread waiting for gigabytes that never come.
+    Frames, strings and containers are limited in size, so that garbage read
+    as a length doesn't make a thread wait for gigabytes that never arrive.
     """
     framed = TTransport.TFramedTransport(
         transport, max_frame_size=MAX_FRAME_BYTES
@@ -30,5 +30,5 @@
 
 
 def disable_nagle(transport: TSocket.TSocket) -> None:
-    """Turns off the delay with which TCP gathers small messages."""
+    """Disables Nagle's algorithm, which delays small messages."""
     transport.handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/src/comfreylatch/_connection/routes.py
+++ b/src/comfreylatch/_connection/routes.py
@@ -1,4 +1,4 @@
-"""A small table of routes for the operator server."""
+"""Routes requests to the handlers of the operator server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RouteRefusal(enum.StrEnum):
-    """Why no handler took a request."""
+    """Why a request matches no route."""
 
     NO_SUCH_PAGE = "no-such-page"
     METHOD_NOT_ALLOWED = "method-not-allowed"
@@ -23,13 +23,13 @@
 
 @attrs.frozen
 class Route:
-    """One handler and what it answers for.
+    """A handler and the requests it answers.
 
     Attributes:
-        method: Upper-case method; GET answers HEAD too.
-        pattern: Path whose segments are literal, `*` for any one segment, or
-            at the end `**` for one segment or more.
-        handler: Takes the whole request.
+        method: Upper-case method; GET also matches HEAD.
+        pattern: Path of literal segments and `*` for any one segment; a final
+            `**` matches one or more segments.
+        handler: Called with the request.
     """
 
     method: str
@@ -39,7 +39,7 @@
 
 @final
 class Routes:
-    """Finds the handler of a request; the first route that fits is taken."""
+    """Dispatches requests to the first route that matches."""
 
     def __init__(self, routes: Sequence[Route]) -> None:
         self._routes = [
@@ -47,7 +47,7 @@
         ]
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers a request; 404 and 405 say what would be right."""
+        """Answers a request; 404 and 405 list the valid alternatives."""
         path = request.path.rstrip("/") or "/"
         segments = tuple(path.split("/"))
         method = "GET" if request.method == "HEAD" else request.method
@@ -69,7 +69,7 @@
         reply = http.error_reply(
             405,
             RouteRefusal.METHOD_NOT_ALLOWED,
-            f"{request.path} takes {names}, not {request.method}",
+            f"{request.path} supports {names}, not {request.method}",
         )
         return attrs.evolve(reply, headers={**reply.headers, "Allow": names})
 
@@ -78,12 +78,12 @@
         return http.error_reply(
             404,
             RouteRefusal.NO_SUCH_PAGE,
-            f"no page {request.path}; there are {', '.join(pages)}",
+            f"no page matches {request.path}; pages are {', '.join(pages)}",
         )
 
 
 def last_segment(path: str) -> str:
-    """The last segment of a path, such as the id of the thing asked for."""
+    """Returns the last segment of a path, such as the id of a job."""
     return path.rstrip("/").rpartition("/")[2]
 
 
--- a/src/comfreylatch/_connection/worker_client.py
+++ b/src/comfreylatch/_connection/worker_client.py
@@ -1,8 +1,8 @@
-"""Calls to workers over HTTP, one connection a call.
+"""HTTP client of workers that opens a new connection for each exchange.
 
-A pooled connection that the worker has closed in the meantime would make a
-sent exchange look unsent, so each exchange opens its own connection: an error
-while connecting proves that no byte was sent, any later one does not.
+An error while connecting proves that no byte was sent; any later error does
+not. Pooled connections would blur this, because the worker may have closed
+one in the meantime.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def encode_exchange(exchange: workers.Exchange) -> bytes:
-    """The body of an exchange as `docs/PLATFORM.md` states it."""
+    """Encodes the body of an exchange, specified in `docs/PLATFORM.md`."""
     commands = [
         {_COMMAND_KEY_BY_CLASS[type(command)]: command}
         for command in exchange.commands
@@ -55,9 +55,11 @@
     try:
         report = _report_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        return result.Err(workers.WorkerAnswerLost(f"bad report: {error}"))
+        return result.Err(
+            workers.WorkerAnswerLost(f"malformed report: {error}")
+        )
     if len(report.statuses) != command_count:
-        detail = f"{len(report.statuses)} statuses, {command_count} commands"
+        detail = f"{len(report.statuses)} statuses for {command_count} commands"
         return result.Err(workers.WorkerAnswerLost(detail))
     return result.Ok(report)
 
--- a/tests/connection/test_address.py
+++ b/tests/connection/test_address.py
@@ -12,14 +12,14 @@
     """Parsing of `IP:port`."""
 
     def test_ip_and_port(self) -> None:
-        """An IP number and a port are taken apart."""
+        """An IP address and a port are split."""
         self.assertEqual(
             result.Ok(address.Address("127.0.0.1", 80)),
             address.parse("127.0.0.1:80"),
         )
 
     def test_name_is_refused(self) -> None:
-        """Hosts speak by IP numbers only."""
+        """Host names are not resolved."""
         self.assertTrue(address.parse("localhost:80").is_err())
 
     def test_port_out_of_range_is_refused(self) -> None:
--- a/tests/connection/test_host_list_client.py
+++ b/tests/connection/test_host_list_client.py
@@ -11,7 +11,7 @@
 from testing.fakes import http_server
 
 TIMEOUT_MS = 300
-LINE = {
+ENTRY = {
     "name": "ex-1",
     "kind": "endpoint",
     "state": "leaving",
@@ -23,7 +23,7 @@
 
 
 class FetchTest(testtools.TestCase):
-    """Fetching the list."""
+    """Fetching and decoding the host list."""
 
     def fetch(
         self, answer: http_server.Answer
@@ -36,13 +36,13 @@
         ):
             return client.fetch()
 
-    def test_lines_are_typed_and_bad_ones_left_out(self) -> None:
-        body = msgspec.json.encode({"hosts": [LINE, {"name": 5}]})
+    def test_malformed_entries_are_skipped(self) -> None:
+        body = msgspec.json.encode({"hosts": [ENTRY, {"name": 5}]})
         listed = self.fetch(http_server.reply(200, body)).unwrap()
         self.assertEqual(1, len(listed.hosts))
         self.assertIs(hosts.HostState.LEAVING, listed.hosts[0].state)
 
-    def test_failures_are_down(self) -> None:
+    def test_failures_are_unavailable(self) -> None:
         answers = [
             http_server.reply(500, b"{}"),
             http_server.reply(200, b"{}"),
--- a/tests/connection/test_http_server.py
+++ b/tests/connection/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server against bad input and stops."""
+"""Tests of the HTTP server: invalid input and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HttpServerTest(testtools.TestCase):
-    """A server with a small echo handler."""
+    """A server with an echo handler."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -114,7 +114,7 @@
         self.assertIn(b" 400 ", self.read_all(connection))
         self.assertFalse(self.entered.is_set())
 
-    def test_failed_handler_is_answered_and_thread_lives_on(self) -> None:
+    def test_failed_handler_is_answered_and_its_thread_survives(self) -> None:
         for _ in range(6):
             self.assertIn(b" 500 ", self.ask(self.post(b"", "/fail")))
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
@@ -129,14 +129,14 @@
         self.assertEqual(3, reply.count(b" 200 "))
         self.assertLess(time.monotonic() - started, 0.9)
 
-    def test_silent_connections_hold_no_thread(self) -> None:
+    def test_silent_connections_occupy_no_thread(self) -> None:
         for _ in range(10):
             self.connect()
         started = time.monotonic()
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
         self.assertLess(time.monotonic() - started, 0.5)
 
-    def test_idle_after_chunked_request_holds_no_thread(self) -> None:
+    def test_idle_after_chunked_request_occupies_no_thread(self) -> None:
         one = (
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\n\r\n"
@@ -149,7 +149,7 @@
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
         self.assertLess(time.monotonic() - started, 0.5)
 
-    def test_drain_keeps_open_request(self) -> None:
+    def test_drain_completes_open_request(self) -> None:
         connection = self.connect()
         connection.sendall(self.post(b"kept", "/wait"))
         self.assertTrue(self.entered.wait(5))
@@ -207,11 +207,12 @@
         self.assertIn(b" 503 ", reply)
         self.assertIn(b"X-Request-Id: q-1\r\n", reply)
 
-    def test_connections_that_come_late_in_a_drain_break_nothing(
+    def test_connections_accepted_late_in_a_drain_cause_no_error(
         self,
     ) -> None:
-        # Found by an incident: idle connections were closed by a negative
-        # timeout, which a connection accepted after that could not take.
+        # Idle connections were once closed by setting a negative timeout. A
+        # connection accepted after that got it as its socket timeout, which
+        # raised an error in the server loop.
         stopped = threading.Event()
 
         def keep_connecting() -> None:
--- a/tests/connection/test_json_call.py
+++ b/tests/connection/test_json_call.py
@@ -1,4 +1,4 @@
-"""Tests of the bounds of one call to the platform."""
+"""Tests of the timeouts of calls to the platform."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from testing.fakes import http_server
 
 LONG_TIMEOUT_MS = 4_000
-SILENCE_MS = 300
+READ_TIMEOUT_MS = 300
 
 
 class ConnectTest(testtools.TestCase):
-    """A peer that takes no connection."""
+    """A peer that accepts no connection."""
 
-    def test_connecting_takes_no_longer_than_its_own_bound(self) -> None:
-        # Found by a day: a call that may wait for an answer for ten seconds
-        # also waited that long for a connection over a path that was cut, and
-        # went on waiting after the path had healed.
+    def test_connecting_has_its_own_timeout(self) -> None:
+        # Connecting must not use the whole timeout of a call: a call with a
+        # timeout of 10 s over a path that was down kept waiting for its
+        # connection after the path had recovered.
         with FullListener() as address:
             pool = json_call.open_pool(address)
             started_s = time.monotonic()
@@ -30,8 +30,8 @@
         self.assertLess(elapsed_ms, 2 * json_call.CONNECT_TIMEOUT_MS)
 
 
-class SilenceTest(testtools.TestCase):
-    """Answers that come slowly, or not at all."""
+class ReadTimeoutTest(testtools.TestCase):
+    """Answers that arrive slowly, or not at all."""
 
     def _call(self, answer: http_server.Answer) -> object:
         with http_server.RawServer(answer) as server:
@@ -41,24 +41,29 @@
                 "/",
                 None,
                 LONG_TIMEOUT_MS,
-                silence_ms=SILENCE_MS,
+                silence_ms=READ_TIMEOUT_MS,
             )
 
-    def test_slow_answer_is_read_whole_while_it_comes(self) -> None:
-        # Found by a day: a page of 1 MB over 10 Mbit/s took longer than a call
-        # may, so that hosts started anew never had a view.
-        outcome = self._call(_drip(parts=8, pause_ms=SILENCE_MS // 2))
+    def test_slow_answer_is_read_completely(self) -> None:
+        # A slow answer must not time out while data arrives: a page of 1 MB
+        # over 10 Mbit/s exceeded the timeout of a call, so restarted hosts
+        # never got a view.
+        outcome = self._call(
+            _answer_slowly(parts=8, pause_ms=READ_TIMEOUT_MS // 2)
+        )
         self.assertEqual(b"x" * 8, outcome.ok().body)
 
-    def test_silent_peer_is_given_up_long_before_the_whole_time(self) -> None:
+    def test_silent_peer_is_detected_before_the_total_timeout(self) -> None:
         started_s = time.monotonic()
-        outcome = self._call(_drip(parts=2, pause_ms=3 * SILENCE_MS))
+        outcome = self._call(
+            _answer_slowly(parts=2, pause_ms=3 * READ_TIMEOUT_MS)
+        )
         self.assertIsInstance(outcome.err(), json_call.AnswerLost)
         self.assertLess((time.monotonic() - started_s) * 1_000, 2_000)
 
 
-def _drip(parts: int, pause_ms: int) -> http_server.Answer:
-    """Answers a byte at a time."""
+def _answer_slowly(parts: int, pause_ms: int) -> http_server.Answer:
+    """Sends the answer one byte at a time."""
 
     def answer(connection: socket.socket) -> None:
         head = f"HTTP/1.1 200 X\r\nContent-Length: {parts}\r\n\r\n"
@@ -71,7 +76,7 @@
 
 
 class FullListener:
-    """A listening socket whose queue of new connections is full."""
+    """A listening socket whose accept queue is full."""
 
     def __enter__(self) -> str:
         self._server = socket.socket()
--- a/tests/connection/test_log_client.py
+++ b/tests/connection/test_log_client.py
@@ -13,17 +13,17 @@
 from testing.fakes import http_server
 
 TIMEOUT_MS = 300
-KEPT = b'{"offset": 17}'
+APPENDED = b'{"offset": 17}'
 
 
 def free_address() -> str:
-    """An address at which nothing listens."""
+    """Returns an address at which nothing listens."""
     with socket.create_server(("127.0.0.1", 0)) as unused:
         return f"127.0.0.1:{unused.getsockname()[1]}"
 
 
-def trickle(connection: socket.socket) -> None:
-    """Answers one byte at a time, far slower than the timeout."""
+def answer_slowly(connection: socket.socket) -> None:
+    """Sends one byte at a time; the whole answer exceeds the timeout."""
     connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n")
     for _ in range(50):
         connection.sendall(b" ")
@@ -31,7 +31,7 @@
 
 
 class AppendTest(testtools.TestCase):
-    """What is known after an append."""
+    """Results of appends by answer of the log."""
 
     def append(
         self, answer: http_server.Answer
@@ -47,7 +47,7 @@
         self.assertIsInstance(outcome.err(), log_port.LogAnswerLost)
 
     def test_answer_with_offset(self) -> None:
-        outcome = self.append(http_server.reply(200, KEPT))
+        outcome = self.append(http_server.reply(200, APPENDED))
         self.assertEqual(result.Ok(17), outcome)
         request = self.requests[0]
         self.assertTrue(
@@ -55,24 +55,24 @@
         )
         self.assertTrue(request.endswith('{"records":["a","é"]}'.encode()))
 
-    def test_nothing_listens(self) -> None:
+    def test_refused_connection_is_unavailable(self) -> None:
         with log_client.LogClient(free_address(), TIMEOUT_MS) as client:
             outcome = client.append("s", [b"a"])
         self.assertIsInstance(outcome.err(), log_port.LogUnavailable)
 
-    def test_status_503_kept_nothing(self) -> None:
+    def test_status_503_is_unavailable(self) -> None:
         outcome = self.append(http_server.reply(503, b"{}"))
         self.assertIsInstance(outcome.err(), log_port.LogUnavailable)
 
     def test_other_status_is_lost(self) -> None:
-        self.assert_lost(http_server.reply(500, KEPT))
+        self.assert_lost(http_server.reply(500, APPENDED))
 
     def test_connection_closed_after_the_request_is_lost(self) -> None:
         self.assert_lost(http_server.close)
         self.assertEqual(1, len(self.requests))
 
     def test_truncated_answer_is_lost(self) -> None:
-        self.assert_lost(http_server.reply(200, KEPT, length=50))
+        self.assert_lost(http_server.reply(200, APPENDED, length=50))
 
     def test_malformed_answer_is_lost(self) -> None:
         self.assert_lost(http_server.reply(200, b'{"offset": "x"}'))
@@ -80,9 +80,9 @@
     def test_late_answer_is_lost(self) -> None:
         self.assert_lost(lambda _: time.sleep(0.5))
 
-    def test_trickling_answer_is_lost_at_the_timeout(self) -> None:
+    def test_slow_answer_is_lost_at_the_timeout(self) -> None:
         started = time.monotonic()
-        with http_server.RawServer(trickle) as server:
+        with http_server.RawServer(answer_slowly) as server:
             with log_client.LogClient(server.address, TIMEOUT_MS) as client:
                 outcome = client.append("s", [b"a"])
                 elapsed_s = time.monotonic() - started
@@ -91,7 +91,7 @@
 
 
 class ReadTest(testtools.TestCase):
-    """What a read gives."""
+    """Results of reads by answer of the log."""
 
     def read(
         self, answer: http_server.Answer
@@ -116,7 +116,7 @@
         outcome = self.read(http_server.reply(410, b'{"first": 9}'))
         self.assertEqual(result.Err(log_port.LogExpired(9)), outcome)
 
-    def test_every_other_answer_is_down(self) -> None:
+    def test_every_other_answer_is_unavailable(self) -> None:
         answers = [
             http_server.reply(503, b""),
             http_server.reply(200, b"{}"),
--- a/tests/connection/test_peer_link.py
+++ b/tests/connection/test_peer_link.py
@@ -22,7 +22,7 @@
 
 
 class _Handler:
-    """Answers marks; sleeps or refuses when told to."""
+    """Answers marks, with a configurable delay or refusal."""
 
     def __init__(self) -> None:
         self.delay_s = 0.0
@@ -38,7 +38,7 @@
 
 
 class PeerLinkTest(testtools.TestCase):
-    """One link against one server."""
+    """Calls from one link to one server."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/connection/test_routes.py
+++ b/tests/connection/test_routes.py
@@ -1,4 +1,4 @@
-"""Tests of the operator server's routes."""
+"""Tests of routing requests to handlers."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 from comfreylatch._connection import routes
 
 
-def _named(name: str) -> http.Handler:
+def _handler_named(name: str) -> http.Handler:
     return lambda _: http.HttpReply(200, name.encode())
 
 
 class RoutesTest(testtools.TestCase):
-    """Which handler takes which request."""
+    """Selecting the handler of a request."""
 
     def setUp(self) -> None:
         super().setUp()
         self.table = routes.Routes(
             [
-                routes.Route("GET", "/jobs", _named("list")),
-                routes.Route("POST", "/jobs", _named("submit")),
-                routes.Route("GET", "/jobs/*", _named("show")),
-                routes.Route("GET", "/explain/*/**", _named("explain")),
+                routes.Route("GET", "/jobs", _handler_named("list")),
+                routes.Route("POST", "/jobs", _handler_named("submit")),
+                routes.Route("GET", "/jobs/*", _handler_named("show")),
+                routes.Route("GET", "/explain/*/**", _handler_named("explain")),
             ]
         )
 
-    def ask(self, method: str, path: str) -> http.HttpReply:
+    def request(self, method: str, path: str) -> http.HttpReply:
         return self.table.handle(http.HttpRequest(method, path, {}, {}, b""))
 
-    def test_segment_fits_any_one_name(self) -> None:
-        self.assertEqual(b"show", self.ask("GET", "/jobs/j-1").body)
-        self.assertEqual(404, self.ask("GET", "/jobs/j/1").status)
+    def test_star_matches_one_segment(self) -> None:
+        self.assertEqual(b"show", self.request("GET", "/jobs/j-1").body)
+        self.assertEqual(404, self.request("GET", "/jobs/j/1").status)
 
-    def test_rest_fits_names_with_slashes(self) -> None:
-        self.assertEqual(b"explain", self.ask("GET", "/explain/a/b/c").body)
-        self.assertEqual(404, self.ask("GET", "/explain/a").status)
+    def test_double_star_matches_segments_with_slashes(self) -> None:
+        self.assertEqual(b"explain", self.request("GET", "/explain/a/b/c").body)
+        self.assertEqual(404, self.request("GET", "/explain/a").status)
 
-    def test_method_chooses_the_handler(self) -> None:
-        self.assertEqual(b"submit", self.ask("POST", "/jobs/").body)
-        self.assertEqual(b"list", self.ask("HEAD", "/jobs").body)
+    def test_method_selects_the_handler(self) -> None:
+        self.assertEqual(b"submit", self.request("POST", "/jobs/").body)
+        self.assertEqual(b"list", self.request("HEAD", "/jobs").body)
 
-    def test_other_method_is_told_the_right_ones(self) -> None:
-        reply = self.ask("DELETE", "/jobs")
+    def test_other_method_gets_the_allowed_methods(self) -> None:
+        reply = self.request("DELETE", "/jobs")
         self.assertEqual(405, reply.status)
         self.assertEqual("GET, POST", reply.headers["Allow"])
 
-    def test_unknown_page_is_told_the_known_ones(self) -> None:
-        reply = self.ask("GET", "/job")
+    def test_unknown_page_gets_the_known_pages(self) -> None:
+        reply = self.request("GET", "/job")
         self.assertEqual(404, reply.status)
         self.assertIn(b"/jobs/*", reply.body)
--- a/tests/connection/test_worker_client.py
+++ b/tests/connection/test_worker_client.py
@@ -18,8 +18,10 @@
 TIMEOUT_MS = 1_000
 
 
-def ask(address: str, *commands: workers.Command, quoted: int = 0) -> object:
-    """Makes one exchange."""
+def exchange_with(
+    address: str, *commands: workers.Command, quoted: int = 0
+) -> object:
+    """Makes one exchange with a worker."""
     lease_ms = 5_000 if quoted else 0
     exchange = workers.Exchange("host", 1, quoted, lease_ms, commands)
     return worker_client.WorkerClient().exchange(address, exchange, TIMEOUT_MS)
@@ -38,12 +40,12 @@
         self.addCleanup(worker.listener.refuse)
         return worker
 
-    def test_every_command_is_carried_out(self) -> None:
+    def test_every_command_is_executed(self) -> None:
         """All four kinds reach the worker in their order."""
         address = self._worker().listener.address
-        first = ask(address).unwrap()
+        first = exchange_with(address).unwrap()
         size = workers.Resources(1_000, 100)
-        answer = ask(
+        answer = exchange_with(
             address,
             workers.StartTask("job", 1, "stack", size, 60_000),
             workers.ThrottleTask("job", 1, 500),
@@ -58,23 +60,23 @@
         """No byte was sent."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
-        answer = ask(f"127.0.0.1:{port}")
+        answer = exchange_with(f"127.0.0.1:{port}")
         self.assertIsInstance(answer.err_value, workers.WorkerUnreachable)
 
     def test_silence_after_sending_is_a_lost_answer(self) -> None:
         """The worker may have carried the exchange out."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
-            answer = ask(f"127.0.0.1:{port}")
+            answer = exchange_with(f"127.0.0.1:{port}")
         self.assertIsInstance(answer.err_value, workers.WorkerAnswerLost)
 
     def test_malformed_address_is_unreachable(self) -> None:
-        """It is refused before anything is sent."""
-        answer = ask("worker:80")
+        """The address is refused before anything is sent."""
+        answer = exchange_with("worker:80")
         self.assertIsInstance(answer, result.Err)
         self.assertIsInstance(answer.err_value, workers.WorkerUnreachable)
 
-    def test_report_of_other_shape_is_a_lost_answer(self) -> None:
+    def test_malformed_report_is_a_lost_answer(self) -> None:
         """A malformed report doesn't raise."""
         answer = worker_client.decode_report(b'{"worker": 7}', 0)
         self.assertIsInstance(answer.err_value, workers.WorkerAnswerLost)
