--- a/src/comfreylatch/__init__.py
+++ b/src/comfreylatch/__init__.py
@@ -1,7 +1,7 @@
 """Scheduler for colocated latency-critical and batch work.
 
-The public face of the package: its version. Everything else lives in private
-subpackages and may change without notice; operators use the command line.
+The public API is `__version__`. The private subpackages may change without
+notice; operators use the command line.
 """
 
 from __future__ import annotations
--- a/src/comfreylatch/__main__.py
+++ b/src/comfreylatch/__main__.py
@@ -8,18 +8,18 @@
 
 from comfreylatch._process import resident
 
-# The package that unpacks the one-file program before this module runs.
+# Package that unpacks the single-file executable before this module runs.
 BOOTSTRAP_MODULE = "_bootstrap"
 
 
 def main() -> None:
-    """Runs the command line; never returns a value, may exit."""
+    """Runs the command line; usually ends with SystemExit."""
     resident.mark(resident.INTERPRETER)
     match sys.argv[1:]:
         case ["serve", path] if not path.startswith("-"):
             _reexec_without_bootstrap(path)
-            # The command-line library would stay in a serving process's
-            # memory for good.
+            # The command-line library is not imported here, because it would
+            # occupy memory for the lifetime of the serving process.
             from comfreylatch._process import entry_host
 
             sys.exit(entry_host.run(path))
@@ -30,10 +30,10 @@
 
 
 def _reexec_without_bootstrap(path: str) -> None:
-    """Goes on in a fresh interpreter, in the same process.
+    """Replaces the process image with a new interpreter if unpacked.
 
-    What the one-file program imported to unpack itself would stay in a
-    serving process's memory for good.
+    Modules that the single-file executable imported to unpack itself would
+    otherwise occupy memory for the lifetime of the serving process.
     """
     if BOOTSTRAP_MODULE not in sys.modules:
         return
--- a/src/comfreylatch/_commands/__init__.py
+++ b/src/comfreylatch/_commands/__init__.py
@@ -1,3 +1,3 @@
-"""Client commands and the entry point of the command line."""
+"""The command line: client commands and `serve`."""
 
 from __future__ import annotations
--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -1,4 +1,4 @@
-"""Calls to the operator pages of entry hosts."""
+"""HTTP client of the operator API of entry hosts."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @attrs.frozen
 class Reply:
-    """The answer of a host.
+    """A reply from a host.
 
     Attributes:
-        host: Address that answered.
+        host: Address of the host.
         status: HTTP status.
-        value: The decoded JSON body, or the text when it is no JSON.
+        value: The decoded JSON body, or the body as text if it is not JSON.
         headers: Keys in lower case.
     """
 
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class NoHostReached:
-    """No byte of the call reached any host; `details` has one per host."""
+    """No host could be reached; `details` has one entry per host."""
 
     details: tuple[str, ...]
 
@@ -50,13 +50,13 @@
 
 @attrs.frozen
 class AnswerLost:
-    """A host was sent the call and may have carried it out."""
+    """The call was sent to a host, which may have executed it."""
 
     host: str
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.host}: no whole answer ({self.detail})"
+        return f"{self.host}: no complete answer ({self.detail})"
 
 
 CallError = NoHostReached | AnswerLost
@@ -64,16 +64,15 @@
 
 @final
 class Client:
-    """Calls one of several entry hosts, in turn where that is safe.
+    """Calls entry hosts in order until one gives a usable answer.
 
-    A call that reads is tried on the next host after any failure, and when
-    the host does not know the thing asked for. One that
-    changes something is tried on the next only when no byte reached the host
-    or it answered that nothing was done.
+    A read is retried on the next host after any failure and after a 404. A
+    change is retried only if no byte of it reached the host or the host
+    answered that it was not run, so it is never executed twice.
 
     Args:
-        hosts: Operator addresses, in the order to be tried.
-        timeout_ms: For the answer of each host.
+        hosts: Operator addresses, in the order in which to try them.
+        timeout_ms: Timeout of reading the answer of each host.
     """
 
     def __init__(
@@ -92,13 +91,13 @@
         self._pool.clear()
 
     def read(self, path: str) -> result.Result[Reply, CallError]:
-        """GETs a page from the first host that has an answer."""
+        """Reads a page from the first host that has it."""
         return self._call_in_order("GET", path, b"")
 
     def change(
         self, method: str, path: str, body: bytes = b""
     ) -> result.Result[Reply, CallError]:
-        """Sends a change, never to a second host after a doubtful first."""
+        """Sends a change; stops at the first host that may have executed it."""
         return self._call_in_order(method, path, body)
 
     def _call_in_order(
@@ -162,5 +161,5 @@
 
 
 def _strip_connection_repr(error: Exception) -> str:
-    # urllib3 starts its messages with the repr of a connection object.
+    # Messages of urllib3 start with the repr of a connection object.
     return str(error).rpartition(">: ")[2]
--- a/src/comfreylatch/_commands/exits.py
+++ b/src/comfreylatch/_commands/exits.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's exit code says."""
+    """Exit code of a command."""
 
     DONE = 0
     REFUSED = 1
@@ -15,6 +15,6 @@
 
 
 HELP = (
-    "Exit codes: 0 done; 1 refused, or not run at all; 2 usage or a faulty "
-    "file; 3 unknown outcome, which the message says how to find out."
+    "Exit codes: 0 success; 1 refused or not run; 2 usage error or invalid "
+    "file; 3 unknown outcome (the message says how to check it)."
 )
--- a/src/comfreylatch/_commands/host.py
+++ b/src/comfreylatch/_commands/host.py
@@ -1,4 +1,4 @@
-"""Commands that ask entry hosts about themselves and their decisions."""
+"""Commands that show the state and the decisions of entry hosts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from comfreylatch._commands import output
 from comfreylatch._process import reasons
 
-_RETRY_HINT = "nothing was changed; ask again"
+_RETRY_HINT = "nothing was changed; run the command again"
 
 
 def status(
@@ -23,9 +23,9 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Shows how each host given sees itself, its peers and endpoints.
+    """Shows the status of each host, its peers and its endpoints.
 
-    Exits 1 when any of the hosts can't be reached.
+    Exits 1 if any of the hosts can't be reached.
     """
     pages = {}
     for host in hosts:
@@ -47,7 +47,7 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Prints the counters and latencies of a host, one line a metric."""
+    """Prints the counters and latencies of a host, one metric per line."""
     path = "/metrics" if as_json else "/metrics?format=text"
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read(path)
@@ -59,15 +59,17 @@
         reasons.Subject,
         typer.Argument(metavar="SUBJECT", help=", ".join(reasons.Subject)),
     ],
-    name: Annotated[str, typer.Argument(metavar="ID", help="Its id or name.")],
+    name: Annotated[
+        str, typer.Argument(metavar="ID", help="Id or name of the subject.")
+    ],
     hosts: options.Hosts,
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Says what was decided about a request, job, ticket, endpoint or worker.
+    """Lists the decisions about a request, job, ticket, endpoint or worker.
 
-    One line a decision, oldest first: when, on which host, why, and the
-    record that decided. Exits 1 when nothing is known of it.
+    Prints one line per decision, oldest first: its time, host, explanation,
+    reason and log record. Exits 1 if no decision is known.
     """
     path = f"/explain/{subject.value}/{parse.quote(name, safe='')}"
     with output.connect(hosts, timeout_ms) as client:
@@ -84,7 +86,7 @@
 
 
 def explanation_lines(page: dict[str, Any]) -> list[str]:
-    """An explanation page as sentences."""
+    """Formats an explanation page as lines of text."""
     lines = []
     for decision in page["decisions"]:
         when = datetime.datetime.fromtimestamp(
--- a/src/comfreylatch/_commands/job.py
+++ b/src/comfreylatch/_commands/job.py
@@ -1,4 +1,4 @@
-"""Commands about batch jobs."""
+"""Commands for batch jobs."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 app = typer.Typer(
     no_args_is_help=True,
-    help="Submit batch jobs, follow them and cancel them.",
+    help="Submit, show, list and cancel batch jobs.",
     epilog=exits.HELP,
 )
 
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class JobDocument:
-    """A job file, as in docs/API.md."""
+    """A job file, specified in docs/API.md."""
 
     id: str
     team: str
@@ -42,15 +42,17 @@
 
 @app.command()
 def submit(
-    file: Annotated[str, typer.Argument(metavar="FILE", help="The job.")],
+    file: Annotated[
+        str, typer.Argument(metavar="FILE", help="Job: JSON with comments.")
+    ],
     hosts: options.Hosts,
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Submits a job; sending the same file again is the same job."""
+    """Submits a job; submitting the same file again has no effect."""
     match json_file.read(file, check):
         case result.Err(errors):
-            output.show_file_errors(errors, as_json)
+            output.print_file_errors(errors, as_json)
             raise typer.Exit(exits.ExitCode.USAGE)
         case result.Ok(value):
             body = msgspec.json.encode(value)
@@ -59,8 +61,8 @@
     output.print_answer(
         answer,
         as_json,
-        f"ask `comfreylatch job show {value['id']}` whether it was taken; "
-        "sending the same file again is harmless",
+        f"check with `comfreylatch job show {value['id']}` whether the job "
+        "was accepted; submitting the same file again is safe",
     )
 
 
@@ -71,10 +73,12 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Shows one job: its state, zone, worker and attempts."""
+    """Shows the state, zone, worker and attempts of a job."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/jobs/" + parse.quote(job_id, safe=""))
-    output.print_answer(answer, as_json, "nothing was changed; ask again")
+    output.print_answer(
+        answer, as_json, "nothing was changed; run the command again"
+    )
 
 
 @app.command("list")
@@ -83,10 +87,12 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Lists the jobs that the host asked knows."""
+    """Lists the jobs known to the host."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/jobs")
-    output.print_answer(answer, as_json, "nothing was changed; ask again")
+    output.print_answer(
+        answer, as_json, "nothing was changed; run the command again"
+    )
 
 
 @app.command()
@@ -96,18 +102,18 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Cancels a job; doing so again is harmless."""
+    """Cancels a job; cancelling it again has no effect."""
     with output.connect(hosts, timeout_ms) as client:
         path = "/jobs/" + parse.quote(job_id, safe="")
         answer = client.change("DELETE", path)
     output.print_answer(
         answer,
         as_json,
-        f"ask `comfreylatch job show {job_id}` whether it was cancelled; "
-        "cancelling again is harmless",
+        f"check with `comfreylatch job show {job_id}` whether the job was "
+        "cancelled; cancelling it again is safe",
     )
 
 
 def check(value: Any) -> schema.Problems:
-    """Returns everything wrong with a decoded job file."""
+    """Returns all problems of a decoded job file."""
     return schema.check(value, JobDocument, "")
--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -1,4 +1,4 @@
-"""Sends the requests of a trace at their times, whatever the answers."""
+"""Open-loop load generator that sends the requests of a trace."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from comfreylatch._process import reasons
 
 CONNECT_TIMEOUT_MS = 2_000
-# What a caller waits beyond the deadline it gave, for the answer's way back.
+# Added to the timeout of a request, for the transfer of the answer.
 ANSWER_GRACE_MS = 2_000
-# A request that starts later than this was held up by the tool itself.
+# A request sent later than this was delayed by the load generator itself.
 LATE_START_MS = 10.0
 MAX_POOLS = 256
-# How long a host is passed over after it failed or said that it stops.
+# How long a host is avoided after it failed or reported that it is stopping.
 HOST_AVOIDANCE_MS = 1_000.0
 
 
 class ObservedOutcome(enum.StrEnum):
-    """What became of a request, as its caller saw it."""
+    """Outcome of a request as observed by its caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -43,16 +43,16 @@
 
 @attrs.frozen
 class Sample:
-    """One request of a replay.
+    """Measurements of one request.
 
     Attributes:
-        due_ms: When it was due, from the start of the replay.
-        late_ms: How much later it was sent.
-        elapsed_ms: From the time it was due to the whole answer.
-        timeout_ms: Time its caller would wait.
-        status: HTTP status; 0 when there was no answer.
-        reason: `X-Reason`, or the kind of error.
-        retry_after_ms: When it was told to come back; 0 when it was not.
+        due_ms: When the request was due, from the start of the replay.
+        late_ms: Delay between the due time and sending.
+        elapsed_ms: From the due time to the complete answer.
+        timeout_ms: Timeout of the caller.
+        status: HTTP status; 0 if there was no answer.
+        reason: Value of `X-Reason`, or the class of the error.
+        retry_after_ms: Value of `X-Retry-After-Ms`; 0 if there was none.
     """
 
     service: str
@@ -68,14 +68,14 @@
 
 @attrs.frozen
 class LoadOptions:
-    """How requests are sent.
+    """Options of the load generator.
 
     Attributes:
-        callers: Addresses for callers, by zone; the key `""` holds those
-            that take any zone.
-        run: Prefix of request ids, new for each replay.
-        speed: Trace time per real time.
-        threads: Requests that can be open at once.
+        callers: Caller addresses by zone; the key `""` holds those that
+            accept requests of any zone.
+        run: Prefix of request ids, unique per replay.
+        speed: Ratio of trace time to real time.
+        threads: Limit of concurrent requests.
     """
 
     callers: Mapping[str, Sequence[addresses.Address]]
@@ -92,29 +92,29 @@
 
 
 class Balancer:
-    """Picks hosts in turn, as the platform's balancer would. Thread-safe.
+    """Picks hosts round-robin, like the platform's balancer. Thread-safe.
 
-    A host that failed or said that it stops is passed over for a while; no
-    request is sent a second time.
+    Hosts that failed or are stopping are avoided for a while. No request is
+    sent twice.
     """
 
     def __init__(
         self, callers: Mapping[str, Sequence[addresses.Address]]
     ) -> None:
         self._by_zone = callers
-        self._all_hosts = [one for each in callers.values() for one in each]
+        self._all_hosts = [host for hosts in callers.values() for host in hosts]
         self._counter = itertools.count()
         self._avoided_until_s: dict[addresses.Address, float] = {}
 
     def pick(self, zone: str) -> addresses.Address:
-        """The next host of the zone; of any zone when it has none left."""
+        """Returns the next usable host of the zone, else of any zone."""
         now_s = time.monotonic()
         of_zone = self._by_zone.get(zone) or self._by_zone.get("", ())
-        for choices in (of_zone, self._all_hosts):
+        for hosts in (of_zone, self._all_hosts):
             usable = [
-                one
-                for one in choices
-                if self._avoided_until_s.get(one, 0.0) <= now_s
+                host
+                for host in hosts
+                if self._avoided_until_s.get(host, 0.0) <= now_s
             ]
             if usable:
                 return usable[next(self._counter) % len(usable)]
@@ -123,7 +123,7 @@
     def record_outcome(
         self, address: addresses.Address, seen: ObservedOutcome, reason: str
     ) -> None:
-        """Takes note of what became of a request sent to a host."""
+        """Records the outcome of a request that was sent to a host."""
         failed = (
             seen is ObservedOutcome.UNREACHABLE or seen is ObservedOutcome.LOST
         )
@@ -134,11 +134,11 @@
 
 @final
 class LoadGenerator:
-    """Sends each request when it is due, on a thread of its own.
+    """Sends each request of a trace when it is due, from a thread pool.
 
     Args:
-        trace: What to send; jobs in it are left to others.
-        options: How.
+        trace: The trace; its jobs are ignored.
+        options: How to send the requests.
     """
 
     def __init__(self, trace: traces.Trace, options: LoadOptions) -> None:
@@ -151,8 +151,10 @@
         )
         self._due = iter(
             [
-                _ScheduledRequest(number, one, one.at_ms / options.speed)
-                for number, one in enumerate(requests)
+                _ScheduledRequest(
+                    number, request, request.at_ms / options.speed
+                )
+                for number, request in enumerate(requests)
             ]
         )
         self._lock = threading.Lock()
@@ -165,7 +167,7 @@
         self._started_s = 0.0
 
     def start(self, started_s: float) -> None:
-        """Starts sending; times count from `started_s`, monotonic seconds."""
+        """Starts sending; `started_s` is the monotonic time of trace time 0."""
         self._started_s = started_s
         for _ in range(self._options.threads):
             thread = threading.Thread(target=self._send_due, daemon=True)
@@ -173,7 +175,7 @@
             self._threads.append(thread)
 
     def finish(self) -> list[Sample]:
-        """Waits until all is sent and answered, and returns the samples."""
+        """Waits for all requests to complete and returns their samples."""
         for thread in self._threads:
             thread.join()
         self._pool.clear()
@@ -273,7 +275,7 @@
         ObservedOutcome.NOT_RUN,
         ObservedOutcome.UNKNOWN,
     ):
-        # Cut within its headers, or no answer of an entry host at all.
+        # Truncated within its headers, or not from an entry host.
         return ObservedOutcome.LOST, f"no outcome, status {answer.status}"
     if answer.headers.get("X-Request-Id") != name:
         return ObservedOutcome.MISMATCHED, reason
--- a/src/comfreylatch/_commands/main.py
+++ b/src/comfreylatch/_commands/main.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Entry point of the command line."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from comfreylatch._commands import ticket
 
 EPILOG = (
-    "Commands that ask a host take its operator address from --host or the "
-    f"variable {options.HOST_VARIABLE}. {exits.HELP}"
+    "Commands that call a host take its operator address from --host or the "
+    f"environment variable {options.HOST_VARIABLE}. {exits.HELP}"
 )
 
 app = typer.Typer(
@@ -35,11 +35,11 @@
         bool, typer.Option("--version", help="Print the version and exit.")
     ] = False,
 ) -> None:
-    """Schedules latency-critical requests and batch jobs side by side.
+    """Schedules latency-critical requests and batch jobs on shared hosts.
 
-    Start an entry host with `serve FILE`. Put services, endpoints, teams and
-    limits in force with `ticket`, run batch work with `job`, and ask why
-    anything happened with `explain`.
+    Start an entry host with `serve FILE`. Configure services, endpoints, teams
+    and limits with `ticket`, run batch jobs with `job`, and show the reasons
+    of scheduling decisions with `explain`.
     """
     if version:
         typer.echo(f"comfreylatch {__version__}")
@@ -57,5 +57,5 @@
 
 
 def run() -> None:
-    """Runs the command line on the process's arguments."""
+    """Runs the command line with the arguments of the process."""
     app(prog_name="comfreylatch")
--- a/src/comfreylatch/_commands/options.py
+++ b/src/comfreylatch/_commands/options.py
@@ -1,4 +1,4 @@
-"""Options and arguments that several commands share."""
+"""Options shared by several commands."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
         metavar="IP:PORT",
         envvar=HOST_VARIABLE,
         help="Operator address of an entry host. May be given several times "
-        "(or several in the variable, with spaces between): the next one is "
-        "tried when it is certain that the one before did nothing.",
+        "(in the variable, separated by spaces); the next host is tried if a "
+        "read fails or if a change was certainly not executed.",
     ),
 ]
 OptionalHosts = Annotated[
@@ -38,7 +38,7 @@
         min=1,
         max=600_000,
         metavar="MS",
-        help="How long to wait for the answer.",
+        help="Timeout of the answer of a host.",
     ),
 ]
 DEFAULT_TIMEOUT_MS = 15_000
--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -1,4 +1,4 @@
-"""Printing of answers, plain or as JSON, and of errors."""
+"""Prints answers and errors as text or JSON."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @attrs.frozen
 class CommandError:
-    """What `--json` prints when a command fails without a host's answer."""
+    """JSON output of a command that failed without an answer of a host."""
 
     error: str
     detail: str
 
 
 def print_value(value: Any, as_json: bool) -> None:
-    """Prints a value of JSON types or an attrs object."""
+    """Prints JSON types or an attrs object."""
     if as_json:
         encoded = msgspec.json.encode(value)
         typer.echo(msgspec.json.format(encoded, indent=2).decode())
@@ -37,15 +37,15 @@
     if isinstance(value, str):
         typer.echo(value.rstrip("\n"))
         return
-    plain = msgspec.json.decode(msgspec.json.encode(value))
-    if isinstance(plain, dict) and plain.get("sentence"):
-        typer.echo(plain.pop("sentence"))
-    for line in format_lines(plain):
+    decoded = msgspec.json.decode(msgspec.json.encode(value))
+    if isinstance(decoded, dict) and decoded.get("sentence"):
+        typer.echo(decoded.pop("sentence"))
+    for line in format_lines(decoded):
         typer.echo(line)
 
 
 def format_lines(value: Any, indent: str = "") -> list[str]:
-    """A value of JSON types as indented `key: value` lines."""
+    """Formats a value of JSON types as indented `key: value` lines."""
     if isinstance(value, dict):
         return _object_lines(value, indent)
     if isinstance(value, list):
@@ -54,13 +54,13 @@
 
 
 def fail(error: str, detail: str, code: exits.ExitCode) -> NoReturn:
-    """Ends the command with an error on standard error."""
+    """Prints an error to standard error and exits with a code."""
     typer.echo(f"comfreylatch: {error}: {detail}", err=True)
     raise typer.Exit(code)
 
 
-def show_file_errors(errors: json_file.FileErrors, as_json: bool) -> None:
-    """Prints every error of a file, on standard error unless as JSON."""
+def print_file_errors(errors: json_file.FileErrors, as_json: bool) -> None:
+    """Prints all errors of a file, to standard error unless as JSON."""
     if as_json:
         print_value(errors, as_json=True)
         return
@@ -73,13 +73,13 @@
     as_json: bool,
     on_unknown: str,
 ) -> client.Reply:
-    """Prints an answer; returns it only when the host did what was asked.
+    """Prints an answer; returns the reply only if the call succeeded.
 
     Args:
-        answer: What the client returned.
+        answer: Result of the client.
         as_json: Whether to print JSON.
-        on_unknown: How to find out what became of it, and whether sending it
-            again is harmless; printed with exit code 3.
+        on_unknown: How to check the outcome and whether a retry is safe;
+            printed with exit code 3.
     """
     match answer:
         case result.Err(client.NoHostReached() as unreached):
@@ -88,7 +88,7 @@
             typer.echo(f"comfreylatch: {on_unknown}", err=True)
             fail(
                 "unknown outcome",
-                f"{host} was sent it but gave no answer ({detail})",
+                f"{host} may have run it, but its answer was lost ({detail})",
                 exits.ExitCode.UNKNOWN,
             )
         case result.Ok(reply):
@@ -104,19 +104,21 @@
 def require_value(
     answer: result.Result[client.Reply, client.CallError], error: str
 ) -> Any:
-    """The value of a page that a command needs; fails the command if none."""
+    """Returns the value of a page or ends the command with an error."""
     match answer:
         case result.Ok(reply) if reply.status == 200:
             return reply.value
         case result.Ok(reply):
-            detail = f"{reply.host} answered {reply.status}: {reply.value}"
+            detail = (
+                f"{reply.host} answered status {reply.status}: {reply.value}"
+            )
         case result.Err(failed):
             detail = str(failed)
     return fail(error, detail, exits.ExitCode.REFUSED)
 
 
 def exit_code(status: int) -> exits.ExitCode:
-    """Exit code for the HTTP status of a host's answer."""
+    """Maps the HTTP status of an answer to an exit code."""
     if 200 <= status < 300:
         return exits.ExitCode.DONE
     if status in (500, 502, 504):
@@ -125,14 +127,14 @@
 
 
 def connect(hosts: list[str], timeout_ms: int) -> client.Client:
-    """A client for addresses given on the command line."""
+    """Creates a client for the addresses of `--host`."""
     return client.Client(parse_addresses(hosts, "--host"), timeout_ms)
 
 
 def parse_addresses(
     texts: Sequence[str], option: str
 ) -> list[addresses.Address]:
-    """Addresses given for an option; a faulty one is a usage error."""
+    """Parses the addresses of an option; an invalid one is a usage error."""
     parsed = []
     for text in texts:
         match addresses.parse(text):
@@ -162,15 +164,15 @@
         return table
     lines = []
     for member in value:
-        inner = format_lines(member, indent + INDENT)
-        first = inner[0][len(indent) + len(INDENT) :]
+        member_lines = format_lines(member, indent + INDENT)
+        first = member_lines[0][len(indent) + len(INDENT) :]
         lines.append(f"{indent}- {first}")
-        lines.extend(inner[1:])
+        lines.extend(member_lines[1:])
     return lines or [indent + "(none)"]
 
 
 def _table_lines(value: list[Any], indent: str) -> list[str]:
-    """Objects of equal members, one a line; empty when they don't suit."""
+    """Formats objects with equal keys as a table; empty if not possible."""
     if not all(isinstance(member, dict) for member in value):
         return []
     names = list(value[0]) if value else []
@@ -192,8 +194,8 @@
 
 def _cell(value: Any) -> str:
     if isinstance(value, dict):
-        parts = [f"{key}={_cell(member)}" for key, member in value.items()]
-        return ",".join(parts) or "-"
+        members = [f"{key}={_cell(member)}" for key, member in value.items()]
+        return ",".join(members) or "-"
     if isinstance(value, list):
         return ",".join(map(_cell, value)) or "-"
     return _scalar(value) or "-"
--- a/src/comfreylatch/_commands/replay.py
+++ b/src/comfreylatch/_commands/replay.py
@@ -1,4 +1,4 @@
-"""The command `replay`: a recorded trace against a running system."""
+"""The command `replay`, which replays a trace against running hosts."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 TracePath = Annotated[
-    str, typer.Argument(metavar="TRACE", help="Trace of JSON lines.")
+    str, typer.Argument(metavar="TRACE", help="Trace file of JSON lines.")
 ]
 Callers = Annotated[
     list[str],
@@ -29,23 +29,24 @@
         "--caller",
         metavar="[ZONE=]IP:PORT",
         help="Caller address of an entry host; may be given several times. "
-        "Requests of a zone go to the hosts of that zone, if any.",
+        "Requests of a zone are sent to the hosts of that zone, if any.",
     ),
 ]
 Speed = Annotated[
-    float, typer.Option(min=0.01, max=100, help="Trace time per real time.")
+    float,
+    typer.Option(min=0.01, max=100, help="Ratio of trace time to real time."),
 ]
 Threads = Annotated[
-    int, typer.Option(min=1, max=2_000, help="Requests open at once.")
+    int, typer.Option(min=1, max=2_000, help="Limit of concurrent requests.")
 ]
 SettleMs = Annotated[
     int,
     typer.Option(
-        min=0, metavar="MS", help="How long to wait for jobs at the end."
+        min=0, metavar="MS", help="How long to wait for jobs after the trace."
     ),
 ]
 Run = Annotated[
-    str, typer.Option(help="Prefix of all ids; must be new for each replay.")
+    str, typer.Option(help="Prefix of all ids; must be unique per replay.")
 ]
 Label = Annotated[str, typer.Option(help="Name of the policy under test.")]
 DEFAULT_THREADS = 512
@@ -63,21 +64,21 @@
     label: Label = "",
     as_json: options.AsJson = False,
 ) -> None:
-    """Sends what a trace recorded, at its times, and reports what came.
+    """Replays the requests and jobs of a trace and reports the results.
 
-    Requests are sent when they are due, whether or not earlier ones were
-    answered, and times count from then. Jobs and the count of tries need the
-    operator addresses (--host). Exits 1 when an outcome that the trace
-    states was not kept.
+    Each request is sent when it is due, even if earlier ones are unanswered;
+    latencies count from the due time. Jobs and the number of tries need
+    operator addresses (--host). Exits 1 if an outcome stated in the trace is
+    missed.
     """
     from comfreylatch._commands import load_generator
     from comfreylatch._commands import replay_run
 
-    found = _read(trace, as_json)
+    recorded = _read(trace, as_json)
     operators = output.parse_addresses(hosts or [], "--host")
-    if found.has_jobs and not operators:
+    if recorded.has_jobs and not operators:
         raise typer.BadParameter(
-            "the trace has jobs, and they need a host of each zone",
+            "the trace contains jobs, which need a host of each zone",
             param_hint="--host",
         )
     load_options = load_generator.LoadOptions(
@@ -86,13 +87,13 @@
         speed=speed,
         threads=threads,
     )
-    report = replay_run.run(found, load_options, operators, label, settle_ms)
-    _show(report, as_json)
+    report = replay_run.run(recorded, load_options, operators, label, settle_ms)
+    _print_report(report, as_json)
     if not report.kept:
         raise typer.Exit(exits.ExitCode.REFUSED)
 
 
-def _show(report: replay_report.ReplayReport, as_json: bool) -> None:
+def _print_report(report: replay_report.ReplayReport, as_json: bool) -> None:
     from comfreylatch._commands import replay_text
 
     if as_json:
@@ -104,8 +105,8 @@
 
 def _read(path: str, as_json: bool) -> traces.Trace:
     match traces.read(path):
-        case result.Ok(found):
-            return found
+        case result.Ok(recorded):
+            return recorded
         case result.Err(bad):
             detail = f"{path}:{bad.line}: {bad.detail}"
             if as_json:
@@ -118,9 +119,9 @@
 def _callers_by_zone(
     texts: Sequence[str],
 ) -> dict[str, list[addresses.Address]]:
-    found: dict[str, list[addresses.Address]] = {}
+    callers: dict[str, list[addresses.Address]] = {}
     for text in texts:
         zone, _, address = text.rpartition("=")
         parsed = output.parse_addresses([address], "--caller")
-        found.setdefault(zone, []).extend(parsed)
-    return found
+        callers.setdefault(zone, []).extend(parsed)
+    return callers
--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -1,4 +1,4 @@
-"""Submits the jobs of a trace, cancels them, and waits for their ends."""
+"""Submits and cancels the jobs of a trace and polls their state."""
 
 from __future__ import annotations
 
@@ -29,16 +29,17 @@
 
 @attrs.define
 class JobSample:
-    """One job of a replay, filled in as it goes.
+    """State of one job, updated during the replay.
 
     Attributes:
-        due_ms: When it was due, from the start of the replay.
-        submitted: `accepted`, `unknown`, or the reason of its refusal.
-        phase: Last phase seen.
-        started_ms: When a first attempt was first seen, from the start; 0
-            when none. Jobs are looked at every `POLL_INTERVAL_S`.
-        ended_ms: When an end was first seen, from the start; 0 when none.
-        cancelled: Whether the trace cancelled it.
+        due_ms: When the job was due, from the start of the replay.
+        submitted: `accepted`, `unknown`, `unreachable` or the reason of the
+            refusal.
+        phase: Last observed phase.
+        started_ms: When an attempt was first observed, from the start of the
+            replay; 0 if never. Jobs are polled every `POLL_INTERVAL_S`.
+        ended_ms: When a final phase was first observed; 0 if never.
+        cancelled: Whether the trace cancelled the job.
     """
 
     id: str
@@ -58,14 +59,15 @@
 
 @final
 class JobReplay:
-    """Plays the jobs of a trace against operator addresses.
+    """Replays the jobs of a trace against operator addresses.
 
     Args:
-        trace: What to submit; requests in it are left to others.
-        hosts: Operator addresses; each zone's jobs go to the first that
-            takes jobs of the zone.
-        run: Prefix of job ids, new for each replay.
-        speed: Trace time per real time; job run times are left as they are.
+        trace: The trace; its requests are ignored.
+        hosts: Operator addresses; jobs of a zone are submitted to the first
+            host that accepts them.
+        run: Prefix of job ids, unique per replay.
+        speed: Ratio of trace time to real time; run times of jobs are not
+            scaled.
     """
 
     def __init__(
@@ -82,8 +84,8 @@
         ]
         self._stack = contextlib.ExitStack()
         self._clients = [
-            self._stack.enter_context(clients.Client([one], CALL_TIMEOUT_MS))
-            for one in hosts
+            self._stack.enter_context(clients.Client([host], CALL_TIMEOUT_MS))
+            for host in hosts
         ]
         self._run = run
         self._speed = speed
@@ -101,14 +103,14 @@
         self._stack.close()
 
     def play(self, started_s: float, settle_ms: int) -> list[JobSample]:
-        """Plays everything; waits up to `settle_ms` for ends afterwards."""
+        """Replays all jobs, then waits up to `settle_ms` for them to end."""
         self._started_s = started_s
         poller = threading.Thread(target=self._poll, daemon=True)
         poller.start()
         with futures.ThreadPoolExecutor(CALL_THREADS) as pool:
             for line in self._lines:
-                left_ms = line.at_ms / self._speed - self._now_ms()
-                time.sleep(max(left_ms, 0.0) / 1_000)
+                remaining_ms = line.at_ms / self._speed - self._now_ms()
+                time.sleep(max(remaining_ms, 0.0) / 1_000)
                 if isinstance(line, traces.TracedJob):
                     pool.submit(self._submit, self._add(line), line)
                 else:
@@ -122,7 +124,7 @@
         return (time.monotonic() - self._started_s) * 1_000
 
     def _poll(self) -> None:
-        """Looks at every job that has not ended, again and again."""
+        """Polls the state of every job that has not ended."""
         with futures.ThreadPoolExecutor(CALL_THREADS) as pool:
             while not self._closing.wait(POLL_INTERVAL_S):
                 with self._lock:
@@ -147,11 +149,14 @@
         return sample
 
     def _order_clients(self, zone: str) -> list[clients.Client]:
-        """All clients, the one that last took a job of the zone first."""
-        known = self._client_by_zone.get(zone)
-        if known is None:
+        """All clients, first the last one that accepted a job of the zone."""
+        preferred = self._client_by_zone.get(zone)
+        if preferred is None:
             return self._clients
-        return [known, *(one for one in self._clients if one is not known)]
+        return [
+            preferred,
+            *(client for client in self._clients if client is not preferred),
+        ]
 
     def _submit(self, sample: JobSample, line: traces.TracedJob) -> None:
         document = attrs.evolve(line.job, id=sample.id)
@@ -213,7 +218,7 @@
 def _should_try_next_host(
     answer: result.Result[clients.Reply, clients.CallError],
 ) -> bool:
-    """Whether a job should be offered to another host."""
+    """Whether to submit the job to the next host."""
     match answer:
         case result.Ok(reply):
             reason = reply.headers.get("x-reason", "")
--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -1,4 +1,4 @@
-"""What a replay measured, and whether it kept the stated outcomes."""
+"""Computes the report of a replay and checks the stated outcomes."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 @attrs.frozen
 class LatencyReport:
-    """Times of answered requests from when they were due, in milliseconds.
+    """Latencies of answered requests, counted from their due time.
 
-    `encoded` is the whole histogram (HdrHistogram V2, microseconds), so that
+    `encoded` is the histogram (HdrHistogram V2, microseconds), so that
     reports of several replays can be merged exactly.
     """
 
@@ -36,16 +36,17 @@
 
 @attrs.frozen
 class RequestReport:
-    """Requests of one service.
+    """Results of the requests of one service.
 
     Attributes:
-        seen: Count by outcome as callers saw it.
-        reasons: Count by reason, of requests that were not answered.
+        seen: Count by outcome observed by the caller.
+        reasons: Count by reason, for requests that were not answered.
         statuses: Count by HTTP status.
-        goodput_per_s: Answers with a status below 500, in time, per second.
-        late_starts: Requests the tool itself sent too late; many make the
-            figures worthless.
-        told_when_to_return: Refusals that said when to come back.
+        goodput_per_s: Answers per second with a status below 500 that arrived
+            within the timeout.
+        late_starts: Requests that the load generator sent too late; many of
+            them invalidate the results.
+        told_when_to_return: Refusals with a time to retry after.
     """
 
     service: str
@@ -61,16 +62,16 @@
 
 @attrs.frozen
 class JobReport:
-    """Batch work.
+    """Results of the jobs.
 
     Attributes:
-        submitted: Count by answer to the submission.
-        phases: Count by last phase seen, of accepted jobs.
-        unfinished: Accepted jobs, not cancelled, that did not finish.
-        work_per_s: Finished work in processor seconds per second.
-        p50_ms: From when it was due to its end, at the median.
-        start_p50_ms: From when it was due until it was first seen to run.
-        urgent_start_p99_ms: The same, of urgent jobs.
+        submitted: Count by result of the submission.
+        phases: Count by last observed phase, for accepted jobs.
+        unfinished: Accepted jobs that neither finished nor were cancelled.
+        work_per_s: Processor seconds of finished jobs per second.
+        p50_ms: Median time from due to end.
+        start_p50_ms: Median time from due to first observed run.
+        urgent_start_p99_ms: 99th percentile of the same time of urgent jobs.
     """
 
     submitted: dict[str, int]
@@ -88,7 +89,7 @@
 
 @attrs.frozen
 class OutcomeCheck:
-    """One stated outcome; `measured` is None when it was not measured."""
+    """Result of a stated outcome; `measured` is None if unavailable."""
 
     name: str
     limit: float
@@ -98,12 +99,12 @@
 
 @attrs.frozen
 class ReplayReport:
-    """The whole report of one replay.
+    """Report of one replay.
 
     Attributes:
-        label: What the policy under test is called.
-        tries_per_request: Tries at endpoints, as the hosts counted them,
-            per request sent; None when the hosts were not asked.
+        label: Name of the policy under test.
+        tries_per_request: Tries at endpoints, counted by the hosts, per
+            request sent; None if a host did not provide its count.
     """
 
     trace: str
@@ -119,45 +120,47 @@
 
     @property
     def kept(self) -> bool:
-        """Whether every stated outcome was kept."""
+        """Whether all stated outcomes were met."""
         return all(line.kept for line in self.outcomes)
 
 
 def request_reports(
     samples: Sequence[load_generator.Sample], duration_ms: float
 ) -> tuple[RequestReport, ...]:
-    """One report a service."""
+    """Creates one report per service."""
     by_service: dict[str, list[load_generator.Sample]] = (
         collections.defaultdict(list)
     )
     for sample in samples:
         by_service[sample.service].append(sample)
     return tuple(
-        _request_report(service, found, duration_ms)
-        for service, found in sorted(by_service.items())
+        _request_report(service, service_samples, duration_ms)
+        for service, service_samples in sorted(by_service.items())
     )
 
 
 def _request_report(
     service: str, samples: list[load_generator.Sample], duration_ms: float
 ) -> RequestReport:
-    missed = [
-        one
-        for one in samples
-        if one.seen is not load_generator.ObservedOutcome.ANSWERED
+    unanswered = [
+        sample
+        for sample in samples
+        if sample.seen is not load_generator.ObservedOutcome.ANSWERED
     ]
     return RequestReport(
         service=service,
         sent=len(samples),
-        seen=_counts(one.seen for one in samples),
-        reasons=_counts(one.reason or "none given" for one in missed),
-        statuses=_counts(str(one.status) for one in samples),
+        seen=_counts(sample.seen for sample in samples),
+        reasons=_counts(sample.reason or "none given" for sample in unanswered),
+        statuses=_counts(str(sample.status) for sample in samples),
         latency=latency_report(samples),
         goodput_per_s=_goodput(samples, duration_ms),
         late_starts=sum(
-            one.late_ms > load_generator.LATE_START_MS for one in samples
+            sample.late_ms > load_generator.LATE_START_MS for sample in samples
+        ),
+        told_when_to_return=sum(
+            sample.retry_after_ms > 0 for sample in unanswered
         ),
-        told_when_to_return=sum(one.retry_after_ms > 0 for one in missed),
     )
 
 
@@ -169,57 +172,57 @@
     samples: Iterable[load_generator.Sample], duration_ms: float
 ) -> float:
     good = sum(
-        one.seen is load_generator.ObservedOutcome.ANSWERED
-        and one.status < 500
-        and one.elapsed_ms <= one.timeout_ms
-        for one in samples
+        sample.seen is load_generator.ObservedOutcome.ANSWERED
+        and sample.status < 500
+        and sample.elapsed_ms <= sample.timeout_ms
+        for sample in samples
     )
     return round(good / max(duration_ms / 1_000, 0.001), 2)
 
 
 def latency_report(samples: Iterable[load_generator.Sample]) -> LatencyReport:
-    """Quantiles over answered requests."""
-    found = histogram.HdrHistogram(
+    """Computes latency quantiles of answered requests."""
+    latencies = histogram.HdrHistogram(
         MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
     )
-    for one in samples:
-        if one.seen is load_generator.ObservedOutcome.ANSWERED:
-            elapsed_us = int(one.elapsed_ms * 1_000)
-            found.record_value(
+    for sample in samples:
+        if sample.seen is load_generator.ObservedOutcome.ANSWERED:
+            elapsed_us = int(sample.elapsed_ms * 1_000)
+            latencies.record_value(
                 min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
             )
     return LatencyReport(
-        count=found.get_total_count(),
-        p50_ms=found.get_value_at_percentile(50) / 1_000,
-        p99_ms=found.get_value_at_percentile(99) / 1_000,
-        p999_ms=found.get_value_at_percentile(99.9) / 1_000,
-        max_ms=found.get_max_value() / 1_000,
-        encoded=found.encode().decode("ascii"),
+        count=latencies.get_total_count(),
+        p50_ms=latencies.get_value_at_percentile(50) / 1_000,
+        p99_ms=latencies.get_value_at_percentile(99) / 1_000,
+        p999_ms=latencies.get_value_at_percentile(99.9) / 1_000,
+        max_ms=latencies.get_max_value() / 1_000,
+        encoded=latencies.encode().decode("ascii"),
     )
 
 
 def job_report(
     samples: Sequence[replay_jobs.JobSample], elapsed_ms: float
 ) -> JobReport | None:
-    """Report on jobs; None when the trace has none."""
+    """Creates the report of jobs; None if there are none."""
     if not samples:
         return None
-    accepted = [one for one in samples if one.submitted == "accepted"]
-    finished = [one for one in accepted if one.phase == "finished"]
-    wanted = [one for one in accepted if not one.cancelled]
-    times_ms = sorted(one.ended_ms - one.due_ms for one in finished)
+    accepted = [sample for sample in samples if sample.submitted == "accepted"]
+    finished = [sample for sample in accepted if sample.phase == "finished"]
+    not_cancelled = [sample for sample in accepted if not sample.cancelled]
+    times_ms = sorted(sample.ended_ms - sample.due_ms for sample in finished)
     starts_ms = _start_times(accepted)
-    urgent_ms = _start_times([one for one in accepted if one.urgent])
+    urgent_ms = _start_times([sample for sample in accepted if sample.urgent])
     work_s = sum(
-        one.run_time_ms / 1_000 * one.processors_milli / 1_000
-        for one in finished
+        sample.run_time_ms / 1_000 * sample.processors_milli / 1_000
+        for sample in finished
     )
     return JobReport(
-        submitted=_counts(one.submitted for one in samples),
-        phases=_counts(one.phase for one in accepted),
-        unfinished=sum(one.phase != "finished" for one in wanted),
-        evictions=sum(one.evictions for one in accepted),
-        losses=sum(one.losses for one in accepted),
+        submitted=_counts(sample.submitted for sample in samples),
+        phases=_counts(sample.phase for sample in accepted),
+        unfinished=sum(sample.phase != "finished" for sample in not_cancelled),
+        evictions=sum(sample.evictions for sample in accepted),
+        losses=sum(sample.losses for sample in accepted),
         work_per_s=round(work_s / max(elapsed_ms / 1_000, 0.001), 3),
         p50_ms=_quantile(times_ms, 0.5),
         p99_ms=_quantile(times_ms, 0.99),
@@ -230,7 +233,11 @@
 
 
 def _start_times(jobs: Iterable[replay_jobs.JobSample]) -> list[float]:
-    return sorted(one.started_ms - one.due_ms for one in jobs if one.started_ms)
+    return sorted(
+        sample.started_ms - sample.due_ms
+        for sample in jobs
+        if sample.started_ms
+    )
 
 
 def _quantile(ordered: Sequence[float], fraction: float) -> float:
@@ -241,19 +248,19 @@
     )
 
 
-def outcome_lines(
+def check_outcomes(
     stated: traces.StatedOutcomes,
     samples: Sequence[load_generator.Sample],
     jobs: Sequence[replay_jobs.JobSample],
     tries_per_request: float | None,
 ) -> tuple[OutcomeCheck, ...]:
-    """Compares what was measured with what was stated."""
+    """Compares measured with stated outcomes."""
     measured = {
         **_measure_requests(samples),
         **_measure_jobs(jobs),
         "tries_per_request_max": tries_per_request,
     }
-    lines = []
+    checks = []
     for name, limit in attrs.asdict(stated).items():
         if limit is None:
             continue
@@ -264,8 +271,8 @@
             kept = value >= limit
         else:
             kept = value <= limit
-        lines.append(OutcomeCheck(name, limit, value, kept))
-    return tuple(lines)
+        checks.append(OutcomeCheck(name, limit, value, kept))
+    return tuple(checks)
 
 
 def _measure_requests(
@@ -273,8 +280,8 @@
 ) -> dict[str, float | None]:
     if not samples:
         return {}
-    seen = collections.Counter(one.seen for one in samples)
-    doubtful = (
+    seen = collections.Counter(sample.seen for sample in samples)
+    uncertain = (
         seen[load_generator.ObservedOutcome.UNKNOWN]
         + seen[load_generator.ObservedOutcome.LOST]
     )
@@ -282,7 +289,7 @@
         "answered_percent_min": 100
         * seen[load_generator.ObservedOutcome.ANSWERED]
         / len(samples),
-        "unknown_percent_max": 100 * doubtful / len(samples),
+        "unknown_percent_max": 100 * uncertain / len(samples),
     }
     latency = latency_report(samples)
     if latency.count:
@@ -295,17 +302,17 @@
 def _measure_jobs(
     jobs: Sequence[replay_jobs.JobSample],
 ) -> dict[str, float | None]:
-    wanted = [
-        one for one in jobs if one.submitted == "accepted" and not one.cancelled
+    not_cancelled = [
+        job for job in jobs if job.submitted == "accepted" and not job.cancelled
     ]
-    if not wanted:
+    if not not_cancelled:
         return {}
-    finished = sum(one.phase == "finished" for one in wanted)
+    finished = sum(job.phase == "finished" for job in not_cancelled)
     measures: dict[str, float | None] = {
-        "jobs_finished_percent_min": 100 * finished / len(wanted),
-        "evictions_max": sum(one.evictions for one in jobs),
+        "jobs_finished_percent_min": 100 * finished / len(not_cancelled),
+        "evictions_max": sum(job.evictions for job in jobs),
     }
-    urgent_ms = _start_times([one for one in wanted if one.urgent])
+    urgent_ms = _start_times([job for job in not_cancelled if job.urgent])
     if urgent_ms:
         measures["urgent_start_p99_ms_max"] = _quantile(urgent_ms, 0.99)
     return measures
--- a/src/comfreylatch/_commands/replay_run.py
+++ b/src/comfreylatch/_commands/replay_run.py
@@ -1,4 +1,4 @@
-"""Runs a replay and puts what it measured into a report."""
+"""Runs a replay and creates its report."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from comfreylatch._connection import address as addresses
 from comfreylatch._process import metrics
 
-# Time for threads to start before the first request is due.
+# Lets the threads start before the first request is due.
 START_DELAY_S = 0.2
 METRICS_TIMEOUT_MS = 5_000
 
@@ -29,20 +29,20 @@
     label: str,
     settle_ms: int,
 ) -> replay_report.ReplayReport:
-    """Plays a trace once.
+    """Replays a trace once.
 
-    `hosts` are operator addresses, for jobs and for the count of tries;
-    jobs get `settle_ms` to end after the last line of the trace.
+    `hosts` are operator addresses, used for jobs and to count tries. Jobs
+    have `settle_ms` to end after the last line of the trace.
     """
     tries_before = _count_tries(hosts)
     started_s = time.monotonic() + START_DELAY_S
-    sender = load_generator.LoadGenerator(trace, options)
-    sender.start(started_s)
+    generator = load_generator.LoadGenerator(trace, options)
+    generator.start(started_s)
     with replay_jobs.JobReplay(
         trace, hosts, options.run, options.speed
     ) as player:
         jobs = player.play(started_s, settle_ms)
-    samples = sender.finish()
+    samples = generator.finish()
     elapsed_ms = (time.monotonic() - started_s) * 1_000
     tries = _tries_per_request(tries_before, _count_tries(hosts), len(samples))
     duration_ms = trace.header.duration_ms / options.speed
@@ -57,12 +57,12 @@
         requests=replay_report.request_reports(samples, duration_ms),
         jobs=replay_report.job_report(jobs, elapsed_ms),
         tries_per_request=tries,
-        outcomes=replay_report.outcome_lines(stated, samples, jobs, tries),
+        outcomes=replay_report.check_outcomes(stated, samples, jobs, tries),
     )
 
 
 def _count_tries(hosts: Sequence[addresses.Address]) -> int | None:
-    """Tries at endpoints so far; None unless every host tells its count."""
+    """Total tries at endpoints; None if a host does not report its count."""
     total = 0
     for host in hosts:
         with clients.Client([host], METRICS_TIMEOUT_MS) as client:
@@ -78,7 +78,7 @@
 def _tries_per_request(
     before: int | None, after: int | None, sent: int
 ) -> float | None:
-    # A host replaced during the replay starts to count anew.
+    # A host that restarts during the replay resets its counter.
     if before is None or after is None or after <= before or not sent:
         return None
     return round((after - before) / sent, 4)
--- a/src/comfreylatch/_commands/serve.py
+++ b/src/comfreylatch/_commands/serve.py
@@ -1,4 +1,4 @@
-"""Commands of the entry host itself: `serve` and `check-settings`."""
+"""The commands `serve` and `check-settings`."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from comfreylatch._process import settings_file
 
 SettingsPath = Annotated[
-    str, typer.Argument(metavar="FILE", help="Settings: JSON with comments.")
+    str,
+    typer.Argument(metavar="FILE", help="Settings file: JSON with comments."),
 ]
 
 
 def serve(file: SettingsPath) -> None:
     """Runs an entry host until SIGTERM or SIGINT.
 
-    It stays in the foreground, starts no other process, writes its log to
-    standard error, and on the first signal stops gracefully: it is no longer
-    ready, takes nothing new, finishes what is in progress and exits 0.
+    Runs in the foreground, starts no other process and logs to standard
+    error. On the first signal it shuts down gracefully: it reports not ready,
+    refuses new work, completes work in progress and exits 0.
     """
     raise typer.Exit(entry_host.run(file))
 
 
 def check_settings(file: SettingsPath, as_json: options.AsJson = False) -> None:
-    """Checks a settings file and lists every error at once.
+    """Checks a settings file and lists all errors.
 
-    Each line names file, line, column, what was expected and what was found.
-    Exits 0 when the file is right and 2 when it is not.
+    Each line names the file, line and column, the expected and the found
+    value. Exits 0 if the file is valid and 2 if not.
     """
     match settings_file.load(file):
         case result.Err(errors):
-            output.show_file_errors(errors, as_json)
+            output.print_file_errors(errors, as_json)
             raise typer.Exit(exits.ExitCode.USAGE)
         case result.Ok(settings):
             if as_json:
--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -1,4 +1,4 @@
-"""Commands about change tickets."""
+"""Commands for change tickets."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 app = typer.Typer(
     no_args_is_help=True,
-    help="Write change tickets, check and submit them, see where they are in "
+    help="Create, check and submit change tickets and show where they are in "
     "force.",
     epilog=exits.HELP,
 )
 
 TicketPath = Annotated[
-    str, typer.Argument(metavar="FILE", help="Ticket: JSON with comments.")
+    str, typer.Argument(metavar="FILE", help="Ticket file: JSON with comments.")
 ]
-_RETRY_HINT = "nothing was changed; ask again"
+_RETRY_HINT = "nothing was changed; run the command again"
 
 
 @attrs.frozen
 class FieldDifference:
-    """One member that a ticket would change, with JSON values."""
+    """A field that a ticket would change, with its JSON values."""
 
     field: str
     now: Any
@@ -42,11 +42,11 @@
 
 @attrs.frozen
 class ObjectDifference:
-    """What a ticket would change of one object.
+    """Changes that a ticket would make to one object.
 
     Attributes:
-        replaces: Version that the ticket names.
-        in_force: Version in force; the ticket is refused when it differs.
+        replaces: Version that the ticket replaces.
+        in_force: Version in force; the ticket is refused if it differs.
         effect: `creates`, `changes`, `removes` or `nothing`.
     """
 
@@ -72,25 +72,28 @@
     number: Annotated[
         int, typer.Option(min=1, help="Number of the ticket.")
     ] = 1,
-    author: Annotated[str, typer.Option(help="Who answers for it.")] = "",
-    reason: Annotated[str, typer.Option(help="Why it is made.")] = "",
+    author: Annotated[str, typer.Option(help="Author of the ticket.")] = "",
+    reason: Annotated[str, typer.Option(help="Reason of the change.")] = "",
     to_file: Annotated[
-        str, typer.Option("--output", metavar="FILE", help="Write here.")
+        str,
+        typer.Option(
+            "--output", metavar="FILE", help="Write the ticket to a new file."
+        ),
     ] = "",
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Writes a ticket to fill in, commented, with every field.
+    """Creates a commented ticket with all fields of the objects.
 
-    With a host, state and version of objects in force are filled in; without
-    one, the defaults of new objects.
+    With --host, fields are filled in with the state and version in force;
+    otherwise with the defaults of new objects.
     """
-    wanted = [_kind_and_name(text) for text in objects_named]
+    keys = [_kind_and_name(text) for text in objects_named]
     in_force = _objects_in_force(hosts, timeout_ms) if hosts else {}
-    found = []
-    for kind, name in wanted:
-        unknown = ticket_file.ObjectInForce(kind, name, 0, None)
-        found.append(in_force.get((kind, name), unknown))
-    text = ticket_file.render_template(number, author, reason, found)
+    targets = []
+    for kind, name in keys:
+        absent = ticket_file.ObjectInForce(kind, name, 0, None)
+        targets.append(in_force.get((kind, name), absent))
+    text = ticket_file.render_template(number, author, reason, targets)
     if not to_file:
         typer.echo(text, nl=False)
         return
@@ -103,7 +106,7 @@
 
 @app.command()
 def check(file: TicketPath, as_json: options.AsJson = False) -> None:
-    """Checks a ticket file by itself and lists every error at once."""
+    """Checks a ticket file without a host and lists all errors."""
     value = _read(file, as_json)
     if as_json:
         output.print_value(value, as_json)
@@ -121,7 +124,7 @@
 ) -> None:
     """Submits a ticket and waits for the verdict.
 
-    Sending the same file again is harmless: the same number with the same
+    Submitting the same file again is safe: the same number with the same
     content is the same ticket.
     """
     value = _read(file, as_json)
@@ -130,8 +133,8 @@
     output.print_answer(
         answer,
         as_json,
-        f"find out with `comfreylatch ticket show {value['number']}`; "
-        "sending the same file again is harmless",
+        f"check with `comfreylatch ticket show {value['number']}`; "
+        "submitting the same file again is safe",
     )
 
 
@@ -144,7 +147,7 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Shows one ticket: accepted or refused, why, and where in force."""
+    """Shows the verdict of a ticket, its reason and where it is in force."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read(f"/tickets/{number}")
     output.print_answer(answer, as_json, _RETRY_HINT)
@@ -156,7 +159,7 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Lists the tickets that the host asked knows."""
+    """Lists the tickets known to the host."""
     with output.connect(hosts, timeout_ms) as client:
         answer = client.read("/tickets")
     output.print_answer(answer, as_json, _RETRY_HINT)
@@ -169,23 +172,23 @@
     as_json: options.AsJson = False,
     timeout_ms: options.TimeoutMs = options.DEFAULT_TIMEOUT_MS,
 ) -> None:
-    """Shows what a ticket would change of the objects in force.
+    """Shows what a ticket would change in the objects in force.
 
-    Exits 1 when a version it names is no longer the one in force, as it
-    would be refused.
+    Exits 1 if the ticket would be refused because it replaces a version that
+    is not in force.
     """
     value = _read(file, as_json)
     in_force = _objects_in_force(hosts, timeout_ms)
     differences = []
     for change in value["changes"]:
         key = (change["kind"], change["name"])
-        unknown = ticket_file.ObjectInForce(*key, 0, None)
-        differences.append(difference(change, in_force.get(key, unknown)))
+        absent = ticket_file.ObjectInForce(*key, 0, None)
+        differences.append(difference(change, in_force.get(key, absent)))
     output.print_value(differences, as_json)
     if any(each.replaces != each.in_force for each in differences):
         output.fail(
             "would be refused",
-            "a version it names is not the one in force",
+            "the ticket replaces a version that is not in force",
             exits.ExitCode.REFUSED,
         )
 
@@ -197,7 +200,7 @@
     then = change["state"]
     if then is not None:
         state_class = objects.CLASS_BY_KIND[objects.ObjectKind(change["kind"])]
-        # Fills in the defaults that the ticket leaves out.
+        # Adds the defaults of fields that the ticket omits.
         then = msgspec.to_builtins(msgspec.convert(then, state_class))
     fields = _field_differences(now.state or {}, then or {})
     match now.state, then:
@@ -235,7 +238,7 @@
         case result.Ok(value):
             return value
         case result.Err(errors):
-            output.show_file_errors(errors, as_json)
+            output.print_file_errors(errors, as_json)
             raise typer.Exit(exits.ExitCode.USAGE)
 
 
@@ -256,7 +259,7 @@
         answer = client.read("/objects")
     page = output.require_value(answer, "objects not read")
     try:
-        found = msgspec.convert(page, ticket_file.ObjectsPage).objects
+        current = msgspec.convert(page, ticket_file.ObjectsPage).objects
     except msgspec.ValidationError as error:
         output.fail("objects not read", str(error), exits.ExitCode.REFUSED)
-    return {(each.kind, each.name): each for each in found}
+    return {(each.kind, each.name): each for each in current}
--- a/src/comfreylatch/_commands/ticket_file.py
+++ b/src/comfreylatch/_commands/ticket_file.py
@@ -1,4 +1,4 @@
-"""Ticket files: their check and the template of a new one."""
+"""Checks ticket files and renders new ones."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @attrs.frozen
 class ObjectInForce:
-    """An object and the version that a change of it must name.
+    """An object and the version that a change of it must replace.
 
     Attributes:
-        version: 0 when no object of that name has ever been in force.
-        state: None when there is none now.
+        version: 0 if no object of that name has ever been in force.
+        state: None if no object of that name is in force.
     """
 
     kind: str
@@ -41,7 +41,7 @@
 
 
 def check(value: Any) -> schema.Problems:
-    """Returns everything wrong with a decoded ticket file."""
+    """Returns all problems of a decoded ticket file."""
     match tickets.check(value):
         case result.Ok():
             return []
@@ -53,36 +53,36 @@
     number: int,
     author: str,
     reason: str,
-    found: Sequence[ObjectInForce],
+    targets: Sequence[ObjectInForce],
 ) -> str:
-    """A commented ticket file that sets the objects given."""
+    """Renders a commented ticket file that sets the given objects."""
     lines = [
-        "// A change ticket. It is taken whole or not at all.",
+        "// A change ticket. All of its changes are made, or none.",
         "{",
-        f'{INDENT}"number": {number},  // yours; never used for another ticket',
+        f'{INDENT}"number": {number},  // unique number of the ticket',
         f'{INDENT}"author": {_json(author)},',
         f'{INDENT}"reason": {_json(reason)},',
         f'{INDENT}"changes": [',
     ]
-    for each in found:
-        lines.extend(_change_lines(each))
+    for target in targets:
+        lines.extend(_change_lines(target))
     lines.extend([f"{INDENT}]", "}"])
     return "\n".join(lines) + "\n"
 
 
-def _change_lines(found: ObjectInForce) -> list[str]:
+def _change_lines(target: ObjectInForce) -> list[str]:
     margin = INDENT * 2
     inner = margin + INDENT
-    state = found.state
+    state = target.state
     if state is None:
-        state = example_state(objects.ObjectKind(found.kind))
-    version_note = "new" if found.version == 0 else "the version in force"
+        state = example_state(objects.ObjectKind(target.kind))
+    version_note = "new" if target.version == 0 else "the version in force"
     return [
         f"{margin}{{",
-        f'{inner}"kind": {_json(found.kind)},',
-        f'{inner}"name": {_json(found.name)},',
-        f'{inner}"replaces": {found.version},  // {version_note}',
-        f"{inner}// The whole new state; null removes the object.",
+        f'{inner}"kind": {_json(target.kind)},',
+        f'{inner}"name": {_json(target.name)},',
+        f'{inner}"replaces": {target.version},  // {version_note}',
+        f"{inner}// The complete new state; null removes the object.",
         f'{inner}"state": {_state_text(state, inner)}',
         f"{margin}}},",
     ]
@@ -94,7 +94,7 @@
 
 
 def example_state(kind: objects.ObjectKind) -> dict[str, Any]:
-    """Every field of a kind of object, with its default or an example."""
+    """Returns all fields of a kind with their defaults or examples."""
     return _example_fields(objects.CLASS_BY_KIND[kind])
 
 
--- a/src/comfreylatch/_commands/trace.py
+++ b/src/comfreylatch/_commands/trace.py
@@ -1,7 +1,7 @@
-"""Trace files: requests and jobs with the times at which they came.
+"""Trace files: requests and jobs with their arrival times.
 
-A trace is a file of JSON lines. The first is a header; every further line is
-a request, a job or a cancellation, in rising order of `at_ms`.
+A trace is a file of JSON lines. The first line is a header; each further line
+is a request, a job or a cancellation, in ascending order of `at_ms`.
 """
 
 from __future__ import annotations
@@ -21,19 +21,20 @@
 
 @attrs.frozen
 class StatedOutcomes:
-    """Limits that a replay shall keep; None is no limit.
+    """Limits that a replay must meet; None means no limit.
 
     Attributes:
-        answered_percent_min: Of all requests sent.
-        p50_ms_max: Of answered requests, from the time they were due.
+        answered_percent_min: Answered requests, of all requests sent.
+        p50_ms_max: Median latency of answered requests, from their due time.
         p99_ms_max: The same at the 99th percentile.
         p999_ms_max: The same at the 99.9th percentile.
-        unknown_percent_max: Requests whose outcome nobody knows.
+        unknown_percent_max: Requests with unknown outcome, of all sent.
         tries_per_request_max: Tries at endpoints per request sent.
-        jobs_finished_percent_min: Of all jobs accepted and not cancelled.
-        evictions_max: Evictions of all jobs.
-        urgent_start_p99_ms_max: From when an urgent job was due until it was
-            first seen to run.
+        jobs_finished_percent_min: Finished jobs, of all accepted and not
+            cancelled.
+        evictions_max: Total evictions of all jobs.
+        urgent_start_p99_ms_max: 99th percentile of the time from when an
+            urgent job was due until it was first observed running.
     """
 
     answered_percent_min: float | None = None
@@ -53,10 +54,10 @@
 
     Attributes:
         format: Version of the format.
-        name: What was recorded.
-        seed: Seed it was generated from; bodies are drawn from it too.
+        name: Name of the workload.
+        seed: Seed of the trace; request bodies are generated from it too.
         duration_ms: Length of the trace.
-        outcomes: What a replay shall achieve.
+        outcomes: Limits that a replay must meet.
     """
 
     format: int
@@ -68,13 +69,13 @@
 
 @attrs.frozen
 class TracedRequest:
-    """A request of a caller.
+    """A recorded request.
 
     Attributes:
         at_ms: When it was sent, from the start of the trace.
-        work_ms: Work it asks of an endpoint, sent as `X-Work-Ms`; -1 for
-            none.
-        zone: Availability zone of the caller; empty for any.
+        work_ms: Work requested of the endpoint in `X-Work-Ms`; -1 to omit
+            the header.
+        zone: Availability zone of the caller; empty for any zone.
     """
 
     at_ms: float
@@ -90,7 +91,7 @@
 
 @attrs.frozen
 class TracedJob:
-    """A batch job that was submitted."""
+    """A recorded submission of a batch job."""
 
     at_ms: float
     job: job.JobDocument
@@ -98,7 +99,7 @@
 
 @attrs.frozen
 class TracedCancellation:
-    """A job that was cancelled; `job` is the id within the trace."""
+    """A recorded cancellation; `job` is the id within the trace."""
 
     at_ms: float
     job: str
@@ -109,20 +110,20 @@
 
 @attrs.frozen
 class Trace:
-    """A whole trace in memory."""
+    """A complete trace in memory."""
 
     header: Header
     lines: tuple[TraceLine, ...]
 
     @property
     def has_jobs(self) -> bool:
-        """Whether it submits batch work."""
+        """Whether the trace submits jobs."""
         return any(isinstance(line, TracedJob) for line in self.lines)
 
 
 @attrs.frozen
 class BadTrace:
-    """The file is no trace; says where and why."""
+    """An invalid line of a trace file; line 0 is the file itself."""
 
     line: int
     detail: str
@@ -146,9 +147,9 @@
 
 
 def decode(lines: Iterable[bytes]) -> result.Result[Trace, BadTrace]:
-    """Decodes the lines of a trace; blank ones are skipped."""
+    """Decodes the lines of a trace; skips blank lines."""
     header: Header | None = None
-    found: list[TraceLine] = []
+    decoded: list[TraceLine] = []
     for number, text in enumerate(lines, start=1):
         if not text.strip():
             continue
@@ -156,16 +157,18 @@
             if header is None:
                 header = _decode_header(text)
                 continue
-            found.append(_decode_line(text, found[-1].at_ms if found else 0.0))
+            decoded.append(
+                _decode_line(text, decoded[-1].at_ms if decoded else 0.0)
+            )
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             return result.Err(BadTrace(number, str(error)))
     if header is None:
         return result.Err(BadTrace(1, "the file is empty"))
-    return result.Ok(Trace(header, tuple(found)))
+    return result.Ok(Trace(header, tuple(decoded)))
 
 
 def encode(trace: Trace) -> bytes:
-    """The trace as the lines of a file."""
+    """Encodes a trace as the content of a file."""
     encoder = msgspec.json.Encoder()
     texts = [encoder.encode(trace.header)]
     for line in trace.lines:
@@ -180,7 +183,7 @@
     header = msgspec.json.decode(text, type=Header)
     if header.format != FORMAT:
         raise ValueError(
-            f"format {header.format} is not known; this version reads {FORMAT}"
+            f"format {header.format} is not supported; expected {FORMAT}"
         )
     return header
 
@@ -188,7 +191,7 @@
 def _decode_line(text: bytes, earliest_ms: float) -> TraceLine:
     value: Any = msgspec.json.decode(text)
     if not isinstance(value, dict):
-        raise ValueError("expected an object")
+        raise ValueError("expected a JSON object")
     kind = value.pop("kind", None)
     if kind not in CLASS_BY_KIND:
         known = ", ".join(CLASS_BY_KIND)
@@ -199,6 +202,6 @@
     line: TraceLine = msgspec.convert(value, CLASS_BY_KIND[kind])
     if line.at_ms < earliest_ms:
         raise ValueError(
-            f"at_ms {line.at_ms} is below {earliest_ms} of the line before"
+            f"at_ms {line.at_ms} is below {earliest_ms} of the previous line"
         )
     return line
--- a/tests/commands/test_binary.py
+++ b/tests/commands/test_binary.py
@@ -1,4 +1,4 @@
-"""Tests of the one-file program that `make binary` writes."""
+"""Tests of the single-file executable that `make binary` builds."""
 
 from __future__ import annotations
 
--- a/tests/commands/test_commands.py
+++ b/tests/commands/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the client commands against a small fake host."""
+"""Tests of the client commands against a fake host."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class FakeHost:
-    """Answers every call with one status and value, or hangs up.
+    """Answers every call with the same status and value, or not at all.
 
     Args:
         status: 0 closes the connection without an answer.
-        value: Sent as JSON.
+        value: Body of the answer, sent as JSON.
     """
 
     def __init__(self, status: int, value: Any = None) -> None:
@@ -63,7 +63,7 @@
 
 
 class CommandsTest(testtools.TestCase):
-    """Exit codes, and which host is asked."""
+    """Exit codes, output and the hosts that are called."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/commands/test_replay.py
+++ b/tests/commands/test_replay.py
@@ -1,4 +1,4 @@
-"""The command `replay`, against a small stand-in for an entry host."""
+"""Tests of the command `replay` against a fake entry host."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ReplayTest(testtools.TestCase):
-    """What a replay sends, measures and reports."""
+    """Requests and jobs sent by a replay, and its report."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/commands/test_serve_start.py
+++ b/tests/commands/test_serve_start.py
@@ -1,4 +1,4 @@
-"""Tests of starts of an entry host that can't succeed."""
+"""Tests of `serve` when the entry host can't start."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ServeStartTest(testtools.TestCase):
-    """What an operator is told."""
+    """Exit code and error message of `serve`."""
 
     def serve(self, taken: str, address: str) -> tuple[int, str]:
         folder = tempfile.TemporaryDirectory()
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -1,4 +1,4 @@
-"""Trace files."""
+"""Tests of trace files."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TraceTest(testtools.TestCase):
-    """Reading and making of traces."""
+    """Generating, encoding and decoding traces."""
 
     def refusal(self, *lines: bytes) -> traces.BadTrace:
         return traces.decode(lines).err_value
