--- a/src/comfreylatch/_commands/ticket_file.py
+++ b/src/comfreylatch/_commands/ticket_file.py
@@ -59,7 +59,7 @@
     lines = [
         "// A change ticket. All of its changes are made, or none.",
         "{",
-        f'{INDENT}"number": {number},  // unique number of the ticket',
+        f'{INDENT}"number": {number},  // chosen by you; unique per ticket',
         f'{INDENT}"author": {_json(author)},',
         f'{INDENT}"reason": {_json(reason)},',
         f'{INDENT}"changes": [',
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -189,7 +189,7 @@
     if remaining is not None:
         if remaining > MAX_ANSWER_BYTES:
             raise _AnswerTooLongError(
-                f"the answer of {remaining} bytes is over {MAX_ANSWER_BYTES}"
+                f"the answer of {remaining} bytes is too long"
             )
         return response.read(decode_content=False)
     parts: list[bytes] = []
@@ -199,7 +199,7 @@
         total += len(part)
         if total > MAX_ANSWER_BYTES:
             raise _AnswerTooLongError(
-                f"the answer is over {MAX_ANSWER_BYTES} bytes"
+                f"the answer of over {total} bytes is too long"
             )
     return b"".join(parts)
 
