--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -208,7 +208,7 @@
 
     RequestHandlerClass = _Request
     arrived_ms = -1
-    seen_before = False
+    is_polled = False
 
 
 class _Server(cheroot_server.HTTPServer):
@@ -222,8 +222,8 @@
 
     def process_conn(self, conn: _Connection) -> None:
         """Queues a readable connection; a new one first waits for data."""
-        if not conn.seen_before:
-            conn.seen_before = True
+        if not conn.is_polled:
+            conn.is_polled = True
             self._connections.put(conn)
             return
         conn.arrived_ms = self.state.clock.monotonic_ms()
--- a/src/comfreylatch/_connection/worker_client.py
+++ b/src/comfreylatch/_connection/worker_client.py
@@ -1,8 +1,8 @@
 """HTTP client of workers that opens a new connection for each exchange.
 
 An error while connecting proves that no byte was sent; any later error does
-not. Pooled connections would blur this, because the worker may have closed
-one in the meantime.
+not. With a pooled connection that the worker has closed in the meantime, a
+sent exchange could look unsent.
 """
 
 from __future__ import annotations
--- a/tests/connection/test_http_server.py
+++ b/tests/connection/test_http_server.py
@@ -58,13 +58,13 @@
 
     @staticmethod
     def read_all(connection: socket.socket) -> bytes:
-        parts = []
+        chunks = []
         try:
-            while part := connection.recv(65_536):
-                parts.append(part)
+            while chunk := connection.recv(65_536):
+                chunks.append(chunk)
         except ConnectionResetError:
             pass
-        return b"".join(parts)
+        return b"".join(chunks)
 
     def post(self, body: bytes, path: str = "/") -> bytes:
         return (
@@ -120,12 +120,12 @@
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
 
     def test_chunked_requests_follow_each_other(self) -> None:
-        one = (
+        request = (
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\n\r\n"
         )
         started = time.monotonic()
-        reply = self.ask(one + one + self.post(b"end"))
+        reply = self.ask(request + request + self.post(b"end"))
         self.assertEqual(3, reply.count(b" 200 "))
         self.assertLess(time.monotonic() - started, 0.9)
 
@@ -137,13 +137,13 @@
         self.assertLess(time.monotonic() - started, 0.5)
 
     def test_idle_after_chunked_request_occupies_no_thread(self) -> None:
-        one = (
+        request = (
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\n\r\n"
         )
         for _ in range(3):
             connection = self.connect()
-            connection.sendall(one)
+            connection.sendall(request)
             self.assertIn(b" 200 ", connection.recv(65_536))
         started = time.monotonic()
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
@@ -165,8 +165,8 @@
         self.assertTrue(self.read_all(connection).endswith(b"kept"))
 
     def test_drain_refuses_new_requests(self) -> None:
-        held = self.connect()
-        held.sendall(self.post(b"kept", "/wait"))
+        waiting = self.connect()
+        waiting.sendall(self.post(b"kept", "/wait"))
         idle = self.connect()
         idle.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         self.assertIn(b" 200 ", idle.recv(65_536))
@@ -183,8 +183,8 @@
         self.assertRaises(OSError, self.connect)
 
     def test_refusal_while_draining_waits_for_the_body(self) -> None:
-        held = self.connect()
-        held.sendall(self.post(b"kept", "/wait"))
+        waiting = self.connect()
+        waiting.sendall(self.post(b"kept", "/wait"))
         late = self.connect()
         self.assertTrue(self.entered.wait(5))
         stopper = threading.Thread(target=self.server.drain, args=(5_000,))
@@ -202,8 +202,8 @@
         late.settimeout(5)
         late.sendall(b"body")
         reply = b""
-        while part := late.recv(65_536):
-            reply += part
+        while chunk := late.recv(65_536):
+            reply += chunk
         self.assertIn(b" 503 ", reply)
         self.assertIn(b"X-Request-Id: q-1\r\n", reply)
 
