--- a/tests/commands/test_binary.py
+++ b/tests/commands/test_binary.py
@@ -21,34 +21,34 @@
 BINARY = REPO / "dist" / "comfreylatch"
 START_TIMEOUT_S = 30
 STOP_TIMEOUT_S = 20
-# A bare interpreter, without what unpacked the file.
+# Fits a bare interpreter without the modules that unpack the file.
 MAX_INTERPRETER_KIB = 14_000
-# Field of /proc/PID/stat, counted from the state: page faults of children
-# that were waited for.
+# Field of /proc/PID/stat, counted from the state field: minor page faults of
+# children that were waited for.
 CHILD_FAULTS_FIELD = 8
 
 
 def _free_addresses(count: int) -> list[str]:
     sockets = [socket.socket() for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    addresses = [f"127.0.0.1:{each.getsockname()[1]}" for each in sockets]
-    for each in sockets:
-        each.close()
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+    addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return addresses
 
 
 class BinaryTest(testtools.TestCase):
-    """The file as an operator would run it, unpacking afresh."""
+    """Runs the executable with an empty directory to unpack into."""
 
     def setUp(self) -> None:
         super().setUp()
         if not BINARY.exists():
-            self.fail(f"{BINARY} is missing; write it with `make binary`")
+            self.fail(f"{BINARY} is missing; build it with `make binary`")
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
-        # The interpreter of this run stands before wrappers that would start
+        # Puts this interpreter before wrappers in PATH, which would start
         # processes of their own.
         path = f"{pathlib.Path(sys.executable).parent}:{os.environ['PATH']}"
         self.environment = {
@@ -86,16 +86,16 @@
         return str(file)
 
     def test_help_names_the_commands(self) -> None:
-        helped = self.run_binary("--help")
-        self.assertEqual(0, helped.returncode)
+        help_page = self.run_binary("--help")
+        self.assertEqual(0, help_page.returncode)
         for word in ("serve", "check-settings", "ticket", "job", "explain"):
-            self.assertIn(word, helped.stdout)
+            self.assertIn(word, help_page.stdout)
 
-    def test_right_settings_pass_the_check(self) -> None:
+    def test_valid_settings_pass_the_check(self) -> None:
         checked = self.run_binary("check-settings", self.write_settings())
         self.assertEqual((0, ""), (checked.returncode, checked.stderr))
 
-    def test_faulty_settings_exit_2_with_their_place(self) -> None:
+    def test_invalid_settings_exit_2_with_their_position(self) -> None:
         file = self.write_settings(threads="many", sea="bole-1")
         for command in ("check-settings", "serve"):
             checked = self.run_binary(command, file)
@@ -132,16 +132,16 @@
                     return
             except (urllib.error.URLError, OSError):
                 time.sleep(0.05)
-        self.fail("serve did not come up")
+        self.fail("serve did not become live")
 
     def status(self) -> Any:
-        """What the host says of itself."""
+        """Returns the status page of the host."""
         url = f"http://{self.operator}/status"
         with urllib.request.urlopen(url, timeout=5) as answer:
             return json.load(answer)
 
     def children_of(self, pid: int) -> list[str]:
-        """Children now, and a word when there was one that has ended."""
+        """Ids of child processes, and "ended" if one has ended before."""
         process = pathlib.Path("/proc") / str(pid)
         children = []
         for task in process.glob("task/*/children"):
--- a/tests/commands/test_commands.py
+++ b/tests/commands/test_commands.py
@@ -89,63 +89,63 @@
 
     def test_every_command_has_help(self) -> None:
         for words in (["ticket", "new"], ["job", "submit"], ["explain"]):
-            helped = self.run_command(*words, "--help")
-            self.assertEqual(0, helped.exit_code)
+            help_page = self.run_command(*words, "--help")
+            self.assertEqual(0, help_page.exit_code)
             self.assertIn("Exit codes", self.run_command("--help").output)
 
-    def test_unanswered_ticket_is_unknown_and_not_sent_elsewhere(self) -> None:
-        silent, other = self.host(0), self.host(200, {})
-        hosts = [silent.address, other.address]
-        done = self.run_command("ticket", "submit", self.ticket, hosts=hosts)
-        self.assertEqual(3, done.exit_code)
-        self.assertIn("ticket show 7", done.output)
+    def test_unanswered_ticket_is_unknown_and_not_resent(self) -> None:
+        unresponsive, other = self.host(0), self.host(200, {})
+        hosts = [unresponsive.address, other.address]
+        outcome = self.run_command("ticket", "submit", self.ticket, hosts=hosts)
+        self.assertEqual(3, outcome.exit_code)
+        self.assertIn("ticket show 7", outcome.output)
         self.assertEqual([], other.calls)
 
-    def test_ticket_goes_on_to_the_next_host_when_none_was_reached(
+    def test_ticket_is_sent_to_next_host_after_unreachable_one(
         self,
     ) -> None:
         other = self.host(200, {"verdict": "accepted"})
         hosts = [self.closed_address(), other.address]
-        done = self.run_command("ticket", "submit", self.ticket, hosts=hosts)
-        self.assertEqual(0, done.exit_code)
+        outcome = self.run_command("ticket", "submit", self.ticket, hosts=hosts)
+        self.assertEqual(0, outcome.exit_code)
         self.assertEqual(["POST /tickets"], other.calls)
 
-    def test_ticket_goes_on_when_a_host_says_nothing_was_done(self) -> None:
+    def test_ticket_is_sent_to_next_host_after_status_503(self) -> None:
         down = self.host(503, {"reason": "log-down"})
         other = self.host(200, {})
         hosts = [down.address, other.address]
-        done = self.run_command("ticket", "submit", self.ticket, hosts=hosts)
-        self.assertEqual(0, done.exit_code)
+        outcome = self.run_command("ticket", "submit", self.ticket, hosts=hosts)
+        self.assertEqual(0, outcome.exit_code)
 
     def test_refused_ticket_exits_1_with_the_answer(self) -> None:
         host = self.host(409, {"reason": "ticket-conflict"})
-        done = self.run_command(
+        outcome = self.run_command(
             "ticket", "submit", self.ticket, hosts=[host.address]
         )
-        self.assertEqual(1, done.exit_code)
-        self.assertIn("ticket-conflict", done.output)
-
-    def test_reading_goes_on_after_a_lost_answer(self) -> None:
-        silent, other = self.host(0), self.host(200, {"state": "running"})
-        hosts = [silent.address, other.address]
-        done = self.run_command("job", "show", "a/b", hosts=hosts)
-        self.assertEqual(0, done.exit_code)
+        self.assertEqual(1, outcome.exit_code)
+        self.assertIn("ticket-conflict", outcome.output)
+
+    def test_read_is_retried_on_next_host_after_lost_answer(self) -> None:
+        unresponsive, other = self.host(0), self.host(200, {"state": "running"})
+        hosts = [unresponsive.address, other.address]
+        outcome = self.run_command("job", "show", "a/b", hosts=hosts)
+        self.assertEqual(0, outcome.exit_code)
         self.assertEqual(["GET /jobs/a%2Fb"], other.calls)
 
-    def test_faulty_ticket_is_never_sent(self) -> None:
-        faulty = TICKET.replace("timeout_ms", "timeout").replace("7", "0")
-        pathlib.Path(self.ticket).write_text(faulty, encoding="utf-8")
+    def test_invalid_ticket_is_not_sent(self) -> None:
+        invalid = TICKET.replace("timeout_ms", "timeout").replace("7", "0")
+        pathlib.Path(self.ticket).write_text(invalid, encoding="utf-8")
         host = self.host(200, {})
-        done = self.run_command(
+        outcome = self.run_command(
             "ticket", "submit", self.ticket, hosts=[host.address]
         )
-        self.assertEqual((2, []), (done.exit_code, host.calls))
+        self.assertEqual((2, []), (outcome.exit_code, host.calls))
         self.assertIn(
-            "2:13: number: expected a whole number from 1", done.output
+            "2:13: number: expected a whole number from 1", outcome.output
         )
-        self.assertIn("did you mean 'timeout_ms'?", done.output)
+        self.assertIn("did you mean 'timeout_ms'?", outcome.output)
 
-    def test_ticket_with_members_of_any_type_gets_an_answer(self) -> None:
+    def test_ticket_check_handles_members_of_any_type(self) -> None:
         for member in ("number", "author", "changes", "kind", "name", "state"):
             for value in (None, [], {}, [{}], [[]], "x", -1, True):
                 ticket = json.loads(TICKET.replace("// a note", ""))
@@ -153,47 +153,47 @@
                 where[member] = value
                 self.assertIsInstance(ticket_file.check(ticket), list)
 
-    def test_diff_says_what_changes_and_refuses_old_versions(self) -> None:
+    def test_diff_shows_changes_and_refuses_old_versions(self) -> None:
         state = {"timeout_ms": 500, "target_p99_ms": 200}
         skyproc = {"kind": "service", "name": "skyproc", "state": state}
         for version, code in ((3, 0), (4, 1)):
             value = {"objects": [{**skyproc, "version": version}]}
-            done = self.run_command(
+            outcome = self.run_command(
                 *("ticket", "diff", self.ticket, "--json"),
                 hosts=[self.host(200, value).address],
             )
-            self.assertEqual(code, done.exit_code)
-            self.assertIn('"now": 500', done.output)
+            self.assertEqual(code, outcome.exit_code)
+            self.assertIn('"now": 500', outcome.output)
 
     def test_new_ticket_passes_its_own_check(self) -> None:
         written = str(self.folder / "new.json")
         names = ("service/a", "endpoint/b", "team/c", "worker-class/d")
         rest = ("zone/e", "limits/fleet", "--output", written)
-        said = ("--author", "mona", "--reason", "first")
-        made = self.run_command("ticket", "new", *names, *rest, *said)
-        self.assertEqual(0, made.exit_code)
+        authorship = ("--author", "mona", "--reason", "first")
+        created = self.run_command("ticket", "new", *names, *rest, *authorship)
+        self.assertEqual(0, created.exit_code)
         checked = self.run_command("ticket", "check", written)
         self.assertEqual((0, ""), (checked.exit_code, checked.stderr))
 
     def test_check_settings_exits_2_without_traceback(self) -> None:
-        done = self.run_command("check-settings", self.ticket)
-        self.assertEqual(2, done.exit_code)
-        self.assertNotIn("Traceback", done.output)
+        outcome = self.run_command("check-settings", self.ticket)
+        self.assertEqual(2, outcome.exit_code)
+        self.assertNotIn("Traceback", outcome.output)
 
     def test_status_of_several_hosts_is_one_json_value(self) -> None:
         host = self.host(200, {"host": {"seat": "bole-1"}})
         closed = self.closed_address()
-        done = self.run_command(
+        outcome = self.run_command(
             "status", "--json", hosts=[host.address, closed]
         )
-        self.assertEqual(1, done.exit_code)
-        pages = json.loads(done.stdout)
+        self.assertEqual(1, outcome.exit_code)
+        pages = json.loads(outcome.stdout)
         self.assertEqual("bole-1", pages[host.address]["host"]["seat"])
         self.assertEqual("not reached", pages[closed]["error"])
 
-    def test_explanation_of_the_unknown_exits_1(self) -> None:
+    def test_explanation_of_unknown_subject_exits_1(self) -> None:
         page = {"decisions": [], "summary": "job j is unknown."}
         host = self.host(200, page)
-        done = self.run_command("explain", "job", "j", hosts=[host.address])
-        self.assertEqual(1, done.exit_code)
-        self.assertIn("job j is unknown.", done.output)
+        outcome = self.run_command("explain", "job", "j", hosts=[host.address])
+        self.assertEqual(1, outcome.exit_code)
+        self.assertIn("job j is unknown.", outcome.output)
--- a/tests/commands/test_replay.py
+++ b/tests/commands/test_replay.py
@@ -33,7 +33,7 @@
     def answer(self, call: serving.Call) -> serving.Answer:
         self.seen.append(call)
         if call.path == "/metrics":
-            tries = sum(one.path.startswith("/services") for one in self.seen)
+            tries = sum(call.path.startswith("/services") for call in self.seen)
             line = {"latency": "try", "count": tries}
             return serving.json_reply(200, {"latencies": [line]})
         if call.path == "/jobs":
@@ -46,10 +46,12 @@
 
     def answer_request(self, call: serving.Call) -> serving.Answer:
         name = call.headers["X-Request-Id"]
-        what = call.path.rpartition("/")[2]
-        outcome = {"busy": "not-run", "doubt": "unknown"}.get(what, "answered")
+        path_name = call.path.rpartition("/")[2]
+        outcome = {"busy": "not-run", "doubt": "unknown"}.get(
+            path_name, "answered"
+        )
         headers = {"X-Request-Id": name, "X-Outcome": outcome}
-        match what:
+        match path_name:
             case "slow":
                 time.sleep(0.2)
             case "busy":
@@ -70,8 +72,8 @@
         arguments = ["replay", str(self.path), "--json", "--threads", "8"]
         arguments += ["--caller", self.host.address]
         arguments += ["--host", self.host.address]
-        ended = typer_testing.CliRunner().invoke(main.app, arguments)
-        return ended.exit_code, msgspec.json.decode(ended.stdout)
+        finished = typer_testing.CliRunner().invoke(main.app, arguments)
+        return finished.exit_code, msgspec.json.decode(finished.stdout)
 
     def requests(self, *paths: str) -> list[traces.TracedRequest]:
         return [
@@ -79,20 +81,20 @@
             for path in paths
         ]
 
-    def test_outcomes_are_counted_as_callers_see_them(self) -> None:
+    def test_outcomes_are_counted_as_observed_by_callers(self) -> None:
         lines = self.requests("/ok", "/busy", "/doubt", "/other", "/cut")
         code, report = self.replay(*lines)
-        (one,) = report["requests"]
+        (requests,) = report["requests"]
         expected = dict.fromkeys(
             ("answered", "not-run", "unknown", "mismatched", "lost"), 1
         )
-        self.assertEqual(expected, one["seen"])
-        self.assertEqual(1, one["reasons"]["no-free-slot"])
-        self.assertEqual(1, one["told_when_to_return"])
+        self.assertEqual(expected, requests["seen"])
+        self.assertEqual(1, requests["reasons"]["no-free-slot"])
+        self.assertEqual(1, requests["told_when_to_return"])
         self.assertEqual(1.0, report["tries_per_request"])
         self.assertEqual(0, code)
 
-    def test_slow_answers_do_not_hold_later_requests_up(self) -> None:
+    def test_slow_answers_do_not_delay_later_requests(self) -> None:
         _, report = self.replay(*self.requests(*["/slow"] * 8))
         latency = report["requests"][0]["latency"]
         self.assertGreater(latency["p50_ms"], 200)
@@ -106,7 +108,7 @@
         (line,) = report["outcomes"]
         self.assertEqual((50.0, False), (line["measured"], line["kept"]))
 
-    def test_jobs_are_submitted_and_followed_to_their_end(self) -> None:
+    def test_jobs_are_submitted_and_polled_until_they_end(self) -> None:
         document = {
             "id": "j",
             "team": "t",
@@ -128,6 +130,6 @@
     def test_bad_trace_exits_2(self) -> None:
         self.path.write_text("{}")
         arguments = ["replay", str(self.path), "--caller", self.host.address]
-        ended = typer_testing.CliRunner().invoke(main.app, arguments)
-        self.assertEqual(2, ended.exit_code)
-        self.assertIn("trace.jsonl:1:", ended.output)
+        finished = typer_testing.CliRunner().invoke(main.app, arguments)
+        self.assertEqual(2, finished.exit_code)
+        self.assertIn("trace.jsonl:1:", finished.output)
--- a/tests/commands/test_serve_start.py
+++ b/tests/commands/test_serve_start.py
@@ -17,7 +17,7 @@
 class ServeStartTest(testtools.TestCase):
     """Exit code and error message of `serve`."""
 
-    def serve(self, taken: str, address: str) -> tuple[int, str]:
+    def serve(self, setting: str, address: str) -> tuple[int, str]:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         value = {
@@ -30,26 +30,26 @@
                 "log_address": "127.0.0.1:9",
                 "host_list_address": "127.0.0.1:9",
             },
-            taken: address,
+            setting: address,
         }
         file = pathlib.Path(folder.name) / "s.json"
         file.write_text(json.dumps(value), encoding="utf-8")
-        ended = subprocess.run(
+        finished = subprocess.run(
             [sys.executable, "-m", "comfreylatch", "serve", str(file)],
             capture_output=True,
             text=True,
             check=False,
             timeout=START_TIMEOUT_S,
         )
-        return ended.returncode, ended.stderr
+        return finished.returncode, finished.stderr
 
     def test_address_in_use_is_a_clear_error(self) -> None:
-        for taken in ("caller_address", "operator_address", "peer_address"):
+        for setting in ("caller_address", "operator_address", "peer_address"):
             with socket.socket() as other:
                 other.bind(("127.0.0.1", 0))
                 other.listen()
                 address = f"127.0.0.1:{other.getsockname()[1]}"
-                code, said = self.serve(taken, address)
-            self.assertEqual(1, code, said)
-            self.assertIn(address, said)
-            self.assertNotIn("Traceback", said)
+                code, stderr = self.serve(setting, address)
+            self.assertEqual(1, code, stderr)
+            self.assertIn(address, stderr)
+            self.assertNotIn("Traceback", stderr)
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -16,20 +16,20 @@
     def refusal(self, *lines: bytes) -> traces.BadTrace:
         return traces.decode(lines).err_value
 
-    def test_made_trace_reads_back_the_same(self) -> None:
+    def test_generated_trace_decodes_to_itself(self) -> None:
         workload = maker.utility_night()
-        made = [
+        generators = [
             maker.TraceGenerator(
                 "n", workload, shape, seed=5, duration_ms=2_000
             )
             for shape in (maker.LoadShape.CALM, maker.LoadShape.CALM)
         ]
-        first, second = (one.make() for one in made)
+        first, second = (generator.make() for generator in generators)
         self.assertEqual(first, second)
         lines = traces.encode(first).splitlines()
         self.assertEqual(first, traces.decode(lines).ok_value)
 
-    def test_bad_lines_are_named(self) -> None:
+    def test_errors_name_the_line(self) -> None:
         request = b'{"kind": "request", "at_ms": 5, "service": "s"}'
         early = b'{"kind": "request", "at_ms": 4, "service": "s"}'
         refusals = [
@@ -41,7 +41,7 @@
             self.refusal(HEADER, b'{"kind": "request", "at": 1}'),
             self.refusal(HEADER, request, early),
         ]
-        lines = [one.line for one in refusals]
+        lines = [refusal.line for refusal in refusals]
         self.assertEqual([1, 1, 2, 2, 2, 2, 3], lines)
 
     def test_deeply_nested_line_is_refused(self) -> None:
