--- a/src/comfreylatch/_commands/job.py
+++ b/src/comfreylatch/_commands/job.py
@@ -43,7 +43,8 @@
 @app.command()
 def submit(
     file: Annotated[
-        str, typer.Argument(metavar="FILE", help="Job: JSON with comments.")
+        str,
+        typer.Argument(metavar="FILE", help="Job file: JSON with comments."),
     ],
     hosts: options.Hosts,
     as_json: options.AsJson = False,
--- a/src/comfreylatch/_commands/options.py
+++ b/src/comfreylatch/_commands/options.py
@@ -29,7 +29,7 @@
     ),
 ]
 AsJson = Annotated[
-    bool, typer.Option("--json", help="Print the host's answer as JSON.")
+    bool, typer.Option("--json", help="Print the result as JSON.")
 ]
 TimeoutMs = Annotated[
     int,
