--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -68,7 +68,7 @@
 
     A read is retried on the next host after any failure and after a 404. A
     change is retried only if no byte of it reached the host or the host
-    answered that it was not run, so it is never executed twice.
+    answered that it was not run.
 
     Args:
         hosts: Operator addresses, in the order in which to try them.
--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -29,7 +29,7 @@
 
 
 def print_value(value: Any, as_json: bool) -> None:
-    """Prints JSON types or an attrs object."""
+    """Prints a value of JSON types or an attrs object."""
     if as_json:
         encoded = msgspec.json.encode(value)
         typer.echo(msgspec.json.format(encoded, indent=2).decode())
--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -71,7 +71,7 @@
     def pop_usable(
         self, oldest_s: float, to_close: list[urllib3_connection.HTTPConnection]
     ) -> urllib3_connection.HTTPConnection | None:
-        """Removes the most recently used connection that is still open."""
+        """Pops the last used connection if it is recent and still open."""
         while self.idle and self.idle[-1].since_s >= oldest_s:
             connection = self.idle.pop().connection
             # An idle socket that is readable was closed by the endpoint or
