--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -1,4 +1,4 @@
-"""Calls to the operator pages of entry hosts."""
+"""HTTP client of the operator API of entry hosts."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from comfreylatch._connection import address as addresses
 
 CONNECT_TIMEOUT_MS = 2_000
-NOTHING_DONE_STATUS = 503
-NOT_KNOWN_STATUS = 404
+NOT_RUN_STATUS = 503
+NOT_FOUND_STATUS = 404
 
 
 @attrs.frozen
 class Reply:
-    """The answer of a host.
+    """A reply from a host.
 
     Attributes:
-        host: Address that answered.
+        host: Address of the host.
         status: HTTP status.
-        value: The decoded JSON body, or the text when it is no JSON.
+        value: The decoded JSON body, or the body as text if it is not JSON.
         headers: Keys in lower case.
     """
 
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class NoHostReached:
-    """No byte of the call reached any host; `details` has one per host."""
+    """No host could be reached; `details` has one entry per host."""
 
     details: tuple[str, ...]
 
@@ -50,13 +50,13 @@
 
 @attrs.frozen
 class AnswerLost:
-    """A host was sent the call and may have carried it out."""
+    """The call was sent to a host, which may have executed it."""
 
     host: str
     detail: str
 
     def __str__(self) -> str:
-        return f"{self.host}: no whole answer ({self.detail})"
+        return f"{self.host}: no complete answer ({self.detail})"
 
 
 CallError = NoHostReached | AnswerLost
@@ -64,16 +64,15 @@
 
 @final
 class Client:
-    """Calls one of several entry hosts, in turn where that is safe.
+    """Calls entry hosts in order until one gives a usable answer.
 
-    A call that reads is tried on the next host after any failure, and when
-    the host does not know the thing asked for. One that
-    changes something is tried on the next only when no byte reached the host
-    or it answered that nothing was done.
+    A read is retried on the next host after any failure and after a 404. A
+    change is retried only if no byte of it reached the host or the host
+    answered that it was not run.
 
     Args:
-        hosts: Operator addresses, in the order to be tried.
-        timeout_ms: For the answer of each host.
+        hosts: Operator addresses, in the order in which to try them.
+        timeout_ms: Timeout of reading the answer of each host.
     """
 
     def __init__(
@@ -92,26 +91,26 @@
         self._pool.clear()
 
     def read(self, path: str) -> result.Result[Reply, CallError]:
-        """GETs a page from the first host that has an answer."""
-        return self._first("GET", path, b"")
+        """Reads a page from the first host that has it."""
+        return self._call_in_order("GET", path, b"")
 
     def change(
         self, method: str, path: str, body: bytes = b""
     ) -> result.Result[Reply, CallError]:
-        """Sends a change, never to a second host after a doubtful first."""
-        return self._first(method, path, body)
+        """Sends a change; stops at the first host that may have executed it."""
+        return self._call_in_order(method, path, body)
 
-    def _first(
+    def _call_in_order(
         self, method: str, path: str, body: bytes
     ) -> result.Result[Reply, CallError]:
         details = []
         refused = None
-        passed_over = [NOTHING_DONE_STATUS]
+        skipped_statuses = [NOT_RUN_STATUS]
         if method == "GET":
-            passed_over.append(NOT_KNOWN_STATUS)
+            skipped_statuses.append(NOT_FOUND_STATUS)
         for host in self._hosts:
             match self._call(host, method, path, body):
-                case result.Ok(reply) if reply.status in passed_over:
+                case result.Ok(reply) if reply.status in skipped_statuses:
                     refused = reply
                 case result.Ok() as answered:
                     return answered
@@ -139,9 +138,13 @@
             exceptions.NewConnectionError,
             exceptions.ConnectTimeoutError,
         ) as error:
-            return result.Err(NoHostReached((f"{host}: {_short(error)}",)))
+            return result.Err(
+                NoHostReached((f"{host}: {_strip_connection_repr(error)}",))
+            )
         except (exceptions.HTTPError, OSError) as error:
-            return result.Err(AnswerLost(str(host), _short(error)))
+            return result.Err(
+                AnswerLost(str(host), _strip_connection_repr(error))
+            )
         reply_headers = {
             key.lower(): value for key, value in response.headers.items()
         }
@@ -157,6 +160,6 @@
         return body.decode("utf-8", "replace")
 
 
-def _short(error: Exception) -> str:
-    # urllib3 starts its messages with the repr of a connection object.
+def _strip_connection_repr(error: Exception) -> str:
+    # Messages of urllib3 start with the repr of a connection object.
     return str(error).rpartition(">: ")[2]
--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -1,4 +1,4 @@
-"""One try of one request to one endpoint, over urllib3."""
+"""Client for single tries of requests to endpoints, over urllib3."""
 
 from __future__ import annotations
 
@@ -26,15 +26,16 @@
 _BODY_METHODS = frozenset({"POST", "PUT", "PATCH"})
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     return
 
 
 @final
 class EndpointClient:
-    """Sends requests to endpoints and reuses connections to them.
+    """Sends requests to endpoints over pooled connections.
 
-    Thread-safe. A context manager, as it owns connections and a thread.
+    Thread-safe. It owns connections and a thread, so use it as a context
+    manager.
     """
 
     def __init__(
@@ -45,10 +46,10 @@
         self._connect_timeout_ms = connect_timeout_ms
         self._pools = connection_pool.ConnectionPools()
         self._clock = clock or clock_port.SystemClock()
-        self._late = late_answers.LateAnswers(self._clock)
+        self._watcher = late_answers.LateAnswerWatcher(self._clock)
 
     def __enter__(self) -> Self:
-        self._late.__enter__()
+        self._watcher.__enter__()
         return self
 
     def __exit__(
@@ -57,7 +58,7 @@
         exception: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._late.__exit__(exception_type, exception, traceback)
+        self._watcher.__exit__(exception_type, exception, traceback)
         self._pools.close()
 
     def send(
@@ -65,14 +66,15 @@
         address: str,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        ended: Callable[[], None] = _ignore,
+        on_ended: Callable[[], None] = _do_nothing,
     ) -> exchange.TryResult:
-        """Sends a request and waits for its whole answer.
+        """Sends a request and waits for its complete answer.
 
-        `ended` is called once, when the endpoint no longer runs the request:
-        before this returns if that is known, else later from a thread.
+        `on_ended` is called exactly once, when the endpoint no longer runs
+        the request: before this method returns if that is known by then, else
+        later from the watcher's thread.
         """
-        match self.begin(address, request, limits, ended):
+        match self.begin(address, request, limits, on_ended):
             case result.Ok(pending):
                 return pending.finish()
             case result.Err(error):
@@ -83,46 +85,48 @@
         address: str,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        ended: Callable[[], None] = _ignore,
+        on_ended: Callable[[], None] = _do_nothing,
     ) -> result.Result[pending_answer.PendingAnswer, exchange.EndpointError]:
-        """Sends a request; the answer is read from the `PendingAnswer`."""
+        """Sends a request and returns the `PendingAnswer` to read."""
         match self._connect(address, request, limits):
             case result.Ok(lease):
                 pass
             case result.Err(not_sent):
-                ended()
+                on_ended()
                 return result.Err(not_sent)
         now_ms = self._clock.monotonic_ms()
-        late = _lateness(limits, now_ms)
-        if late is not None:
+        too_late = _check_send_time(limits, now_ms)
+        if too_late is not None:
             lease.release(reusable=True)
-            ended()
-            return result.Err(late)
+            on_ended()
+            return result.Err(too_late)
         remaining_ms = limits.deadline_ms - now_ms
-        lease.channel.set_deadline(remaining_ms)
+        lease.deadline_socket.set_deadline(remaining_ms)
         try:
             _write(lease.connection, request, remaining_ms)
         except ValueError as error:
-            # Raised while headers are checked, before the first byte.
+            # Header validation fails before any byte is sent.
             lease.close()
-            ended()
+            on_ended()
             return result.Err(
                 exchange.NotSent(exchange.SendFailure.BAD_REQUEST, str(error))
             )
         except (OSError, http.client.HTTPException) as error:
             lease.close()
-            self._late.watch(None, limits.hold_until_ms, ended)
+            self._watcher.watch(None, limits.hold_until_ms, on_ended)
             return result.Err(
-                exchange.LostAfterSend(_loss_in_write(error), repr(error))
+                exchange.LostAfterSend(
+                    _classify_write_error(error), repr(error)
+                )
             )
         return result.Ok(
             pending_answer.PendingAnswer(
-                self._late, lease, request, limits, ended
+                self._watcher, lease, request, limits, on_ended
             )
         )
 
     def can_connect(self, address: str) -> bool:
-        """Whether an address takes connections; sends nothing."""
+        """Whether a TCP connection to an address succeeds; sends no data."""
         parsed = address_module.parse(address).unwrap()
         timeout_s = self._connect_timeout_ms / 1_000
         try:
@@ -135,15 +139,15 @@
         return True
 
     def trim(self, limits: Mapping[str, int]) -> None:
-        """Closes unused connections beyond the limits, given by address."""
+        """Closes idle connections in excess of the limit of each address."""
         self._pools.trim(limits)
 
     def close_idle(self, address: str) -> None:
-        """Closes the unused connections to an address."""
+        """Closes the idle connections to an address."""
         self._pools.close_idle(address)
 
     def open_connections(self, address: str) -> int:
-        """Connections held to an address now."""
+        """Number of open connections to an address, idle or in use."""
         return self._pools.open_connections(address)
 
     def _connect(
@@ -155,9 +159,11 @@
         max_idle_ms = (
             connection_pool.MAX_IDLE_MS
             if request.idempotent
-            else connection_pool.FRESH_IDLE_MS
+            else connection_pool.NON_IDEMPOTENT_MAX_IDLE_MS
+        )
+        lease = self._pools.acquire(
+            address, max_idle_ms, limits.max_connections
         )
-        lease = self._pools.take(address, max_idle_ms, limits.max_connections)
         if lease is None:
             detail = f"all {limits.max_connections} connections are in use"
             return result.Err(
@@ -167,9 +173,9 @@
             )
         if lease.is_connected:
             return result.Ok(lease)
-        left_ms = min(limits.deadline_ms, limits.send_by_ms)
-        left_ms -= self._clock.monotonic_ms()
-        timeout_ms = min(self._connect_timeout_ms, left_ms)
+        remaining_ms = min(limits.deadline_ms, limits.send_by_ms)
+        remaining_ms -= self._clock.monotonic_ms()
+        timeout_ms = min(self._connect_timeout_ms, remaining_ms)
         return _open(lease, address, timeout_ms)
 
 
@@ -194,19 +200,20 @@
     return result.Ok(lease)
 
 
-def _lateness(
+def _check_send_time(
     limits: exchange.TryLimits, now_ms: int
 ) -> exchange.NotSent | None:
-    """Why it is too late to send, if it is.
+    """Returns an error if it is too late to send the request.
 
-    A host may have been frozen since the slot was taken. What it sends after
-    that could meet another host's request in the same slot.
+    The process may have been suspended since it acquired the slot. A request
+    sent after the slot expired could overlap with another host's request in
+    the same slot.
     """
     if now_ms >= limits.deadline_ms:
         detail = "the deadline passed before the request was sent"
         return exchange.NotSent(exchange.SendFailure.DEADLINE_PASSED, detail)
     if now_ms >= limits.send_by_ms:
-        detail = "the slot was held too long before the request was sent"
+        detail = "the slot expired before the request was sent"
         return exchange.NotSent(exchange.SendFailure.SENT_TOO_LATE, detail)
     return None
 
@@ -214,7 +221,7 @@
 def _connect_failure(error: Exception) -> exchange.SendFailure:
     if isinstance(error.__cause__, ConnectionRefusedError):
         return exchange.SendFailure.CONNECT_REFUSED
-    # NewConnectionError is a kind of ConnectTimeoutError.
+    # NewConnectionError is a subclass of ConnectTimeoutError.
     if isinstance(
         error, urllib3_exceptions.ConnectTimeoutError
     ) and not isinstance(error, urllib3_exceptions.NewConnectionError):
@@ -222,7 +229,7 @@
     return exchange.SendFailure.CONNECT_FAILED
 
 
-def _loss_in_write(error: Exception) -> exchange.Loss:
+def _classify_write_error(error: Exception) -> exchange.Loss:
     return (
         exchange.Loss.TIMED_OUT
         if isinstance(error, TimeoutError)
--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -1,4 +1,4 @@
-"""Client side of the protocol between entry hosts: calls to one peer."""
+"""Client side of the protocol between entry hosts."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 @final
 class PeerLink:
-    """Connections to one peer; a call has one of them to itself.
+    """Pools connections to one peer; each call has exclusive use of one.
 
-    A connection is reused only when the peer has not closed it, and never
-    after a call that failed, so a late answer can't reach another call.
+    A connection is reused only if the peer has not closed it, and never after
+    a failed call, so a late answer can't be read by another call.
     """
 
     def __init__(self, peer: address.Address, connect_timeout_ms: int) -> None:
@@ -56,23 +56,23 @@
     ) -> result.Result[_Reply, peers.PeerError]:
         """Runs one call of the generated client within `timeout_ms`."""
         try:
-            connection = self._take(timeout_ms)
+            connection = self._acquire(timeout_ms)
         except TTransport.TTransportException as error:
             return result.Err(peers.PeerUnreachable(str(error)))
         try:
             reply = send(connection.client)
         except ttypes.PeerRefused as refused:
-            self._put_back(connection)
+            self._release(connection)
             return result.Err(peers.PeerRefusal(refused.reason, refused.detail))
         except (Thrift.TException, EOFError, OSError, ValueError) as error:
             connection.close()
             return result.Err(
                 peers.PeerAnswerLost(f"{type(error).__name__}: {error}")
             )
-        self._put_back(connection)
+        self._release(connection)
         return result.Ok(reply)
 
-    def _take(self, timeout_ms: int) -> _Connection:
+    def _acquire(self, timeout_ms: int) -> _Connection:
         while True:
             with self._lock:
                 connection = self._idle.pop() if self._idle else None
@@ -80,10 +80,10 @@
                 return _Connection(
                     self._peer, self._connect_timeout_ms, timeout_ms
                 )
-            if connection.usable(timeout_ms):
+            if connection.prepare_reuse(timeout_ms):
                 return connection
 
-    def _put_back(self, connection: _Connection) -> None:
+    def _release(self, connection: _Connection) -> None:
         with self._lock:
             if not self._closed and len(self._idle) < MAX_IDLE_CONNECTIONS:
                 self._idle.append(connection)
@@ -92,7 +92,7 @@
 
 
 class _Connection:
-    """One open connection; raises TTransportException if it can't be had."""
+    """An open connection; raises TTransportException if connecting fails."""
 
     def __init__(
         self, peer: address.Address, connect_timeout_ms: int, timeout_ms: int
@@ -101,16 +101,16 @@
         self._socket.setTimeout(min(connect_timeout_ms, timeout_ms))
         self._socket.open()
         self._socket.setTimeout(timeout_ms)
-        peer_transport.send_at_once(self._socket)
+        peer_transport.disable_nagle(self._socket)
         self.client = Peer.Client(peer_transport.make_protocol(self._socket))
 
-    def usable(self, timeout_ms: int) -> bool:
-        """Whether the peer still holds it open; sets the call's timeout."""
+    def prepare_reuse(self, timeout_ms: int) -> bool:
+        """Sets the timeout of a call; returns whether the peer is connected."""
         if not self._socket.isOpen():
             return False
         self._socket.setTimeout(timeout_ms)
         return True
 
     def close(self) -> None:
-        """Closes it; a second time does nothing."""
+        """Closes the connection; may be called again."""
         self._socket.close()
--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -1,4 +1,4 @@
-"""Server side of the protocol between entry hosts: a thread a connection."""
+"""Server side of the protocol between entry hosts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @final
 class PeerServer:
-    """Accepts peers' connections and hands their calls to a handler."""
+    """Serves calls of peers, with one thread per connection."""
 
     def __init__(
         self,
@@ -39,12 +39,12 @@
         self._processor = Peer.Processor(handler)
         self._metrics = metrics
         self._lock = threading.Lock()
-        self._open: set[socket.socket] = set()
+        self._connections: set[socket.socket] = set()
         self._stopping = False
         self._listener: socket.socket | None = None
 
     def __enter__(self) -> Self:
-        # The library logs every connection that fails; ours are counted.
+        # thrift logs every failed connection; this class counts them instead.
         logging.getLogger("thrift").setLevel(logging.CRITICAL)
         family = socket.AF_INET6 if ":" in self._listen.ip else socket.AF_INET
         listener = socket.socket(family, socket.SOCK_STREAM)
@@ -60,15 +60,15 @@
     def __exit__(self, *_: object) -> None:
         with self._lock:
             self._stopping = True
-            open_now = list(self._open)
+            connections = list(self._connections)
         if self._listener is not None:
-            _shut(self._listener)
-        for connection in open_now:
-            _shut(connection)
+            _shut_down(self._listener)
+        for connection in connections:
+            _shut_down(connection)
 
     @property
     def address(self) -> address.Address:
-        """Where it listens; the real port when the setting said 0."""
+        """The bound address; port 0 is replaced by the port assigned."""
         assert self._listener is not None
         ip, port = self._listener.getsockname()[:2]
         return address.Address(ip, port)
@@ -84,7 +84,7 @@
                 if self._stopping:
                     connection.close()
                     return
-                self._open.add(connection)
+                self._connections.add(connection)
             threading.Thread(
                 target=self._serve,
                 args=(connection,),
@@ -96,7 +96,7 @@
         transport = TSocket.TSocket()
         transport.setHandle(connection)
         transport.setTimeout(IDLE_TIMEOUT_MS)
-        peer_transport.send_at_once(transport)
+        peer_transport.disable_nagle(transport)
         protocol = peer_transport.make_protocol(transport)
         try:
             while True:
@@ -105,29 +105,29 @@
                     metrics_module.Counter.PEER_MESSAGES, "received"
                 )
         except TTransport.TTransportException as error:
-            self._note_end(error)
+            self._record_end(error)
         except Exception as error:
-            # Whatever bytes came, only this connection may suffer.
-            self._count_bad(type(error).__name__)
+            # Malformed input must end only this connection.
+            self._record_bad_message(type(error).__name__)
         finally:
             with self._lock:
-                self._open.discard(connection)
-            _shut(connection)
+                self._connections.discard(connection)
+            _shut_down(connection)
 
-    def _note_end(self, error: TTransport.TTransportException) -> None:
+    def _record_end(self, error: TTransport.TTransportException) -> None:
         size_errors = (
             TTransport.TTransportException.SIZE_LIMIT,
             TTransport.TTransportException.NEGATIVE_SIZE,
         )
         if error.type in size_errors:
-            self._count_bad("bad-frame")
+            self._record_bad_message("bad-frame")
 
-    def _count_bad(self, label: str) -> None:
+    def _record_bad_message(self, label: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_PEER_MESSAGES, label)
         logs.warning(_logger, "bad-peer-message", kind=label)
 
 
-def _shut(connection: socket.socket) -> None:
+def _shut_down(connection: socket.socket) -> None:
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -1,4 +1,4 @@
-"""A request that was sent to an endpoint, until its answer is read."""
+"""The answer to a request that was sent to an endpoint."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
 from comfreylatch._connection import late_answers
 
 MAX_ANSWER_BYTES = 64 * 1_024 * 1_024
-READ_BYTES = 65_536
-NOT_RUN = "not-run"
+READ_CHUNK_BYTES = 65_536
+OUTCOME_NOT_RUN = "not-run"
 
 _BODILESS_STATUSES = frozenset({204, 304})
 
 _log = logbook.Logger("comfreylatch.pending-answer")
 
 
-class _TooLongError(Exception):
+class _AnswerTooLongError(Exception):
     """The answer is longer than `MAX_ANSWER_BYTES`."""
 
 
 @final
 class PendingAnswer:
-    """A request that was sent; `finish` or `abandon` it, once."""
+    """An answer not yet read; call `finish` or `abandon` exactly once."""
 
     def __init__(
         self,
-        late: late_answers.LateAnswers,
+        late: late_answers.LateAnswerWatcher,
         lease: connection_pool.Lease,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
-        ended: Callable[[], None],
+        on_ended: Callable[[], None],
     ) -> None:
-        self._late = late
+        self._watcher = late
         self._lease = lease
         self._request = request
         self._limits = limits
-        self._ended = ended
+        self._on_ended = on_ended
 
     def fileno(self) -> int:
-        """The socket, readable as soon as the answer begins to arrive."""
-        return self._lease.channel.fileno()
+        """File descriptor that is readable once the answer arrives."""
+        return self._lease.deadline_socket.fileno()
 
     def finish(self) -> exchange.TryResult:
-        """Reads the whole answer, up to the try's deadline."""
+        """Reads the complete answer before the deadline of the try."""
         try:
             response = self._lease.connection.getresponse()
             outcome = self._read(response)
@@ -62,52 +62,54 @@
             return result.Err(
                 exchange.LostAfterSend(exchange.Loss.TIMED_OUT, repr(error))
             )
-        except (http.client.IncompleteRead, _TooLongError) as error:
-            return self._lost(exchange.Loss.TRUNCATED, repr(error))
+        except (http.client.IncompleteRead, _AnswerTooLongError) as error:
+            return self._fail_lost(exchange.Loss.TRUNCATED, repr(error))
         except (urllib3_exceptions.HTTPError, http.client.HTTPException) as e:
-            return self._lost(self._loss_of(e), repr(e))
+            return self._fail_lost(self._classify_loss(e), repr(e))
         except OSError as error:
-            return self._lost(exchange.Loss.RESET, repr(error))
+            return self._fail_lost(exchange.Loss.RESET, repr(error))
         except Exception as error:
-            # Whatever a faulty answer does to the library, it is lost.
+            # A malformed answer may raise anything inside urllib3.
             _log.exception("answer-unreadable id={}", self._request.request_id)
-            return self._lost(exchange.Loss.MALFORMED, repr(error))
+            return self._fail_lost(exchange.Loss.MALFORMED, repr(error))
         match outcome:
             case result.Err(exchange.LostAfterSend()):
                 self._lease.close()
-                self._hold()
+                self._watch_closed()
             case _:
                 self._lease.release(reusable=not _is_closing(response))
-                self._ended()
+                self._on_ended()
         return outcome
 
     def abandon(self) -> None:
-        """Stops waiting; the end of the request is still watched for."""
+        """Stops waiting; the watcher reports when the request has ended."""
         lease = self._lease
-        if lease.channel.received:
+        if lease.deadline_socket.has_received_data:
             lease.close()
-            self._hold()
+            self._watch_closed()
             return
-        # The socket now belongs to the watcher, which closes it.
-        watched = lease.hand_over()
-        self._late.watch(
+        # The watcher owns the socket from here on and closes it.
+        watched = lease.detach_socket()
+        self._watcher.watch(
             watched,
             self._limits.hold_until_ms,
-            _both(lease.mark_closed, self._ended),
+            _call_both(lease.mark_closed, self._on_ended),
         )
 
-    def _lost(self, loss: exchange.Loss, detail: str) -> exchange.TryResult:
+    def _fail_lost(
+        self, loss: exchange.Loss, detail: str
+    ) -> exchange.TryResult:
         self._lease.close()
-        self._hold()
+        self._watch_closed()
         return result.Err(exchange.LostAfterSend(loss, detail))
 
-    def _hold(self) -> None:
-        self._late.watch(None, self._limits.hold_until_ms, self._ended)
+    def _watch_closed(self) -> None:
+        self._watcher.watch(None, self._limits.hold_until_ms, self._on_ended)
 
-    def _loss_of(self, error: Exception) -> exchange.Loss:
+    def _classify_loss(self, error: Exception) -> exchange.Loss:
         if isinstance(error, http.client.RemoteDisconnected):
             return exchange.Loss.RESET
-        if self._lease.channel.ended:
+        if self._lease.deadline_socket.at_eof:
             return exchange.Loss.TRUNCATED
         if isinstance(error, urllib3_exceptions.ProtocolError):
             return exchange.Loss.RESET
@@ -125,39 +127,41 @@
             return result.Err(
                 exchange.LostAfterSend(
                     exchange.Loss.TRUNCATED,
-                    "the answer doesn't say how long it is",
+                    "the answer has no Content-Length and is not chunked",
                 )
             )
         body = _read_body(response)
-        # Cut short within its headers, an answer may look whole.
-        if self._lease.channel.ended:
+        # An answer truncated within its headers may look complete.
+        if self._lease.deadline_socket.at_eof:
             return result.Err(
                 exchange.LostAfterSend(
-                    exchange.Loss.TRUNCATED, "the answer was cut short"
+                    exchange.Loss.TRUNCATED,
+                    "the connection closed within the answer",
                 )
             )
         if response.status < http.client.OK:
             return result.Err(
                 exchange.LostAfterSend(
                     exchange.Loss.MALFORMED,
-                    f"status {response.status}",
+                    f"unexpected interim status {response.status}",
                 )
             )
-        return self._checked(response, body)
+        return self._check_answer(response, body)
 
-    def _checked(
+    def _check_answer(
         self, response: urllib3_response.HTTPResponse, body: bytes
     ) -> exchange.TryResult:
         answered_id = response.headers.get(endpoint_headers.ID_HEADER, "")
         if answered_id != self._request.request_id:
-            detail = f"the answer is for request {answered_id!r}"
+            detail = f"the answer carries the request id {answered_id!r}"
             return result.Err(
                 exchange.LostAfterSend(exchange.Loss.WRONG_ID, detail)
             )
         closing = _is_closing(response)
         if (
             response.status == http.client.SERVICE_UNAVAILABLE
-            and response.headers.get(endpoint_headers.OUTCOME_HEADER) == NOT_RUN
+            and response.headers.get(endpoint_headers.OUTCOME_HEADER)
+            == OUTCOME_NOT_RUN
         ):
             return result.Err(
                 exchange.DeclinedByEndpoint(
@@ -184,19 +188,23 @@
     remaining = response.length_remaining
     if remaining is not None:
         if remaining > MAX_ANSWER_BYTES:
-            raise _TooLongError(f"the answer has {remaining} bytes")
+            raise _AnswerTooLongError(
+                f"the answer of {remaining} bytes is too long"
+            )
         return response.read(decode_content=False)
     parts: list[bytes] = []
     total = 0
-    while part := response.read(READ_BYTES, decode_content=False):
+    while part := response.read(READ_CHUNK_BYTES, decode_content=False):
         parts.append(part)
         total += len(part)
         if total > MAX_ANSWER_BYTES:
-            raise _TooLongError(f"the answer has over {total} bytes")
+            raise _AnswerTooLongError(
+                f"the answer of over {total} bytes is too long"
+            )
     return b"".join(parts)
 
 
-def _both(
+def _call_both(
     first: Callable[[], None], second: Callable[[], None]
 ) -> Callable[[], None]:
     def run() -> None:
--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -22,7 +22,7 @@
 class CommandSink(Protocol):
     """Queues commands for workers."""
 
-    def request(
+    def queue_command(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
         """Queues a command; drops it if the worker is unknown.
@@ -35,7 +35,7 @@
         """Requests a report from a worker by `due_ms`."""
         ...
 
-    def withdraw(self, worker: str, command: workers.Command) -> bool:
+    def withdraw_command(self, worker: str, command: workers.Command) -> bool:
         """Removes a queued command; False if it may have been sent."""
         ...
 
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -34,19 +34,19 @@
             return
         worker = attempt.state.worker
         command = attempt.stop_command()
-        if queued_ms >= 0 and self._sink.withdraw(worker, command):
+        if queued_ms >= 0 and self._sink.withdraw_command(worker, command):
             # The stop was never sent; the attempt has progressed since.
             attempt.retry_stop()
             return
         attempt.stop_queued_ms = now_ms
-        self._sink.request(worker, command)
+        self._sink.queue_command(worker, command)
 
     def _checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Queues the checkpoint of an eviction, or abandons the eviction."""
         worker = attempt.state.worker
         command = attempt.checkpoint_command()
         if now_ms - attempt.evicted_ms >= EVICTION_TIMEOUT_MS:
-            self._sink.withdraw(worker, command)
+            self._sink.withdraw_command(worker, command)
             attempt.stop_reason = None
             return
         if attempt.checkpointed:
@@ -56,7 +56,7 @@
         queued_ms = attempt.checkpoint_queued_ms
         if queued_ms < 0 or now_ms - queued_ms >= RESEND_INTERVAL_MS:
             attempt.checkpoint_queued_ms = now_ms
-            self._sink.request(worker, command)
+            self._sink.queue_command(worker, command)
 
     def on_checkpoint_taken(
         self, attempt: attempt_module.Attempt, now_ms: int
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -94,7 +94,7 @@
             session.clear()
         self._events.clear()
 
-    def take_events(self) -> list[worker_session.LinkEvent]:
+    def drain_events(self) -> list[worker_session.LinkEvent]:
         """Returns events since the last call, in order for each worker."""
         taken: list[worker_session.LinkEvent] = []
         while self._events:
@@ -105,14 +105,14 @@
         """See `attempt.CommandSink.session`."""
         return self._sessions.get(worker)
 
-    def request(
+    def queue_command(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
-        """See `attempt.CommandSink.request`."""
+        """See `attempt.CommandSink.queue_command`."""
         session = self._sessions.get(worker)
         if session is None:
             return
-        session.request(command, at_once)
+        session.queue_command(command, at_once)
         link = self._links.get(worker)
         if at_once and link is not None:
             link.wake()
@@ -125,10 +125,10 @@
             session.poll_by(due_ms)
             link.wake()
 
-    def withdraw(self, worker: str, command: workers.Command) -> bool:
-        """See `attempt.CommandSink.withdraw`."""
+    def withdraw_command(self, worker: str, command: workers.Command) -> bool:
+        """See `attempt.CommandSink.withdraw_command`."""
         session = self._sessions.get(worker)
-        return session is not None and session.withdraw(command)
+        return session is not None and session.withdraw_command(command)
 
     def _ensure_link(self, session: worker_session.WorkerSession) -> None:
         if session.worker in self._links:
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -101,7 +101,9 @@
         """Number of unanswered exchanges since the last answer."""
         return self._failures
 
-    def request(self, command: workers.Command, at_once: bool = True) -> None:
+    def queue_command(
+        self, command: workers.Command, at_once: bool = True
+    ) -> None:
         """Queues a command; unless `at_once`, for the next renewal."""
         with self._lock:
             queue = self._commands if at_once else self._deferred_commands
@@ -112,7 +114,7 @@
         """Requests an exchange by `due_ms`, as when an attempt should end."""
         self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
-    def withdraw(self, command: workers.Command) -> bool:
+    def withdraw_command(self, command: workers.Command) -> bool:
         """Removes a queued command; False if it may have been sent."""
         with self._lock:
             if command not in self._commands:
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -187,8 +187,8 @@
             session.clear()
         self.events.clear()
 
-    def take_events(self) -> list[worker_session.LinkEvent]:
-        """See `LinkPool.take_events`."""
+    def drain_events(self) -> list[worker_session.LinkEvent]:
+        """See `LinkPool.drain_events`."""
         taken = list(self.events)
         self.events.clear()
         return taken
@@ -197,13 +197,13 @@
         """See `attempt.CommandSink.session`."""
         return self.sessions.get(worker)
 
-    def request(
+    def queue_command(
         self, worker: str, command: workers.Command, at_once: bool = True
     ) -> None:
-        """See `attempt.CommandSink.request`."""
+        """See `attempt.CommandSink.queue_command`."""
         session = self.sessions.get(worker)
         if session is not None:
-            session.request(command, at_once)
+            session.queue_command(command, at_once)
 
     def poll_by(self, worker: str, due_ms: int) -> None:
         """See `attempt.CommandSink.poll_by`."""
@@ -211,10 +211,10 @@
         if session is not None:
             session.poll_by(due_ms)
 
-    def withdraw(self, worker: str, command: workers.Command) -> bool:
-        """See `attempt.CommandSink.withdraw`."""
+    def withdraw_command(self, worker: str, command: workers.Command) -> bool:
+        """See `attempt.CommandSink.withdraw_command`."""
         session = self.sessions.get(worker)
-        return session is not None and session.withdraw(command)
+        return session is not None and session.withdraw_command(command)
 
 
 @final
--- a/tests/connection/test_http_server.py
+++ b/tests/connection/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP server against bad input and stops."""
+"""Tests of the HTTP server: invalid input and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class HttpServerTest(testtools.TestCase):
-    """A server with a small echo handler."""
+    """A server with an echo handler."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -58,13 +58,13 @@
 
     @staticmethod
     def read_all(connection: socket.socket) -> bytes:
-        parts = []
+        chunks = []
         try:
-            while part := connection.recv(65_536):
-                parts.append(part)
+            while chunk := connection.recv(65_536):
+                chunks.append(chunk)
         except ConnectionResetError:
             pass
-        return b"".join(parts)
+        return b"".join(chunks)
 
     def post(self, body: bytes, path: str = "/") -> bytes:
         return (
@@ -114,42 +114,42 @@
         self.assertIn(b" 400 ", self.read_all(connection))
         self.assertFalse(self.entered.is_set())
 
-    def test_failed_handler_is_answered_and_thread_lives_on(self) -> None:
+    def test_failed_handler_is_answered_and_its_thread_survives(self) -> None:
         for _ in range(6):
             self.assertIn(b" 500 ", self.ask(self.post(b"", "/fail")))
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
 
     def test_chunked_requests_follow_each_other(self) -> None:
-        one = (
+        request = (
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\n\r\n"
         )
         started = time.monotonic()
-        reply = self.ask(one + one + self.post(b"end"))
+        reply = self.ask(request + request + self.post(b"end"))
         self.assertEqual(3, reply.count(b" 200 "))
         self.assertLess(time.monotonic() - started, 0.9)
 
-    def test_silent_connections_hold_no_thread(self) -> None:
+    def test_silent_connections_occupy_no_thread(self) -> None:
         for _ in range(10):
             self.connect()
         started = time.monotonic()
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
         self.assertLess(time.monotonic() - started, 0.5)
 
-    def test_idle_after_chunked_request_holds_no_thread(self) -> None:
-        one = (
+    def test_idle_after_chunked_request_occupies_no_thread(self) -> None:
+        request = (
             b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"2\r\nhi\r\n0\r\n\r\n"
         )
         for _ in range(3):
             connection = self.connect()
-            connection.sendall(one)
+            connection.sendall(request)
             self.assertIn(b" 200 ", connection.recv(65_536))
         started = time.monotonic()
         self.assertIn(b" 200 ", self.ask(self.post(b"")))
         self.assertLess(time.monotonic() - started, 0.5)
 
-    def test_drain_keeps_open_request(self) -> None:
+    def test_drain_completes_open_request(self) -> None:
         connection = self.connect()
         connection.sendall(self.post(b"kept", "/wait"))
         self.assertTrue(self.entered.wait(5))
@@ -165,8 +165,8 @@
         self.assertTrue(self.read_all(connection).endswith(b"kept"))
 
     def test_drain_refuses_new_requests(self) -> None:
-        held = self.connect()
-        held.sendall(self.post(b"kept", "/wait"))
+        waiting = self.connect()
+        waiting.sendall(self.post(b"kept", "/wait"))
         idle = self.connect()
         idle.sendall(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         self.assertIn(b" 200 ", idle.recv(65_536))
@@ -183,8 +183,8 @@
         self.assertRaises(OSError, self.connect)
 
     def test_refusal_while_draining_waits_for_the_body(self) -> None:
-        held = self.connect()
-        held.sendall(self.post(b"kept", "/wait"))
+        waiting = self.connect()
+        waiting.sendall(self.post(b"kept", "/wait"))
         late = self.connect()
         self.assertTrue(self.entered.wait(5))
         stopper = threading.Thread(target=self.server.drain, args=(5_000,))
@@ -202,16 +202,17 @@
         late.settimeout(5)
         late.sendall(b"body")
         reply = b""
-        while part := late.recv(65_536):
-            reply += part
+        while chunk := late.recv(65_536):
+            reply += chunk
         self.assertIn(b" 503 ", reply)
         self.assertIn(b"X-Request-Id: q-1\r\n", reply)
 
-    def test_connections_that_come_late_in_a_drain_break_nothing(
+    def test_connections_accepted_late_in_a_drain_cause_no_error(
         self,
     ) -> None:
-        # Found by an incident: idle connections were closed by a negative
-        # timeout, which a connection accepted after that could not take.
+        # Idle connections were once closed by setting a negative timeout. A
+        # connection accepted after that got it as its socket timeout, which
+        # raised an error in the server loop.
         stopped = threading.Event()
 
         def keep_connecting() -> None:
