--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -77,7 +77,7 @@
     SUBMIT = enum.auto()
     APPEND = enum.auto()
     FOLLOW = enum.auto()
-    GIVE_UP = enum.auto()
+    ABANDON = enum.auto()
     RESTART = enum.auto()
     PUSH = enum.auto()
     SNAPSHOT = enum.auto()
@@ -166,7 +166,7 @@
                 self._append(host, action.choice)
             case ActionKind.FOLLOW:
                 host.follower.step()
-            case ActionKind.GIVE_UP:
+            case ActionKind.ABANDON:
                 for pending in host.pending.values():
                     host.appender.abandon(pending)
             case ActionKind.RESTART:
