--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -229,11 +229,11 @@
             for host in self._hosts:
                 host.appender.step()
                 host.follower.step()
-            if self._is_quiet():
+            if self._has_converged():
                 return
         raise InvariantViolationError("the hosts do not come to rest")
 
-    def _is_quiet(self) -> bool:
+    def _has_converged(self) -> bool:
         """Whether all records are settled and folded everywhere."""
         head = len(self.log.payloads(STREAM)) - 1
         return all(
