--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -133,7 +133,7 @@
             self._clock.advance(STEP_MS)
             if host.follower.offset() < before:
                 raise InvariantViolationError("an offset fell")
-        self._heal()
+        self._recover()
         self._check()
 
     def _start(self) -> _Host:
@@ -221,7 +221,7 @@
         self.log.put(snapshot_stream.name_of(STREAM), chunks)
         self.log.expire_below(STREAM, taken.offset + 1)
 
-    def _heal(self) -> None:
+    def _recover(self) -> None:
         self.log.down = False
         self.log.deliver_late()
         for _ in range(MAX_HEAL_ROUNDS):
