--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -31,7 +31,7 @@
 HOSTS = 2
 # Longer than every backoff and append interval.
 STEP_MS = 3_000
-MAX_HEAL_ROUNDS = 200
+MAX_RECOVERY_ROUNDS = 200
 
 
 @attrs.frozen
@@ -224,7 +224,7 @@
     def _recover(self) -> None:
         self.log.down = False
         self.log.deliver_late()
-        for _ in range(MAX_HEAL_ROUNDS):
+        for _ in range(MAX_RECOVERY_ROUNDS):
             self._clock.advance(STEP_MS)
             for host in self._hosts:
                 host.appender.step()
