--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -129,7 +129,7 @@
         for action in actions:
             host = self._hosts[action.host % HOSTS]
             before = host.follower.offset()
-            self._act(action, host)
+            self._execute(action, host)
             self._clock.advance(STEP_MS)
             if host.follower.offset() < before:
                 raise InvariantViolationError("an offset fell")
@@ -158,7 +158,7 @@
         )
         return _Host(writer, reader, fold, {})
 
-    def _act(self, action: Action, host: _Host) -> None:
+    def _execute(self, action: Action, host: _Host) -> None:
         match action.kind:
             case ActionKind.SUBMIT:
                 self._submit(host)
