--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -177,9 +177,9 @@
             case ActionKind.SNAPSHOT:
                 self._snapshot(host)
             case _:
-                self._act_on_log(action.kind)
+                self._execute_on_log(action.kind)
 
-    def _act_on_log(self, kind: ActionKind) -> None:
+    def _execute_on_log(self, kind: ActionKind) -> None:
         match kind:
             case ActionKind.DELIVER_LATE:
                 self.log.deliver_late()
