--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -77,7 +77,7 @@
         experiment.duration_ms,
         experiment.scale,
     )
-    trace = maker.make(experiment.with_jobs)
+    trace = maker.generate(experiment.with_jobs)
     with fleet.Fleet(workload.deployment, options) as running:
         running.apply_first_ticket()
         faults = fault_injection.FaultInjector(
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -135,7 +135,7 @@
         self._scale = scale
         self._random = random.Random(f"{seed}/{self._name}")
 
-    def make(self, with_jobs: bool = True) -> traces.Trace:
+    def generate(self, with_jobs: bool = True) -> traces.Trace:
         """The whole trace."""
         lines: list[traces.TraceLine] = list(self._requests())
         if with_jobs:
@@ -313,7 +313,7 @@
                 given.scale,
             )
             path = given.folder / f"{name}-{shape}.jsonl"
-            path.write_bytes(traces.encode(maker.make()))
+            path.write_bytes(traces.encode(maker.generate()))
             print(path)
 
 
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -24,7 +24,7 @@
             )
             for shape in (maker.LoadShape.CALM, maker.LoadShape.CALM)
         ]
-        first, second = (one.make() for one in made)
+        first, second = (one.generate() for one in made)
         self.assertEqual(first, second)
         lines = traces.encode(first).splitlines()
         self.assertEqual(first, traces.decode(lines).ok_value)
