--- a/testing/traces.py
+++ b/testing/traces.py
@@ -34,7 +34,7 @@
 # Normal deviate of the 99th percentile.
 P99_DEVIATE = 2.326
 JOB_LOAD = 0.6
-NEVER_WORKS_CHANCE = 0.02
+FAILING_JOB_PROBABILITY = 0.02
 NEVER_FITS_CHANCE = 0.01
 URGENT_CHANCE = 0.05
 CANCELLED_CHANCE = 0.05
@@ -226,9 +226,9 @@
         processors_milli = self._random.choice(workload.job_processors_milli)
         job_class = self._random.choice(deployment.job_classes)
         drawn = self._random.random()
-        if drawn < NEVER_WORKS_CHANCE:
+        if drawn < FAILING_JOB_PROBABILITY:
             job_class = worker_model.FAILING_JOB_MARKER
-        elif drawn < NEVER_WORKS_CHANCE + NEVER_FITS_CHANCE:
+        elif drawn < FAILING_JOB_PROBABILITY + NEVER_FITS_CHANCE:
             processors_milli = deployment.worker_capacity.processors_milli * 2
         run_time_ms = workload.job_run_time_ms * self._random.lognormvariate(
             0.0, 0.5
