--- a/testing/traces.py
+++ b/testing/traces.py
@@ -35,7 +35,7 @@
 P99_DEVIATE = 2.326
 JOB_LOAD = 0.6
 FAILING_JOB_PROBABILITY = 0.02
-NEVER_FITS_CHANCE = 0.01
+OVERSIZED_JOB_PROBABILITY = 0.01
 URGENT_CHANCE = 0.05
 CANCELLED_CHANCE = 0.05
 CANCEL_AT = 0.6
@@ -228,7 +228,7 @@
         drawn = self._random.random()
         if drawn < FAILING_JOB_PROBABILITY:
             job_class = worker_model.FAILING_JOB_MARKER
-        elif drawn < FAILING_JOB_PROBABILITY + NEVER_FITS_CHANCE:
+        elif drawn < FAILING_JOB_PROBABILITY + OVERSIZED_JOB_PROBABILITY:
             processors_milli = deployment.worker_capacity.processors_milli * 2
         run_time_ms = workload.job_run_time_ms * self._random.lognormvariate(
             0.0, 0.5
