--- a/testing/traces.py
+++ b/testing/traces.py
@@ -36,7 +36,7 @@
 JOB_LOAD = 0.6
 FAILING_JOB_PROBABILITY = 0.02
 OVERSIZED_JOB_PROBABILITY = 0.01
-URGENT_CHANCE = 0.05
+URGENT_JOB_PROBABILITY = 0.05
 CANCELLED_CHANCE = 0.05
 CANCEL_AT = 0.6
 URGENT_START_MS = 6_000.0
@@ -242,7 +242,8 @@
             resources=workers.Resources(processors_milli, processors_milli, 0),
             run_time_ms=int(run_time_ms),
             zone=self._random.choice(deployment.zones),
-            urgent=may_be_urgent and self._random.random() < URGENT_CHANCE,
+            urgent=may_be_urgent
+            and self._random.random() < URGENT_JOB_PROBABILITY,
         )
 
     def _cancellations(
