--- a/testing/traces.py
+++ b/testing/traces.py
@@ -37,7 +37,7 @@
 FAILING_JOB_PROBABILITY = 0.02
 OVERSIZED_JOB_PROBABILITY = 0.01
 URGENT_JOB_PROBABILITY = 0.05
-CANCELLED_CHANCE = 0.05
+JOB_CANCELLATION_PROBABILITY = 0.05
 CANCEL_AT = 0.6
 URGENT_START_MS = 6_000.0
 
@@ -252,7 +252,7 @@
         """One burst, of jobs submitted before it."""
         at_ms = self._duration_ms * CANCEL_AT
         for one in jobs:
-            chosen = self._random.random() < CANCELLED_CHANCE
+            chosen = self._random.random() < JOB_CANCELLATION_PROBABILITY
             if one.at_ms < at_ms and chosen:
                 yield traces.TracedCancellation(at_ms, one.job.id)
 
