--- a/testing/traces.py
+++ b/testing/traces.py
@@ -38,7 +38,7 @@
 OVERSIZED_JOB_PROBABILITY = 0.01
 URGENT_JOB_PROBABILITY = 0.05
 JOB_CANCELLATION_PROBABILITY = 0.05
-CANCEL_AT = 0.6
+CANCELLATION_AT_FRACTION = 0.6
 URGENT_START_MS = 6_000.0
 
 
@@ -250,7 +250,7 @@
         self, jobs: list[traces.TracedJob]
     ) -> Iterator[traces.TracedCancellation]:
         """One burst, of jobs submitted before it."""
-        at_ms = self._duration_ms * CANCEL_AT
+        at_ms = self._duration_ms * CANCELLATION_AT_FRACTION
         for one in jobs:
             chosen = self._random.random() < JOB_CANCELLATION_PROBABILITY
             if one.at_ms < at_ms and chosen:
