--- a/testing/traces.py
+++ b/testing/traces.py
@@ -39,7 +39,7 @@
 URGENT_JOB_PROBABILITY = 0.05
 JOB_CANCELLATION_PROBABILITY = 0.05
 CANCELLATION_AT_FRACTION = 0.6
-URGENT_START_MS = 6_000.0
+MAX_URGENT_START_P99_MS = 6_000.0
 
 
 class LoadShape(enum.StrEnum):
@@ -268,7 +268,9 @@
             unknown_percent_max=0.5,
             tries_per_request_max=1.1,
             jobs_finished_percent_min=finished_percent,
-            urgent_start_p99_ms_max=URGENT_START_MS if has_jobs else None,
+            urgent_start_p99_ms_max=MAX_URGENT_START_P99_MS
+            if has_jobs
+            else None,
         )
 
     def _finished_percent(self, lines: list[traces.TraceLine]) -> float | None:
