--- a/testing/traces.py
+++ b/testing/traces.py
@@ -24,7 +24,7 @@
 from testing.standins import worker_model
 
 DEFAULT_DURATION_MS = 60_000
-SLOTS = 8
+SLOTS_PER_ENDPOINT = 8
 CALLERS = 40
 CALM_LOAD = 0.35
 SHIFTED_LOAD = 0.75
@@ -78,7 +78,7 @@
     def full_rate_per_s(self) -> float:
         """Requests a second that fill every slot."""
         mean_s = self.work_ms / 1_000 * math.exp(self.spread**2 / 2)
-        return self.deployment.endpoints * SLOTS / mean_s
+        return self.deployment.endpoints * SLOTS_PER_ENDPOINT / mean_s
 
 
 def utility_night() -> Workload:
