--- a/testing/traces.py
+++ b/testing/traces.py
@@ -25,7 +25,7 @@
 
 DEFAULT_DURATION_MS = 60_000
 SLOTS_PER_ENDPOINT = 8
-CALLERS = 40
+CALLER_COUNT = 40
 CALM_LOAD = 0.35
 SHIFTED_LOAD = 0.75
 BURST_LOAD = 1.3
@@ -178,7 +178,7 @@
     def _request(self, at_ms: float) -> traces.TracedRequest:
         workload = self._workload
         # Few callers send most; the first ones are the busiest.
-        caller = int(CALLERS * self._random.random() ** 2)
+        caller = int(CALLER_COUNT * self._random.random() ** 2)
         work_ms = workload.work_ms * self._random.lognormvariate(
             0.0, workload.spread
         )
