--- a/testing/traces.py
+++ b/testing/traces.py
@@ -33,7 +33,7 @@
 BURST_MS = 2_000
 # Normal deviate of the 99th percentile.
 P99_DEVIATE = 2.326
-JOB_LOAD = 0.6
+JOB_LOAD_FRACTION = 0.6
 FAILING_JOB_PROBABILITY = 0.02
 OVERSIZED_JOB_PROBABILITY = 0.01
 URGENT_JOB_PROBABILITY = 0.05
@@ -210,7 +210,7 @@
         sizes = workload.job_processors_milli
         mean_milli = sum(sizes) / len(sizes)
         job_work = mean_milli * workload.job_run_time_ms / 1_000
-        rate = JOB_LOAD * free_milli / job_work * self._scale
+        rate = JOB_LOAD_FRACTION * free_milli / job_work * self._scale
         at_ms = 0.0
         number = 0
         while True:
