--- a/testing/traces.py
+++ b/testing/traces.py
@@ -29,7 +29,7 @@
 CALM_LOAD = 0.35
 SHIFTED_LOAD = 0.75
 BURST_LOAD = 1.3
-BURST_EVERY_MS = 20_000
+BURST_INTERVAL_MS = 20_000
 BURST_MS = 2_000
 # Normal deviate of the 99th percentile.
 P99_DEVIATE = 2.326
@@ -160,7 +160,9 @@
                 shifted = at_ms >= self._duration_ms / 3
                 return SHIFTED_LOAD if shifted else CALM_LOAD
             case LoadShape.BURST:
-                in_burst = at_ms % BURST_EVERY_MS >= BURST_EVERY_MS - BURST_MS
+                in_burst = (
+                    at_ms % BURST_INTERVAL_MS >= BURST_INTERVAL_MS - BURST_MS
+                )
                 return BURST_LOAD if in_burst else CALM_LOAD
 
     def _requests(self) -> Iterator[traces.TracedRequest]:
