--- a/testing/traces.py
+++ b/testing/traces.py
@@ -30,7 +30,7 @@
 SHIFTED_LOAD = 0.75
 BURST_LOAD = 1.3
 BURST_INTERVAL_MS = 20_000
-BURST_MS = 2_000
+BURST_DURATION_MS = 2_000
 # Normal deviate of the 99th percentile.
 P99_DEVIATE = 2.326
 JOB_LOAD_FRACTION = 0.6
@@ -161,7 +161,8 @@
                 return SHIFTED_LOAD if shifted else CALM_LOAD
             case LoadShape.BURST:
                 in_burst = (
-                    at_ms % BURST_INTERVAL_MS >= BURST_INTERVAL_MS - BURST_MS
+                    at_ms % BURST_INTERVAL_MS
+                    >= BURST_INTERVAL_MS - BURST_DURATION_MS
                 )
                 return BURST_LOAD if in_burst else CALM_LOAD
 
