--- a/testing/traces.py
+++ b/testing/traces.py
@@ -32,7 +32,7 @@
 BURST_INTERVAL_MS = 20_000
 BURST_DURATION_MS = 2_000
 # Normal deviate of the 99th percentile.
-P99_DEVIATE = 2.326
+P99_Z_SCORE = 2.326
 JOB_LOAD_FRACTION = 0.6
 FAILING_JOB_PROBABILITY = 0.02
 OVERSIZED_JOB_PROBABILITY = 0.01
@@ -261,7 +261,7 @@
 
     def _outcomes(self, lines: list[traces.TraceLine]) -> traces.StatedOutcomes:
         workload = self._workload
-        work_p99_ms = workload.work_ms * math.exp(P99_DEVIATE * workload.spread)
+        work_p99_ms = workload.work_ms * math.exp(P99_Z_SCORE * workload.spread)
         calm = self._shape is LoadShape.CALM
         finished_percent = self._finished_percent(lines)
         has_jobs = finished_percent is not None
