--- a/testing/traces.py
+++ b/testing/traces.py
@@ -67,7 +67,7 @@
 
     deployment: deployments.Deployment
     work_ms: float
-    spread: float
+    work_log_stddev: float
     timeout_ms: int
     idempotent_chance: float
     body_bytes: int
@@ -77,7 +77,7 @@
     @property
     def full_rate_per_s(self) -> float:
         """Requests a second that fill every slot."""
-        mean_s = self.work_ms / 1_000 * math.exp(self.spread**2 / 2)
+        mean_s = self.work_ms / 1_000 * math.exp(self.work_log_stddev**2 / 2)
         return self.deployment.endpoints * SLOTS_PER_ENDPOINT / mean_s
 
 
@@ -86,7 +86,7 @@
     return Workload(
         deployment=deployments.utility(),
         work_ms=400.0,
-        spread=0.4,
+        work_log_stddev=0.4,
         timeout_ms=3_000,
         idempotent_chance=0.8,
         body_bytes=2_048,
@@ -100,7 +100,7 @@
     return Workload(
         deployment=deployments.workshop(),
         work_ms=300.0,
-        spread=0.4,
+        work_log_stddev=0.4,
         timeout_ms=1_500,
         idempotent_chance=0.6,
         body_bytes=512,
@@ -183,7 +183,7 @@
         # Few callers send most; the first ones are the busiest.
         caller = int(CALLER_COUNT * self._random.random() ** 2)
         work_ms = workload.work_ms * self._random.lognormvariate(
-            0.0, workload.spread
+            0.0, workload.work_log_stddev
         )
         return traces.TracedRequest(
             at_ms=round(at_ms, 3),
@@ -261,7 +261,9 @@
 
     def _outcomes(self, lines: list[traces.TraceLine]) -> traces.StatedOutcomes:
         workload = self._workload
-        work_p99_ms = workload.work_ms * math.exp(P99_Z_SCORE * workload.spread)
+        work_p99_ms = workload.work_ms * math.exp(
+            P99_Z_SCORE * workload.work_log_stddev
+        )
         calm = self._shape is LoadShape.CALM
         finished_percent = self._finished_percent(lines)
         has_jobs = finished_percent is not None
