--- a/testing/traces.py
+++ b/testing/traces.py
@@ -69,7 +69,7 @@
     work_ms: float
     work_log_stddev: float
     timeout_ms: int
-    idempotent_chance: float
+    idempotent_probability: float
     body_bytes: int
     job_run_time_ms: float
     job_processors_milli: tuple[int, ...]
@@ -88,7 +88,7 @@
         work_ms=400.0,
         work_log_stddev=0.4,
         timeout_ms=3_000,
-        idempotent_chance=0.8,
+        idempotent_probability=0.8,
         body_bytes=2_048,
         job_run_time_ms=8_000.0,
         job_processors_milli=(2_000, 4_000, 8_000),
@@ -102,7 +102,7 @@
         work_ms=300.0,
         work_log_stddev=0.4,
         timeout_ms=1_500,
-        idempotent_chance=0.6,
+        idempotent_probability=0.6,
         body_bytes=512,
         job_run_time_ms=4_000.0,
         job_processors_milli=(1_000, 2_000, 4_000),
@@ -190,7 +190,7 @@
             service=workload.deployment.service,
             caller=f"caller-{caller}",
             zone=self._zone(at_ms),
-            idempotent=self._random.random() < workload.idempotent_chance,
+            idempotent=self._random.random() < workload.idempotent_probability,
             timeout_ms=workload.timeout_ms,
             body_bytes=workload.body_bytes,
             work_ms=round(work_ms, 3),
