--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -10,7 +10,7 @@
 
 INJECT_AT_FRACTION = 1 / 3
 CLEAR_AT_FRACTION = 2 / 3
-SLOW_FACTOR = 5.0
+SLOWDOWN_FACTOR = 5.0
 
 
 class Fault(enum.StrEnum):
@@ -88,7 +88,7 @@
                 running.log.control(lose_after=5, lose_before=5)
             case Fault.SLOW_ENDPOINTS:
                 running.endpoints.control(
-                    endpoint=self._endpoint, slow=SLOW_FACTOR
+                    endpoint=self._endpoint, slow=SLOWDOWN_FACTOR
                 )
             case Fault.RESET_ENDPOINTS:
                 running.endpoints.control(
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -31,7 +31,7 @@
 WORK_MS = 60.0
 TIMEOUT_MS = 1_500
 LOAD_THREADS = 96
-SLOW_FACTOR = 8.0
+SLOWDOWN_FACTOR = 8.0
 RESETS_PER_S = 4
 
 
@@ -64,7 +64,7 @@
 
 def _slow(running: fleet_module.Fleet) -> None:
     for endpoint in ("ex-1", "ex-2"):
-        running.endpoints.control(endpoint=endpoint, slow=SLOW_FACTOR)
+        running.endpoints.control(endpoint=endpoint, slow=SLOWDOWN_FACTOR)
 
 
 def _usual(running: fleet_module.Fleet) -> None:
