--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -22,7 +22,7 @@
 from testing.standins import worker_records
 
 SETTLE_MS = 60_000
-SHOWN_BREACHES = 10
+MAX_SHOWN_VIOLATIONS = 10
 # More than all slots, so that the tool itself never holds a request up.
 OPEN_REQUESTS = 1_000
 
@@ -88,7 +88,7 @@
         print(f"workers: {_worker_words(running.worker_events())}")
         print(f"tasks: {_stretch_words(running.worker_events())}")
         violations = _breaches(running)
-        for breach in violations[:SHOWN_BREACHES]:
+        for breach in violations[:MAX_SHOWN_VIOLATIONS]:
             print(f"BROKEN {breach.rule}: {breach.subject}: {breach.detail}")
         print(f"promises broken, by the stand-ins' records: {len(violations)}")
     return 1 if code or violations else 0
