--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -24,7 +24,7 @@
 SETTLE_MS = 60_000
 MAX_SHOWN_VIOLATIONS = 10
 # More than all slots, so that the tool itself never holds a request up.
-OPEN_REQUESTS = 1_000
+REPLAY_THREADS = 1_000
 
 
 @attrs.frozen
@@ -103,7 +103,7 @@
     path.write_bytes(trace_module.encode(trace))
     arguments = ["replay", str(path), "--settle-ms", str(SETTLE_MS)]
     arguments += ["--label", experiment.label]
-    arguments += ["--threads", str(OPEN_REQUESTS)]
+    arguments += ["--threads", str(REPLAY_THREADS)]
     if experiment.as_json:
         arguments.append("--json")
     for host in running.hosts.values():
