--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -85,7 +85,7 @@
         )
         with faults:
             code = _replay(running, trace, experiment)
-        print(f"workers: {_worker_words(running.worker_events())}")
+        print(f"workers: {_summarize_worker_events(running.worker_events())}")
         print(f"tasks: {_stretch_words(running.worker_events())}")
         violations = _breaches(running)
         for breach in violations[:MAX_SHOWN_VIOLATIONS]:
@@ -114,7 +114,7 @@
     ).returncode
 
 
-def _worker_words(events: list[worker_records.WorkerEvent]) -> str:
+def _summarize_worker_events(events: list[worker_records.WorkerEvent]) -> str:
     """Counts of what happened on workers."""
     counts = collections.Counter(
         f"{event.kind} {event.detail}" if event.kind == "end" else event.kind
