--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -86,7 +86,7 @@
         with faults:
             code = _replay(running, trace, experiment)
         print(f"workers: {_summarize_worker_events(running.worker_events())}")
-        print(f"tasks: {_stretch_words(running.worker_events())}")
+        print(f"tasks: {_summarize_slowdowns(running.worker_events())}")
         violations = _breaches(running)
         for breach in violations[:MAX_SHOWN_VIOLATIONS]:
             print(f"BROKEN {breach.rule}: {breach.subject}: {breach.detail}")
@@ -125,7 +125,7 @@
     )
 
 
-def _stretch_words(events: list[worker_records.WorkerEvent]) -> str:
+def _summarize_slowdowns(events: list[worker_records.WorkerEvent]) -> str:
     """How much longer finished attempts ran than undisturbed."""
     starts = {
         (event.job, event.attempt): event
