--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -87,7 +87,7 @@
             code = _replay(running, trace, experiment)
         print(f"workers: {_summarize_worker_events(running.worker_events())}")
         print(f"tasks: {_summarize_slowdowns(running.worker_events())}")
-        violations = _breaches(running)
+        violations = _find_violations(running)
         for breach in violations[:MAX_SHOWN_VIOLATIONS]:
             print(f"BROKEN {breach.rule}: {breach.subject}: {breach.detail}")
         print(f"promises broken, by the stand-ins' records: {len(violations)}")
@@ -146,7 +146,7 @@
     return f"ran {median:.2f} times their work at p50, {p99:.2f} at p99"
 
 
-def _breaches(running: fleet.Fleet) -> list[checker.Violation]:
+def _find_violations(running: fleet.Fleet) -> list[checker.Violation]:
     workers = running.worker_events()
     return [
         *checker.limits_kept(running.endpoint_events()),
