--- a/testing/bench.py
+++ b/testing/bench.py
@@ -23,7 +23,7 @@
 from testing import fleet_plan
 from testing import processes
 
-BARE = "bare relay"
+BARE_RELAY = "bare relay"
 HOST = "entry host"
 HOST_ONCE = "entry host, not idempotent"
 LOAD_PROCESSES = 4
@@ -89,7 +89,7 @@
         assert process is not None
         path = f"/services/{self._fleet.deployment.service}/bench"
         targets = [
-            Target(BARE, bare_pid, bare_address, "/bench"),
+            Target(BARE_RELAY, bare_pid, bare_address, "/bench"),
             Target(HOST, process.pid, host, path),
             Target(HOST_ONCE, process.pid, host, path, "POST"),
         ]
@@ -175,7 +175,7 @@
     """The medians of each target, against the bare relay's."""
     lines = []
     for count in callers:
-        bare = _medians(rounds, BARE, count)
+        bare = _medians(rounds, BARE_RELAY, count)
         for name in (HOST, HOST_ONCE):
             found = _medians(rounds, name, count)
             lines.append(
