--- a/testing/bench.py
+++ b/testing/bench.py
@@ -24,7 +24,7 @@
 from testing import processes
 
 BARE_RELAY = "bare relay"
-HOST = "entry host"
+ENTRY_HOST = "entry host"
 HOST_ONCE = "entry host, not idempotent"
 LOAD_PROCESSES = 4
 IDLE_S = 10.0
@@ -90,7 +90,7 @@
         path = f"/services/{self._fleet.deployment.service}/bench"
         targets = [
             Target(BARE_RELAY, bare_pid, bare_address, "/bench"),
-            Target(HOST, process.pid, host, path),
+            Target(ENTRY_HOST, process.pid, host, path),
             Target(HOST_ONCE, process.pid, host, path, "POST"),
         ]
         rounds = []
@@ -176,7 +176,7 @@
     lines = []
     for count in callers:
         bare = _medians(rounds, BARE_RELAY, count)
-        for name in (HOST, HOST_ONCE):
+        for name in (ENTRY_HOST, HOST_ONCE):
             found = _medians(rounds, name, count)
             lines.append(
                 f"{name}, {count} callers: {found.per_s:.0f} of "
