--- a/testing/bench.py
+++ b/testing/bench.py
@@ -25,7 +25,7 @@
 
 BARE_RELAY = "bare relay"
 ENTRY_HOST = "entry host"
-HOST_ONCE = "entry host, not idempotent"
+ENTRY_HOST_NON_IDEMPOTENT = "entry host, not idempotent"
 LOAD_PROCESSES = 4
 IDLE_S = 10.0
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -91,7 +91,7 @@
         targets = [
             Target(BARE_RELAY, bare_pid, bare_address, "/bench"),
             Target(ENTRY_HOST, process.pid, host, path),
-            Target(HOST_ONCE, process.pid, host, path, "POST"),
+            Target(ENTRY_HOST_NON_IDEMPOTENT, process.pid, host, path, "POST"),
         ]
         rounds = []
         for callers in self._options.callers:
@@ -176,7 +176,7 @@
     lines = []
     for count in callers:
         bare = _medians(rounds, BARE_RELAY, count)
-        for name in (ENTRY_HOST, HOST_ONCE):
+        for name in (ENTRY_HOST, ENTRY_HOST_NON_IDEMPOTENT):
             found = _medians(rounds, name, count)
             lines.append(
                 f"{name}, {count} callers: {found.per_s:.0f} of "
