--- a/testing/bench.py
+++ b/testing/bench.py
@@ -97,11 +97,11 @@
         for callers in self._options.callers:
             for _ in range(self._options.rounds):
                 for target in targets:
-                    rounds.append(self._round(target, callers))
+                    rounds.append(self._run_round(target, callers))
                     print(_round_line(rounds[-1]), flush=True)
         return rounds
 
-    def _round(self, target: Target, callers: int) -> Round:
+    def _run_round(self, target: Target, callers: int) -> Round:
         self._runs += 1
         count = min(LOAD_PROCESSES, callers)
         shares = [
