--- a/testing/bench.py
+++ b/testing/bench.py
@@ -98,7 +98,7 @@
             for _ in range(self._options.rounds):
                 for target in targets:
                     rounds.append(self._run_round(target, callers))
-                    print(_round_line(rounds[-1]), flush=True)
+                    print(_format_round(rounds[-1]), flush=True)
         return rounds
 
     def _run_round(self, target: Target, callers: int) -> Round:
@@ -163,7 +163,7 @@
         )
 
 
-def _round_line(one: Round) -> str:
+def _format_round(one: Round) -> str:
     return (
         f"{one.target:28} {one.callers:4} callers {one.per_s:8.0f} /s  "
         f"p50 {one.p50_ms:7.2f} ms  p99 {one.p99_ms:7.2f} ms  "
