--- a/testing/bench.py
+++ b/testing/bench.py
@@ -221,7 +221,7 @@
     return int(text.split()[1]) * PAGE_BYTES / MIB
 
 
-def _idle_lines(running: fleet.Fleet, ready_ms: float) -> list[str]:
+def _measure_idle_host(running: fleet.Fleet, ready_ms: float) -> list[str]:
     seat, host = next(iter(running.hosts.items()))
     assert host.process is not None
     time.sleep(IDLE_S)
@@ -259,7 +259,7 @@
         running.wait_ready(seat)
         ready_ms = (time.monotonic() - started_s) * 1_000
         running.apply_first_ticket()
-        idle = _idle_lines(running, ready_ms)
+        idle = _measure_idle_host(running, ready_ms)
         rounds = _run(running, options)
     for line in (*idle, *summary(rounds, options.callers)):
         print(line)
