--- a/testing/bench.py
+++ b/testing/bench.py
@@ -114,7 +114,7 @@
             for number, share in enumerate(shares)
         ]
         merged = histogram.HdrHistogram(
-            bench_load.LOWEST_US,
+            bench_load.MIN_LATENCY_US,
             bench_load.HIGHEST_US,
             bench_load.SIGNIFICANT_DIGITS,
         )
