--- a/testing/bench.py
+++ b/testing/bench.py
@@ -115,7 +115,7 @@
         ]
         merged = histogram.HdrHistogram(
             bench_load.MIN_LATENCY_US,
-            bench_load.HIGHEST_US,
+            bench_load.MAX_LATENCY_US,
             bench_load.SIGNIFICANT_DIGITS,
         )
         failed = 0
--- a/testing/bench_load.py
+++ b/testing/bench_load.py
@@ -11,7 +11,7 @@
 import urllib3
 
 MIN_LATENCY_US = 1
-HIGHEST_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 
 
@@ -28,7 +28,7 @@
         self.failed = 0
         self.sent = 0
         self.latency = histogram.HdrHistogram(
-            MIN_LATENCY_US, HIGHEST_US, SIGNIFICANT_DIGITS
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
         )
 
     def run(self, callers: int, warm_s: float, measured_s: float) -> None:
