--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -34,7 +34,7 @@
 from testing.fakes import peers as fake_peers
 from testing.fakes import tickets as samples
 
-CHANGES_AT_ONCE = 500
+CHANGES_PER_TICKET = 500
 ENVELOPE = records.Envelope("writer", 1, "ticket", msgspec.Raw(b"{}"))
 
 
@@ -219,8 +219,8 @@
 def _fill(fold: configuration_fold.ConfigurationFold, endpoints: int) -> None:
     first = samples.ticket(1, samples.service("skyproc"), samples.zone("bole"))
     fold.apply(0, ENVELOPE, tickets.TicketRecord(first))
-    for start in range(0, endpoints, CHANGES_AT_ONCE):
-        end = min(start + CHANGES_AT_ONCE, endpoints)
+    for start in range(0, endpoints, CHANGES_PER_TICKET):
+        end = min(start + CHANGES_PER_TICKET, endpoints)
         changes = [_endpoint(index, 0) for index in range(start, end)]
         value = samples.ticket(2 + start, *changes)
         fold.apply(1 + start, ENVELOPE, tickets.TicketRecord(value))
