--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -140,7 +140,7 @@
 def measure_fold(endpoints: int, folded: int, seed: int) -> FoldLine:
     """Folds tickets of one change onto many endpoints."""
     fold = configuration_fold.ConfigurationFold()
-    _fill(fold, endpoints)
+    _add_endpoints(fold, endpoints)
     source = random.Random(seed)
     versions = [1] * endpoints
     values: list[dict[str, Any]] = []
@@ -192,7 +192,7 @@
     """Folds endpoints, then tickets of one change up to the number kept."""
     tracemalloc.start()
     fold = configuration_fold.ConfigurationFold()
-    _fill(fold, endpoints)
+    _add_endpoints(fold, endpoints)
     with_objects = tracemalloc.get_traced_memory()[0]
     for number in range(folded):
         index = number % endpoints
@@ -216,7 +216,9 @@
     return samples.endpoint(f"ex-{index}", "skyproc", "bole", replaces)
 
 
-def _fill(fold: configuration_fold.ConfigurationFold, endpoints: int) -> None:
+def _add_endpoints(
+    fold: configuration_fold.ConfigurationFold, endpoints: int
+) -> None:
     first = samples.ticket(1, samples.service("skyproc"), samples.zone("bole"))
     fold.apply(0, ENVELOPE, tickets.TicketRecord(first))
     for start in range(0, endpoints, CHANGES_PER_TICKET):
