--- a/testing/capacity/__main__.py
+++ b/testing/capacity/__main__.py
@@ -9,7 +9,7 @@
 
 def main() -> None:
     """Measures, works it out and prints the page."""
-    worked_out = model.Model(costs.Size(), model.measure())
+    worked_out = model.Model(costs.DesignSize(), model.measure())
     print(report.page(worked_out), end="")
 
 
--- a/testing/capacity/costs.py
+++ b/testing/capacity/costs.py
@@ -10,7 +10,7 @@
 
 
 @attrs.frozen
-class Size:
+class DesignSize:
     """The size to design for; the last lines are this page's assumptions."""
 
     zones: int = 10
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -48,7 +48,7 @@
 class Model:
     """Costs at a size, by the slopes."""
 
-    size: costs.Size
+    size: costs.DesignSize
     slopes: Slopes
 
     def roles(self) -> tuple[costs.RoleCost, ...]:
--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -97,7 +97,7 @@
     )
 
 
-def _size(size: costs.Size) -> str:
+def _size(size: costs.DesignSize) -> str:
     fields = attrs.asdict(size)
     asked = (
         "zones",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -36,7 +36,7 @@
 
     def model(self, per_unit: float, **size: int) -> model.Model:
         slopes = _made_up(model.Slopes, _line(0, per_unit), 100)
-        return model.Model(costs.Size(**size), slopes)
+        return model.Model(costs.DesignSize(**size), slopes)
 
     def role(self, name: costs.Role, **size: int) -> costs.RoleCost:
         roles = {role.role: role for role in self.model(1, **size).roles()}
@@ -62,7 +62,7 @@
     def test_exchanges_follow_the_number_of_workers(self) -> None:
         one = self.model(1, workers=1_000).links()
         two = self.model(1, workers=2_000).links()
-        starts = 3 * costs.Size().zone_starts_per_s
+        starts = 3 * costs.DesignSize().zone_starts_per_s
         self.assertAlmostEqual(
             2 * (one.messages_per_s - starts), two.messages_per_s - starts
         )
