--- a/testing/capacity/costs.py
+++ b/testing/capacity/costs.py
@@ -58,7 +58,7 @@
 
 
 @attrs.frozen
-class Cost:
+class MechanismCost:
     """One mechanism's part in a role.
 
     Attributes:
@@ -92,7 +92,7 @@
 
     role: Role
     built: str
-    costs: tuple[Cost, ...]
+    costs: tuple[MechanismCost, ...]
 
     def total(self, name: str) -> float:
         """Sum of one of the figures over all mechanisms."""
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -103,13 +103,15 @@
             ),
         )
 
-    def process(self) -> costs.Cost:
+    def process(self) -> costs.MechanismCost:
         """Interpreter and libraries."""
         process = self.slopes.process
         whole_kib = process.interpreter_kib + process.libraries_kib
-        return costs.Cost("interpreter and libraries", state_kib=whole_kib)
+        return costs.MechanismCost(
+            "interpreter and libraries", state_kib=whole_kib
+        )
 
-    def configuration(self) -> costs.Cost:
+    def configuration(self) -> costs.MechanismCost:
         """The configuration stream, followed and folded."""
         size = self.size
         slopes = self.slopes.configuration
@@ -124,7 +126,7 @@
         record = slopes.change_record_bytes + READ_RECORD_OVERHEAD_BYTES
         # One copy is read from the log, another comes from its writer.
         copies = 2
-        return costs.Cost(
+        return costs.MechanismCost(
             "configuration: fold of the stream `config`",
             state_kib=state_bytes / KIB,
             messages_per_s=reads + size.changes_per_s,
@@ -134,32 +136,32 @@
             + copies * size.changes_per_s * record,
         )
 
-    def journal(self) -> costs.Cost:
+    def journal(self) -> costs.MechanismCost:
         """The bounded journal, full."""
         slope = self.slopes.process.decision_bytes
-        return costs.Cost(
+        return costs.MechanismCost(
             f"journal of {journal.MAX_DECISIONS} decisions",
             state_kib=slope.at(journal.MAX_DECISIONS) / KIB,
         )
 
-    def histograms(self) -> costs.Cost:
+    def histograms(self) -> costs.MechanismCost:
         """Latency histograms: two for each service and a few others."""
         labels = 2 * self.size.services + 10
         slope = self.slopes.process.histogram_bytes
-        return costs.Cost(
+        return costs.MechanismCost(
             f"{labels} latency histograms", state_kib=slope.at(labels) / KIB
         )
 
-    def routing(self) -> costs.Cost:
+    def routing(self) -> costs.MechanismCost:
         """Shares, statistics and choice for the zone's endpoints."""
         endpoints = self.size.endpoints / self.size.zones
         slope = self.slopes.configuration.routed_endpoint_bytes
-        return costs.Cost(
+        return costs.MechanismCost(
             "routing: shares and statistics of the zone's endpoints",
             state_kib=slope.at(endpoints) / KIB,
         )
 
-    def marks(self) -> costs.Cost:
+    def marks(self) -> costs.MechanismCost:
         """Marks of non-idempotent requests that this host holds.
 
         Their calls are part of each request, not of control.
@@ -171,12 +173,12 @@
             * keep_s
         )
         slope = self.slopes.process.mark_bytes
-        return costs.Cost(
+        return costs.MechanismCost(
             "marks of non-idempotent requests",
             state_kib=slope.at(held) / KIB,
         )
 
-    def heartbeats(self, peers: int, whom: str) -> costs.Cost:
+    def heartbeats(self, peers: int, whom: str) -> costs.MechanismCost:
         """Heartbeats sent to and answered for a number of peers."""
         beats = peers * MS_PER_S / settings.TimingSettings().heartbeat_ms
         wire = self.slopes.wire
@@ -186,7 +188,7 @@
         size = wire.heartbeat_bytes.at(services) + KEPT_CALL_OVERHEAD_BYTES
         # A thread sends to each peer, and one answers each peer.
         threads_kib = 2 * peers * self.slopes.process.thread_kib.per_unit
-        return costs.Cost(
+        return costs.MechanismCost(
             f"heartbeats with {whom} ({peers})",
             state_kib=threads_kib,
             messages_per_s=2 * beats,
@@ -232,7 +234,7 @@
             + rates["renewals"] * batch.end_record_bytes
         )
 
-    def zone_stream(self, is_owner: bool) -> costs.Cost:
+    def zone_stream(self, is_owner: bool) -> costs.MechanismCost:
         """The zone's stream, followed and folded; the owner writes it, too."""
         size = self.size
         batch = self.slopes.batch
@@ -257,7 +259,7 @@
             moved += appends * (HTTP_HEAD_BYTES + KEPT_CALL_OVERHEAD_BYTES)
             messages += appends
         written = ", followed and written" if is_owner else ", followed"
-        return costs.Cost(
+        return costs.MechanismCost(
             f"jobs: fold of the stream `zone.NAME`{written}",
             state_kib=state_bytes / KIB,
             messages_per_s=messages,
@@ -271,16 +273,16 @@
         share = rates["ends"] / sum(rates.values())
         return zone_fold.RETIRE_AFTER_RECORDS * share
 
-    def books(self) -> costs.Cost:
+    def books(self) -> costs.MechanismCost:
         """The owner's queue and ledgers."""
         queued = self.size.zone_starts_per_s * self.size.urgent_queue_s
         jobs = self.size.zone_tasks + queued
-        return costs.Cost(
+        return costs.MechanismCost(
             "placement: queue and ledgers",
             state_kib=self.slopes.batch.books_bytes.at(jobs) / KIB,
         )
 
-    def links(self) -> costs.Cost:
+    def links(self) -> costs.MechanismCost:
         """Exchanges with the zone's workers, a thread each."""
         size = self.size
         wire = self.slopes.wire
@@ -297,7 +299,7 @@
         threads_kib = (
             size.zone_workers * self.slopes.process.thread_kib.per_unit
         )
-        return costs.Cost(
+        return costs.MechanismCost(
             f"leases and reports of {size.zone_workers:.0f} workers",
             state_kib=threads_kib,
             messages_per_s=exchanges,
@@ -305,17 +307,19 @@
             bytes_per_s=exchanges * (size_bytes + NEW_CALL_OVERHEAD_BYTES),
         )
 
-    def starts(self) -> costs.Cost:
+    def starts(self) -> costs.MechanismCost:
         """Deciding on starts."""
         starts = self.size.zone_starts_per_s
         start_us = self.slopes.batch.start_us.at(self.size.zone_workers)
-        return costs.Cost("placement: starts", cpu_us_per_s=starts * start_us)
+        return costs.MechanismCost(
+            "placement: starts", cpu_us_per_s=starts * start_us
+        )
 
-    def steps(self) -> costs.Cost:
+    def steps(self) -> costs.MechanismCost:
         """The owner's loop when there is nothing to decide."""
         step_us = self.slopes.owner.step_us.at(self.size.zone_workers)
         steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
-        return costs.Cost("owner's loop", cpu_us_per_s=steps * step_us)
+        return costs.MechanismCost("owner's loop", cpu_us_per_s=steps * step_us)
 
 
 def measure() -> Slopes:
--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -190,7 +190,7 @@
     return "\n".join(lines)
 
 
-def remedy_of(cost: costs.Cost) -> str:
+def remedy_of(cost: costs.MechanismCost) -> str:
     """Key of what would mend a mechanism; empty when nothing is known."""
     for start in _REMEDIES:
         if cost.mechanism.startswith(start):
