--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -78,7 +78,7 @@
                 (
                     *front,
                     owns,
-                    self.books(),
+                    self.scheduling_state(),
                     self.links(),
                     self.starts(),
                     self.steps(),
@@ -273,7 +273,7 @@
         share = rates["ends"] / sum(rates.values())
         return zone_fold.RETIRE_AFTER_RECORDS * share
 
-    def books(self) -> costs.MechanismCost:
+    def scheduling_state(self) -> costs.MechanismCost:
         """The owner's queue and ledgers."""
         queued = self.size.zone_starts_per_s * self.size.urgent_queue_s
         jobs = self.size.zone_tasks + queued
