--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -44,7 +44,7 @@
     queued_bytes: slope.Slope
     running_bytes: slope.Slope
     ended_bytes: slope.Slope
-    books_bytes: slope.Slope
+    scheduling_state_bytes: slope.Slope
     record_us: slope.Slope
     start_us: slope.Slope
     admit_record_bytes: int
@@ -60,7 +60,7 @@
         queued_bytes=_memory(f"{name}, queued", _queued),
         running_bytes=_memory(f"{name}, running", _running),
         ended_bytes=_memory(f"{name}, ended", _ended),
-        books_bytes=_memory(
+        scheduling_state_bytes=_memory(
             "owner's queue and ledgers", _populated_scheduling_state
         ),
         record_us=slope.fit(
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -279,7 +279,7 @@
         jobs = self.size.zone_tasks + queued
         return costs.MechanismCost(
             "placement: queue and ledgers",
-            state_kib=self.slopes.batch.books_bytes.at(jobs) / KIB,
+            state_kib=self.slopes.batch.scheduling_state_bytes.at(jobs) / KIB,
         )
 
     def links(self) -> costs.MechanismCost:
