--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -79,7 +79,7 @@
                     *front,
                     owns,
                     self.scheduling_state(),
-                    self.links(),
+                    self.worker_exchanges(),
                     self.starts(),
                     self.steps(),
                 ),
@@ -282,7 +282,7 @@
             state_kib=self.slopes.batch.scheduling_state_bytes.at(jobs) / KIB,
         )
 
-    def links(self) -> costs.MechanismCost:
+    def worker_exchanges(self) -> costs.MechanismCost:
         """Exchanges with the zone's workers, a thread each."""
         size = self.size
         wire = self.slopes.wire
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -60,8 +60,8 @@
         )
 
     def test_exchanges_follow_the_number_of_workers(self) -> None:
-        one = self.model(1, workers=1_000).links()
-        two = self.model(1, workers=2_000).links()
+        one = self.model(1, workers=1_000).worker_exchanges()
+        two = self.model(1, workers=2_000).worker_exchanges()
         starts = 3 * costs.DesignSize().zone_starts_per_s
         self.assertAlmostEqual(
             2 * (one.messages_per_s - starts), two.messages_per_s - starts
