--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -65,7 +65,7 @@
         )
         follows = self.zone_stream(is_owner=False)
         owns = self.zone_stream(is_owner=True)
-        front = (*base, mesh, self.routing(), self.marks())
+        front = (*base, mesh, self.routing(), self.dispatch_marks())
         return (
             costs.RoleCost(
                 costs.Role.FRONT,
@@ -161,7 +161,7 @@
             state_kib=slope.at(endpoints) / KIB,
         )
 
-    def marks(self) -> costs.MechanismCost:
+    def dispatch_marks(self) -> costs.MechanismCost:
         """Marks of non-idempotent requests that this host holds.
 
         Their calls are part of each request, not of control.
