--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -246,7 +246,7 @@
         state_bytes = batch.running_bytes.at(size.zone_tasks)
         queued = size.zone_starts_per_s * size.urgent_queue_s
         state_bytes += batch.queued_bytes.per_unit * queued
-        state_bytes += batch.ended_bytes.per_unit * self._ended_jobs()
+        state_bytes += batch.ended_bytes.per_unit * self._retained_ended_jobs()
         cpu_us = records * batch.record_us.at(size.zone_tasks)
         cpu_us += reads * wire.log_read_us.at(records / reads)
         overhead = records * READ_RECORD_OVERHEAD_BYTES
@@ -267,7 +267,7 @@
             bytes_per_s=moved,
         )
 
-    def _ended_jobs(self) -> float:
+    def _retained_ended_jobs(self) -> float:
         """Ended jobs that the fold still keeps in full."""
         rates = self.zone_records_per_s()
         share = rates["ends"] / sum(rates.values())
