--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -182,7 +182,7 @@
                 f"- {role.role.value}, {what}: {total / budget:.1f} times "
                 f"the budget; most of it {shares}."
             )
-            needed.update(dict.fromkeys(remedy_of(c) for c in largest))
+            needed.update(dict.fromkeys(find_remedy(c) for c in largest))
     lines.append("")
     for name in needed:
         if name:
@@ -190,7 +190,7 @@
     return "\n".join(lines)
 
 
-def remedy_of(cost: costs.MechanismCost) -> str:
+def find_remedy(cost: costs.MechanismCost) -> str:
     """Key of what would mend a mechanism; empty when nothing is known."""
     for start in _REMEDIES:
         if cost.mechanism.startswith(start):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -78,4 +78,4 @@
             for cost in role.costs:
                 if cost.mechanism.startswith(("routing", "marks", "90 ")):
                     continue
-                self.assertNotEqual("", report.remedy_of(cost))
+                self.assertNotEqual("", report.find_remedy(cost))
