--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -125,14 +125,14 @@
         (
             role.role.value,
             role.built,
-            _judged(_bytes(role) / MB, BUDGET_BYTES / MB, "MB"),
+            _compare_with_budget(_bytes(role) / MB, BUDGET_BYTES / MB, "MB"),
             f"{role.total('messages_per_s'):.0f}",
-            _judged(
+            _compare_with_budget(
                 role.total("cpu_us_per_s") / US_PER_PERCENT,
                 BUDGET_CPU_US_PER_S / US_PER_PERCENT,
                 "%",
             ),
-            _judged(
+            _compare_with_budget(
                 role.total("bytes_per_s") / KB, BUDGET_BYTES_PER_S / KB, "KB/s"
             ),
         )
@@ -153,7 +153,7 @@
     return role.total("state_kib") * KIB
 
 
-def _judged(value: float, budget: float, unit: str) -> str:
+def _compare_with_budget(value: float, budget: float, unit: str) -> str:
     verdict = "within" if value <= budget else "**missed**"
     return f"{value:.1f} {unit}, {verdict}"
 
@@ -213,7 +213,7 @@
         f"Records a second of one zone: {rates}; of all zones {records:.0f}, "
         f"in at most {total:.0f} appends a second ({zone:.1f} a zone), "
         f"against several hundred that the log takes, counted here as "
-        f"{LOG_APPENDS_PER_S} ({_judged(total, LOG_APPENDS_PER_S, '/s')}). "
+        f"{LOG_APPENDS_PER_S} ({_compare_with_budget(total, LOG_APPENDS_PER_S, '/s')}). "
         "The owner appends at most twice a step, and every append of one "
         "stream keeps a distance from the one before, so that more records "
         "make longer appends and not more of them; admissions come one by "
