--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -64,7 +64,7 @@
         _head(),
         _size(model.size),
         _summary(roles),
-        _missed(roles),
+        _missed_budgets(roles),
         _log(model),
         *[_role(role) for role in roles],
         _slopes(model.slopes),
@@ -158,7 +158,7 @@
     return f"{value:.1f} {unit}, {verdict}"
 
 
-def _missed(roles: Iterable[costs.RoleCost]) -> str:
+def _missed_budgets(roles: Iterable[costs.RoleCost]) -> str:
     lines = ["## Budgets missed today, and what would mend them", ""]
     needed: dict[str, None] = {}
     for role in roles:
