--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -61,7 +61,7 @@
     """The whole page as Markdown."""
     roles = model.roles()
     parts = [
-        _head(),
+        _introduction(),
         _size(model.size),
         _summary(roles),
         _missed_budgets(roles),
@@ -72,7 +72,7 @@
     return "\n\n".join(parts) + "\n"
 
 
-def _head() -> str:
+def _introduction() -> str:
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
