--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -62,7 +62,7 @@
     roles = model.roles()
     parts = [
         _introduction(),
-        _size(model.size),
+        _describe_size(model.size),
         _summary(roles),
         _missed_budgets(roles),
         _log(model),
@@ -97,7 +97,7 @@
     )
 
 
-def _size(size: costs.DesignSize) -> str:
+def _describe_size(size: costs.DesignSize) -> str:
     fields = attrs.asdict(size)
     asked = (
         "zones",
