--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -159,7 +159,7 @@
     return slope.cpu_us(lambda: zone.take(next(remaining)), 4 * jobs)
 
 
-class Sink:
+class NullCommandSink:
     """Workers that all answered a moment ago and are told nothing."""
 
     def request(self, worker: str, command: Any, at_once: bool = True) -> None:
@@ -202,7 +202,7 @@
         "zone-0",
         TERM,
         fold or zone_fold.ZoneFold(),
-        Sink(),
+        NullCommandSink(),
         usage_analyzer.UsageAnalyzer(),
         placement.Policy.PREDICTED_COST,
         metrics_module.Metrics(),
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -53,7 +53,7 @@
     )
 
 
-class _Pool(batch_slopes.Sink):
+class _Pool(batch_slopes.NullCommandSink):
     """What the owner's loop needs of its links besides."""
 
     def __init__(self) -> None:
