--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -182,7 +182,7 @@
 
 
 @attrs.frozen
-class Session:
+class StaticSession:
     """What the owner reads of a worker's session."""
 
     fenced_term: int = TERM
@@ -191,7 +191,7 @@
     answered_ms: int = 0
 
 
-SESSION = Session()
+SESSION = StaticSession()
 
 
 def make_scheduling_state(
