--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -29,7 +29,7 @@
 TEAMS = 240
 TERM = 1
 WRITER = "zone-0-1-0a1b2c3d"
-HOST = workers.Resources(32_000, 128_000, 0)
+WORKER_CAPACITY = workers.Resources(32_000, 128_000, 0)
 SIZE = workers.Resources(1_000, 2_048, 0)
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 CLASSES = 20
@@ -215,9 +215,9 @@
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
         scheduling.ledger.set_worker(
-            name, rack, HOST, capacity.NO_RESOURCES, True
+            name, rack, WORKER_CAPACITY, capacity.NO_RESOURCES, True
         )
-        scheduling.cost_model.set_worker(name, HOST.processors_milli)
+        scheduling.cost_model.set_worker(name, WORKER_CAPACITY.processors_milli)
     return scheduling
 
 
