--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -30,7 +30,7 @@
 TERM = 1
 WRITER = "zone-0-1-0a1b2c3d"
 WORKER_CAPACITY = workers.Resources(32_000, 128_000, 0)
-SIZE = workers.Resources(1_000, 2_048, 0)
+JOB_RESOURCES = workers.Resources(1_000, 2_048, 0)
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 CLASSES = 20
 # Placed on each worker before starts are measured.
@@ -266,7 +266,7 @@
         team=f"team-{index % TEAMS}",
         zone="zone-0",
         job_class=f"class-{index % CLASSES}",
-        resources=SIZE,
+        resources=JOB_RESOURCES,
         run_time_ms=170_000,
     )
 
