--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -32,7 +32,7 @@
 WORKER_CAPACITY = workers.Resources(32_000, 128_000, 0)
 JOB_RESOURCES = workers.Resources(1_000, 2_048, 0)
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
-CLASSES = 20
+JOB_CLASSES = 20
 # Placed on each worker before starts are measured.
 TASKS_PER_WORKER = 24
 
@@ -265,7 +265,7 @@
         id=f"stack-{index:07d}",
         team=f"team-{index % TEAMS}",
         zone="zone-0",
-        job_class=f"class-{index % CLASSES}",
+        job_class=f"class-{index % JOB_CLASSES}",
         resources=JOB_RESOURCES,
         run_time_ms=170_000,
     )
