--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -49,14 +49,18 @@
             "endpoints",
             "B",
             ENDPOINT_SIZES,
-            lambda count: slope.memory_bytes(lambda: Host(count)),
+            lambda count: slope.memory_bytes(
+                lambda: ConfigurationReplica(count)
+            ),
         ),
         team_bytes=slope.fit(
             "configuration kept in memory",
             "teams",
             "B",
             SMALL_SIZES,
-            lambda count: slope.memory_bytes(lambda: Host(10, teams=count)),
+            lambda count: slope.memory_bytes(
+                lambda: ConfigurationReplica(10, teams=count)
+            ),
         ),
         ticket_bytes=slope.fit(
             "tickets remembered",
@@ -84,13 +88,13 @@
             "endpoints",
             "B",
             ENDPOINT_SIZES,
-            lambda count: len(Host(count).fold.snapshot()),
+            lambda count: len(ConfigurationReplica(count).fold.snapshot()),
         ),
         change_record_bytes=len(_payload(1, [_endpoint(1, ZONES)])),
     )
 
 
-class Host:
+class ConfigurationReplica:
     """The configuration half of a host, fed with tickets.
 
     Args:
@@ -152,20 +156,24 @@
     return [held, table]
 
 
-def _with_tickets(count: int) -> Host:
-    host = Host(10)
+def _with_tickets(count: int) -> ConfigurationReplica:
+    host = ConfigurationReplica(10)
     for version in range(count):
         host.put([_endpoint(0, ZONES, replaces=version + 1)])
     return host
 
 
 def _routing_bytes(count: int) -> float:
-    routed = slope.memory_bytes(lambda: Host(count, zones=1, routes=True))
-    return routed - slope.memory_bytes(lambda: Host(count, zones=1))
+    routed = slope.memory_bytes(
+        lambda: ConfigurationReplica(count, zones=1, routes=True)
+    )
+    return routed - slope.memory_bytes(
+        lambda: ConfigurationReplica(count, zones=1)
+    )
 
 
 def _change_us(count: int) -> float:
-    host = Host(count, routes=True)
+    host = ConfigurationReplica(count, routes=True)
     changes = 20
     payloads = [
         host.payload([_endpoint(0, ZONES, replaces=version + 1)])
