--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -25,7 +25,7 @@
 TICKET_SIZES = (500, 1_000, 2_000)
 CHANGES_PER_TICKET = 500
 ZONES = 10
-RESOURCES = {"processors_milli": 4_000, "memory_mib": 8_192}
+RESOURCE_FIELDS = {"processors_milli": 4_000, "memory_mib": 8_192}
 
 
 @attrs.frozen
@@ -209,7 +209,7 @@
         "slots": 8 + replaces % 2,
         "connections": 64,
         "worker": f"worker-{zone}-{index % 110}",
-        "resources": RESOURCES,
+        "resources": RESOURCE_FIELDS,
     }
     return _change("endpoint", f"endpoint-{index}", state, replaces)
 
@@ -220,7 +220,7 @@
 
 
 def _team(index: int) -> dict[str, Any]:
-    return _change("team", f"team-{index}", {"quota": RESOURCES})
+    return _change("team", f"team-{index}", {"quota": RESOURCE_FIELDS})
 
 
 def json_bytes(value: Any) -> int:
