--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -117,14 +117,16 @@
         )
         self._number = 0
         self._kept = _follow(self.fold) if routes else None
-        self.put([_zone(index) for index in range(zones)])
-        self.put([_change("service", "service-1", {})])
-        self.put([_team(index) for index in range(teams)])
+        self.apply_ticket([_zone(index) for index in range(zones)])
+        self.apply_ticket([_change("service", "service-1", {})])
+        self.apply_ticket([_team(index) for index in range(teams)])
         for first in range(0, endpoints, CHANGES_PER_TICKET):
             last = min(first + CHANGES_PER_TICKET, endpoints)
-            self.put([_endpoint(index, zones) for index in range(first, last)])
+            self.apply_ticket(
+                [_endpoint(index, zones) for index in range(first, last)]
+            )
 
-    def put(self, changes: list[dict[str, Any]]) -> None:
+    def apply_ticket(self, changes: list[dict[str, Any]]) -> None:
         """Folds one ticket; it must be accepted."""
         self.take(self.payload(changes))
         line = self.fold.ticket(self._number)
@@ -159,7 +161,7 @@
 def _with_tickets(count: int) -> ConfigurationReplica:
     host = ConfigurationReplica(10)
     for version in range(count):
-        host.put([_endpoint(0, ZONES, replaces=version + 1)])
+        host.apply_ticket([_endpoint(0, ZONES, replaces=version + 1)])
     return host
 
 
