--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -53,7 +53,7 @@
     )
 
 
-class _Pool(batch_slopes.NullCommandSink):
+class _NullLinkPool(batch_slopes.NullCommandSink):
     """What the owner's loop needs of its links besides."""
 
     def __init__(self) -> None:
@@ -102,7 +102,7 @@
     clock = clock_fake.FakeClock()
     anything: Any = None
     holder: Any = _Holder()
-    pool: Any = _Pool()
+    pool: Any = _NullLinkPool()
     source: Any = _Source()
     owner = zone_owner.ZoneOwner(
         "zone-0",
