--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -71,7 +71,7 @@
         """See `LinkPool.clear_commands`."""
 
 
-class _Holder:
+class _PermanentOwnership:
     """An ownership that is held for good."""
 
     host_id = batch_slopes.WRITER
@@ -101,7 +101,7 @@
     )
     clock = clock_fake.FakeClock()
     anything: Any = None
-    holder: Any = _Holder()
+    holder: Any = _PermanentOwnership()
     pool: Any = _NullLinkPool()
     source: Any = _Source()
     owner = zone_owner.ZoneOwner(
