--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -85,7 +85,7 @@
         return 0
 
 
-class _Source:
+class _StaticConfigurationSource:
     """A configuration that never changes."""
 
     def current(self) -> configuration.Configuration:
@@ -103,7 +103,7 @@
     anything: Any = None
     holder: Any = _PermanentOwnership()
     pool: Any = _NullLinkPool()
-    source: Any = _Source()
+    source: Any = _StaticConfigurationSource()
     owner = zone_owner.ZoneOwner(
         "zone-0",
         holder,
