--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -21,7 +21,7 @@
 from testing.fakes import clock as clock_fake
 
 STEPS = 30
-FAR_MS = 10**9
+NEVER_EXPIRES_MS = 10**9
 REPORT_EVERY_MS = 2_000
 
 
@@ -78,7 +78,10 @@
 
     def permissions(self) -> ownership.OwnerPermissions:
         return ownership.OwnerPermissions(
-            batch_slopes.TERM, batch_slopes.BOUNDS, FAR_MS, FAR_MS
+            batch_slopes.TERM,
+            batch_slopes.BOUNDS,
+            NEVER_EXPIRES_MS,
+            NEVER_EXPIRES_MS,
         )
 
     def predecessor_tasks_until_ms(self) -> int:
