--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -22,7 +22,7 @@
 
 STEPS = 30
 NEVER_EXPIRES_MS = 10**9
-REPORT_EVERY_MS = 2_000
+REPORT_INTERVAL_MS = 2_000
 
 
 @attrs.frozen
@@ -141,7 +141,7 @@
 
     def take() -> None:
         nonlocal now_ms
-        now_ms += REPORT_EVERY_MS
+        now_ms += REPORT_INTERVAL_MS
         report = attrs.evolve(wire_slopes.report(tasks), worker="worker-0")
         event = worker_session.Reported(
             "worker-0", batch_slopes.TERM, report, (), now_ms, False
