--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -20,7 +20,7 @@
 from testing.capacity import wire_slopes
 from testing.fakes import clock as clock_fake
 
-STEPS = 30
+MEASURED_RUNS = 30
 NEVER_EXPIRES_MS = 10**9
 REPORT_INTERVAL_MS = 2_000
 
@@ -128,7 +128,7 @@
 
     # The attempts' starts are asked for once, in the first steps.
     step()
-    return slope.cpu_us(step, STEPS)
+    return slope.cpu_us(step, MEASURED_RUNS)
 
 
 def _report_us(tasks: int) -> float:
@@ -150,8 +150,8 @@
         attempts = scheduling.attempts.on_worker("worker-0")
         usage.process(report, zone.fold.job, attempts, now_ms)
 
-    made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
-    return max(slope.cpu_us(take, STEPS) - made_us, 0.0)
+    made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), MEASURED_RUNS)
+    return max(slope.cpu_us(take, MEASURED_RUNS) - made_us, 0.0)
 
 
 def _host_list(workers_known: int) -> hosts.HostList:
