--- a/testing/capacity/process_slopes.py
+++ b/testing/capacity/process_slopes.py
@@ -24,7 +24,7 @@
 PROBE_TIMEOUT_S = 60
 
 # Run apart, so that what this process holds is not counted.
-_IMPORTS = """
+_IMPORT_PROBE = """
 import re
 from comfreylatch._process import resident
 before_kib = resident.resident_kib()
@@ -69,8 +69,10 @@
 def measure() -> ProcessSlopes:
     """Takes all of them."""
     # The first run leaves compiled modules behind, as on a host.
-    _run(_IMPORTS)
-    interpreter_kib, loaded_kib, private_kib = map(int, _run(_IMPORTS).split())
+    _run(_IMPORT_PROBE)
+    interpreter_kib, loaded_kib, private_kib = map(
+        int, _run(_IMPORT_PROBE).split()
+    )
     return ProcessSlopes(
         interpreter_kib=interpreter_kib,
         libraries_kib=loaded_kib - interpreter_kib,
