--- a/testing/capacity/process_slopes.py
+++ b/testing/capacity/process_slopes.py
@@ -34,7 +34,7 @@
 private_kib = re.search(r"RssAnon:\\s+(\\d+)", status).group(1)
 print(before_kib, loaded_kib, private_kib)
 """
-_THREADS = """
+_THREAD_PROBE = """
 import sys, threading
 from comfreylatch._process import resident
 from comfreylatch._process.batch import link_pool
@@ -96,7 +96,7 @@
             "threads",
             "KiB",
             THREAD_SIZES,
-            lambda count: float(_run(_THREADS.format(count=count))),
+            lambda count: float(_run(_THREAD_PROBE.format(count=count))),
         ),
         mark_bytes=slope.fit(
             "marks of non-idempotent requests",
