--- a/testing/capacity/process_slopes.py
+++ b/testing/capacity/process_slopes.py
@@ -69,9 +69,9 @@
 def measure() -> ProcessSlopes:
     """Takes all of them."""
     # The first run leaves compiled modules behind, as on a host.
-    _run(_IMPORT_PROBE)
+    _run_probe(_IMPORT_PROBE)
     interpreter_kib, loaded_kib, private_kib = map(
-        int, _run(_IMPORT_PROBE).split()
+        int, _run_probe(_IMPORT_PROBE).split()
     )
     return ProcessSlopes(
         interpreter_kib=interpreter_kib,
@@ -96,7 +96,7 @@
             "threads",
             "KiB",
             THREAD_SIZES,
-            lambda count: float(_run(_THREAD_PROBE.format(count=count))),
+            lambda count: float(_run_probe(_THREAD_PROBE.format(count=count))),
         ),
         mark_bytes=slope.fit(
             "marks of non-idempotent requests",
@@ -108,7 +108,7 @@
     )
 
 
-def _run(program: str) -> str:
+def _run_probe(program: str) -> str:
     environment = dict(os.environ)
     environment.pop("PYTHONDONTWRITEBYTECODE", None)
     finished = subprocess.run(
