--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -32,7 +32,7 @@
 BATCH_SIZES = (1, 16, 64)
 TASK_SIZES = (8, 24, 72)
 SERVICE_SIZES = (5, 20, 60)
-CALLS = 150
+CALLS_PER_REPEAT = 150
 TIMEOUT_MS = 5_000
 LOOPBACK = "127.0.0.1"
 PAYLOAD = "x" * 150
@@ -135,7 +135,7 @@
     with _http_host(lambda _: body) as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
-                lambda: log.read("zone", 0, 256, 0).unwrap(), CALLS
+                lambda: log.read("zone", 0, 256, 0).unwrap(), CALLS_PER_REPEAT
             )
 
 
@@ -144,7 +144,7 @@
     with _http_host(lambda _: b'{"offset": 7}') as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
-                lambda: log.append("zone", payloads).unwrap(), CALLS
+                lambda: log.append("zone", payloads).unwrap(), CALLS_PER_REPEAT
             )
 
 
@@ -159,7 +159,7 @@
     with _http_host(lambda _: body) as host:
         return slope.cpu_us(
             lambda: client.exchange(host, _renewal(), TIMEOUT_MS).unwrap(),
-            CALLS,
+            CALLS_PER_REPEAT,
         )
 
 
@@ -230,9 +230,9 @@
 
             call()
             whole_ns = time.process_time_ns()
-            sent_us = slope.cpu_us(call, CALLS)
+            sent_us = slope.cpu_us(call, CALLS_PER_REPEAT)
             whole_ns = time.process_time_ns() - whole_ns
-    calls = CALLS * slope.REPEATS
+    calls = CALLS_PER_REPEAT * slope.REPEATS
     whole_us = whole_ns / calls / slope.NS_PER_US
     return HeartbeatCost(sent_us, max(whole_us - sent_us, 0.0))
 
