--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -95,7 +95,7 @@
 
 
 @contextlib.contextmanager
-def _http_host(answer: Callable[[str], bytes]) -> Iterator[str]:
+def _http_server(answer: Callable[[str], bytes]) -> Iterator[str]:
     """An HTTP server that answers every call with `answer(path)`."""
 
     class Handler(http_server.BaseHTTPRequestHandler):
@@ -132,7 +132,7 @@
         {"offset": offset, "payload": PAYLOAD} for offset in range(records)
     ]
     body = msgspec.json.encode({"first": 0, "next": records, "records": lines})
-    with _http_host(lambda _: body) as host:
+    with _http_server(lambda _: body) as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
                 lambda: log.read("zone", 0, 256, 0).unwrap(), CALLS_PER_REPEAT
@@ -141,7 +141,7 @@
 
 def _append_us(records: int) -> float:
     payloads = [PAYLOAD.encode()] * records
-    with _http_host(lambda _: b'{"offset": 7}') as host:
+    with _http_server(lambda _: b'{"offset": 7}') as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
                 lambda: log.append("zone", payloads).unwrap(), CALLS_PER_REPEAT
@@ -156,7 +156,7 @@
 def _exchange_us(tasks: int) -> float:
     body = msgspec.json.encode(report(tasks))
     client = worker_client.WorkerClient()
-    with _http_host(lambda _: body) as host:
+    with _http_server(lambda _: body) as host:
         return slope.cpu_us(
             lambda: client.exchange(host, _renewal(), TIMEOUT_MS).unwrap(),
             CALLS_PER_REPEAT,
