--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -205,7 +205,7 @@
     answered_us: float
 
 
-class _Answering:
+class _HeartbeatHandler:
     """The part of `PeerHandler` that heartbeats use."""
 
     def __init__(self, services: int) -> None:
@@ -218,7 +218,7 @@
 
 def _heartbeat_us(services: int) -> HeartbeatCost:
     listen = address.Address(LOOPBACK, 0)
-    handler: Any = _Answering(services)
+    handler: Any = _HeartbeatHandler(services)
     metrics = metrics_module.Metrics()
     with peer_server.PeerServer(listen, handler, metrics) as server:
         with peer_link.PeerLink(server.address, TIMEOUT_MS) as link:
