--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -68,7 +68,11 @@
             _exchange_us,
         ),
         exchange_bytes=slope.fit(
-            "bodies of one exchange", "tasks on it", "B", TASK_SIZES, _exchange
+            "bodies of one exchange",
+            "tasks on it",
+            "B",
+            TASK_SIZES,
+            _exchange_bytes,
         ),
         heartbeat_sent_us=slope.fit(
             "one heartbeat sent, its answer read",
@@ -148,7 +152,7 @@
             )
 
 
-def _exchange(tasks: int) -> float:
+def _exchange_bytes(tasks: int) -> float:
     request = worker_client.encode_exchange(_renewal())
     return len(request) + len(msgspec.json.encode(report(tasks)))
 
