--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -228,7 +228,7 @@
         with peer_link.PeerLink(server.address, TIMEOUT_MS) as link:
 
             def call() -> None:
-                beat = _beat(services)
+                beat = _make_heartbeat(services)
                 told = link.call(lambda c: c.heartbeat(beat), TIMEOUT_MS)
                 assert isinstance(told, result.Ok), told
 
@@ -242,7 +242,7 @@
 
 
 def _heartbeat_bytes(services: int) -> float:
-    return _encoded(_beat(services)) + _encoded(_reply(services))
+    return _encoded(_make_heartbeat(services)) + _encoded(_reply(services))
 
 
 def _encoded(message: Any) -> int:
@@ -257,7 +257,7 @@
     return {f"service-{index}": index for index in range(services)}
 
 
-def _beat(services: int) -> ttypes.Heartbeat:
+def _make_heartbeat(services: int) -> ttypes.Heartbeat:
     return ttypes.Heartbeat(
         protocol=1,
         seat="zone-0-1",
