--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -217,7 +217,7 @@
 
     def heartbeat(self, beat: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
         del beat
-        return _reply(self._services)
+        return _make_heartbeat_reply(self._services)
 
 
 def _heartbeat_us(services: int) -> HeartbeatCost:
@@ -242,7 +242,9 @@
 
 
 def _heartbeat_bytes(services: int) -> float:
-    return _encoded(_make_heartbeat(services)) + _encoded(_reply(services))
+    return _encoded(_make_heartbeat(services)) + _encoded(
+        _make_heartbeat_reply(services)
+    )
 
 
 def _encoded(message: Any) -> int:
@@ -273,7 +275,7 @@
     )
 
 
-def _reply(services: int) -> ttypes.HeartbeatReply:
+def _make_heartbeat_reply(services: int) -> ttypes.HeartbeatReply:
     return ttypes.HeartbeatReply(
         protocol=1,
         host_id="zone-0-2-0a1b2c3d",
