--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -255,7 +255,7 @@
     return len(buffer.getvalue())
 
 
-def _spare(services: int) -> dict[str, int]:
+def _make_spare_slots(services: int) -> dict[str, int]:
     return {f"service-{index}": index for index in range(services)}
 
 
@@ -271,7 +271,7 @@
         leaving_endpoints=["endpoint-17"],
         zone_offset=9_812_345,
         zone_digest="0123456789abcdef",
-        spare_slots=_spare(services),
+        spare_slots=_make_spare_slots(services),
     )
 
 
@@ -285,5 +285,5 @@
         leaving_endpoints=["endpoint-17"],
         zone_offset=9_812_345,
         zone_digest="0123456789abcdef",
-        spare_slots=_spare(services),
+        spare_slots=_make_spare_slots(services),
     )
