--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -242,12 +242,12 @@
 
 
 def _heartbeat_bytes(services: int) -> float:
-    return _encoded(_make_heartbeat(services)) + _encoded(
+    return _encoded_bytes(_make_heartbeat(services)) + _encoded_bytes(
         _make_heartbeat_reply(services)
     )
 
 
-def _encoded(message: Any) -> int:
+def _encoded_bytes(message: Any) -> int:
     buffer = TTransport.TMemoryBuffer()
     protocol = peer_transport.make_protocol(buffer)
     message.write(protocol)
