--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -212,7 +212,7 @@
     ]
 
 
-class Side:
+class PolicyRun:
     """One policy with its fleet."""
 
     def __init__(
@@ -347,7 +347,8 @@
     given = parser.parse_args()
     limits = objects.Limits(service_slowdown_percent=given.slowdown_percent)
     sides = [
-        Side(policy, given.seed, limits=limits) for policy in placement.Policy
+        PolicyRun(policy, given.seed, limits=limits)
+        for policy in placement.Policy
     ]
     with contextlib.ExitStack() as stack:
         for side in sides:
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -24,7 +24,7 @@
     return pages * resource.getpagesize() / 2**20
 
 
-def _report(side: measure_batch.Side, phase: str, seconds: int) -> None:
+def _report(side: measure_batch.PolicyRun, phase: str, seconds: int) -> None:
     started_s = time.process_time()
     exchanges = side.port.exchanges
     time.sleep(seconds)
@@ -45,7 +45,7 @@
     parser.add_argument("--starts-per-s", type=int, default=15)
     parser.add_argument("--seconds", type=int, default=20)
     given = parser.parse_args()
-    side = measure_batch.Side(
+    side = measure_batch.PolicyRun(
         placement.Policy.PREDICTED_COST, 1, given.workers, services=False
     )
     with contextlib.ExitStack() as stack:
