--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -109,7 +109,7 @@
     warm_p99_milli: int
 
 
-class Fleet:
+class WorkerFleet:
     """One process of stand-in workers."""
 
     def __init__(
@@ -224,7 +224,7 @@
         limits: objects.Limits | None = None,
     ) -> None:
         self.policy = policy
-        self.fleet = Fleet(seed, count, services)
+        self.fleet = WorkerFleet(seed, count, services)
         self.port = RecordingPort()
         clock = clock_port.SystemClock()
         platform = settings_module.PlatformSettings("", "")
