--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -44,7 +44,7 @@
 ZONE = "bole"
 WORKERS = 24
 PER_RACK = 8
-AMOUNT = workers.Resources(32_000, 125_000)
+WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 SERVICE = "skyproc"
 SERVICE_SIZE = workers.Resources(8_000, 16_000)
 CLASSES = 10
@@ -119,7 +119,7 @@
         specs = [
             worker_records.WorkerSpec(
                 f"w{index}",
-                AMOUNT,
+                WORKER_CAPACITY,
                 services=(service,) if services else (),
                 usage_lag_ms=LAGS_MS[index % len(LAGS_MS)],
             )
@@ -188,7 +188,7 @@
         offset=1,
         endpoints=endpoints,
         teams=teams,
-        worker_classes={"standard": objects.WorkerClass(AMOUNT)},
+        worker_classes={"standard": objects.WorkerClass(WORKER_CAPACITY)},
         zones={ZONE: objects.Zone(("seat",))},
         limits=limits or objects.Limits(),
     )
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -31,7 +31,7 @@
 from testing.fakes import zone as fake_zone
 
 WORKER_COUNTS = (24, 110, 1_100)
-AMOUNT = workers.Resources(32_000, 125_000)
+WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 WORKERS_PER_RACK = 8
 TEAMS = 240
 CLASSES = 20
@@ -91,12 +91,15 @@
             for index in range(count)
         )
         teams = {
-            f"team-{index}": objects.Team(AMOUNT) for index in range(TEAMS)
+            f"team-{index}": objects.Team(WORKER_CAPACITY)
+            for index in range(TEAMS)
         }
         self.scheduling.workers.set_list(hosts.HostList(listed))
         self.scheduling.workers.set_configuration(
             configuration_module.Configuration(
-                worker_classes={"standard": objects.WorkerClass(AMOUNT)},
+                worker_classes={
+                    "standard": objects.WorkerClass(WORKER_CAPACITY)
+                },
                 teams=teams,
             )
         )
