--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -46,7 +46,7 @@
 PER_RACK = 8
 WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 SERVICE = "skyproc"
-SERVICE_SIZE = workers.Resources(8_000, 16_000)
+SERVICE_RESOURCES = workers.Resources(8_000, 16_000)
 CLASSES = 10
 LAGS_MS = (2_000, 4_000, 6_000, 8_000)
 CLASS_NAMES = tuple(f"class-{index}" for index in range(CLASSES))
@@ -115,7 +115,7 @@
     def __init__(
         self, seed: int, count: int = WORKERS, services: bool = True
     ) -> None:
-        service = worker_model.ServiceSpec(SERVICE, SERVICE_SIZE, 0.5)
+        service = worker_model.ServiceSpec(SERVICE, SERVICE_RESOURCES, 0.5)
         specs = [
             worker_records.WorkerSpec(
                 f"w{index}",
@@ -176,7 +176,7 @@
             ZONE,
             "127.0.0.1:1",
             worker=f"w{index}",
-            resources=SERVICE_SIZE,
+            resources=SERVICE_RESOURCES,
         )
         for index in range(endpoint_count)
     }
