--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -43,7 +43,7 @@
 
 ZONE = "bole"
 WORKERS = 24
-PER_RACK = 8
+WORKERS_PER_RACK = 8
 WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 SERVICE = "skyproc"
 SERVICE_RESOURCES = workers.Resources(8_000, 16_000)
@@ -250,7 +250,7 @@
                 hosts.HostKind.WORKER,
                 hosts.HostState.LIVE,
                 ZONE,
-                f"rack-{int(name[1:]) // PER_RACK}",
+                f"rack-{int(name[1:]) // WORKERS_PER_RACK}",
                 address,
                 "standard",
             )
