--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -47,9 +47,9 @@
 WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 SERVICE = "skyproc"
 SERVICE_RESOURCES = workers.Resources(8_000, 16_000)
-CLASSES = 10
+JOB_CLASSES = 10
 USAGE_LAGS_MS = (2_000, 4_000, 6_000, 8_000)
-CLASS_NAMES = tuple(f"class-{index}" for index in range(CLASSES))
+CLASS_NAMES = tuple(f"class-{index}" for index in range(JOB_CLASSES))
 TIME_FACTORS = (0.5, 0.7, 1.0, 1.0, 1.0, 1.3, 1.6, 2.0, 0.8, 1.0)
 SIZE_FACTORS = (0.25, 0.5, 0.7, 1.0, 1.0, 1.0, 1.3, 1.6, 2.5, 4.0)
 
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -34,7 +34,7 @@
 WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 WORKERS_PER_RACK = 8
 TEAMS = 240
-CLASSES = 20
+JOB_CLASSES = 20
 QUEUED = 200
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 
@@ -122,7 +122,7 @@
             id=f"job-{self._jobs}",
             team=f"team-{self._source.randrange(TEAMS)}",
             zone=fake_zone.ZONE,
-            job_class=f"class-{self._source.randrange(CLASSES)}",
+            job_class=f"class-{self._source.randrange(JOB_CLASSES)}",
             resources=workers.Resources(
                 self._source.choice([500, 1_000, 2_000, 4_000]),
                 self._source.choice([1_000, 2_000, 4_000, 8_000]),
