--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen
-class Outcome:
+class PolicyOutcome:
     """What one policy achieved.
 
     Attributes:
@@ -279,7 +279,7 @@
         for thread in threads:
             thread.join()
 
-    def outcome(self) -> Outcome:
+    def outcome(self) -> PolicyOutcome:
         """Adds up what the workers and the fold tell."""
         events = self.fleet.journal()
         states = self.service.fold.jobs()
@@ -298,7 +298,7 @@
         )
         quantiles = statistics.quantiles(self.port.slowdowns, n=100)
         warm = self.port.slowdowns[self.port.warm_from :]
-        return Outcome(
+        return PolicyOutcome(
             policy=self.policy.value,
             finished=len(finished),
             useful_core_s=int(useful),
