--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -61,7 +61,7 @@
         self._client = worker_client.WorkerClient()
         self._lock = threading.Lock()
         self.slowdowns: list[int] = []
-        self.warm_from = 0
+        self.warm_start_index = 0
         self.exchanges = 0
 
     def exchange(
@@ -297,7 +297,7 @@
             if state.phase is not job_state.JobPhase.FINISHED
         )
         quantiles = statistics.quantiles(self.port.slowdowns, n=100)
-        warm = self.port.slowdowns[self.port.warm_from :]
+        warm = self.port.slowdowns[self.port.warm_start_index :]
         return PolicyOutcome(
             policy=self.policy.value,
             finished=len(finished),
@@ -363,7 +363,7 @@
             thread.start()
         time.sleep(given.seconds / 3)
         for side in sides:
-            side.port.warm_from = len(side.port.slowdowns)
+            side.port.warm_start_index = len(side.port.slowdowns)
         time.sleep(given.seconds * 2 / 3)
         for thread in threads:
             thread.join()
