--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -57,7 +57,7 @@
     running: int
 
 
-class Bench:
+class ZoneBench:
     """One zone's fold and books, without workers and log."""
 
     def __init__(self, count: int, policy: placement.Policy) -> None:
@@ -166,7 +166,7 @@
 
 def measure(count: int, starts: int, policy: placement.Policy) -> Cost:
     """Fills a zone, then measures rounds of ends and starts."""
-    bench = Bench(count, policy)
+    bench = ZoneBench(count, policy)
     running: list[str] = []
     while True:
         for _ in range(QUEUED):
