--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -35,7 +35,7 @@
 WORKERS_PER_RACK = 8
 TEAMS = 240
 JOB_CLASSES = 20
-QUEUED = 200
+QUEUED_JOBS = 200
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 
 
@@ -169,7 +169,7 @@
     bench = ZoneBench(count, policy)
     running: list[str] = []
     while True:
-        for _ in range(QUEUED):
+        for _ in range(QUEUED_JOBS):
             bench.submit()
         bench.sync()
         placed = bench.place()
@@ -182,7 +182,7 @@
     while done < starts:
         source.shuffle(running)
         ending = [running.pop() for _ in range(8)]
-        while bench.scheduling.scheduler.queued < QUEUED:
+        while bench.scheduling.scheduler.queued < QUEUED_JOBS:
             bench.submit()
             bench.sync()
         began = time.process_time()
