--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -88,7 +88,7 @@
 )
 
 
-class Offer:
+class LoadGenerator:
     """Sends a steady stream of requests to the hosts in turn."""
 
     def __init__(
@@ -177,7 +177,7 @@
     sent: list[checker.SentRequest] = []
     with fleet_module.Fleet(deployment, options) as running:
         running.apply_first_ticket()
-        offer = Offer(running, given.per_s, given.seed)
+        offer = LoadGenerator(running, given.per_s, given.seed)
         offer.run("warm", given.seconds / 2)
         for phase in PHASES:
             before = len(running.endpoint_events())
