--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -58,7 +58,7 @@
     end: Callable[[fleet_module.Fleet], None]
 
 
-def _nothing(running: fleet_module.Fleet) -> None:
+def _no_change(running: fleet_module.Fleet) -> None:
     del running
 
 
@@ -81,10 +81,10 @@
 
 
 PHASES = (
-    Phase("calm", _nothing, _nothing),
+    Phase("calm", _no_change, _no_change),
     Phase("slow", _slow, _usual),
     Phase("lossy", _lossy, _usual),
-    Phase("host-killed", _kill, _nothing),
+    Phase("host-killed", _kill, _no_change),
 )
 
 
