--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -62,7 +62,7 @@
     del running
 
 
-def _slow(running: fleet_module.Fleet) -> None:
+def _slow_endpoints(running: fleet_module.Fleet) -> None:
     for endpoint in ("ex-1", "ex-2"):
         running.endpoints.control(endpoint=endpoint, slow=SLOWDOWN_FACTOR)
 
@@ -82,7 +82,7 @@
 
 PHASES = (
     Phase("calm", _no_change, _no_change),
-    Phase("slow", _slow, _usual),
+    Phase("slow", _slow_endpoints, _usual),
     Phase("lossy", _lossy, _usual),
     Phase("host-killed", _kill, _no_change),
 )
