--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -67,7 +67,7 @@
         running.endpoints.control(endpoint=endpoint, slow=SLOWDOWN_FACTOR)
 
 
-def _usual(running: fleet_module.Fleet) -> None:
+def _restore_endpoints(running: fleet_module.Fleet) -> None:
     running.endpoints.control(endpoint="*", slow=1.0, reset=0)
 
 
@@ -82,8 +82,8 @@
 
 PHASES = (
     Phase("calm", _no_change, _no_change),
-    Phase("slow", _slow_endpoints, _usual),
-    Phase("lossy", _lossy, _usual),
+    Phase("slow", _slow_endpoints, _restore_endpoints),
+    Phase("lossy", _lossy, _restore_endpoints),
     Phase("host-killed", _kill, _no_change),
 )
 
