--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -71,7 +71,7 @@
     running.endpoints.control(endpoint="*", slow=1.0, reset=0)
 
 
-def _lossy(running: fleet_module.Fleet) -> None:
+def _reset_connections(running: fleet_module.Fleet) -> None:
     for endpoint in ("ex-1", "ex-2"):
         running.endpoints.control(endpoint=endpoint, reset=1_000_000)
 
@@ -83,7 +83,7 @@
 PHASES = (
     Phase("calm", _no_change, _no_change),
     Phase("slow", _slow_endpoints, _restore_endpoints),
-    Phase("lossy", _lossy, _restore_endpoints),
+    Phase("lossy", _reset_connections, _restore_endpoints),
     Phase("host-killed", _kill, _no_change),
 )
 
