--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -76,7 +76,7 @@
         running.endpoints.control(endpoint=endpoint, reset=1_000_000)
 
 
-def _kill(running: fleet_module.Fleet) -> None:
+def _kill_host(running: fleet_module.Fleet) -> None:
     running.kill_host(running.deployment.all_seats()[-1])
 
 
@@ -84,7 +84,7 @@
     Phase("calm", _no_change, _no_change),
     Phase("slow", _slow_endpoints, _restore_endpoints),
     Phase("lossy", _reset_connections, _restore_endpoints),
-    Phase("host-killed", _kill, _no_change),
+    Phase("host-killed", _kill_host, _no_change),
 )
 
 
