--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -139,7 +139,9 @@
         return Reply(sent, (time.monotonic() - due_s) * 1_000)
 
 
-def _line(policy: str, phase: str, replies: list[Reply], tries: int) -> str:
+def _format_line(
+    policy: str, phase: str, replies: list[Reply], tries: int
+) -> str:
     outcomes = collections.Counter(one.sent.answer.outcome for one in replies)
     elapsed = sorted(
         one.elapsed_ms
@@ -186,7 +188,10 @@
             phase.end(running)
             tries = len(running.endpoint_events()) - before
             sent.extend(one.sent for one in replies)
-            print(_line(policy.value, phase.name, replies, tries), flush=True)
+            print(
+                _format_line(policy.value, phase.name, replies, tries),
+                flush=True,
+            )
             time.sleep(1.0)
         broken = callers.find_violations(running, sent)
     print(f"policy={policy.value} promises_broken={len(broken)}", flush=True)
