--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -96,7 +96,7 @@
     ) -> None:
         self._running = running
         self._per_s = per_s
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def run(self, name: str, seconds: float) -> list[Reply]:
         """Replies to the requests of one phase."""
@@ -107,7 +107,7 @@
             while due_s < seconds:
                 time.sleep(max(started_s + due_s - time.monotonic(), 0.0))
                 number = len(pending)
-                idempotent = self._chance.random() < 0.5
+                idempotent = self._rng.random() < 0.5
                 pending.append(
                     pool.submit(
                         self._send,
@@ -117,7 +117,7 @@
                         started_s + due_s,
                     )
                 )
-                due_s += self._chance.expovariate(self._per_s)
+                due_s += self._rng.expovariate(self._per_s)
             return [one.result() for one in pending]
 
     def _send(
