--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -46,7 +46,7 @@
             seed = given.seed + run
             with batch_fleet.submitter(running, seed=seed):
                 batch_fleet.wait_started(running, STEADY_STARTS)
-                deaths.append(after_death(running))
+                deaths.append(measure_owner_death(running))
                 batch_fleet.wait_started(running, STEADY_STARTS)
                 outages.append(after_outage(running))
     print("| from | to | runs | least s | median s | most s |")
@@ -64,7 +64,7 @@
     )
 
 
-def after_death(running: fleet_module.Fleet) -> float:
+def measure_owner_death(running: fleet_module.Fleet) -> float:
     """Kills the owner; seconds to the first start under a higher term."""
     owner = batch_fleet.owner(running)
     term = max(event.term for event in running.worker_events())
