--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -48,7 +48,7 @@
                 batch_fleet.wait_started(running, STEADY_STARTS)
                 deaths.append(measure_owner_death(running))
                 batch_fleet.wait_started(running, STEADY_STARTS)
-                outages.append(after_outage(running))
+                outages.append(measure_log_outage(running))
     print("| from | to | runs | least s | median s | most s |")
     print("|---|---|---|---|---|---|")
     _print_row("death of the owner", "first start by its successor", deaths)
@@ -76,7 +76,7 @@
     return seconds
 
 
-def after_outage(running: fleet_module.Fleet) -> float:
+def measure_log_outage(running: fleet_module.Fleet) -> float:
     """Takes the log down; seconds from its return to the first start."""
     running.log.control(down=True)
     time.sleep(OUTAGE_S)
