--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -16,7 +16,7 @@
 from testing import fleet_plan
 
 OUTAGE_S = 20.0
-WAIT_S = 60.0
+START_TIMEOUT_S = 60.0
 STEADY_STARTS = 20
 
 
@@ -97,7 +97,7 @@
             and event.term > above_term
         ]
 
-    running.wait_until(lambda: found() != [], "a start", WAIT_S)
+    running.wait_until(lambda: found() != [], "a start", START_TIMEOUT_S)
     return (min(found()) - since_ms) / 1_000
 
 
