--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -24,7 +24,9 @@
     return pages * resource.getpagesize() / 2**20
 
 
-def _report(side: measure_batch.PolicyRun, phase: str, seconds: int) -> None:
+def _measure_phase(
+    side: measure_batch.PolicyRun, phase: str, seconds: int
+) -> None:
     started_s = time.process_time()
     exchanges = side.port.exchanges
     time.sleep(seconds)
@@ -53,7 +55,7 @@
         stack.enter_context(side.service)
         side.start()
         time.sleep(5)
-        _report(side, "idle", given.seconds)
+        _measure_phase(side, "idle", given.seconds)
         count = given.starts_per_s * given.seconds * 2
         work = measure_batch.jobs(1, count)
         began = time.monotonic()
