--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -63,10 +63,10 @@
             first = second * given.starts_per_s
             side.submit(work[first : first + given.starts_per_s])
             if second == given.seconds:
-                _mark = time.process_time(), side.port.exchanges
+                steady_start = time.process_time(), side.port.exchanges
             time.sleep(max(0.0, began + second + 1 - time.monotonic()))
-        spent_s = time.process_time() - _mark[0]
-        exchanges = side.port.exchanges - _mark[1]
+        spent_s = time.process_time() - steady_start[0]
+        exchanges = side.port.exchanges - steady_start[1]
         status = side.service.status().owner
         print(
             f"phase=steady cpu_ms_per_s="
