--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -13,7 +13,7 @@
 
 RESIDENTS = 8
 URGENT = 3
-EVICTION_S = 15.0
+EVICTION_TIMEOUT_S = 15.0
 
 
 def job(name: str, urgent: bool) -> dict[str, Any]:
@@ -52,13 +52,13 @@
         self.fleet.wait_until(
             lambda: batch_fleet.starts(self.fleet) >= RESIDENTS,
             "the workers are full",
-            EVICTION_S,
+            EVICTION_TIMEOUT_S,
         )
         self.submit("urgent", URGENT, True, owner)
         self.fleet.wait_until(
             lambda: events(self.fleet, "checkpoint") != [],
             "a checkpoint",
-            EVICTION_S,
+            EVICTION_TIMEOUT_S,
         )
         self.owner = owner
 
