--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -11,7 +11,7 @@
 from testing import fleet as fleet_module
 from testing.standins import worker_records
 
-RESIDENTS = 8
+RUNNING_JOBS = 8
 URGENT = 3
 EVICTION_TIMEOUT_S = 15.0
 
@@ -48,9 +48,9 @@
         self.fleet = batch_fleet.start(self, workers=2, endpoints=0)
         self.submitted = batch_fleet.submitter(self.fleet)
         owner = batch_fleet.owner(self.fleet)
-        self.submit("resident", RESIDENTS, False, owner)
+        self.submit("resident", RUNNING_JOBS, False, owner)
         self.fleet.wait_until(
-            lambda: batch_fleet.starts(self.fleet) >= RESIDENTS,
+            lambda: batch_fleet.starts(self.fleet) >= RUNNING_JOBS,
             "the workers are full",
             EVICTION_TIMEOUT_S,
         )
