--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -12,7 +12,7 @@
 from testing.standins import worker_records
 
 RUNNING_JOBS = 8
-URGENT = 3
+URGENT_JOBS = 3
 EVICTION_TIMEOUT_S = 15.0
 
 
@@ -54,7 +54,7 @@
             "the workers are full",
             EVICTION_TIMEOUT_S,
         )
-        self.submit("urgent", URGENT, True, owner)
+        self.submit("urgent", URGENT_JOBS, True, owner)
         self.fleet.wait_until(
             lambda: events(self.fleet, "checkpoint") != [],
             "a checkpoint",
