--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -69,7 +69,7 @@
             self.assertEqual(200, answer.status)
             self.submitted.accepted[one["id"]] = None
 
-    def check_resumed(self) -> None:
+    def assert_resumed(self) -> None:
         """Each attempt with a checkpoint and cut short resumed just there.
 
         One that finished before its stop was not evicted; `check` finds it
@@ -95,15 +95,15 @@
         self.assertGreater(min(kept.values()), 0)
 
     def test_resumed_at_the_checkpoint(self) -> None:
-        self.check_resumed()
+        self.assert_resumed()
 
     def test_resumed_at_the_checkpoint_by_a_successor(self) -> None:
         self.fleet.kill_host(self.owner)
         batch_fleet.wait_owner(self.fleet, self.owner)
         self.fleet.start_host(self.owner)
         self.fleet.wait_ready(self.owner)
-        self.check_resumed()
+        self.assert_resumed()
 
     def test_resumed_at_the_checkpoint_when_answers_are_lost(self) -> None:
         self.fleet.log.control(lose_after=5)
-        self.check_resumed()
+        self.assert_resumed()
