--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -13,7 +13,7 @@
 from testing import fleet as fleet_module
 
 SNAPSHOTS = "zone.bole.snapshots"
-SNAPSHOT_S = 30.0
+SNAPSHOT_TIMEOUT_S = 30.0
 KEPT_RECORDS = 40
 
 
@@ -90,7 +90,9 @@
         batch_fleet.check(self, running, submitted)
         before = snapshots(running)
         running.wait_until(
-            lambda: snapshots(running) > before, "a snapshot", SNAPSHOT_S
+            lambda: snapshots(running) > before,
+            "a snapshot",
+            SNAPSHOT_TIMEOUT_S,
         )
         starts = batch_fleet.starts(running)
         replace_all(running)
--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -22,7 +22,7 @@
 IN_FORCE_S = 5.0
 # One call to a dead log may be under way when a ticket arrives.
 AT_ONCE_MS = 2_500
-SNAPSHOT_S = 45.0
+SNAPSHOT_TIMEOUT_S = 45.0
 
 
 class OffsetWatch:
@@ -212,7 +212,9 @@
             self.assertEqual(200, answer.status)
         self.wait_equal(11)
         before = self.position("bole-1")
-        self.fleet.wait_until(self.snapshot_seen, "a snapshot", SNAPSHOT_S)
+        self.fleet.wait_until(
+            self.snapshot_seen, "a snapshot", SNAPSHOT_TIMEOUT_S
+        )
         for seat in self.seats:
             self.fleet.kill_host(seat)
         for seat in self.seats:
