--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -12,7 +12,7 @@
 from testing import batch_fleet
 from testing import fleet as fleet_module
 
-SNAPSHOTS = "zone.bole.snapshots"
+SNAPSHOT_STREAM = "zone.bole.snapshots"
 SNAPSHOT_TIMEOUT_S = 30.0
 KEPT_RECORDS = 40
 
@@ -113,7 +113,7 @@
 def snapshots(running: fleet_module.Fleet) -> int:
     """Appends of snapshots of the zone that stand on the log."""
     return sum(
-        event.stream == SNAPSHOTS and event.offset >= 0
+        event.stream == SNAPSHOT_STREAM and event.offset >= 0
         for event in running.log_events()
     )
 
--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -17,7 +17,7 @@
 from testing.fakes import tickets as samples
 
 SEED = 1
-SNAPSHOTS = "config.snapshots"
+SNAPSHOT_STREAM = "config.snapshots"
 # The brief's "within seconds"; the bound at the design size is 18 s.
 IN_FORCE_S = 5.0
 # One call to a dead log may be under way when a ticket arrives.
@@ -227,6 +227,6 @@
 
     def snapshot_seen(self) -> bool:
         return any(
-            event.stream == SNAPSHOTS and event.offset >= 0
+            event.stream == SNAPSHOT_STREAM and event.offset >= 0
             for event in self.fleet.log_events()
         )
