--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -14,7 +14,7 @@
 
 SNAPSHOT_STREAM = "zone.bole.snapshots"
 SNAPSHOT_TIMEOUT_S = 30.0
-KEPT_RECORDS = 40
+RETAINED_RECORDS = 40
 
 
 class LosingLog:
@@ -75,18 +75,18 @@
 
     def test_owner_replaced_after_records_have_expired(self) -> None:
         running = batch_fleet.start(self)
-        running.log.control(keep_records=KEPT_RECORDS)
+        running.log.control(keep_records=RETAINED_RECORDS)
         with batch_fleet.submitter(running) as submitted:
-            batch_fleet.wait_started(running, KEPT_RECORDS)
+            batch_fleet.wait_started(running, RETAINED_RECORDS)
             running.replace_host(batch_fleet.owner(running))
             batch_fleet.wait_started(running, 15, 20.0)
         batch_fleet.check(self, running, submitted)
 
     def test_all_hosts_replaced_after_records_have_expired(self) -> None:
         running = batch_fleet.start(self)
-        running.log.control(keep_records=KEPT_RECORDS)
+        running.log.control(keep_records=RETAINED_RECORDS)
         with batch_fleet.submitter(running) as submitted:
-            batch_fleet.wait_started(running, KEPT_RECORDS)
+            batch_fleet.wait_started(running, RETAINED_RECORDS)
         batch_fleet.check(self, running, submitted)
         before = snapshots(running)
         running.wait_until(
