--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -17,7 +17,7 @@
 RETAINED_RECORDS = 40
 
 
-class LosingLog:
+class AnswerLoss:
     """Keeps the log losing answers, about every second one, while entered."""
 
     def __init__(self, running: fleet_module.Fleet) -> None:
@@ -45,7 +45,7 @@
 
     def test_answers_lost_after_taking_effect(self) -> None:
         running = batch_fleet.start(self)
-        with batch_fleet.submitter(running) as submitted, LosingLog(running):
+        with batch_fleet.submitter(running) as submitted, AnswerLoss(running):
             batch_fleet.wait_started(running, 40, 20.0)
         lost = [one for one in running.log_events() if one.kind == "lost-after"]
         self.assertGreater(len(lost), 10)
