--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -95,13 +95,13 @@
             SNAPSHOT_TIMEOUT_S,
         )
         starts = batch_fleet.starts(running)
-        replace_all(running)
+        replace_all_hosts(running)
         batch_fleet.wait_owner(running)
         batch_fleet.check(self, running, submitted)
         self.assertEqual(starts, batch_fleet.starts(running))
 
 
-def replace_all(running: fleet_module.Fleet) -> None:
+def replace_all_hosts(running: fleet_module.Fleet) -> None:
     """Kills every host, then starts another in every seat."""
     for seat in running.hosts:
         running.kill_host(seat)
@@ -135,6 +135,6 @@
         running = batch_fleet.start(self)
         with batch_fleet.submitter(running) as submitted:
             batch_fleet.wait_started(running, 20)
-            replace_all(running)
+            replace_all_hosts(running)
             batch_fleet.wait_started(running, 20, 20.0)
         batch_fleet.check(self, running, submitted)
