--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -88,9 +88,9 @@
         with batch_fleet.submitter(running) as submitted:
             batch_fleet.wait_started(running, RETAINED_RECORDS)
         batch_fleet.check(self, running, submitted)
-        before = snapshots(running)
+        before = count_snapshots(running)
         running.wait_until(
-            lambda: snapshots(running) > before,
+            lambda: count_snapshots(running) > before,
             "a snapshot",
             SNAPSHOT_TIMEOUT_S,
         )
@@ -110,7 +110,7 @@
     running.wait_ready()
 
 
-def snapshots(running: fleet_module.Fleet) -> int:
+def count_snapshots(running: fleet_module.Fleet) -> int:
     """Appends of snapshots of the zone that stand on the log."""
     return sum(
         event.stream == SNAPSHOT_STREAM and event.offset >= 0
