--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -15,7 +15,7 @@
 from testing import fleet as fleet_module
 from testing.standins import worker_records
 
-SPAN_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 HOLD_S = 0.6
 # An exchange under way and the longest pause after it.
 LONGEST_RETRY_S = 3.3
@@ -125,7 +125,7 @@
     running.wait_until(
         lambda: started(running, name, attempt) is not None,
         f"attempt {attempt} of {name} has started",
-        SPAN_S,
+        WAIT_TIMEOUT_S,
     )
     found = started(running, name, attempt)
     assert found is not None
@@ -163,7 +163,7 @@
         running.wait_until(
             lambda: running.job("late", seat).json()["phase"] == "finished",
             "the job has finished",
-            SPAN_S,
+            WAIT_TIMEOUT_S,
         )
         page = running.job("late", seat).json()
         self.assertEqual((2, 1), (page["attempt"], page["losses"]))
@@ -183,14 +183,14 @@
         running.wait_until(
             lambda: self.refusals(running, worker, host_id) != [],
             "the old owner's start has been refused",
-            SPAN_S,
+            WAIT_TIMEOUT_S,
         )
         running.signal_host(owner, signal.SIGCONT)
         self.assertIsNone(started(running, name, 1))
         running.wait_until(
             lambda: finishes(running, name) == [2],
             "the second attempt has finished",
-            SPAN_S,
+            WAIT_TIMEOUT_S,
         )
         self.assertEqual(
             [], checker.never_in_two_places(running.worker_events())
