--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -16,7 +16,7 @@
 from testing.standins import worker_records
 
 WAIT_TIMEOUT_S = 20.0
-HOLD_S = 0.6
+START_WAIT_S = 0.6
 # An exchange under way and the longest pause after it.
 LONGEST_RETRY_S = 3.3
 HOLD_TRIES = 6
@@ -204,7 +204,7 @@
             name = f"held-{turn}"
             running.network.set("worker/*", block_to_target=True)
             running.submit_job(job(name, 3_000), owner)
-            until = time.monotonic() + HOLD_S
+            until = time.monotonic() + START_WAIT_S
             while time.monotonic() < until:
                 for chunk in running.network.held():
                     if "start" in chunk.text and name in chunk.text:
