--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -18,7 +18,7 @@
 WAIT_TIMEOUT_S = 20.0
 START_WAIT_S = 0.6
 # An exchange under way and the longest pause after it.
-LONGEST_RETRY_S = 3.3
+MAX_RETRY_DELAY_S = 3.3
 HOLD_TRIES = 6
 
 
@@ -157,7 +157,7 @@
         self.assertEqual([1], finishes(running, "late"))
         running.network.set(f"worker/*/{first.worker}", cut=False)
         self.assertNotEqual(first.worker, second.worker)
-        time.sleep(LONGEST_RETRY_S)
+        time.sleep(MAX_RETRY_DELAY_S)
         page = running.job("late", seat).json()
         self.assertEqual(("assigned", 2), (page["phase"], page["attempt"]))
         running.wait_until(
