--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -19,7 +19,7 @@
 START_WAIT_S = 0.6
 # An exchange under way and the longest pause after it.
 MAX_RETRY_DELAY_S = 3.3
-HOLD_TRIES = 6
+MAX_DELAY_ATTEMPTS = 6
 
 
 @pytest.mark.xdist_group("fleet-4")
@@ -200,7 +200,7 @@
         self, running: fleet_module.Fleet, owner: str
     ) -> tuple[str, str]:
         """Gets a start stuck on its way; returns its job and its worker."""
-        for turn in range(HOLD_TRIES):
+        for turn in range(MAX_DELAY_ATTEMPTS):
             name = f"held-{turn}"
             running.network.set("worker/*", block_to_target=True)
             running.submit_job(job(name, 3_000), owner)
