--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -173,7 +173,7 @@
         running = batch_fleet.start(self, workers=2)
         owner = batch_fleet.owner(running)
         host_id = running.status(owner)["host"]["host_id"]
-        name, worker = self.hold_start(running, owner)
+        name, worker = self.delay_start(running, owner)
         running.signal_host(owner, signal.SIGSTOP)
         other = "wk-2" if worker == "wk-1" else "wk-1"
         running.network.set(f"worker/*/{other}", block_to_target=False)
@@ -196,7 +196,7 @@
             [], checker.never_in_two_places(running.worker_events())
         )
 
-    def hold_start(
+    def delay_start(
         self, running: fleet_module.Fleet, owner: str
     ) -> tuple[str, str]:
         """Gets a start stuck on its way; returns its job and its worker."""
