--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.xdist_group("fleet-4")
-class LateAndStaleTest(testtools.TestCase):
+class StaleMessageTest(testtools.TestCase):
     """What comes late from an old attempt or an old owner does nothing."""
 
     def test_late_completion_changes_nothing(self) -> None:
