--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -107,7 +107,7 @@
     }
 
 
-def started(
+def find_start(
     running: fleet_module.Fleet, name: str, attempt: int
 ) -> worker_records.WorkerEvent | None:
     """The start of an attempt, if workers have started it."""
@@ -123,11 +123,11 @@
 ) -> worker_records.WorkerEvent:
     """Waits for the start of an attempt."""
     running.wait_until(
-        lambda: started(running, name, attempt) is not None,
+        lambda: find_start(running, name, attempt) is not None,
         f"attempt {attempt} of {name} has started",
         WAIT_TIMEOUT_S,
     )
-    found = started(running, name, attempt)
+    found = find_start(running, name, attempt)
     assert found is not None
     return found
 
@@ -186,7 +186,7 @@
             WAIT_TIMEOUT_S,
         )
         running.signal_host(owner, signal.SIGCONT)
-        self.assertIsNone(started(running, name, 1))
+        self.assertIsNone(find_start(running, name, 1))
         running.wait_until(
             lambda: finishes(running, name) == [2],
             "the second attempt has finished",
