--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -132,7 +132,7 @@
     return found
 
 
-def finishes(running: fleet_module.Fleet, name: str) -> list[int]:
+def finished_attempts(running: fleet_module.Fleet, name: str) -> list[int]:
     """Attempts of a job that ran to their ends."""
     return [
         event.attempt
@@ -154,7 +154,7 @@
         first = wait_started(running, "late", 1)
         running.network.set(f"worker/*/{first.worker}", cut=True)
         second = wait_started(running, "late", 2)
-        self.assertEqual([1], finishes(running, "late"))
+        self.assertEqual([1], finished_attempts(running, "late"))
         running.network.set(f"worker/*/{first.worker}", cut=False)
         self.assertNotEqual(first.worker, second.worker)
         time.sleep(MAX_RETRY_DELAY_S)
@@ -167,7 +167,7 @@
         )
         page = running.job("late", seat).json()
         self.assertEqual((2, 1), (page["attempt"], page["losses"]))
-        self.assertEqual([1, 2], finishes(running, "late"))
+        self.assertEqual([1, 2], finished_attempts(running, "late"))
 
     def test_start_in_a_buffer_is_refused_by_the_worker(self) -> None:
         running = batch_fleet.start(self, workers=2)
@@ -188,7 +188,7 @@
         running.signal_host(owner, signal.SIGCONT)
         self.assertIsNone(find_start(running, name, 1))
         running.wait_until(
-            lambda: finishes(running, name) == [2],
+            lambda: finished_attempts(running, name) == [2],
             "the second attempt has finished",
             WAIT_TIMEOUT_S,
         )
