--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -169,7 +169,7 @@
         self.assertEqual((2, 1), (page["attempt"], page["losses"]))
         self.assertEqual([1, 2], finished_attempts(running, "late"))
 
-    def test_start_in_a_buffer_is_refused_by_the_worker(self) -> None:
+    def test_start_delayed_in_transit_is_refused_by_the_worker(self) -> None:
         running = batch_fleet.start(self, workers=2)
         owner = batch_fleet.owner(running)
         host_id = running.status(owner)["host"]["host_id"]
