--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -62,7 +62,7 @@
 class RequestChecksTest(testtools.TestCase):
     """Checks about callers' requests."""
 
-    def test_run_of_a_request_said_not_run_is_found(self) -> None:
+    def test_run_of_a_request_answered_not_run_is_found(self) -> None:
         found = checker.check_requests(
             [sent("a", "not-run")], [request_event("a")]
         )
