--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -68,7 +68,7 @@
         )
         self.assertEqual(["not-run-never-ran"], rules(found))
 
-    def test_busy_endpoint_has_not_run_it(self) -> None:
+    def test_busy_endpoint_does_not_count_as_a_run(self) -> None:
         events = [request_event("a", outcome="busy")]
         found = checker.check_requests([sent("a", "not-run")], events)
         self.assertEqual([], found)
