--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -119,7 +119,7 @@
         ]
         self.assertEqual([], checker.check_jobs(events, {"j"}))
 
-    def test_lost_doubled_and_foreign_jobs_are_found(self) -> None:
+    def test_lost_repeated_and_unknown_jobs_are_found(self) -> None:
         events = [
             worker_event("start", 1.0),
             worker_event("end", 2.0, detail="finished"),
