--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -75,7 +75,7 @@
             self.relay.control(relay="*", **{fault: -1})
         self.assertEqual(200, self.request("whole").status)
 
-    def test_cut_relay_stalls_and_heals(self) -> None:
+    def test_cut_relay_stalls_and_recovers(self) -> None:
         self.relay.control(relay="r", cut=True)
         self.assertEqual("lost", self.request("cut", 2_200).outcome)
         self.assertEqual([], self.events())
