--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -96,7 +96,7 @@
         again = self.client.request(direct, "skyproc", "q-2")
         self.assertEqual(200, again.status)
 
-    def test_leaving_endpoint_says_so_then_refuses(self) -> None:
+    def test_leaving_endpoint_closes_connections_then_refuses(self) -> None:
         direct = self.endpoints.ready["addresses"]["ex-1"]
         self.endpoints.control(endpoint="ex-1", leave_ms=100)
         leaving = self.client.request(direct, "skyproc", "q-1")
