--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -87,7 +87,7 @@
         self.relay.control(relay="r", delay_ms=30)
         self.assertGreater(self.request("slow").elapsed_ms, 60)
 
-    def test_refusing_endpoint_comes_back_on_its_port(self) -> None:
+    def test_refusing_endpoint_resumes_on_its_port(self) -> None:
         direct = self.endpoints.ready["addresses"]["ex-1"]
         self.endpoints.control(endpoint="*", refuse=True)
         refused = self.client.request(direct, "skyproc", "q-1")
