--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -65,7 +65,7 @@
             list(pool.map(lambda one: self.request(one, work_ms=300), names))
         self.assertEqual(1, sum(event.violation for event in self.events()))
 
-    def test_truncated_and_reset_answers_are_no_answers(self) -> None:
+    def test_truncated_and_reset_answers_count_as_lost(self) -> None:
         for fault in ("truncate", "reset"):
             self.endpoints.control(endpoint="ex-1", **{fault: 1})
             self.assertEqual("lost", self.request(fault).outcome)
