--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -45,7 +45,9 @@
         append(self.log, "a", "b", "c")
         self.assertEqual((410, {"first": 1}), read(self.log, 0))
 
-    def test_lost_answer_keeps_record_or_not_as_set(self) -> None:
+    def test_answer_is_lost_before_or_after_the_append_as_configured(
+        self,
+    ) -> None:
         self.log.control({"lose_before": 1})
         self.assertEqual(serving.Drop(), append(self.log, "a"))
         self.assertEqual([], read(self.log, 0)[1]["records"])
