--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -60,7 +60,7 @@
         statuses = [append(self.log, "a").status for _ in range(3)]
         self.assertEqual([200, 200, 503], statuses)
 
-    def test_down_log_keeps_nothing(self) -> None:
+    def test_unavailable_log_appends_nothing(self) -> None:
         self.log.control({"down": True})
         self.assertEqual(503, append(self.log, "a").status)
         self.log.control({"down": False})
