--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -40,7 +40,7 @@
         self.assertEqual([0, 1, 2], [one["offset"] for one in page["records"]])
         self.assertEqual(3, page["next"])
 
-    def test_expired_offset_is_gone(self) -> None:
+    def test_read_of_an_expired_offset_is_refused(self) -> None:
         self.log.control({"keep_records": 2})
         append(self.log, "a", "b", "c")
         self.assertEqual((410, {"first": 1}), read(self.log, 0))
