--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -31,7 +31,7 @@
     return running
 
 
-def assert_nothing_cut_off(
+def assert_no_answer_lost(
     test: testtools.TestCase,
     running: fleet_module.Fleet,
     sending: callers.Callers,
@@ -169,7 +169,7 @@
             if event.endpoint == "ex-1" and event.received_ms > left_ms + 3_000
         ]
         self.assertEqual([], late)
-        assert_nothing_cut_off(self, running, sending)
+        assert_no_answer_lost(self, running, sending)
         assert_mostly_answered(self, sending)
 
     def test_endpoint_that_closes_before_the_list_tells(self) -> None:
@@ -181,7 +181,7 @@
             time.sleep(1.0)
             running.endpoints.control(endpoint="ex-1", leave_ms=1_000)
             time.sleep(3.0)
-        assert_nothing_cut_off(self, running, sending)
+        assert_no_answer_lost(self, running, sending)
         assert_mostly_answered(self, sending)
 
 
@@ -199,7 +199,7 @@
                 self.assertEqual(0, running.wait_host(seat))
                 running.start_host(seat)
                 running.wait_ready(seat)
-        assert_nothing_cut_off(self, running, sending)
+        assert_no_answer_lost(self, running, sending)
 
 
 @pytest.mark.xdist_group("fleet-2")
@@ -219,5 +219,5 @@
         with callers.Callers(running, load, "bole:healed") as healed:
             time.sleep(2.0)
         for sending in (cut, healed):
-            assert_nothing_cut_off(self, running, sending)
+            assert_no_answer_lost(self, running, sending)
             assert_mostly_answered(self, sending)
