--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -37,12 +37,12 @@
     sending: callers.Callers,
 ) -> None:
     """Every caller has its own whole answer or a plain refusal."""
-    cut_off = [
+    lost = [
         one.answer
         for one in sending.sent
         if one.answer.outcome in ("lost", "unknown")
     ]
-    test.assertEqual([], cut_off)
+    test.assertEqual([], lost)
     test.assertEqual([], callers.find_violations(running, sending.sent))
 
 
