--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -203,7 +203,7 @@
 
 
 @pytest.mark.xdist_group("fleet-2")
-class CutTest(testtools.TestCase):
+class ZoneIsolationTest(testtools.TestCase):
     """A zone cut off from all others and the platform goes on serving."""
 
     def test_zone_isolated_beyond_all_leases(self) -> None:
