--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.xdist_group("fleet-1")
-class StopTest(testtools.TestCase):
+class GracefulStopTest(testtools.TestCase):
     """A planned stop of any host cuts no request off."""
 
     def test_every_host_is_stopped_and_replaced_under_load(self) -> None:
