--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.xdist_group("fleet-1")
-class LeavingTest(testtools.TestCase):
+class LeavingEndpointTest(testtools.TestCase):
     """A leaving endpoint gets no new request after 3 s."""
 
     def test_endpoint_listed_as_leaving(self) -> None:
