--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -172,7 +172,7 @@
         assert_no_answer_lost(self, running, sending)
         assert_mostly_answered(self, sending)
 
-    def test_endpoint_that_closes_before_the_list_tells(self) -> None:
+    def test_endpoint_that_closes_before_it_is_listed_as_leaving(self) -> None:
         running = start(self)
         load = callers.Load(
             running.deployment.all_seats(), callers=8, work_ms=20.0
