--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -112,9 +112,9 @@
             running.deployment.all_seats(), callers=32, work_ms=3.0
         )
         with callers.Callers(running, load) as sending:
-            for hundreds in range(5, 101, 5):
+            for answered_hundreds in range(5, 101, 5):
                 running.endpoints.control(endpoint="*", truncate=1, reset=1)
-                sending.wait_answered(hundreds * 100, 30.0)
+                sending.wait_answered(answered_hundreds * 100, 30.0)
         self.assertGreaterEqual(sending.count("answered"), 10_000)
         self.assertEqual([], callers.find_violations(running, sending.sent))
 
