--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -25,7 +25,7 @@
 SNAPSHOT_TIMEOUT_S = 45.0
 
 
-class OffsetWatch:
+class OffsetMonitor:
     """Polls the configuration offset of every host; none may fall."""
 
     def __init__(self, running: fleet.Fleet) -> None:
@@ -34,7 +34,7 @@
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run)
 
-    def __enter__(self) -> OffsetWatch:
+    def __enter__(self) -> OffsetMonitor:
         self._thread.start()
         return self
 
@@ -100,7 +100,7 @@
         self,
     ) -> None:
         racers = futures.ThreadPoolExecutor(len(self.seats))
-        with racers, OffsetWatch(self.fleet) as watch:
+        with racers, OffsetMonitor(self.fleet) as watch:
             for turn in range(8):
                 self.fleet.log.control(lose_after=2, lose_before=turn % 2)
                 answers = list(
