--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -29,7 +29,7 @@
     """Polls the configuration offset of every host; none may fall."""
 
     def __init__(self, running: fleet.Fleet) -> None:
-        self.fallen: list[str] = []
+        self.regressions: list[str] = []
         self._fleet = running
         self._stopping = threading.Event()
         self._thread = threading.Thread(target=self._run)
@@ -49,7 +49,7 @@
                 host = self._fleet.status(seat)["host"]
                 offset = host["config_offset"]
                 if offset < seen.get(host["host_id"], -1):
-                    self.fallen.append(f"{seat}: {offset}")
+                    self.regressions.append(f"{seat}: {offset}")
                 seen[host["host_id"]] = offset
 
 
@@ -115,7 +115,7 @@
                 }
                 self.assertEqual(1, len(winners))
         self.wait_equal(0)
-        self.assertEqual([], watch.fallen)
+        self.assertEqual([], watch.regressions)
 
     def test_host_cut_from_the_log_gets_tickets_from_its_peers(self) -> None:
         self.fleet.network.set("log/bole-1", cut=True)
