--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -21,7 +21,7 @@
 # The brief's "within seconds"; the bound at the design size is 18 s.
 PROPAGATION_TIMEOUT_S = 5.0
 # One call to a dead log may be under way when a ticket arrives.
-AT_ONCE_MS = 2_500
+MAX_REFUSAL_MS = 2_500
 SNAPSHOT_TIMEOUT_S = 45.0
 
 
@@ -124,7 +124,7 @@
         time.sleep(1.0)
         refused = self.submit("bole-1", samples.ticket(1, samples.zone("a")))
         self.assertEqual(503, refused.status)
-        self.assertLess(refused.elapsed_ms, AT_ONCE_MS)
+        self.assertLess(refused.elapsed_ms, MAX_REFUSAL_MS)
         accepted = self.submit("entoto-1", samples.ticket(2, samples.zone("a")))
         self.assertEqual(200, accepted.status)
         self.wait_equal(accepted.json()["offset"])
