--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -76,7 +76,7 @@
         host = self.fleet.status(seat)["host"]
         return host["config_offset"], host["config_digest"]
 
-    def wait_equal(self, least_offset: int) -> None:
+    def wait_converged(self, least_offset: int) -> None:
         """Waits until all seats are at one position, at least so far."""
 
         def equal() -> bool:
@@ -116,7 +116,7 @@
                     if answer.status == 409
                 }
                 self.assertEqual(1, len(winners))
-        self.wait_equal(0)
+        self.wait_converged(0)
         self.assertEqual([], watch.regressions)
 
     def test_host_cut_from_the_log_gets_tickets_from_its_peers(self) -> None:
@@ -127,7 +127,7 @@
         self.assertLess(refused.elapsed_ms, MAX_REFUSAL_MS)
         accepted = self.submit("entoto-1", samples.ticket(2, samples.zone("a")))
         self.assertEqual(200, accepted.status)
-        self.wait_equal(accepted.json()["offset"])
+        self.wait_converged(accepted.json()["offset"])
         self.fleet.network.set("log/bole-1", cut=False)
         self.fleet.wait_until(
             lambda: (
@@ -139,11 +139,11 @@
             "the healed host takes tickets",
             2 * PROPAGATION_TIMEOUT_S,
         )
-        self.wait_equal(accepted.json()["offset"] + 1)
+        self.wait_converged(accepted.json()["offset"] + 1)
 
     def test_new_host_serves_from_a_peer_while_the_log_is_down(self) -> None:
         self.submit("bole-1", samples.ticket(1, samples.zone("a")))
-        self.wait_equal(0)
+        self.wait_converged(0)
         before = self.position("bole-1")
         self.fleet.log.control(down=True)
         self.fleet.replace_host("bole-1")
@@ -175,7 +175,7 @@
                 accepted[number] = answer.json()["offset"]
             self.fleet.start_host(seat)
             self.fleet.wait_ready(seat)
-        self.wait_equal(max(accepted.values()))
+        self.wait_converged(max(accepted.values()))
         for number, offset in accepted.items():
             page = self.fleet.client.get(
                 self.fleet.hosts[self.seats[0]].operator_address,
@@ -199,7 +199,7 @@
                 "the same ticket is accepted once",
                 2 * PROPAGATION_TIMEOUT_S,
             )
-        self.wait_equal(1)
+        self.wait_converged(1)
         page = self.fleet.client.get(
             self.fleet.hosts["bole-2"].operator_address, "/objects"
         ).json()
@@ -212,7 +212,7 @@
             change = samples.service("changed", number - 1, weight=number)
             answer = self.submit("bole-1", samples.ticket(number, change))
             self.assertEqual(200, answer.status)
-        self.wait_equal(11)
+        self.wait_converged(11)
         before = self.position("bole-1")
         self.fleet.wait_until(
             self.snapshot_seen, "a snapshot", SNAPSHOT_TIMEOUT_S
