--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -88,7 +88,7 @@
             equal, "one position everywhere", PROPAGATION_TIMEOUT_S
         )
 
-    def race(self, turn: int) -> list[dict[str, Any]]:
+    def make_conflicting_tickets(self, turn: int) -> list[dict[str, Any]]:
         """A ticket a seat, all of them on the same version of a service."""
         return [
             samples.ticket(
@@ -106,7 +106,11 @@
             for turn in range(8):
                 self.fleet.log.control(lose_after=2, lose_before=turn % 2)
                 answers = list(
-                    racers.map(self.submit, self.seats, self.race(turn))
+                    racers.map(
+                        self.submit,
+                        self.seats,
+                        self.make_conflicting_tickets(turn),
+                    )
                 )
                 statuses = sorted(answer.status for answer in answers)
                 self.assertEqual([200, 409, 409, 409], statuses)
