--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -219,7 +219,7 @@
         self.wait_converged(11)
         before = self.position("bole-1")
         self.fleet.wait_until(
-            self.snapshot_seen, "a snapshot", SNAPSHOT_TIMEOUT_S
+            self.has_snapshot, "a snapshot", SNAPSHOT_TIMEOUT_S
         )
         for seat in self.seats:
             self.fleet.kill_host(seat)
@@ -231,7 +231,7 @@
         repeated = self.submit("entoto-2", samples.ticket(12, again))
         self.assertEqual(200, repeated.status)
 
-    def snapshot_seen(self) -> bool:
+    def has_snapshot(self) -> bool:
         return any(
             event.stream == SNAPSHOT_STREAM and event.offset >= 0
             for event in self.fleet.log_events()
