--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -189,7 +189,7 @@
                 ("accepted", offset), (page["verdict"], page["offset"])
             )
 
-    def test_slow_log_refuses_plainly_or_keeps_truly(self) -> None:
+    def test_slow_log_refuses_a_ticket_or_appends_it_once(self) -> None:
         for slow_ms in (1_200, 3_000):
             self.fleet.log.control(slow_ms=slow_ms)
             value = samples.ticket(slow_ms, samples.zone(f"zone-{slow_ms}"))
