--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -73,7 +73,7 @@
         report = self.exchange(self.first_report(), start("a"), lease_ms=0)
         self.assertEqual(("refused-lease",), report.statuses)
 
-    def test_lower_term_does_nothing(self) -> None:
+    def test_lower_term_is_refused(self) -> None:
         quoted = self.exchange(self.first_report(), term=2, lease_ms=0).report
         report = self.exchange(quoted, start("a"), term=1)
         self.assertEqual(("refused-term",), report.statuses)
