--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -79,7 +79,7 @@
         self.assertEqual(("refused-term",), report.statuses)
         self.assertEqual(0, report.lease_left_ms)
 
-    def test_unknown_report_does_nothing(self) -> None:
+    def test_unknown_quoted_report_is_refused(self) -> None:
         report = self.exchange(99, start("a"))
         self.assertEqual(("refused-stale",), report.statuses)
         self.assertEqual(0, report.lease_left_ms)
