--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -93,7 +93,7 @@
             report.statuses,
         )
 
-    def test_lapsed_lease_stops_tasks_and_keeps_checkpoint(self) -> None:
+    def test_expired_lease_stops_tasks_and_keeps_checkpoint(self) -> None:
         checkpoint = {"checkpoint": {"job": "a", "attempt": 1}}
         quoted = self.exchange(self.first_report(), start("a")).report
         time.sleep(0.02)
