--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -105,7 +105,7 @@
         self.assertGreater(line.checkpoint_ms, 0)
         self.assertLessEqual(line.progress_ms, 60)
 
-    def test_ended_line_is_reported_until_a_command_names_it(self) -> None:
+    def test_ended_task_is_reported_until_a_command_names_it(self) -> None:
         quoted = self.exchange(
             self.first_report(), start("a", run_time_ms=1)
         ).report
