--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -117,7 +117,7 @@
         self.assertEqual(1, len(report.tasks))
         self.assertEqual((), self.exchange(report.report).tasks)
 
-    def test_kill_forgets_everything(self) -> None:
+    def test_kill_discards_all_state(self) -> None:
         before = self.exchange(self.first_report(), start("a"))
         self.worker.change({"kill": True})
         kinds = [event.kind for event in self.journal.page(0)["events"]]
