--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -105,13 +105,13 @@
         )
         self._sequence = itertools.count(1)
         claim = job_records.OwnerClaimed(TERM, 0, WRITER, BOUNDS)
-        self.take(self.payload(claim))
+        self.apply_payload(self.payload(claim))
 
     def payload(self, body: object) -> bytes:
         """A record as on the log."""
         return _encode(next(self._sequence), body)
 
-    def take(self, payload: bytes) -> None:
+    def apply_payload(self, payload: bytes) -> None:
         """Folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
         taken = self.state.apply([entry], stream_state.EntrySource.LOG)
@@ -120,7 +120,7 @@
     def fold_all(self, bodies: Iterator[object]) -> None:
         """Folds records."""
         for body in bodies:
-            self.take(self.payload(body))
+            self.apply_payload(self.payload(body))
 
 
 def _queued(count: int) -> Zone:
@@ -156,7 +156,7 @@
         for make in (_admit, _assign, _checkpoint, _end)
     ]
     remaining = iter(payloads)
-    return slope.cpu_us(lambda: zone.take(next(remaining)), 4 * jobs)
+    return slope.cpu_us(lambda: zone.apply_payload(next(remaining)), 4 * jobs)
 
 
 class NullCommandSink:
--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -128,7 +128,7 @@
 
     def apply_ticket(self, changes: list[dict[str, Any]]) -> None:
         """Folds one ticket; it must be accepted."""
-        self.take(self.payload(changes))
+        self.apply_payload(self.payload(changes))
         line = self.fold.ticket(self._number)
         assert line is not None and line.accepted, line
 
@@ -137,7 +137,7 @@
         self._number += 1
         return _payload(self._number, changes)
 
-    def take(self, payload: bytes) -> None:
+    def apply_payload(self, payload: bytes) -> None:
         """Folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
         taken = self.state.apply([entry], stream_state.EntrySource.LOG)
@@ -182,7 +182,7 @@
         for version in range(changes * slope.REPEATS)
     ]
     remaining = iter(payloads)
-    return slope.cpu_us(lambda: host.take(next(remaining)), changes)
+    return slope.cpu_us(lambda: host.apply_payload(next(remaining)), changes)
 
 
 def _payload(number: int, changes: list[dict[str, Any]]) -> bytes:
