--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -139,7 +139,7 @@
         scheduling.sync_job(state, 0)
     now_ms = 0
 
-    def take() -> None:
+    def process_report() -> None:
         nonlocal now_ms
         now_ms += REPORT_INTERVAL_MS
         report = attrs.evolve(wire_slopes.report(tasks), worker="worker-0")
@@ -151,7 +151,7 @@
         usage.process(report, zone.fold.job, attempts, now_ms)
 
     made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), MEASURED_RUNS)
-    return max(slope.cpu_us(take, MEASURED_RUNS) - made_us, 0.0)
+    return max(slope.cpu_us(process_report, MEASURED_RUNS) - made_us, 0.0)
 
 
 def _host_list(workers_known: int) -> hosts.HostList:
