--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -295,7 +295,7 @@
         exchanges += size.zone_starts_per_s
         tasks = size.tasks_per_worker
         size_bytes = wire.exchange_bytes.at(tasks) + HTTP_HEAD_BYTES
-        take_us = self.slopes.owner.report_us.at(tasks)
+        process_us = self.slopes.owner.report_us.at(tasks)
         threads_kib = (
             size.zone_workers * self.slopes.process.thread_kib.per_unit
         )
@@ -303,7 +303,7 @@
             f"leases and reports of {size.zone_workers:.0f} workers",
             state_kib=threads_kib,
             messages_per_s=exchanges,
-            cpu_us_per_s=exchanges * (wire.exchange_us.at(tasks) + take_us),
+            cpu_us_per_s=exchanges * (wire.exchange_us.at(tasks) + process_us),
             bytes_per_s=exchanges * (size_bytes + NEW_CALL_OVERHEAD_BYTES),
         )
 
