--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -88,8 +88,10 @@
         print(f"workers: {_summarize_worker_events(running.worker_events())}")
         print(f"tasks: {_summarize_slowdowns(running.worker_events())}")
         violations = _find_violations(running)
-        for breach in violations[:MAX_SHOWN_VIOLATIONS]:
-            print(f"BROKEN {breach.rule}: {breach.subject}: {breach.detail}")
+        for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+            print(
+                f"BROKEN {violation.rule}: {violation.subject}: {violation.detail}"
+            )
         print(f"promises broken, by the stand-ins' records: {len(violations)}")
     return 1 if code or violations else 0
 
