--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -143,11 +143,11 @@
 
     def place(self) -> list[str]:
         """One round: chooses, appends and folds; returns the jobs placed."""
-        made = self.scheduling.scheduler.run_round(1, 4)
-        for body in made.assigned:
+        decided = self.scheduling.scheduler.run_round(1, 4)
+        for body in decided.assigned:
             self.append(body)
         self.sync()
-        return [body.job for body in made.assigned]
+        return [body.job for body in decided.assigned]
 
     def end(self, job: str) -> None:
         """Folds the end of a job's attempt."""
