--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -185,12 +185,12 @@
         while bench.scheduling.scheduler.queued < QUEUED_JOBS:
             bench.submit()
             bench.sync()
-        began = time.process_time()
+        started_s = time.process_time()
         for job in ending:
             bench.end(job)
         bench.sync()
         placed = bench.place()
-        spent_us = (time.process_time() - began) * 1e6
+        spent_us = (time.process_time() - started_s) * 1e6
         running.extend(placed)
         rounds.append(spent_us / len(ending))
         done += len(ending)
