--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -146,11 +146,11 @@
         assert self._process.stdout is not None
         self._process.stdin.write(msgspec.json.encode(specs))
         self._process.stdin.close()
-        said: dict[str, Any] = msgspec.json.decode(
+        ready: dict[str, Any] = msgspec.json.decode(
             self._process.stdout.readline()
         )
-        self.addresses: dict[str, str] = said["addresses"]
-        self.control: str = said["control"]
+        self.addresses: dict[str, str] = ready["addresses"]
+        self.control: str = ready["control"]
 
     def journal(self) -> list[worker_records.WorkerEvent]:
         """What the workers did."""
