--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -264,7 +264,7 @@
         """Hands all jobs in, many at a time."""
         chunks = [given[index::16] for index in range(16)]
 
-        def hand_in(chunk: list[dict[str, Any]]) -> None:
+        def submit_chunk(chunk: list[dict[str, Any]]) -> None:
             for job in chunk:
                 body = msgspec.json.encode(job)
                 request = http.HttpRequest("POST", "/jobs", {}, {}, body)
@@ -272,7 +272,8 @@
                 assert reply.status == 200, reply
 
         threads = [
-            threading.Thread(target=hand_in, args=(chunk,)) for chunk in chunks
+            threading.Thread(target=submit_chunk, args=(chunk,))
+            for chunk in chunks
         ]
         for thread in threads:
             thread.start()
