--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -352,24 +352,25 @@
         for policy in placement.Policy
     ]
     with contextlib.ExitStack() as stack:
-        for side in sides:
-            stack.callback(side.fleet.stop)
-            stack.enter_context(side.service)
-            side.start()
+        for policy_run in sides:
+            stack.callback(policy_run.fleet.stop)
+            stack.enter_context(policy_run.service)
+            policy_run.start()
         work = jobs(given.seed, given.jobs)
         threads = [
-            threading.Thread(target=side.submit, args=(work,)) for side in sides
+            threading.Thread(target=policy_run.submit, args=(work,))
+            for policy_run in sides
         ]
         for thread in threads:
             thread.start()
         time.sleep(given.seconds / 3)
-        for side in sides:
-            side.port.warm_start_index = len(side.port.slowdowns)
+        for policy_run in sides:
+            policy_run.port.warm_start_index = len(policy_run.port.slowdowns)
         time.sleep(given.seconds * 2 / 3)
         for thread in threads:
             thread.join()
-        for side in sides:
-            print(msgspec.json.encode(side.outcome()).decode())
+        for policy_run in sides:
+            print(msgspec.json.encode(policy_run.outcome()).decode())
 
 
 if __name__ == "__main__":
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -25,14 +25,14 @@
 
 
 def _measure_phase(
-    side: measure_batch.PolicyRun, phase: str, seconds: int
+    policy_run: measure_batch.PolicyRun, phase: str, seconds: int
 ) -> None:
     started_s = time.process_time()
-    exchanges = side.port.exchanges
+    exchanges = policy_run.port.exchanges
     time.sleep(seconds)
     spent_ms = (time.process_time() - started_s) * 1_000 / seconds
-    rate = (side.port.exchanges - exchanges) / seconds
-    status = side.service.status().owner
+    rate = (policy_run.port.exchanges - exchanges) / seconds
+    status = policy_run.service.status().owner
     print(
         f"phase={phase} cpu_ms_per_s={spent_ms:.1f} "
         f"exchanges_per_s={rate:.1f} running={status.running} "
@@ -47,27 +47,27 @@
     parser.add_argument("--starts-per-s", type=int, default=15)
     parser.add_argument("--seconds", type=int, default=20)
     given = parser.parse_args()
-    side = measure_batch.PolicyRun(
+    policy_run = measure_batch.PolicyRun(
         placement.Policy.PREDICTED_COST, 1, given.workers, services=False
     )
     with contextlib.ExitStack() as stack:
-        stack.callback(side.fleet.stop)
-        stack.enter_context(side.service)
-        side.start()
+        stack.callback(policy_run.fleet.stop)
+        stack.enter_context(policy_run.service)
+        policy_run.start()
         time.sleep(5)
-        _measure_phase(side, "idle", given.seconds)
+        _measure_phase(policy_run, "idle", given.seconds)
         count = given.starts_per_s * given.seconds * 2
         work = measure_batch.jobs(1, count)
         began = time.monotonic()
         for second in range(given.seconds * 2):
             first = second * given.starts_per_s
-            side.submit(work[first : first + given.starts_per_s])
+            policy_run.submit(work[first : first + given.starts_per_s])
             if second == given.seconds:
-                steady_start = time.process_time(), side.port.exchanges
+                steady_start = time.process_time(), policy_run.port.exchanges
             time.sleep(max(0.0, began + second + 1 - time.monotonic()))
         spent_s = time.process_time() - steady_start[0]
-        exchanges = side.port.exchanges - steady_start[1]
-        status = side.service.status().owner
+        exchanges = policy_run.port.exchanges - steady_start[1]
+        status = policy_run.service.status().owner
         print(
             f"phase=steady cpu_ms_per_s="
             f"{spent_s * 1_000 / (given.seconds - 1):.1f} "
