--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -347,29 +347,29 @@
     parser.add_argument("--seed", type=int, default=1)
     given = parser.parse_args()
     limits = objects.Limits(service_slowdown_percent=given.slowdown_percent)
-    sides = [
+    policy_runs = [
         PolicyRun(policy, given.seed, limits=limits)
         for policy in placement.Policy
     ]
     with contextlib.ExitStack() as stack:
-        for policy_run in sides:
+        for policy_run in policy_runs:
             stack.callback(policy_run.fleet.stop)
             stack.enter_context(policy_run.service)
             policy_run.start()
         work = jobs(given.seed, given.jobs)
         threads = [
             threading.Thread(target=policy_run.submit, args=(work,))
-            for policy_run in sides
+            for policy_run in policy_runs
         ]
         for thread in threads:
             thread.start()
         time.sleep(given.seconds / 3)
-        for policy_run in sides:
+        for policy_run in policy_runs:
             policy_run.port.warm_start_index = len(policy_run.port.slowdowns)
         time.sleep(given.seconds * 2 / 3)
         for thread in threads:
             thread.join()
-        for policy_run in sides:
+        for policy_run in policy_runs:
             print(msgspec.json.encode(policy_run.outcome()).decode())
 
 
