--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -72,18 +72,18 @@
     log = fake_log.FakeLog()
     log.append_s = append_ms / 1_000
     machine = clock.SystemClock()
-    counted = metrics.Metrics()
+    counters = metrics.Metrics()
     fold = configuration_fold.ConfigurationFold()
     writer = appender.StreamAppender(
         log,
         "config",
         "host",
-        counted,
+        counters,
         machine,
         min_append_interval_ms=min_append_interval_ms,
     )
     reader = follower.StreamFollower(
-        log, "config", fold, counted, machine, after_apply=writer.observe
+        log, "config", fold, counters, machine, after_apply=writer.observe
     )
     handler = ticket_handler.TicketHandler(
         writer,
@@ -91,7 +91,7 @@
         reader,
         fake_peers.FakePeers(),
         journal.Journal("host", machine),
-        counted,
+        counters,
         machine,
         "seat",
     )
