--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -71,7 +71,7 @@
     """Submits tickets from several threads, each on a zone of its own."""
     log = fake_log.FakeLog()
     log.append_s = append_ms / 1_000
-    machine = clock.SystemClock()
+    system_clock = clock.SystemClock()
     counters = metrics.Metrics()
     fold = configuration_fold.ConfigurationFold()
     writer = appender.StreamAppender(
@@ -79,20 +79,20 @@
         "config",
         "host",
         counters,
-        machine,
+        system_clock,
         min_append_interval_ms=min_append_interval_ms,
     )
     reader = follower.StreamFollower(
-        log, "config", fold, counters, machine, after_apply=writer.observe
+        log, "config", fold, counters, system_clock, after_apply=writer.observe
     )
     handler = ticket_handler.TicketHandler(
         writer,
         fold,
         reader,
         fake_peers.FakePeers(),
-        journal.Journal("host", machine),
+        journal.Journal("host", system_clock),
         counters,
-        machine,
+        system_clock,
         "seat",
     )
     elapsed_us: list[int] = []
