--- a/testing/bench_load.py
+++ b/testing/bench_load.py
@@ -55,12 +55,12 @@
             headers = {"X-Request-Id": name, "X-Idempotent": idempotent}
             answer = pool.request(self._method, self._path, headers=headers)
             elapsed_us = int((time.monotonic() - sent_s) * 1_000_000)
-            whole = answer.headers.get("X-Request-Id") == name
+            is_matching = answer.headers.get("X-Request-Id") == name
             with self._lock:
                 self.sent += 1
                 if sent_s < start_s:
                     continue
-                if answer.status == 200 and whole:
+                if answer.status == 200 and is_matching:
                     self.latency.record_value(elapsed_us)
                 else:
                     self.failed += 1
