--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -63,14 +63,14 @@
         zone_mesh = self.heartbeats(
             self.size.seats_per_zone - 1, "the zone's other seats"
         )
-        follows = self.zone_stream(is_owner=False)
+        followed_stream = self.zone_stream(is_owner=False)
         owns = self.zone_stream(is_owner=True)
         front = (*base, mesh, self.routing(), self.dispatch_marks())
         return (
             costs.RoleCost(
                 costs.Role.FRONT,
                 "yes; every host is also a standby",
-                (*front, follows),
+                (*front, followed_stream),
             ),
             costs.RoleCost(
                 costs.Role.OWNER,
@@ -84,7 +84,9 @@
                     self.steps(),
                 ),
             ),
-            costs.RoleCost(costs.Role.STANDBY, "yes", (*base, mesh, follows)),
+            costs.RoleCost(
+                costs.Role.STANDBY, "yes", (*base, mesh, followed_stream)
+            ),
             costs.RoleCost(
                 costs.Role.FOLLOWER,
                 "no: every host follows its zone's stream",
