--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -64,7 +64,7 @@
             self.size.seats_per_zone - 1, "the zone's other seats"
         )
         followed_stream = self.zone_stream(is_owner=False)
-        owns = self.zone_stream(is_owner=True)
+        owned_stream = self.zone_stream(is_owner=True)
         front = (*base, mesh, self.routing(), self.dispatch_marks())
         return (
             costs.RoleCost(
@@ -77,7 +77,7 @@
                 "yes; it is a front, too",
                 (
                     *front,
-                    owns,
+                    owned_stream,
                     self.scheduling_state(),
                     self.worker_exchanges(),
                     self.starts(),
