--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -59,13 +59,15 @@
             self.journal(),
             self.histograms(),
         )
-        mesh = self.heartbeats(self.size.seats - 1, "every other seat")
+        all_heartbeats = self.heartbeats(
+            self.size.seats - 1, "every other seat"
+        )
         zone_mesh = self.heartbeats(
             self.size.seats_per_zone - 1, "the zone's other seats"
         )
         followed_stream = self.zone_stream(is_owner=False)
         owned_stream = self.zone_stream(is_owner=True)
-        front = (*base, mesh, self.routing(), self.dispatch_marks())
+        front = (*base, all_heartbeats, self.routing(), self.dispatch_marks())
         return (
             costs.RoleCost(
                 costs.Role.FRONT,
@@ -85,7 +87,9 @@
                 ),
             ),
             costs.RoleCost(
-                costs.Role.STANDBY, "yes", (*base, mesh, followed_stream)
+                costs.Role.STANDBY,
+                "yes",
+                (*base, all_heartbeats, followed_stream),
             ),
             costs.RoleCost(
                 costs.Role.FOLLOWER,
