--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -62,7 +62,7 @@
         all_heartbeats = self.heartbeats(
             self.size.seats - 1, "every other seat"
         )
-        zone_mesh = self.heartbeats(
+        zone_heartbeats = self.heartbeats(
             self.size.seats_per_zone - 1, "the zone's other seats"
         )
         followed_stream = self.zone_stream(is_owner=False)
@@ -94,14 +94,14 @@
             costs.RoleCost(
                 costs.Role.FOLLOWER,
                 "no: every host follows its zone's stream",
-                (*base, zone_mesh),
+                (*base, zone_heartbeats),
             ),
             costs.RoleCost(
                 costs.Role.RELAY,
                 "no: heartbeats go to every seat of every zone",
                 (
                     *base,
-                    zone_mesh,
+                    zone_heartbeats,
                     self.heartbeats(
                         self.size.zones - 1, "one seat of each other zone"
                     ),
