--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -29,7 +29,7 @@
         "--timing", choices=("tests", "default"), default="tests"
     )
     given = parser.parse_args()
-    deaths: list[float] = []
+    death_recoveries_s: list[float] = []
     outages: list[float] = []
     for run in range(given.runs):
         deployment = batch_fleet.deployment()
@@ -46,12 +46,14 @@
             seed = given.seed + run
             with batch_fleet.submitter(running, seed=seed):
                 batch_fleet.wait_started(running, STEADY_STARTS)
-                deaths.append(measure_owner_death(running))
+                death_recoveries_s.append(measure_owner_death(running))
                 batch_fleet.wait_started(running, STEADY_STARTS)
                 outages.append(measure_log_outage(running))
     print("| from | to | runs | least s | median s | most s |")
     print("|---|---|---|---|---|---|")
-    _print_row("death of the owner", "first start by its successor", deaths)
+    _print_row(
+        "death of the owner", "first start by its successor", death_recoveries_s
+    )
     _print_row(
         f"end of a log outage of {OUTAGE_S:.0f} s", "first start", outages
     )
