--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -30,7 +30,7 @@
     )
     given = parser.parse_args()
     death_recoveries_s: list[float] = []
-    outages: list[float] = []
+    outage_recoveries_s: list[float] = []
     for run in range(given.runs):
         deployment = batch_fleet.deployment()
         if given.timing == "default":
@@ -48,14 +48,16 @@
                 batch_fleet.wait_started(running, STEADY_STARTS)
                 death_recoveries_s.append(measure_owner_death(running))
                 batch_fleet.wait_started(running, STEADY_STARTS)
-                outages.append(measure_log_outage(running))
+                outage_recoveries_s.append(measure_log_outage(running))
     print("| from | to | runs | least s | median s | most s |")
     print("|---|---|---|---|---|---|")
     _print_row(
         "death of the owner", "first start by its successor", death_recoveries_s
     )
     _print_row(
-        f"end of a log outage of {OUTAGE_S:.0f} s", "first start", outages
+        f"end of a log outage of {OUTAGE_S:.0f} s",
+        "first start",
+        outage_recoveries_s,
     )
 
 
