--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -76,13 +76,13 @@
         host = self.fleet.status(seat)["host"]
         return host["config_offset"], host["config_digest"]
 
-    def wait_converged(self, least_offset: int) -> None:
+    def wait_converged(self, min_offset: int) -> None:
         """Waits until all seats are at one position, at least so far."""
 
         def equal() -> bool:
             positions = {self.position(seat) for seat in self.seats}
             offset, _ = next(iter(positions))
-            return len(positions) == 1 and offset >= least_offset
+            return len(positions) == 1 and offset >= min_offset
 
         self.fleet.wait_until(
             equal, "one position everywhere", PROPAGATION_TIMEOUT_S
