--- a/tests/system/test_adapters.py
+++ b/tests/system/test_adapters.py
@@ -1,4 +1,4 @@
-"""The platform's adapters against its stand-ins, as processes."""
+"""Tests of the platform's adapters against stand-in processes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class AdapterTest(testtools.TestCase):
-    """Each adapter understands what its stand-in says."""
+    """Each adapter decodes the answers and faults of its stand-in."""
 
     def start(self, name: str, specs: Any = None) -> processes.StandIn:
         folder = tempfile.TemporaryDirectory()
--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -1,4 +1,6 @@
-"""Evicted work resumes once, at its checkpoint, whatever its owner does."""
+"""Tests that an evicted job resumes once, at its checkpoint.
+
+This holds also when the zone's owner dies or the log loses answers."""
 
 from __future__ import annotations
 
@@ -17,7 +19,7 @@
 
 
 def job(name: str, urgent: bool) -> dict[str, Any]:
-    """A quarter of a worker for seconds, or half of one for a moment."""
+    """A long job for a quarter of a worker, or a short urgent one for half."""
     return {
         "id": name,
         "team": "faculty",
@@ -35,13 +37,13 @@
 def events(
     running: fleet_module.Fleet, kind: str
 ) -> list[worker_records.WorkerEvent]:
-    """What happened on workers, of one kind."""
+    """Events of one kind that the workers recorded."""
     return [event for event in running.worker_events() if event.kind == kind]
 
 
 @pytest.mark.xdist_group("fleet-3")
 class EvictionTest(testtools.TestCase):
-    """Two full workers; urgent jobs make room for themselves."""
+    """Urgent jobs evict others when both workers are full."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -70,10 +72,10 @@
             self.submitted.accepted[one["id"]] = None
 
     def assert_resumed(self) -> None:
-        """Each attempt with a checkpoint and cut short resumed just there.
+        """Checks that each evicted attempt resumed at its checkpoint.
 
-        One that finished before its stop was not evicted; `check` finds it
-        if it was run again.
+        An attempt that finished before it was stopped doesn't count as
+        evicted; `batch_fleet.check` reports it if it ran again.
         """
         batch_fleet.check(self, self.fleet, self.submitted)
         finished = {
--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -1,4 +1,4 @@
-"""Promises about batch work while the log fails and hosts are replaced."""
+"""Tests of batch guarantees under log faults and host replacements."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class AnswerLoss:
-    """Keeps the log losing answers, about every second one, while entered."""
+    """Makes the log lose about every second answer while entered."""
 
     def __init__(self, running: fleet_module.Fleet) -> None:
         self._fleet = running
@@ -102,7 +102,7 @@
 
 
 def replace_all_hosts(running: fleet_module.Fleet) -> None:
-    """Kills every host, then starts another in every seat."""
+    """Kills every host, then starts a new one in every seat."""
     for seat in running.hosts:
         running.kill_host(seat)
     for seat in running.hosts:
@@ -111,7 +111,7 @@
 
 
 def count_snapshots(running: fleet_module.Fleet) -> int:
-    """Appends of snapshots of the zone that stand on the log."""
+    """Number of appends of zone snapshots that the log has stored."""
     return sum(
         event.stream == SNAPSHOT_STREAM and event.offset >= 0
         for event in running.log_events()
--- a/tests/system/test_batch_owner_faults.py
+++ b/tests/system/test_batch_owner_faults.py
@@ -1,4 +1,4 @@
-"""Promises about batch work while hosts die, freeze and are cut off."""
+"""Tests of batch guarantees while hosts die, freeze or are cut off."""
 
 from __future__ import annotations
 
@@ -92,11 +92,11 @@
 
 @pytest.mark.xdist_group("fleet-4")
 class TwoOwnersTest(testtools.TestCase):
-    """An owner cut off with one worker, and a successor without it."""
+    """An isolated owner reaches one worker that its successor can't reach."""
 
     def test_successor_waits_for_the_worker_it_cannot_reach(self) -> None:
         running = batch_fleet.start(self, autonomy_ms=4_000)
-        # Long enough to run on under the old owner's last leases.
+        # Jobs run long enough to continue under the old owner's last leases.
         load = batch_fleet.submitter(
             running, pause_ms=150.0, shortest_ms=3_000, longest_ms=5_000
         )
--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -1,4 +1,4 @@
-"""Promises about batch work while workers die, pause and are cut off."""
+"""Tests of batch guarantees while workers die, pause or are cut off."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 WAIT_TIMEOUT_S = 20.0
 START_WAIT_S = 0.6
-# An exchange under way and the longest pause after it.
+# Duration of one exchange in progress plus the maximum backoff after it.
 MAX_RETRY_DELAY_S = 3.3
 MAX_DELAY_ATTEMPTS = 6
 
@@ -92,7 +92,7 @@
 
 
 def job(name: str, run_time_ms: int, **changes: Any) -> dict[str, Any]:
-    """A job that leaves no room for a second one on its worker."""
+    """A job so large that no second one fits on its worker."""
     return {
         "id": name,
         "team": "faculty",
@@ -110,7 +110,7 @@
 def find_start(
     running: fleet_module.Fleet, name: str, attempt: int
 ) -> worker_records.WorkerEvent | None:
-    """The start of an attempt, if workers have started it."""
+    """The start event of an attempt; None if no worker has started it."""
     for event in running.worker_events():
         key = (event.kind, event.job, event.attempt)
         if key == ("start", name, attempt):
@@ -133,7 +133,7 @@
 
 
 def finished_attempts(running: fleet_module.Fleet, name: str) -> list[int]:
-    """Attempts of a job that ran to their ends."""
+    """Numbers of a job's attempts that finished."""
     return [
         event.attempt
         for event in running.worker_events()
@@ -143,10 +143,11 @@
 
 @pytest.mark.xdist_group("fleet-4")
 class StaleMessageTest(testtools.TestCase):
-    """What comes late from an old attempt or an old owner does nothing."""
+    """Late messages of an old attempt or an old owner have no effect."""
 
     def test_late_completion_changes_nothing(self) -> None:
-        # Long enough for an attempt to end unheard within its lease.
+        # The lease is long enough for an attempt to end within it while its
+        # worker is cut off.
         limits = attrs.evolve(batch_fleet.LIMITS, lease_ms=5_000)
         running = batch_fleet.start(self, workers=2, endpoints=0, limits=limits)
         seat = batch_fleet.owner(running)
@@ -199,7 +200,7 @@
     def delay_start(
         self, running: fleet_module.Fleet, owner: str
     ) -> tuple[str, str]:
-        """Gets a start stuck on its way; returns its job and its worker."""
+        """Holds a start command in the relay; returns its job and worker."""
         for turn in range(MAX_DELAY_ATTEMPTS):
             name = f"held-{turn}"
             running.network.set("worker/*", block_to_target=True)
@@ -210,11 +211,13 @@
                     if "start" in chunk.text and name in chunk.text:
                         return name, chunk.relay.rpartition("/")[2]
                 time.sleep(0.02)
-            # A renewal was under way, so that the start had to wait.
+            # A renewal was in progress, so the start hasn't been sent yet.
             running.network.set("worker/*", block_to_target=False)
             running.cancel_job(name, owner)
             time.sleep(1.0)
-        raise AssertionError("no start could be held")
+        raise AssertionError(
+            "no start command reached a blocked relay in any attempt"
+        )
 
     def refusals(
         self, running: fleet_module.Fleet, worker: str, host_id: str
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -1,4 +1,4 @@
-"""The checks find what they are for; each is given a broken record."""
+"""Tests that each check detects its violation in made-up records."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class RequestChecksTest(testtools.TestCase):
-    """Checks about callers' requests."""
+    """Checks of callers' requests."""
 
     def test_run_of_a_request_answered_not_run_is_found(self) -> None:
         found = checker.check_requests(
@@ -94,7 +94,7 @@
 
 
 class JobChecksTest(testtools.TestCase):
-    """Checks about batch work."""
+    """Checks of batch work."""
 
     def test_overlap_on_two_workers_is_found(self) -> None:
         events = [
--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoints behind the fault-injecting relay, as processes."""
+"""Tests of stand-in endpoint processes behind the fault-injecting relay."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointAndRelayTest(testtools.TestCase):
-    """Faults of endpoints and of the way to them."""
+    """Faults of endpoints and of the connections to them."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/system/test_fleet.py
+++ b/tests/system/test_fleet.py
@@ -1,4 +1,4 @@
-"""The launcher of a whole fleet, without entry hosts."""
+"""Tests of the fleet launcher, without entry hosts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetTest(testtools.TestCase):
-    """Settings, host list and clean-up of a fleet."""
+    """Settings, host list and cleanup of a fleet."""
 
     def start(self, **options: object) -> fleet.Fleet:
         started = fleet.Fleet(
@@ -66,7 +66,7 @@
 
 
 class PortPickerTest(testtools.TestCase):
-    """Fleets that run at once."""
+    """Ports of fleets that run at the same time."""
 
     def test_picked_port_is_kept_for_its_host(self) -> None:
         with fleet_plan.PortPicker() as picker:
--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in for the platform's log."""
+"""Tests of the stand-in for the platform's log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class LogStandInTest(testtools.TestCase):
-    """Offsets, retention, rate and faults of the log."""
+    """Offsets, retention, rate limit and faults of the log."""
 
     def setUp(self) -> None:
         super().setUp()
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -1,4 +1,4 @@
-"""Promises about requests, under faults, from the endpoints' own records."""
+"""Tests of request guarantees under faults, by the endpoints' records."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     links: frozenset[fleet_plan.Link] = frozenset(),
     **changes: object,
 ) -> fleet_module.Fleet:
-    """A fleet with its first configuration in force."""
+    """Starts a fleet and applies its first configuration."""
     deployment = deployments.small(zones, **changes)
     options = fleet_plan.FleetOptions(links=links)
     running = test.enterContext(fleet_module.Fleet(deployment, options))
@@ -36,7 +36,7 @@
     running: fleet_module.Fleet,
     sending: callers.Callers,
 ) -> None:
-    """Every caller has its own whole answer or a plain refusal."""
+    """Checks that every request was answered completely or refused."""
     lost = [
         one.answer
         for one in sending.sent
@@ -49,7 +49,9 @@
 def assert_mostly_answered(
     test: testtools.TestCase, sending: callers.Callers
 ) -> None:
-    """A busy machine may make a few answers too late to be worth starting."""
+    """Checks that most requests were answered.
+
+    On a busy machine a few have too little time left to be started."""
     least = MIN_ANSWERED_FRACTION * len(sending.sent)
     test.assertGreater(sending.count("answered"), least)
 
@@ -104,7 +106,7 @@
 
 @pytest.mark.xdist_group("fleet-2")
 class AnswersTest(testtools.TestCase):
-    """Each caller gets the whole answer to its own request."""
+    """Each caller gets the complete answer to its own request."""
 
     def test_ten_thousand_requests_with_faulty_answers(self) -> None:
         running = start(self, zones=2)
@@ -121,7 +123,7 @@
 
 @pytest.mark.xdist_group("fleet-2")
 class AtMostOnceTest(testtools.TestCase):
-    """A non-idempotent request runs at most once, however it is repeated."""
+    """A non-idempotent request runs at most once, even if callers retry it."""
 
     def test_repeats_through_other_hosts_while_hosts_die(self) -> None:
         running = start(self, zones=3)
@@ -187,7 +189,7 @@
 
 @pytest.mark.xdist_group("fleet-1")
 class GracefulStopTest(testtools.TestCase):
-    """A planned stop of any host cuts no request off."""
+    """A graceful stop of a host interrupts no request."""
 
     def test_every_host_is_stopped_and_replaced_under_load(self) -> None:
         running = start(self, zones=2)
@@ -204,7 +206,7 @@
 
 @pytest.mark.xdist_group("fleet-2")
 class ZoneIsolationTest(testtools.TestCase):
-    """A zone cut off from all others and the platform goes on serving."""
+    """A zone cut off from the other zones and the platform keeps serving."""
 
     def test_zone_isolated_beyond_all_leases(self) -> None:
         links = frozenset({fleet_plan.Link.PEERS, fleet_plan.Link.PLATFORM})
--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets on a fleet of real processes, under cuts, losses and deaths."""
+"""Tests of tickets on a fleet under partitions, lost answers and crashes."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 
 SEED = 1
 SNAPSHOT_STREAM = "config.snapshots"
-# The brief's "within seconds"; the bound at the design size is 18 s.
+# The requirement says "within seconds"; the bound at the design size is
+# 18 s.
 PROPAGATION_TIMEOUT_S = 5.0
-# One call to a dead log may be under way when a ticket arrives.
+# A call to an unreachable log may be in progress when a ticket arrives.
 MAX_REFUSAL_MS = 2_500
 SNAPSHOT_TIMEOUT_S = 45.0
 
 
 class OffsetMonitor:
-    """Polls the configuration offset of every host; none may fall."""
+    """Polls every host's configuration offset and records decreases."""
 
     def __init__(self, running: fleet.Fleet) -> None:
         self.regressions: list[str] = []
@@ -55,7 +56,7 @@
 
 @pytest.mark.xdist_group("fleet")
 class TicketTest(testtools.TestCase):
-    """Two zones of two hosts; links to log and peers run through relays."""
+    """Two zones of two hosts, with relays on links to the log and peers."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -77,7 +78,7 @@
         return host["config_offset"], host["config_digest"]
 
     def wait_converged(self, min_offset: int) -> None:
-        """Waits until all seats are at one position, at least so far."""
+        """Waits until all seats have one position, at `min_offset` or above."""
 
         def equal() -> bool:
             positions = {self.position(seat) for seat in self.seats}
@@ -85,11 +86,11 @@
             return len(positions) == 1 and offset >= min_offset
 
         self.fleet.wait_until(
-            equal, "one position everywhere", PROPAGATION_TIMEOUT_S
+            equal, "all seats have the same position", PROPAGATION_TIMEOUT_S
         )
 
     def make_conflicting_tickets(self, turn: int) -> list[dict[str, Any]]:
-        """A ticket a seat, all of them on the same version of a service."""
+        """One ticket per seat, all replacing the same version of a service."""
         return [
             samples.ticket(
                 turn * 10 + place,
@@ -140,7 +141,7 @@
                 ).status
                 == 200
             ),
-            "the healed host takes tickets",
+            "the reconnected host accepts tickets",
             2 * PROPAGATION_TIMEOUT_S,
         )
         self.wait_converged(accepted.json()["offset"] + 1)
@@ -163,7 +164,7 @@
                 ).status
                 == 200
             ),
-            "tickets are taken again",
+            "tickets are accepted again",
             2 * PROPAGATION_TIMEOUT_S,
         )
 
--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in workers keep the rules of docs/PLATFORM.md."""
+"""Tests that stand-in workers follow the rules of docs/PLATFORM.md."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class WorkerStandInTest(testtools.TestCase):
-    """Leases, terms, stale quotes and capacity."""
+    """Leases, terms, stale quoted reports and capacity."""
 
     def setUp(self) -> None:
         super().setUp()
