--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -1,6 +1,7 @@
 """Tests that an evicted job resumes once, at its checkpoint.
 
-This holds also when the zone's owner dies or the log loses answers."""
+This holds also when the zone's owner dies or the log loses answers.
+"""
 
 from __future__ import annotations
 
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -51,7 +51,8 @@
 ) -> None:
     """Checks that most requests were answered.
 
-    On a busy machine a few have too little time left to be started."""
+    On a busy machine a few have too little time left to be started.
+    """
     least = MIN_ANSWERED_FRACTION * len(sending.sent)
     test.assertGreater(sending.count("answered"), least)
 
