--- a/testing/bench.py
+++ b/testing/bench.py
@@ -1,7 +1,7 @@
-"""`make bench`: the request path against a bare relay, in one run.
+"""Benchmarks the request path against a bare relay: `make bench`.
 
-Both relay to the same endpoints, which answer at once. Rounds of the two
-alternate, so that other work on the machine falls on both.
+Both relay to the same endpoints, which answer immediately. Their rounds
+alternate, so that other load on the machine affects both.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Target:
-    """Something that is loaded, and the process that it is."""
+    """A process under load and how requests reach it."""
 
     name: str
     pid: int
@@ -46,11 +46,11 @@
 
 @attrs.frozen
 class Round:
-    """What one round measured.
+    """Measurements of one round.
 
     Attributes:
-        cpu_us: Processor time of the target a request, which other work on
-            the machine disturbs less than the rest.
+        cpu_us: Processor time of the target per request. Other load on the
+            machine affects it less than the other values.
     """
 
     target: str
@@ -65,7 +65,7 @@
 
 @attrs.frozen
 class BenchOptions:
-    """How long and how wide."""
+    """Durations, rounds and concurrency of a benchmark."""
 
     callers: tuple[int, ...]
     rounds: int
@@ -74,7 +74,7 @@
 
 
 class Bench:
-    """One run of the benchmark on a running fleet of one host."""
+    """A benchmark run on a running fleet of one host."""
 
     def __init__(self, running: fleet.Fleet, options: BenchOptions) -> None:
         self._fleet = running
@@ -82,7 +82,7 @@
         self._runs = 0
 
     def run(self, bare_pid: int, bare_address: str) -> list[Round]:
-        """All rounds, the targets in turn."""
+        """Runs all rounds, alternating the targets."""
         seat = next(iter(self._fleet.hosts))
         host = self._fleet.hosts[seat].caller_address
         process = self._fleet.hosts[seat].process
@@ -163,16 +163,16 @@
         )
 
 
-def _format_round(one: Round) -> str:
+def _format_round(sample: Round) -> str:
     return (
-        f"{one.target:28} {one.callers:4} callers {one.per_s:8.0f} /s  "
-        f"p50 {one.p50_ms:7.2f} ms  p99 {one.p99_ms:7.2f} ms  "
-        f"processor {one.cpu_us:5.0f} us  failed {one.failed}"
+        f"{sample.target:28} {sample.callers:4} callers {sample.per_s:8.0f} /s  "
+        f"p50 {sample.p50_ms:7.2f} ms  p99 {sample.p99_ms:7.2f} ms  "
+        f"processor {sample.cpu_us:5.0f} us  failed {sample.failed}"
     )
 
 
 def summary(rounds: list[Round], callers: tuple[int, ...]) -> list[str]:
-    """The medians of each target, against the bare relay's."""
+    """Compares each target's medians with the bare relay's."""
     lines = []
     for count in callers:
         bare = _medians(rounds, BARE_RELAY, count)
@@ -195,22 +195,24 @@
 
 def _medians(rounds: list[Round], target: str, callers: int) -> Round:
     found = [
-        one for one in rounds if one.target == target and one.callers == callers
+        sample
+        for sample in rounds
+        if sample.target == target and sample.callers == callers
     ]
     return Round(
         target=target,
         callers=callers,
-        answered=sum(one.answered for one in found),
-        failed=sum(one.failed for one in found),
-        per_s=statistics.median(one.per_s for one in found),
-        p50_ms=statistics.median(one.p50_ms for one in found),
-        p99_ms=statistics.median(one.p99_ms for one in found),
-        cpu_us=statistics.median(one.cpu_us for one in found),
+        answered=sum(sample.answered for sample in found),
+        failed=sum(sample.failed for sample in found),
+        per_s=statistics.median(sample.per_s for sample in found),
+        p50_ms=statistics.median(sample.p50_ms for sample in found),
+        p99_ms=statistics.median(sample.p99_ms for sample in found),
+        cpu_us=statistics.median(sample.cpu_us for sample in found),
     )
 
 
 def _cpu_us(pid: int) -> float:
-    """Processor time that a process has used."""
+    """Processor time that a process has used, in microseconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
     ticks = sum(map(int, fields.split()[11:13]))
     return ticks * 1_000_000 / TICKS_PER_S
@@ -235,7 +237,7 @@
 
 
 def main() -> None:
-    """Runs the benchmark and prints medians last."""
+    """Runs the benchmark; prints each round, then the medians."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--callers", type=int, nargs="+", default=[1, 8, 32])
     parser.add_argument("--rounds", type=int, default=3)
--- a/testing/bench_in_force.py
+++ b/testing/bench_in_force.py
@@ -1,7 +1,7 @@
-"""Measures how soon a ticket is in force on every host: `--help`.
+"""Measures how soon a ticket is in force on every host; see `--help`.
 
-Real processes on loopback with the deployment's delays between zones; prints
-a JSON line without and one with a host cut from the log.
+Runs a fleet on loopback with the deployment's delays between zones. Prints
+one JSON line with all hosts connected and one with a host cut off the log.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 @attrs.frozen
 class InForceLine:
-    """Times from the submission of a ticket, in milliseconds.
+    """Times since the submission of a ticket, in milliseconds.
 
     Attributes:
-        hosts: Entry hosts.
-        cut_from_log: Whether one of them is cut from the log.
-        tickets: Tickets submitted, one after another.
-        answered_p50_ms: Until its answer.
-        everywhere_p50_ms: Until each host's status shows its offset, as
-            polled host after host.
-        everywhere_max_ms: The same, at most.
+        hosts: Number of entry hosts.
+        cut_from_log: Whether one of them is cut off the log.
+        tickets: Number of tickets, submitted one after another.
+        answered_p50_ms: Median time to the answer.
+        everywhere_p50_ms: Median time until every host's status shows the
+            ticket's offset; hosts are polled one after another.
+        everywhere_max_ms: Maximum of the same time.
     """
 
     hosts: int
@@ -47,7 +47,7 @@
 def measure(
     running: fleet.Fleet, tickets: int, first: int, cut: bool
 ) -> InForceLine:
-    """Submits tickets through the last seat and polls all."""
+    """Submits tickets through the last seat and polls every host."""
     seat = list(running.hosts)[-1]
     answered_ms: list[float] = []
     everywhere_ms: list[float] = []
--- a/testing/bench_load.py
+++ b/testing/bench_load.py
@@ -1,4 +1,4 @@
-"""One process of callers for `testing.bench`: closed loop, fixed time."""
+"""Closed-loop load generator process for `testing.bench`, of fixed duration."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Callers:
-    """Some callers, each sending its next request after an answer."""
+    """Concurrent callers; each sends a request after the previous answer."""
 
     def __init__(self, address: str, path: str, method: str, run: str) -> None:
         ip, _, port = address.rpartition(":")
@@ -32,7 +32,7 @@
         )
 
     def run(self, callers: int, warm_s: float, measured_s: float) -> None:
-        """Runs all callers; only answers after the warm-up are counted."""
+        """Runs all callers; counts only requests sent after the warm-up."""
         start_s = time.monotonic() + warm_s
         threads = [
             threading.Thread(
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Prints one JSON line with the answers, failures and latencies."""
+    """Prints one JSON line with answers, failures and latencies."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("address")
     parser.add_argument("--path", default="/")
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -1,7 +1,7 @@
-"""Measures tickets on one host with an in-memory log: `--help` for options.
+"""Measures tickets on one host with an in-memory log; see `--help`.
 
-Prints JSON lines: latency of submitting, records an append, cost of folding
-and of snapshots at the size of the design.
+Prints JSON lines: submission latency, records per append, and the cost of
+folds and snapshots at the design size.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class SubmitLine:
-    """Latency of submitted tickets, in microseconds, and their batching."""
+    """Latency of ticket submissions, in microseconds, and their batching."""
 
     callers: int
     append_ms: float
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class FoldLine:
-    """Cost of the fold at a number of endpoints."""
+    """Cost of folds and snapshots at a number of endpoints."""
 
     endpoints: int
     fold_us: int
@@ -68,7 +68,7 @@
 def measure_submit(
     callers: int, each: int, append_ms: float, min_append_interval_ms: int
 ) -> SubmitLine:
-    """Submits tickets from several threads, each on a zone of its own."""
+    """Submits tickets from several threads, each for its own zone."""
     log = fake_log.FakeLog()
     log.append_s = append_ms / 1_000
     system_clock = clock.SystemClock()
@@ -111,7 +111,7 @@
     with contextlib.ExitStack() as running:
         running.enter_context(writer)
         running.enter_context(reader)
-        # The first read of an empty log is held back for its whole wait.
+        # The first read of an empty log blocks for its full wait time.
         while not reader.ready:
             time.sleep(0.01)
         threads = [
@@ -138,7 +138,7 @@
 
 
 def measure_fold(endpoints: int, folded: int, seed: int) -> FoldLine:
-    """Folds tickets of one change onto many endpoints."""
+    """Folds tickets of one change into a configuration of many endpoints."""
     fold = configuration_fold.ConfigurationFold()
     _add_endpoints(fold, endpoints)
     source = random.Random(seed)
@@ -180,7 +180,7 @@
 
 @attrs.frozen
 class MemoryLine:
-    """Memory that the fold's state takes, in KiB, as Python counts it."""
+    """Memory of the fold's state in KiB, as `tracemalloc` counts it."""
 
     endpoints: int
     tickets: int
@@ -189,7 +189,7 @@
 
 
 def measure_memory(endpoints: int, folded: int) -> MemoryLine:
-    """Folds endpoints, then tickets of one change up to the number kept."""
+    """Folds endpoints, then `folded` tickets of one change each."""
     tracemalloc.start()
     fold = configuration_fold.ConfigurationFold()
     _add_endpoints(fold, endpoints)
--- a/testing/capacity/__init__.py
+++ b/testing/capacity/__init__.py
@@ -1,7 +1,7 @@
-"""Works out what each role costs at the size to design for.
+"""Computes what each role costs at the design size.
 
-Slopes are measured on this machine, at three sizes or more, with small fakes
-at the interfaces; `model` multiplies them up.
+Slopes are measured on this machine at three or more sizes, with small fakes
+at the interfaces; `model` extrapolates them.
 """
 
 from __future__ import annotations
--- a/testing/capacity/__main__.py
+++ b/testing/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""`make capacity`: prints docs/CAPACITY.md anew."""
+"""Prints a new docs/CAPACITY.md: `make capacity`."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def main() -> None:
-    """Measures, works it out and prints the page."""
+    """Measures the slopes, computes the costs and prints the page."""
     worked_out = model.Model(costs.DesignSize(), model.measure())
     print(report.page(worked_out), end="")
 
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of batch work: a zone's fold, and the owner's decisions."""
+"""Slopes of batch work: a zone's fold and the owner's decisions."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 JOB_RESOURCES = workers.Resources(1_000, 2_048, 0)
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 JOB_CLASSES = 20
-# Placed on each worker before starts are measured.
+# Tasks on each worker before starts are measured.
 TASKS_PER_WORKER = 24
 
 
 @attrs.frozen
 class BatchSlopes:
-    """Of a host that follows, or owns, one zone's stream."""
+    """Slopes of a host that follows or owns one zone's stream."""
 
     queued_bytes: slope.Slope
     running_bytes: slope.Slope
@@ -54,7 +54,7 @@
 
 
 def measure() -> BatchSlopes:
-    """Takes all of them."""
+    """Measures all slopes of batch work."""
     name = "jobs kept by the zone's fold"
     return BatchSlopes(
         queued_bytes=_memory(f"{name}, queued", _queued),
@@ -96,7 +96,7 @@
 
 
 class Zone:
-    """The fold of one zone's stream, fed with encoded records."""
+    """Fold of one zone's stream that applies encoded records."""
 
     def __init__(self) -> None:
         self.fold = zone_fold.ZoneFold()
@@ -108,17 +108,17 @@
         self.apply_payload(self.payload(claim))
 
     def payload(self, body: object) -> bytes:
-        """A record as on the log."""
+        """Encodes a record as on the log."""
         return _encode(next(self._sequence), body)
 
     def apply_payload(self, payload: bytes) -> None:
-        """Folds one payload."""
+        """Decodes and folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
         taken = self.state.apply([entry], stream_state.EntrySource.LOG)
         assert taken
 
     def fold_all(self, bodies: Iterator[object]) -> None:
-        """Folds records."""
+        """Encodes and folds records."""
         for body in bodies:
             self.apply_payload(self.payload(body))
 
@@ -130,7 +130,7 @@
 
 
 def running_zone(count: int, workers_known: int) -> Zone:
-    """A zone whose jobs all run, spread over its workers."""
+    """A zone whose jobs all run, distributed over its workers."""
     zone = _queued(count)
     zone.fold_all(_assign(index, workers_known) for index in range(count))
     return zone
@@ -147,7 +147,7 @@
 
 
 def _record_us(running: int) -> float:
-    """A quarter each of admissions, assignments, checkpoints and ends."""
+    """Time per record: a quarter each admissions, assignments, checkpoints, ends."""
     zone = _running(running)
     jobs = 100
     payloads = [
@@ -160,7 +160,7 @@
 
 
 class NullCommandSink:
-    """Workers that all answered a moment ago and are told nothing."""
+    """A command sink that discards commands; every worker is reachable."""
 
     def request(self, worker: str, command: Any, at_once: bool = True) -> None:
         """See `attempt.CommandSink.request`."""
@@ -183,7 +183,7 @@
 
 @attrs.frozen
 class StaticSession:
-    """What the owner reads of a worker's session."""
+    """The fields of a worker's session that the owner reads."""
 
     fenced_term: int = TERM
     failures: int = 0
@@ -197,7 +197,7 @@
 def make_scheduling_state(
     workers_known: int, fold: zone_fold.ZoneFold | None = None
 ) -> scheduling_state.SchedulingState:
-    """An owner's books with workers and teams, and no job."""
+    """A zone owner's scheduling state with workers and teams but no jobs."""
     scheduling = scheduling_state.SchedulingState(
         "zone-0",
         TERM,
@@ -249,7 +249,7 @@
 
 
 def job_of(index: int, worker: str) -> job_state.JobState:
-    """A job, running on a worker or queued when that is empty."""
+    """A job that runs on a worker, or is queued if `worker` is empty."""
     phase = job_state.JobPhase.ASSIGNED if worker else job_state.JobPhase.QUEUED
     return job_state.JobState(
         spec=_spec(index),
--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the configuration: state, and the work of one change."""
+"""Slopes of the configuration: its state and the cost of one change."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen
 class ConfigurationSlopes:
-    """Of a host that follows the configuration and routes requests."""
+    """Slopes of a host that follows the configuration and routes requests."""
 
     endpoint_bytes: slope.Slope
     team_bytes: slope.Slope
@@ -42,7 +42,7 @@
 
 
 def measure() -> ConfigurationSlopes:
-    """Takes all of them."""
+    """Measures all slopes of the configuration."""
     return ConfigurationSlopes(
         endpoint_bytes=slope.fit(
             "configuration kept in memory",
@@ -95,12 +95,12 @@
 
 
 class ConfigurationReplica:
-    """The configuration half of a host, fed with tickets.
+    """A host's replica of the configuration, to which tickets are applied.
 
     Args:
-        endpoints: How many are in force.
-        teams: How many are in force.
-        zones: Over how many zones the endpoints are spread.
+        endpoints: Number of endpoints in force.
+        teams: Number of teams in force.
+        zones: Number of zones over which endpoints are distributed.
         routes: Whether shares and service states follow the configuration.
     """
 
@@ -127,18 +127,18 @@
             )
 
     def apply_ticket(self, changes: list[dict[str, Any]]) -> None:
-        """Folds one ticket; it must be accepted."""
+        """Folds one ticket and asserts that it is accepted."""
         self.apply_payload(self.payload(changes))
         line = self.fold.ticket(self._number)
         assert line is not None and line.accepted, line
 
     def payload(self, changes: list[dict[str, Any]]) -> bytes:
-        """The next ticket as on the log."""
+        """Encodes the next ticket as on the log."""
         self._number += 1
         return _payload(self._number, changes)
 
     def apply_payload(self, payload: bytes) -> None:
-        """Folds one payload."""
+        """Decodes and folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
         taken = self.state.apply([entry], stream_state.EntrySource.LOG)
         assert taken
@@ -226,5 +226,5 @@
 
 
 def json_bytes(value: Any) -> int:
-    """Length of a value as JSON."""
+    """Length of a value encoded as JSON."""
     return len(msgspec.json.encode(value))
--- a/testing/capacity/costs.py
+++ b/testing/capacity/costs.py
@@ -1,4 +1,4 @@
-"""The size to design for, and what a mechanism or a role costs at it."""
+"""The design size, and the costs of mechanisms and roles at it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 @attrs.frozen
 class DesignSize:
-    """The size to design for; the last lines are this page's assumptions."""
+    """The size to design for.
+
+    The fields from `seats_per_zone` on are assumptions of docs/CAPACITY.md.
+    """
 
     zones: int = 10
     workers: int = 1_100
@@ -28,45 +31,46 @@
 
     @property
     def zone_workers(self) -> float:
-        """Workers of one zone."""
+        """Number of workers in one zone."""
         return self.workers / self.zones
 
     @property
     def zone_tasks(self) -> float:
-        """Batch tasks that run in one zone."""
+        """Number of running batch tasks in one zone."""
         return self.running_tasks / self.zones
 
     @property
     def zone_starts_per_s(self) -> float:
-        """Starts of one zone at the peak."""
+        """Starts per second in one zone at the peak."""
         return self.starts_per_s / self.zones
 
     @property
     def tasks_per_worker(self) -> float:
-        """Batch tasks that run on one worker."""
+        """Number of running batch tasks on one worker."""
         return self.running_tasks / self.workers
 
     @property
     def seats(self) -> int:
-        """Entry hosts in all."""
+        """Number of entry hosts in all zones."""
         return self.zones * self.seats_per_zone
 
     @property
     def changes_per_s(self) -> float:
-        """Configuration changes at the peak."""
+        """Configuration changes per second at the peak."""
         return self.changes_per_day / S_PER_DAY * self.change_peak_factor
 
 
 @attrs.frozen
 class MechanismCost:
-    """One mechanism's part in a role.
+    """What one mechanism adds to the cost of a role.
 
     Attributes:
-        mechanism: What carries it.
-        state_kib: Memory.
-        messages_per_s: Calls made and answered.
-        cpu_us_per_s: Processor time of this process.
-        bytes_per_s: Sent and received.
+        mechanism: Name of the mechanism, as in the report.
+        state_kib: Memory, in KiB.
+        messages_per_s: Calls made and answered per second.
+        cpu_us_per_s: Processor time of this process, in microseconds per
+            second.
+        bytes_per_s: Bytes sent and received per second.
     """
 
     mechanism: str
@@ -77,7 +81,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an entry host can be."""
+    """Roles of an entry host."""
 
     FRONT = "front of requests"
     OWNER = "owner of a zone's workers"
@@ -88,12 +92,12 @@
 
 @attrs.frozen
 class RoleCost:
-    """A role's mechanisms and whether it is built."""
+    """Costs of a role's mechanisms, and whether the role is implemented."""
 
     role: Role
     built: str
     costs: tuple[MechanismCost, ...]
 
     def total(self, name: str) -> float:
-        """Sum of one of the figures over all mechanisms."""
+        """Sum of the attribute `name` over all mechanisms."""
         return sum(getattr(cost, name) for cost in self.costs)
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -1,4 +1,4 @@
-"""What each role costs at the size to design for, from measured slopes."""
+"""Costs of each role at the design size, from measured slopes."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 MS_PER_S = 1_000
 KIB = 1_024
-# Frames and acknowledgements of one call on a kept connection, and those of
-# opening and closing a connection for a single call.
+# Frames and acknowledgements of one call on a persistent connection, and of a
+# call with a connection of its own, including opening and closing it.
 KEPT_CALL_OVERHEAD_BYTES = 4 * 66
 NEW_CALL_OVERHEAD_BYTES = 10 * 66
 HTTP_HEAD_BYTES = 350
-# Per record in the answer to a read: its offset, names and quotes.
+# Per record in the answer to a read: its offset, key names and quotes.
 READ_RECORD_OVERHEAD_BYTES = 50
 CONFIG_READ_WAIT_MS = 2_000
 LEASE_RENEWALS = 3
@@ -35,7 +35,7 @@
 
 @attrs.frozen
 class Slopes:
-    """All that was measured."""
+    """All measured slopes."""
 
     process: process_slopes.ProcessSlopes
     configuration: configuration_slopes.ConfigurationSlopes
@@ -46,13 +46,13 @@
 
 @attrs.frozen
 class Model:
-    """Costs at a size, by the slopes."""
+    """Costs at a design size, computed from the slopes."""
 
     size: costs.DesignSize
     slopes: Slopes
 
     def roles(self) -> tuple[costs.RoleCost, ...]:
-        """All roles; each holds all that its process does."""
+        """Costs of all roles; each includes everything that its process does."""
         base = (
             self.process(),
             self.configuration(),
@@ -110,7 +110,7 @@
         )
 
     def process(self) -> costs.MechanismCost:
-        """Interpreter and libraries."""
+        """Cost of interpreter and libraries."""
         process = self.slopes.process
         whole_kib = process.interpreter_kib + process.libraries_kib
         return costs.MechanismCost(
@@ -118,7 +118,7 @@
         )
 
     def configuration(self) -> costs.MechanismCost:
-        """The configuration stream, followed and folded."""
+        """Cost of following and folding the configuration stream."""
         size = self.size
         slopes = self.slopes.configuration
         state_bytes = slopes.endpoint_bytes.at(size.endpoints)
@@ -130,7 +130,7 @@
         change_us = slopes.change_us.at(size.endpoints)
         read_bytes = HTTP_HEAD_BYTES + KEPT_CALL_OVERHEAD_BYTES
         record = slopes.change_record_bytes + READ_RECORD_OVERHEAD_BYTES
-        # One copy is read from the log, another comes from its writer.
+        # One copy is read from the log, another is pushed by its writer.
         copies = 2
         return costs.MechanismCost(
             "configuration: fold of the stream `config`",
@@ -143,7 +143,7 @@
         )
 
     def journal(self) -> costs.MechanismCost:
-        """The bounded journal, full."""
+        """Cost of the journal at its maximum length."""
         slope = self.slopes.process.decision_bytes
         return costs.MechanismCost(
             f"journal of {journal.MAX_DECISIONS} decisions",
@@ -151,7 +151,7 @@
         )
 
     def histograms(self) -> costs.MechanismCost:
-        """Latency histograms: two for each service and a few others."""
+        """Cost of latency histograms: two for each service and a few others."""
         labels = 2 * self.size.services + 10
         slope = self.slopes.process.histogram_bytes
         return costs.MechanismCost(
@@ -159,7 +159,7 @@
         )
 
     def routing(self) -> costs.MechanismCost:
-        """Shares, statistics and choice for the zone's endpoints."""
+        """Cost of shares, statistics and load balancing of the zone's endpoints."""
         endpoints = self.size.endpoints / self.size.zones
         slope = self.slopes.configuration.routed_endpoint_bytes
         return costs.MechanismCost(
@@ -168,9 +168,9 @@
         )
 
     def dispatch_marks(self) -> costs.MechanismCost:
-        """Marks of non-idempotent requests that this host holds.
+        """Cost of the marks of non-idempotent requests on this host.
 
-        Their calls are part of each request, not of control.
+        Their calls belong to the requests, not to the control traffic.
         """
         keep_s = settings.RoutingSettings().mark_keep_ms / MS_PER_S
         held = (
@@ -185,14 +185,14 @@
         )
 
     def heartbeats(self, peers: int, whom: str) -> costs.MechanismCost:
-        """Heartbeats sent to and answered for a number of peers."""
+        """Cost of sending and answering heartbeats of a number of peers."""
         beats = peers * MS_PER_S / settings.TimingSettings().heartbeat_ms
         wire = self.slopes.wire
         services = self.size.services
         cpu_us = wire.heartbeat_sent_us.at(services)
         cpu_us += wire.heartbeat_answered_us.at(services)
         size = wire.heartbeat_bytes.at(services) + KEPT_CALL_OVERHEAD_BYTES
-        # A thread sends to each peer, and one answers each peer.
+        # Each peer has one thread that sends to it and one that answers it.
         threads_kib = 2 * peers * self.slopes.process.thread_kib.per_unit
         return costs.MechanismCost(
             f"heartbeats with {whom} ({peers})",
@@ -203,7 +203,7 @@
         )
 
     def zone_records_per_s(self) -> dict[str, float]:
-        """Records on one zone's stream at the peak, by kind."""
+        """Records per second on one zone's stream at the peak, by kind."""
         starts = self.size.zone_starts_per_s
         interval_s = attempt_tracker.CHECKPOINT_INTERVAL_MS / MS_PER_S
         return {
@@ -215,21 +215,21 @@
         }
 
     def renewals_per_s(self) -> float:
-        """Renewals of one zone's claim."""
+        """Renewals per second of one zone's claim."""
         claim_ms = objects.Limits().claim_ms
         return ownership.RENEWALS_PER_CLAIM * MS_PER_S / claim_ms
 
     def zone_appends_per_s(self) -> float:
-        """Appends to one zone's stream at the peak.
+        """Appends per second to one zone's stream at the peak.
 
-        The owner's loop appends twice a step at most, ends and checkpoints
-        apart from assignments; each admission is one for itself at worst.
+        The owner's loop appends at most twice per step: ends and checkpoints
+        separately from assignments. At worst each admission is an append.
         """
         steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
         return 2 * steps + self.size.zone_starts_per_s + self.renewals_per_s()
 
     def zone_bytes_per_s(self) -> float:
-        """Payloads on one zone's stream at the peak."""
+        """Payload bytes per second on one zone's stream at the peak."""
         batch = self.slopes.batch
         rates = self.zone_records_per_s()
         return (
@@ -241,13 +241,13 @@
         )
 
     def zone_stream(self, is_owner: bool) -> costs.MechanismCost:
-        """The zone's stream, followed and folded; the owner writes it, too."""
+        """Cost of following and folding a zone's stream, and of writing it."""
         size = self.size
         batch = self.slopes.batch
         wire = self.slopes.wire
         records = sum(self.zone_records_per_s().values())
         appends = self.zone_appends_per_s()
-        # Each append wakes one read.
+        # Each append completes one waiting read.
         reads = appends
         state_bytes = batch.running_bytes.at(size.zone_tasks)
         queued = size.zone_starts_per_s * size.urgent_queue_s
@@ -274,13 +274,13 @@
         )
 
     def _retained_ended_jobs(self) -> float:
-        """Ended jobs that the fold still keeps in full."""
+        """Number of ended jobs that the fold still keeps in full."""
         rates = self.zone_records_per_s()
         share = rates["ends"] / sum(rates.values())
         return zone_fold.RETIRE_AFTER_RECORDS * share
 
     def scheduling_state(self) -> costs.MechanismCost:
-        """The owner's queue and ledgers."""
+        """Cost of the owner's queue and ledgers."""
         queued = self.size.zone_starts_per_s * self.size.urgent_queue_s
         jobs = self.size.zone_tasks + queued
         return costs.MechanismCost(
@@ -289,14 +289,14 @@
         )
 
     def worker_exchanges(self) -> costs.MechanismCost:
-        """Exchanges with the zone's workers, a thread each."""
+        """Cost of exchanges with the zone's workers, with a thread for each."""
         size = self.size
         wire = self.slopes.wire
         renewals = size.zone_workers * LEASE_RENEWALS * MS_PER_S
         renewals /= objects.Limits().lease_ms
-        # The last report has grown stale by then, so a fresh one is asked
-        # for before a lease or a command can be sent.
-        # Each end is asked for when it is expected.
+        # By then the last report is stale, so a new one is requested before a
+        # lease or a command can be sent. Each end is polled for when it is
+        # expected.
         exchanges = 2 * (renewals + size.zone_starts_per_s)
         exchanges += size.zone_starts_per_s
         tasks = size.tasks_per_worker
@@ -314,7 +314,7 @@
         )
 
     def starts(self) -> costs.MechanismCost:
-        """Deciding on starts."""
+        """Cost of decisions on starts."""
         starts = self.size.zone_starts_per_s
         start_us = self.slopes.batch.start_us.at(self.size.zone_workers)
         return costs.MechanismCost(
@@ -322,14 +322,14 @@
         )
 
     def steps(self) -> costs.MechanismCost:
-        """The owner's loop when there is nothing to decide."""
+        """Cost of the owner's loop when there is nothing to decide."""
         step_us = self.slopes.owner.step_us.at(self.size.zone_workers)
         steps = MS_PER_S / zone_owner.STEP_INTERVAL_MS
         return costs.MechanismCost("owner's loop", cpu_us_per_s=steps * step_us)
 
 
 def measure() -> Slopes:
-    """Measures everything."""
+    """Measures all slopes."""
     return Slopes(
         process=process_slopes.measure(),
         configuration=configuration_slopes.measure(),
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the owner's loop: idle steps, and reports taken in."""
+"""Slopes of the owner's loop: idle steps and processing of reports."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 
 @attrs.frozen
 class OwnerSlopes:
-    """Of the owner of one zone's workers."""
+    """Slopes of the owner of one zone's workers."""
 
     step_us: slope.Slope
     report_us: slope.Slope
 
 
 def measure() -> OwnerSlopes:
-    """Takes both."""
+    """Measures both slopes."""
     return OwnerSlopes(
         slope.fit(
             "one idle step of the owner's loop",
@@ -54,7 +54,7 @@
 
 
 class _NullLinkPool(batch_slopes.NullCommandSink):
-    """What the owner's loop needs of its links besides."""
+    """A pool without links that discards commands and has no events."""
 
     def __init__(self) -> None:
         self.woken = threading.Event()
@@ -72,7 +72,7 @@
 
 
 class _PermanentOwnership:
-    """An ownership that is held for good."""
+    """An ownership that never ends."""
 
     host_id = batch_slopes.WRITER
 
@@ -126,7 +126,8 @@
         clock.advance(zone_owner.STEP_INTERVAL_MS)
         owner.step()
 
-    # The attempts' starts are asked for once, in the first steps.
+    # The first steps request the start of every attempt once, so they aren't
+    # measured.
     step()
     return slope.cpu_us(step, MEASURED_RUNS)
 
--- a/testing/capacity/process_slopes.py
+++ b/testing/capacity/process_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of what every host keeps, and its memory before any state."""
+"""Slopes of the state that every host keeps, and its memory without state."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 MARK_KEEP_MS = 60_000
 PROBE_TIMEOUT_S = 60
 
-# Run apart, so that what this process holds is not counted.
+# Run in a process of its own, so that this process's memory isn't counted.
 _IMPORT_PROBE = """
 import re
 from comfreylatch._process import resident
@@ -49,12 +49,12 @@
 
 @attrs.frozen
 class ProcessSlopes:
-    """Of every host.
+    """Slopes of every host.
 
     Attributes:
-        interpreter_kib: Resident before any import.
-        libraries_kib: Added by importing all that `serve` needs.
-        private_kib: What of both no other process can share.
+        interpreter_kib: Resident memory before any import.
+        libraries_kib: Resident memory added by the imports of `serve`.
+        private_kib: Part of both that can't be shared with other processes.
     """
 
     interpreter_kib: int
@@ -67,8 +67,8 @@
 
 
 def measure() -> ProcessSlopes:
-    """Takes all of them."""
-    # The first run leaves compiled modules behind, as on a host.
+    """Measures all slopes of a process."""
+    # The first run writes compiled modules, which exist on a host, too.
     _run_probe(_IMPORT_PROBE)
     interpreter_kib, loaded_kib, private_kib = map(
         int, _run_probe(_IMPORT_PROBE).split()
--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -1,4 +1,4 @@
-"""The page docs/CAPACITY.md, from measured slopes."""
+"""Renders docs/CAPACITY.md from measured slopes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 US_PER_PERCENT = 10_000
 KB = 1_000
 
-# What would mend the mechanisms that cost most, by how their names start.
+# Possible improvements of the most expensive mechanisms, by prefix of their
+# names.
 _REMEDIES = {
     "interpreter and libraries": (
         "fewer and lighter libraries in `serve`: logbook and urllib3 load TLS "
@@ -58,7 +59,7 @@
 
 
 def page(model: model_module.Model) -> str:
-    """The whole page as Markdown."""
+    """Renders the page as Markdown."""
     roles = model.roles()
     parts = [
         _introduction(),
@@ -191,7 +192,7 @@
 
 
 def find_remedy(cost: costs.MechanismCost) -> str:
-    """Key of what would mend a mechanism; empty when nothing is known."""
+    """Key of a mechanism's improvement in `_REMEDIES`; empty if there is none."""
     for start in _REMEDIES:
         if cost.mechanism.startswith(start):
             return start
@@ -213,7 +214,8 @@
         f"Records a second of one zone: {rates}; of all zones {records:.0f}, "
         f"in at most {total:.0f} appends a second ({zone:.1f} a zone), "
         f"against several hundred that the log takes, counted here as "
-        f"{LOG_APPENDS_PER_S} ({_compare_with_budget(total, LOG_APPENDS_PER_S, '/s')}). "
+        f"{LOG_APPENDS_PER_S} "
+        f"({_compare_with_budget(total, LOG_APPENDS_PER_S, '/s')}). "
         "The owner appends at most twice a step, and every append of one "
         "stream keeps a distance from the one before, so that more records "
         "make longer appends and not more of them; admissions come one by "
--- a/testing/capacity/slope.py
+++ b/testing/capacity/slope.py
@@ -1,4 +1,4 @@
-"""Measuring how memory and processor time grow with a size."""
+"""Measures how memory and processor time grow with a size."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 @attrs.frozen
 class Slope:
-    """A line through values measured at several sizes.
+    """A regression line through values measured at several sizes.
 
     Attributes:
         name: What was measured.
-        size_unit: What the sizes count.
+        size_unit: Unit of the sizes.
         unit: Unit of the values.
         sizes: Sizes measured.
         values: Value at each size.
-        fixed: Value of the line at size 0, never below 0.
-        per_unit: Growth by one unit of size.
+        fixed: Intercept of the line, never below 0.
+        per_unit: Slope of the line per unit of size, never below 0.
     """
 
     name: str
@@ -39,7 +39,7 @@
     per_unit: float
 
     def at(self, size: float) -> float:
-        """Value at a size: between those measured, else on the line."""
+        """Value at a size, interpolated between measurements or on the line."""
         for index in range(1, len(self.sizes)):
             low, high = self.sizes[index - 1 : index + 1]
             if low <= size <= high:
@@ -55,7 +55,7 @@
     sizes: Sequence[int],
     measure: Callable[[int], float],
 ) -> Slope:
-    """Measures at each size and lays a line through the values."""
+    """Measures at each size and fits a line to the values."""
     values = tuple(float(measure(size)) for size in sizes)
     line = statistics.linear_regression(sizes, values)
     fixed = max(line.intercept, 0.0)
@@ -64,7 +64,7 @@
 
 
 def memory_bytes(build: Callable[[], Any]) -> int:
-    """Bytes that what `build` returns keeps allocated."""
+    """Bytes allocated by the object that `build` returns."""
     build()
     gc.collect()
     tracemalloc.start()
@@ -80,7 +80,7 @@
 
 
 def cpu_us(run: Callable[[], Any], count: int) -> float:
-    """Least processor time of this thread for each of `count` runs."""
+    """Processor time of this thread per run, the minimum of all repeats."""
     least_ns = None
     for _ in range(REPEATS):
         started_ns = time.thread_time_ns()
--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -1,6 +1,6 @@
-"""Slopes of calls over loopback: log, workers and peers.
+"""Slopes of calls to the log, workers and peers over loopback.
 
-The other side of each call runs on another thread, whose time isn't counted.
+The remote side of each call runs on another thread, whose time isn't counted.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class WireSlopes:
-    """Of calls that an entry host makes or answers."""
+    """Slopes of calls that an entry host makes or answers."""
 
     log_read_us: slope.Slope
     log_append_us: slope.Slope
@@ -52,7 +52,7 @@
 
 
 def measure() -> WireSlopes:
-    """Takes all of them."""
+    """Measures all slopes of calls."""
     return WireSlopes(
         log_read_us=slope.fit(
             "one read of the log", "records", "us", BATCH_SIZES, _read_us
@@ -104,8 +104,8 @@
 
     class Handler(http_server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
-        # Head and body in one packet, or the client waits for its own
-        # delayed acknowledgement.
+        # Sends head and body in one packet; otherwise the client waits for
+        # its own delayed acknowledgement.
         wbufsize = 262_144
 
         def reply(self) -> None:
@@ -172,7 +172,7 @@
 
 
 def report(tasks: int) -> workers.WorkerReport:
-    """A worker's report with its tasks and one measurement of each."""
+    """A worker's report with tasks and one usage measurement of each."""
     lines = tuple(
         workers.TaskStatus(
             f"stack-{index:07d}",
@@ -203,7 +203,7 @@
 
 @attrs.frozen
 class HeartbeatCost:
-    """Processor time of one heartbeat on either side."""
+    """Processor time of one heartbeat on each side, in microseconds."""
 
     sent_us: float
     answered_us: float
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -1,4 +1,4 @@
-"""Replays a trace against a whole deployment and checks the records.
+"""Replays a trace against a whole deployment and checks its records.
 
 `python -m testing.experiment utility-night burst --duration-ms 30000`
 """
@@ -23,23 +23,23 @@
 
 SETTLE_MS = 60_000
 MAX_SHOWN_VIOLATIONS = 10
-# More than all slots, so that the tool itself never holds a request up.
+# More than all slots, so that the replay tool never delays a request.
 REPLAY_THREADS = 1_000
 
 
 @attrs.frozen
 class Experiment:
-    """What is replayed, and against what.
+    """Parameters of one experiment.
 
     Attributes:
         workload: Name of the workload, as in `traces.WORKLOADS`.
         duration_ms: Length of the trace.
-        scale: Part of the workload's rates.
+        scale: Factor on the workload's request and job rates.
         delays: Whether links between zones and to callers carry the
             deployment's delays.
-        speed: Task time per real time, on the workers.
-        label: Name of the policy, for the report.
-        fault: What strikes from a third to two thirds of the trace.
+        speed: Task time per real time on the workers.
+        label: Name of the policy in the report.
+        fault: Fault that is active from a third to two thirds of the trace.
     """
 
     workload: str
@@ -56,7 +56,11 @@
 
 
 def run(experiment: Experiment) -> int:
-    """Runs it; 0 when outcomes were kept and no promise was broken."""
+    """Runs an experiment.
+
+    Returns:
+        0 if the stated outcomes were met and no guarantee was violated, else 1.
+    """
     workload = traces.WORKLOADS[experiment.workload]()
     links: set[fleet_plan.Link] = set()
     if experiment.delays:
@@ -90,7 +94,8 @@
         violations = _find_violations(running)
         for violation in violations[:MAX_SHOWN_VIOLATIONS]:
             print(
-                f"BROKEN {violation.rule}: {violation.subject}: {violation.detail}"
+                f"BROKEN {violation.rule}: {violation.subject}: "
+                f"{violation.detail}"
             )
         print(f"promises broken, by the stand-ins' records: {len(violations)}")
     return 1 if code or violations else 0
@@ -117,7 +122,7 @@
 
 
 def _summarize_worker_events(events: list[worker_records.WorkerEvent]) -> str:
-    """Counts of what happened on workers."""
+    """Number of worker events of each kind."""
     counts = collections.Counter(
         f"{event.kind} {event.detail}" if event.kind == "end" else event.kind
         for event in events
@@ -128,7 +133,7 @@
 
 
 def _summarize_slowdowns(events: list[worker_records.WorkerEvent]) -> str:
-    """How much longer finished attempts ran than undisturbed."""
+    """Slowdown of finished attempts compared with their work."""
     starts = {
         (event.job, event.attempt): event
         for event in events
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -1,4 +1,4 @@
-"""Named faults that strike a fleet in the middle of an experiment."""
+"""Named faults that are injected into a fleet during an experiment."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What strikes; it is healed at two thirds of the trace."""
+    """Fault to inject; it is cleared at two thirds of the trace."""
 
     NONE = "none"
     KILL_HOST = "kill-host"
@@ -30,9 +30,9 @@
 
 
 class FaultInjector:
-    """Strikes once and heals once, on a thread of its own.
+    """Injects a fault once and clears it once, on a thread of its own.
 
-    The first zone's first seat, endpoint or worker is the victim.
+    Faults of one host, endpoint or worker affect the first one.
     """
 
     def __init__(
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -1,8 +1,8 @@
-"""Batch work beside a service: our policy against first fit, in one run.
+"""Compares placement policies for batch work beside a service in one run.
 
-Starts two equal fleets of stand-in workers with the same hidden model of
-interference and wrong sizes, runs the same jobs on both at the same time, and
-prints what each policy finished. Run it with
+Starts an equal fleet of stand-in workers for each policy, with the same hidden
+model of interference and wrong sizes. Runs the same jobs on all fleets at the
+same time and prints what each policy finished. Run it with
 
     python -m testing.measure_batch [--seconds 120] [--seed 1]
 """
@@ -55,7 +55,7 @@
 
 
 class RecordingPort:
-    """A worker port that keeps what reports say of services."""
+    """A worker port that records the slowdowns of services in reports."""
 
     def __init__(self) -> None:
         self._client = worker_client.WorkerClient()
@@ -83,18 +83,18 @@
 
 @attrs.frozen
 class PolicyOutcome:
-    """What one policy achieved.
+    """Results of one policy.
 
     Attributes:
-        finished: Jobs finished.
+        finished: Number of finished jobs.
         useful_core_s: Work of finished jobs, in core seconds.
-        kept_core_s: The same plus what running attempts have done.
+        kept_core_s: The same plus the checkpointed work of unfinished jobs.
         evictions: Attempts evicted.
-        lost_core_s: Work that was done and not kept.
-        failures: Attempts that failed, mostly for memory.
-        p50_milli: Median slowdown of the service, 1000 when alone.
-        p99_milli: 99th percentile of it.
-        warm_p99_milli: The same without the first third of the run.
+        lost_core_s: Work that was done and lost for lack of a checkpoint.
+        failures: Attempts that failed, mostly for lack of memory.
+        p50_milli: Median slowdown of the service; 1000 without batch work.
+        p99_milli: 99th percentile of the same slowdown.
+        warm_p99_milli: p99_milli without the first third of the run.
     """
 
     policy: str
@@ -110,7 +110,7 @@
 
 
 class WorkerFleet:
-    """One process of stand-in workers."""
+    """A process of stand-in workers."""
 
     def __init__(
         self, seed: int, count: int = WORKERS, services: bool = True
@@ -153,7 +153,7 @@
         self.control: str = ready["control"]
 
     def journal(self) -> list[worker_records.WorkerEvent]:
-        """What the workers did."""
+        """Events that the workers recorded."""
         import urllib3
 
         reply = urllib3.request("GET", f"http://{self.control}/journal")
@@ -161,7 +161,7 @@
         return msgspec.convert(page["events"], list[worker_records.WorkerEvent])
 
     def stop(self) -> None:
-        """Ends the process."""
+        """Terminates the process."""
         self._process.terminate()
         self._process.wait()
 
@@ -169,7 +169,7 @@
 def configuration(
     endpoint_count: int, limits: objects.Limits | None
 ) -> configuration_module.Configuration:
-    """Teams, classes and the service's endpoints on the workers."""
+    """Configuration of teams, worker classes and endpoints on the workers."""
     endpoints = {
         f"ex-{index}": objects.Endpoint(
             SERVICE,
@@ -213,7 +213,7 @@
 
 
 class PolicyRun:
-    """One policy with its fleet."""
+    """One policy and the fleet it runs on."""
 
     def __init__(
         self,
@@ -243,7 +243,7 @@
         )
 
     def start(self) -> None:
-        """Lists the workers and waits for the claim."""
+        """Lists the workers and waits until the owner has claimed the zone."""
         listed = tuple(
             hosts.ListedHost(
                 name,
@@ -260,9 +260,9 @@
         while not self.service.status().owner.holds:
             time.sleep(0.05)
 
-    def submit(self, given: list[dict[str, Any]]) -> None:
-        """Hands all jobs in, many at a time."""
-        chunks = [given[index::16] for index in range(16)]
+    def submit(self, documents: list[dict[str, Any]]) -> None:
+        """Submits all jobs from 16 threads."""
+        chunks = [documents[index::16] for index in range(16)]
 
         def submit_chunk(chunk: list[dict[str, Any]]) -> None:
             for job in chunk:
@@ -281,7 +281,7 @@
             thread.join()
 
     def outcome(self) -> PolicyOutcome:
-        """Adds up what the workers and the fold tell."""
+        """Computes the results from worker events and the fold."""
         events = self.fleet.journal()
         states = self.service.fold.jobs()
         finished = [
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -1,8 +1,8 @@
-"""What an owner host spends on its workers: processor time and memory.
+"""Measures the processor time and memory that an owner needs for its workers.
 
-Runs one owner over a process of stand-in workers, first idle, then with jobs
-coming in at a steady rate, and prints processor time a second of the owner's
-process and its resident memory. Run it with
+Runs one owner with a process of stand-in workers, first idle, then with jobs
+submitted at a steady rate. Prints the owner process's processor time per
+second and its resident memory. Run it with
 
     python -m testing.measure_owner [--workers 110] [--starts-per-s 15]
 """
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -1,8 +1,8 @@
-"""Cost of the owner's decisions per start and end, by size of the zone.
+"""Measures the cost of the owner's decisions per start, by size of the zone.
 
-Fills a zone's books to a load, then ends attempts and starts others in their
-place, as the owner does: end folded, queue and ledgers updated, the next job
-chosen and placed, its assignment and end records encoded, decoded and folded.
+Fills a zone with running attempts, then ends attempts and starts others in
+their place as the owner does: it folds the end, updates queue and ledgers,
+chooses and places the next job, and encodes, decodes and folds the records.
 Workers, the network and the log are left out. Run it with
 
     python -m testing.measure_placement [--starts 3000]
@@ -41,13 +41,13 @@
 
 @attrs.frozen
 class Cost:
-    """What one size of the zone cost.
+    """Cost at one size of the zone.
 
     Attributes:
         starts: Starts and ends measured.
-        mean_us: Mean time of a start and its end, in microseconds.
-        p99_us: 99th percentile of rounds, in microseconds a start.
-        running: Attempts that ran meanwhile.
+        mean_us: Mean processor time of a start and its end, in microseconds.
+        p99_us: 99th percentile over rounds, in microseconds per start.
+        running: Attempts running at the end of the measurement.
     """
 
     workers: int
@@ -58,7 +58,7 @@
 
 
 class ZoneBench:
-    """One zone's fold and books, without workers and log."""
+    """Fold and scheduling state of one zone, without workers and log."""
 
     def __init__(self, count: int, policy: placement.Policy) -> None:
         self._source = random.Random(count)
@@ -109,7 +109,7 @@
             self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
-        """Encodes, decodes and folds one record, as the log would carry it."""
+        """Encodes, decodes and folds one record, without the log between."""
         payload = records.encode("bench", self._offset, body)
         envelope, decoded = records.decode(payload).unwrap()
         self.fold.apply(self._offset, envelope, decoded)
@@ -132,7 +132,7 @@
         self.append(job_records.JobAdmitted(spec))
 
     def sync(self) -> None:
-        """Brings the books up to the fold."""
+        """Updates the scheduling state from the fold."""
         changed = self.fold.drain_changes()
         if changed is None:
             changed = tuple(state.spec.id for state in self.fold.jobs())
@@ -142,7 +142,7 @@
                 self.scheduling.sync_job(state, 0)
 
     def place(self) -> list[str]:
-        """One round: chooses, appends and folds; returns the jobs placed."""
+        """Runs one scheduling round and returns the ids of the jobs placed."""
         decided = self.scheduling.scheduler.run_round(1, 4)
         for body in decided.assigned:
             self.append(body)
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -1,7 +1,7 @@
-"""Measures how soon batch work goes on after an owner's death or an outage.
+"""Measures how soon batch work resumes after an owner's crash or a log outage.
 
-Runs a fleet of real processes with the timing of the tests, or with the
-product's defaults, and prints a table in Markdown.
+Runs a fleet with the timing of the tests or with the default timing, and
+prints a Markdown table.
 """
 
 from __future__ import annotations
@@ -69,7 +69,11 @@
 
 
 def measure_owner_death(running: fleet_module.Fleet) -> float:
-    """Kills the owner; seconds to the first start under a higher term."""
+    """Kills the owner.
+
+    Returns:
+        Seconds until the first start under a higher term.
+    """
     owner = batch_fleet.owner(running)
     term = max(event.term for event in running.worker_events())
     died_ms = time.monotonic() * 1_000
@@ -81,7 +85,11 @@
 
 
 def measure_log_outage(running: fleet_module.Fleet) -> float:
-    """Takes the log down; seconds from its return to the first start."""
+    """Makes the log unavailable for `OUTAGE_S`.
+
+    Returns:
+        Seconds from its return to the first start.
+    """
     running.log.control(down=True)
     time.sleep(OUTAGE_S)
     back_ms = time.monotonic() * 1_000
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -1,9 +1,9 @@
-"""Routing policies side by side, on real hosts and endpoints, in one run.
+"""Compares routing policies on a fleet of processes in one run.
 
 `python -m testing.measure_routing --rounds 2 --seed 1` starts a small fleet
-for each policy in turn and offers each the same requests, open loop: calm,
-with slow endpoints, with endpoints that reset connections, and with a host
-killed. The time of a request counts from when it was due.
+for each policy in turn and sends each the same requests in an open loop:
+without faults, with slow endpoints, with endpoints that reset connections,
+and with a host killed. The time of a request counts from when it was due.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Reply:
-    """What became of one request, and when, counted from when it was due."""
+    """A request, its answer, and the time since the request was due."""
 
     sent: checker.SentRequest
     elapsed_ms: float
@@ -45,12 +45,12 @@
 
 @attrs.frozen
 class Phase:
-    """A part of a run.
+    """A phase of a run with one fault.
 
     Attributes:
-        name: What happens in it.
-        begin: Brings the fault about.
-        end: Ends it.
+        name: Name of the phase in the output.
+        begin: Injects the fault.
+        end: Clears the fault.
     """
 
     name: str
@@ -89,7 +89,7 @@
 
 
 class LoadGenerator:
-    """Sends a steady stream of requests to the hosts in turn."""
+    """Sends an open-loop stream of requests to the running hosts in turn."""
 
     def __init__(
         self, running: fleet_module.Fleet, per_s: float, seed: int
@@ -99,7 +99,7 @@
         self._rng = random.Random(seed)
 
     def run(self, name: str, seconds: float) -> list[Reply]:
-        """Replies to the requests of one phase."""
+        """Sends the requests of one phase and returns the replies."""
         started_s = time.monotonic()
         due_s = 0.0
         pending: list[concurrent.futures.Future[Reply]] = []
@@ -163,7 +163,7 @@
 
 
 def measure(policy: load_balancing.Policy, given: argparse.Namespace) -> None:
-    """One policy with its fleet; prints a line for each phase."""
+    """Measures one policy on a fleet and prints a line for each phase."""
     deployment = attrs.evolve(
         deployments.small(1),
         endpoints=ENDPOINTS,
@@ -198,7 +198,7 @@
 
 
 def main() -> None:
-    """Measures every policy, in turn, as often as asked."""
+    """Measures every policy in each round."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=6.0)
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -1,7 +1,7 @@
-"""Drives hosts that share one stream through faults, and checks the outcome.
+"""Runs hosts that share one stream through faults and checks invariants.
 
 No thread runs: every step of an appender or a follower is an action, so that
-a history of actions can be repeated exactly.
+a history of actions is reproducible.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @final
 class NoteFold:
-    """Keeps every note in the order in which it was folded."""
+    """Keeps the notes in the order in which they were folded."""
 
     def __init__(self) -> None:
         self.notes: list[int] = []
@@ -72,7 +72,7 @@
 
 
 class ActionKind(enum.Enum):
-    """What can happen to a host or to the log."""
+    """Kinds of actions on a host or on the log."""
 
     SUBMIT = enum.auto()
     APPEND = enum.auto()
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class Action:
-    """One action; `choice` picks the fault or the range it works on."""
+    """One action; `choice` selects its fault or its range of entries."""
 
     kind: ActionKind
     host: int
@@ -96,7 +96,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """A promise was broken."""
+    """An invariant doesn't hold."""
 
 
 @attrs.define
@@ -109,7 +109,7 @@
 
 @final
 class HistoryRunner:
-    """A few hosts and a log, driven by actions."""
+    """Executes a history of actions on a few hosts and a log."""
 
     def __init__(self) -> None:
         self.log = fake_log.FakeLog()
@@ -121,10 +121,10 @@
         self._hosts = [self._start() for _ in range(HOSTS)]
 
     def run(self, actions: list[Action]) -> None:
-        """Carries out the actions, heals everything, and checks.
+        """Executes the actions, clears all faults and checks the invariants.
 
         Raises:
-            PromiseBrokenError: A promise was broken.
+            PromiseBrokenError: An invariant doesn't hold.
         """
         for action in actions:
             host = self._hosts[action.host % HOSTS]
@@ -132,7 +132,7 @@
             self._execute(action, host)
             self._clock.advance(STEP_MS)
             if host.follower.offset() < before:
-                raise InvariantViolationError("an offset fell")
+                raise InvariantViolationError("a follower's offset decreased")
         self._recover()
         self._check()
 
@@ -189,7 +189,7 @@
                 self.log.put(STREAM, [b"{"])
 
     def _append(self, host: _Host, choice: int) -> None:
-        """One step of an appender; every other append goes well."""
+        """Runs one step of an appender, with a fault if `choice` is odd."""
         faults = list(fake_log.AppendFault)
         if choice % 2:
             self.log.faults.append(faults[choice % len(faults)])
@@ -201,7 +201,7 @@
         host.pending[self._notes] = host.appender.submit([Note(self._notes)])
 
     def _push(self, host: _Host, start: int) -> None:
-        """A peer offers all that it has read from some offset on."""
+        """Applies all entries from some offset on, as if pushed by a peer."""
         payloads = self.log.payloads(STREAM)
         entries = [
             log_port.LogEntry(offset, payload)
@@ -210,7 +210,7 @@
         host.follower.apply_from_peer(entries[start % (len(entries) + 1) :])
 
     def _snapshot(self, host: _Host) -> None:
-        """Publishes a snapshot and lets the records in it expire."""
+        """Publishes a snapshot and expires the records that it covers."""
         taken = host.follower.snapshot()
         if taken.offset < 0:
             return
@@ -231,10 +231,10 @@
                 host.follower.step()
             if self._has_converged():
                 return
-        raise InvariantViolationError("the hosts do not come to rest")
+        raise InvariantViolationError("the hosts do not converge")
 
     def _has_converged(self) -> bool:
-        """Whether all records are settled and folded everywhere."""
+        """Whether every append has an outcome and all hosts are at the head."""
         head = len(self.log.payloads(STREAM)) - 1
         return all(
             host.follower.offset() == head
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -1,8 +1,8 @@
-"""Makes traces of both deployments from a seed.
+"""Generates traces for both deployments from a seed.
 
-`python -m testing.traces FOLDER` writes one file for each deployment and
-shape of load. Rates follow from the deployment's slots and the work of a
-request, so that a load of 1 fills every slot.
+`python -m testing.traces FOLDER` writes one file for each deployment and load
+shape. Rates follow from the deployment's slots and the work of a request, so
+that a load of 1 fills every slot.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 BURST_LOAD = 1.3
 BURST_INTERVAL_MS = 20_000
 BURST_DURATION_MS = 2_000
-# Normal deviate of the 99th percentile.
+# Of the normal distribution's 99th percentile.
 P99_Z_SCORE = 2.326
 JOB_LOAD_FRACTION = 0.6
 FAILING_JOB_PROBABILITY = 0.02
@@ -43,7 +43,7 @@
 
 
 class LoadShape(enum.StrEnum):
-    """How the load moves over a trace."""
+    """How the load changes over a trace."""
 
     CALM = "calm"
     SHIFT = "shift"
@@ -52,17 +52,17 @@
 
 @attrs.frozen
 class Workload:
-    """What one user sends.
+    """Requests and jobs that one user of the scheduler sends.
 
     Attributes:
-        deployment: Where it is sent.
-        work_ms: Median work of a request.
-        spread: Standard deviation of the logarithm of the work.
-        timeout_ms: What callers wait.
-        idempotent_chance: Part of the requests that may run twice.
+        deployment: Deployment that receives them.
+        work_ms: Median work of a request, in milliseconds.
+        work_log_stddev: Standard deviation of the logarithm of the work.
+        timeout_ms: Timeout of callers.
+        idempotent_probability: Probability that a request is idempotent.
         body_bytes: Size of a request's body.
         job_run_time_ms: Median declared run time of a job.
-        job_processors_milli: Sizes that jobs declare.
+        job_processors_milli: Processors that jobs declare.
     """
 
     deployment: deployments.Deployment
@@ -76,13 +76,13 @@
 
     @property
     def full_rate_per_s(self) -> float:
-        """Requests a second that fill every slot."""
+        """Requests per second that fill every slot."""
         mean_s = self.work_ms / 1_000 * math.exp(self.work_log_stddev**2 / 2)
         return self.deployment.endpoints * SLOTS_PER_ENDPOINT / mean_s
 
 
 def utility_night() -> Workload:
-    """Calibrations by night, stacks beside them."""
+    """Calibration requests at night, beside stacking jobs."""
     return Workload(
         deployment=deployments.utility(),
         work_ms=400.0,
@@ -96,7 +96,7 @@
 
 
 def workshop_day() -> Workload:
-    """Quotes and orders by day, mandrel plans beside them."""
+    """Quotes and orders by day, beside mandrel planning jobs."""
     return Workload(
         deployment=deployments.workshop(),
         work_ms=300.0,
@@ -116,7 +116,7 @@
 
 
 class TraceGenerator:
-    """Draws one trace from a seed."""
+    """Generates one trace from a seed."""
 
     def __init__(
         self,
@@ -136,7 +136,7 @@
         self._random = random.Random(f"{seed}/{self._name}")
 
     def generate(self, with_jobs: bool = True) -> traces.Trace:
-        """The whole trace."""
+        """Generates the trace, with or without jobs."""
         lines: list[traces.TraceLine] = list(self._requests())
         if with_jobs:
             jobs = list(self._jobs())
@@ -180,7 +180,7 @@
 
     def _request(self, at_ms: float) -> traces.TracedRequest:
         workload = self._workload
-        # Few callers send most; the first ones are the busiest.
+        # The load is skewed: callers with low numbers send most requests.
         caller = int(CALLER_COUNT * self._random.random() ** 2)
         work_ms = workload.work_ms * self._random.lognormvariate(
             0.0, workload.work_log_stddev
@@ -252,7 +252,7 @@
     def _cancellations(
         self, jobs: list[traces.TracedJob]
     ) -> Iterator[traces.TracedCancellation]:
-        """One burst, of jobs submitted before it."""
+        """One burst of cancellations, for jobs submitted before it."""
         at_ms = self._duration_ms * CANCELLATION_AT_FRACTION
         for one in jobs:
             chosen = self._random.random() < JOB_CANCELLATION_PROBABILITY
@@ -279,7 +279,7 @@
         )
 
     def _finished_percent(self, lines: list[traces.TraceLine]) -> float | None:
-        """Part of the accepted, uncancelled jobs that can finish at all."""
+        """Percentage of accepted, uncancelled jobs that can finish."""
         cancelled = {
             line.job
             for line in lines
@@ -302,7 +302,7 @@
 
 
 def main() -> None:
-    """Writes all traces."""
+    """Writes the traces of all workloads and load shapes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", type=pathlib.Path)
     parser.add_argument("--seed", type=int, default=1)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Tests of the arithmetic of capacity, on made-up slopes."""
+"""Tests of the capacity model with made-up slopes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _made_up(kind: type, line: slope.Slope, number: int) -> Any:
-    """A class of slopes, filled with one line and one number."""
+    """An instance of a class of slopes, filled with one line and one number."""
     values = {}
     for name, hint in typing.get_type_hints(kind).items():
         if hint is slope.Slope:
@@ -32,7 +32,7 @@
 
 
 class CapacityTest(testtools.TestCase):
-    """What is worked out from slopes."""
+    """Costs that the model computes from slopes."""
 
     def model(self, per_unit: float, **size: int) -> model.Model:
         slopes = _made_up(model.Slopes, _line(0, per_unit), 100)
