--- a/testing/bench.py
+++ b/testing/bench.py
@@ -165,7 +165,8 @@
 
 def _format_round(sample: Round) -> str:
     return (
-        f"{sample.target:28} {sample.callers:4} callers {sample.per_s:8.0f} /s  "
+        f"{sample.target:28} {sample.callers:4} callers "
+        f"{sample.per_s:8.0f} /s  "
         f"p50 {sample.p50_ms:7.2f} ms  p99 {sample.p99_ms:7.2f} ms  "
         f"processor {sample.cpu_us:5.0f} us  failed {sample.failed}"
     )
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -147,7 +147,7 @@
 
 
 def _record_us(running: int) -> float:
-    """Time per record: a quarter each admissions, assignments, checkpoints, ends."""
+    """Time per record, for equal numbers of four kinds of records."""
     zone = _running(running)
     jobs = 100
     payloads = [
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -52,7 +52,7 @@
     slopes: Slopes
 
     def roles(self) -> tuple[costs.RoleCost, ...]:
-        """Costs of all roles; each includes everything that its process does."""
+        """Costs of all roles, each with everything that its process does."""
         base = (
             self.process(),
             self.configuration(),
@@ -159,7 +159,7 @@
         )
 
     def routing(self) -> costs.MechanismCost:
-        """Cost of shares, statistics and load balancing of the zone's endpoints."""
+        """Cost of shares and statistics of the zone's endpoints."""
         endpoints = self.size.endpoints / self.size.zones
         slope = self.slopes.configuration.routed_endpoint_bytes
         return costs.MechanismCost(
