--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -137,14 +137,14 @@
     )
 
 
-def measure_fold(endpoints: int, folded: int, seed: int) -> FoldLine:
+def measure_fold(endpoints: int, ticket_count: int, seed: int) -> FoldLine:
     """Folds tickets of one change into a configuration of many endpoints."""
     fold = configuration_fold.ConfigurationFold()
     _add_endpoints(fold, endpoints)
     source = random.Random(seed)
     versions = [1] * endpoints
     values: list[dict[str, Any]] = []
-    for number in range(folded):
+    for number in range(ticket_count):
         chosen = source.randrange(endpoints)
         change = _endpoint(chosen, versions[chosen])
         versions[chosen] += 1
@@ -152,11 +152,11 @@
     started_ns = time.perf_counter_ns()
     for index, value in enumerate(values):
         fold.apply(10_000 + index, ENVELOPE, tickets.TicketRecord(value))
-    fold_us = (time.perf_counter_ns() - started_ns) // 1_000 // folded
+    fold_us = (time.perf_counter_ns() - started_ns) // 1_000 // ticket_count
     started_ns = time.perf_counter_ns()
     taken = snapshots.StreamSnapshot(
         "config",
-        10_000 + folded,
+        10_000 + ticket_count,
         fold.digest(),
         writers.WriterTable().lines(),
         fold.snapshot(),
@@ -188,13 +188,13 @@
     tickets_kib: int
 
 
-def measure_memory(endpoints: int, folded: int) -> MemoryLine:
-    """Folds endpoints, then `folded` tickets of one change each."""
+def measure_memory(endpoints: int, ticket_count: int) -> MemoryLine:
+    """Folds endpoints, then `ticket_count` tickets of one change each."""
     tracemalloc.start()
     fold = configuration_fold.ConfigurationFold()
     _add_endpoints(fold, endpoints)
     with_objects = tracemalloc.get_traced_memory()[0]
-    for number in range(folded):
+    for number in range(ticket_count):
         index = number % endpoints
         change = _endpoint(index, 1 + number // endpoints)
         value = samples.ticket(10_000 + number, change)
