--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -66,7 +66,10 @@
 
 
 def measure_submit(
-    callers: int, each: int, append_ms: float, min_append_interval_ms: int
+    callers: int,
+    tickets_per_caller: int,
+    append_ms: float,
+    min_append_interval_ms: int,
 ) -> SubmitLine:
     """Submits tickets from several threads, each for its own zone."""
     log = fake_log.FakeLog()
@@ -99,8 +102,8 @@
     statuses: list[int] = []
 
     def submit(caller: int) -> None:
-        for index in range(each):
-            number = caller * each + index + 1
+        for index in range(tickets_per_caller):
+            number = caller * tickets_per_caller + index + 1
             change = samples.zone(f"zone-{caller}", index)
             body = msgspec.json.encode(samples.ticket(number, change))
             request = http.HttpRequest("POST", "/tickets", {}, {}, body)
