--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -139,17 +139,17 @@
         for event in events
         if event.kind == "start"
     }
-    stretches = []
+    slowdowns = []
     for event in events:
         if event.kind == "end" and event.detail == "finished":
             start = starts[event.job, event.attempt]
             work_ms = max(event.progress_ms - start.progress_ms, 1)
-            stretches.append((event.at_ms - start.at_ms) / work_ms)
-    if not stretches:
+            slowdowns.append((event.at_ms - start.at_ms) / work_ms)
+    if not slowdowns:
         return "none finished"
-    stretches.sort()
-    median = stretches[len(stretches) // 2]
-    p99 = stretches[min(int(len(stretches) * 0.99), len(stretches) - 1)]
+    slowdowns.sort()
+    median = slowdowns[len(slowdowns) // 2]
+    p99 = slowdowns[min(int(len(slowdowns) * 0.99), len(slowdowns) - 1)]
     return f"ran {median:.2f} times their work at p50, {p99:.2f} at p99"
 
 
