--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -184,7 +184,7 @@
             state_kib=slope.at(held) / KIB,
         )
 
-    def heartbeats(self, peers: int, whom: str) -> costs.MechanismCost:
+    def heartbeats(self, peers: int, description: str) -> costs.MechanismCost:
         """Cost of sending and answering heartbeats of a number of peers."""
         beats = peers * MS_PER_S / settings.TimingSettings().heartbeat_ms
         wire = self.slopes.wire
@@ -195,7 +195,7 @@
         # Each peer has one thread that sends to it and one that answers it.
         threads_kib = 2 * peers * self.slopes.process.thread_kib.per_unit
         return costs.MechanismCost(
-            f"heartbeats with {whom} ({peers})",
+            f"heartbeats with {description} ({peers})",
             state_kib=threads_kib,
             messages_per_s=2 * beats,
             cpu_us_per_s=beats * cpu_us,
