--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -186,7 +186,9 @@
 
     def heartbeats(self, peers: int, description: str) -> costs.MechanismCost:
         """Cost of sending and answering heartbeats of a number of peers."""
-        beats = peers * MS_PER_S / settings.TimingSettings().heartbeat_ms
+        heartbeats_per_s = (
+            peers * MS_PER_S / settings.TimingSettings().heartbeat_ms
+        )
         wire = self.slopes.wire
         services = self.size.services
         cpu_us = wire.heartbeat_sent_us.at(services)
@@ -197,9 +199,9 @@
         return costs.MechanismCost(
             f"heartbeats with {description} ({peers})",
             state_kib=threads_kib,
-            messages_per_s=2 * beats,
-            cpu_us_per_s=beats * cpu_us,
-            bytes_per_s=2 * beats * size,
+            messages_per_s=2 * heartbeats_per_s,
+            cpu_us_per_s=heartbeats_per_s * cpu_us,
+            bytes_per_s=2 * heartbeats_per_s * size,
         )
 
     def zone_records_per_s(self) -> dict[str, float]:
