--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -129,10 +129,10 @@
     return zone
 
 
-def running_zone(count: int, workers_known: int) -> Zone:
+def running_zone(count: int, worker_count: int) -> Zone:
     """A zone whose jobs all run, distributed over its workers."""
     zone = _queued(count)
-    zone.fold_all(_assign(index, workers_known) for index in range(count))
+    zone.fold_all(_assign(index, worker_count) for index in range(count))
     return zone
 
 
@@ -195,7 +195,7 @@
 
 
 def make_scheduling_state(
-    workers_known: int, fold: zone_fold.ZoneFold | None = None
+    worker_count: int, fold: zone_fold.ZoneFold | None = None
 ) -> scheduling_state.SchedulingState:
     """A zone owner's scheduling state with workers and teams but no jobs."""
     scheduling = scheduling_state.SchedulingState(
@@ -211,7 +211,7 @@
     scheduling.queue.set_teams(
         {f"team-{index}": quota for index in range(TEAMS)}
     )
-    for index in range(workers_known):
+    for index in range(worker_count):
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
         scheduling.ledger.set_worker(
@@ -223,7 +223,7 @@
 
 def _populated_scheduling_state(count: int) -> scheduling_state.SchedulingState:
     scheduling = make_scheduling_state(
-        workers_known=count // TASKS_PER_WORKER + 1
+        worker_count=count // TASKS_PER_WORKER + 1
     )
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
@@ -231,11 +231,11 @@
     return scheduling
 
 
-def _start_us(workers_known: int) -> float:
-    scheduling = make_scheduling_state(workers_known)
-    first = workers_known * TASKS_PER_WORKER
+def _start_us(worker_count: int) -> float:
+    scheduling = make_scheduling_state(worker_count)
+    first = worker_count * TASKS_PER_WORKER
     for index in range(first):
-        scheduling.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
+        scheduling.sync_job(job_of(index, f"worker-{index % worker_count}"), 0)
     starts = job_scheduler.MAX_STARTS_PER_ROUND
     fresh = itertools.count(first)
 
@@ -276,9 +276,9 @@
 
 
 def _assign(
-    index: int, workers_known: int = WORKER_SIZES[0]
+    index: int, worker_count: int = WORKER_SIZES[0]
 ) -> job_records.AttemptAssigned:
-    worker = f"worker-{index % workers_known}"
+    worker = f"worker-{index % worker_count}"
     return job_records.AttemptAssigned(TERM, f"stack-{index:07d}", 1, worker, 0)
 
 
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -98,9 +98,9 @@
 _CONFIGURATION = configuration.Configuration(offset=1)
 
 
-def _step_us(workers_known: int) -> float:
+def _step_us(worker_count: int) -> float:
     zone = batch_slopes.running_zone(
-        workers_known * batch_slopes.TASKS_PER_WORKER, workers_known
+        worker_count * batch_slopes.TASKS_PER_WORKER, worker_count
     )
     clock = clock_fake.FakeClock()
     anything: Any = None
@@ -119,7 +119,7 @@
         metrics_module.Metrics(),
         clock,
     )
-    owner.update_host_list(_host_list(workers_known))
+    owner.update_host_list(_host_list(worker_count))
     owner.step()
 
     def step() -> None:
@@ -155,7 +155,7 @@
     return max(slope.cpu_us(process_report, MEASURED_RUNS) - made_us, 0.0)
 
 
-def _host_list(workers_known: int) -> hosts.HostList:
+def _host_list(worker_count: int) -> hosts.HostList:
     return hosts.HostList(
         tuple(
             hosts.ListedHost(
@@ -167,6 +167,6 @@
                 f"10.0.0.{index % 250}:7000",
                 "large",
             )
-            for index in range(workers_known)
+            for index in range(worker_count)
         )
     )
