--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -116,7 +116,7 @@
             "config", self.fold, metrics_module.Metrics(), None
         )
         self._number = 0
-        self._kept = _follow(self.fold) if routes else None
+        self._routing_state = _follow(self.fold) if routes else None
         self.apply_ticket([_zone(index) for index in range(zones)])
         self.apply_ticket([_change("service", "service-1", {})])
         self.apply_ticket([_team(index) for index in range(teams)])
