--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -116,7 +116,9 @@
             "config", self.fold, metrics_module.Metrics(), None
         )
         self._number = 0
-        self._routing_state = _follow(self.fold) if routes else None
+        self._routing_state = (
+            _build_routing_state(self.fold) if routes else None
+        )
         self.apply_ticket([_zone(index) for index in range(zones)])
         self.apply_ticket([_change("service", "service-1", {})])
         self.apply_ticket([_team(index) for index in range(teams)])
@@ -144,7 +146,9 @@
         assert taken
 
 
-def _follow(fold: configuration_fold.ConfigurationFold) -> list[Any]:
+def _build_routing_state(
+    fold: configuration_fold.ConfigurationFold,
+) -> list[Any]:
     clock = clock_fake.FakeClock()
     held = shares.FixedShares(fold, "zone-0", "zone-0-1", clock, 0)
     table = service_state.ServiceTable(
