--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -100,7 +100,7 @@
 
 def _describe_size(size: costs.DesignSize) -> str:
     fields = attrs.asdict(size)
-    asked = (
+    stated_fields = (
         "zones",
         "workers",
         "endpoints",
@@ -109,11 +109,11 @@
         "teams",
         "changes_per_day",
     )
-    given = ", ".join(f"{name} {fields[name]:,}" for name in asked)
+    given = ", ".join(f"{name} {fields[name]:,}" for name in stated_fields)
     assumed = ", ".join(
         f"{name} {value:,}"
         for name, value in fields.items()
-        if name not in asked
+        if name not in stated_fields
     )
     return (
         f"Size: {given}. Assumed besides: {assumed}. A batch task is one job "
