--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -109,14 +109,14 @@
         "teams",
         "changes_per_day",
     )
-    given = ", ".join(f"{name} {fields[name]:,}" for name in stated_fields)
+    stated = ", ".join(f"{name} {fields[name]:,}" for name in stated_fields)
     assumed = ", ".join(
         f"{name} {value:,}"
         for name, value in fields.items()
         if name not in stated_fields
     )
     return (
-        f"Size: {given}. Assumed besides: {assumed}. A batch task is one job "
+        f"Size: {stated}. Assumed besides: {assumed}. A batch task is one job "
         "record here. Every figure is at the peak."
     )
 
