--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -193,9 +193,9 @@
 
 def find_remedy(cost: costs.MechanismCost) -> str:
     """Key of a mechanism's remedy in `_REMEDIES`; empty if there is none."""
-    for start in _REMEDIES:
-        if cost.mechanism.startswith(start):
-            return start
+    for prefix in _REMEDIES:
+        if cost.mechanism.startswith(prefix):
+            return prefix
     return ""
 
 
