--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -161,7 +161,7 @@
 
 def _missed_budgets(roles: Iterable[costs.RoleCost]) -> str:
     lines = ["## Budgets missed today, and what would mend them", ""]
-    needed: dict[str, None] = {}
+    needed_remedies: dict[str, None] = {}
     for role in roles:
         for name, budget, what in (
             ("state_kib", BUDGET_BYTES / KIB, "memory"),
@@ -183,9 +183,11 @@
                 f"- {role.role.value}, {what}: {total / budget:.1f} times "
                 f"the budget; most of it {shares}."
             )
-            needed.update(dict.fromkeys(find_remedy(c) for c in largest))
+            needed_remedies.update(
+                dict.fromkeys(find_remedy(c) for c in largest)
+            )
     lines.append("")
-    for name in needed:
+    for name in needed_remedies:
         if name:
             lines.append(f"- *{name}*: {_REMEDIES[name]}.")
     return "\n".join(lines)
