--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -144,11 +144,11 @@
     """Folds tickets of one change into a configuration of many endpoints."""
     fold = configuration_fold.ConfigurationFold()
     _add_endpoints(fold, endpoints)
-    source = random.Random(seed)
+    rng = random.Random(seed)
     versions = [1] * endpoints
     values: list[dict[str, Any]] = []
     for number in range(ticket_count):
-        chosen = source.randrange(endpoints)
+        chosen = rng.randrange(endpoints)
         change = _endpoint(chosen, versions[chosen])
         versions[chosen] += 1
         values.append(samples.ticket(10_000 + number, change))
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -196,17 +196,17 @@
 
 def jobs(seed: int, count: int) -> list[dict[str, Any]]:
     """Jobs of random class, size and run time."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     return [
         {
             "id": f"job-{number}",
-            "team": f"team-{source.randrange(4)}",
-            "job_class": source.choice(CLASS_NAMES),
+            "team": f"team-{rng.randrange(4)}",
+            "job_class": rng.choice(CLASS_NAMES),
             "resources": {
-                "processors_milli": source.choice([1_000, 2_000, 4_000]),
-                "memory_mib": source.choice([2_000, 4_000, 8_000]),
+                "processors_milli": rng.choice([1_000, 2_000, 4_000]),
+                "memory_mib": rng.choice([2_000, 4_000, 8_000]),
             },
-            "run_time_ms": source.randrange(5_000, 20_000),
+            "run_time_ms": rng.randrange(5_000, 20_000),
         }
         for number in range(count)
     ]
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -176,11 +176,11 @@
         running.extend(placed)
         if len(placed) < 8:
             break
-    source = random.Random(1)
+    rng = random.Random(1)
     rounds: list[float] = []
     done = 0
     while done < starts:
-        source.shuffle(running)
+        rng.shuffle(running)
         ending = [running.pop() for _ in range(8)]
         while bench.scheduling.scheduler.queued < QUEUED_JOBS:
             bench.submit()
