--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -61,7 +61,7 @@
     """Fold and scheduling state of one zone, without workers and log."""
 
     def __init__(self, count: int, policy: placement.Policy) -> None:
-        self._source = random.Random(count)
+        self._rng = random.Random(count)
         self.fold = zone_fold.ZoneFold()
         self._offset = 0
         self._jobs = 0
@@ -120,12 +120,12 @@
         self._jobs += 1
         spec = job_records.JobSpec(
             id=f"job-{self._jobs}",
-            team=f"team-{self._source.randrange(TEAMS)}",
+            team=f"team-{self._rng.randrange(TEAMS)}",
             zone=fake_zone.ZONE,
-            job_class=f"class-{self._source.randrange(JOB_CLASSES)}",
+            job_class=f"class-{self._rng.randrange(JOB_CLASSES)}",
             resources=workers.Resources(
-                self._source.choice([500, 1_000, 2_000, 4_000]),
-                self._source.choice([1_000, 2_000, 4_000, 8_000]),
+                self._rng.choice([500, 1_000, 2_000, 4_000]),
+                self._rng.choice([1_000, 2_000, 4_000, 8_000]),
             ),
             run_time_ms=60_000,
         )
