--- a/testing/traces.py
+++ b/testing/traces.py
@@ -228,10 +228,10 @@
         deployment = workload.deployment
         processors_milli = self._random.choice(workload.job_processors_milli)
         job_class = self._random.choice(deployment.job_classes)
-        drawn = self._random.random()
-        if drawn < FAILING_JOB_PROBABILITY:
+        draw = self._random.random()
+        if draw < FAILING_JOB_PROBABILITY:
             job_class = worker_model.FAILING_JOB_MARKER
-        elif drawn < FAILING_JOB_PROBABILITY + OVERSIZED_JOB_PROBABILITY:
+        elif draw < FAILING_JOB_PROBABILITY + OVERSIZED_JOB_PROBABILITY:
             processors_milli = deployment.worker_capacity.processors_milli * 2
         run_time_ms = workload.job_run_time_ms * self._random.lognormvariate(
             0.0, 0.5
