--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -150,8 +150,8 @@
     )
 
     def quantile(share: float) -> float:
-        place = min(int(len(elapsed) * share), len(elapsed) - 1)
-        return elapsed[place] if elapsed else 0.0
+        index = min(int(len(elapsed) * share), len(elapsed) - 1)
+        return elapsed[index] if elapsed else 0.0
 
     return (
         f"policy={policy} phase={phase} offered={len(replies)} "
