--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -193,8 +193,10 @@
                 flush=True,
             )
             time.sleep(1.0)
-        broken = callers.find_violations(running, sent)
-    print(f"policy={policy.value} promises_broken={len(broken)}", flush=True)
+        violations = callers.find_violations(running, sent)
+    print(
+        f"policy={policy.value} promises_broken={len(violations)}", flush=True
+    )
 
 
 def main() -> None:
