--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -103,15 +103,15 @@
         worker_count * batch_slopes.TASKS_PER_WORKER, worker_count
     )
     clock = clock_fake.FakeClock()
-    anything: Any = None
+    unused: Any = None
     holder: Any = _PermanentOwnership()
     pool: Any = _NullLinkPool()
     source: Any = _StaticConfigurationSource()
     owner = zone_owner.ZoneOwner(
         "zone-0",
         holder,
-        anything,
-        anything,
+        unused,
+        unused,
         zone.fold,
         source,
         pool,
