--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -104,12 +104,12 @@
     )
     clock = clock_fake.FakeClock()
     unused: Any = None
-    holder: Any = _PermanentOwnership()
+    permanent_ownership: Any = _PermanentOwnership()
     pool: Any = _NullLinkPool()
     source: Any = _StaticConfigurationSource()
     owner = zone_owner.ZoneOwner(
         "zone-0",
-        holder,
+        permanent_ownership,
         unused,
         unused,
         zone.fold,
