--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -53,8 +53,8 @@
 
     On a busy machine a few have too little time left to be started.
     """
-    least = MIN_ANSWERED_FRACTION * len(sending.sent)
-    test.assertGreater(sending.count("answered"), least)
+    minimum = MIN_ANSWERED_FRACTION * len(sending.sent)
+    test.assertGreater(sending.count("answered"), minimum)
 
 
 @pytest.mark.xdist_group("fleet-1")
