--- a/testing/bench_load.py
+++ b/testing/bench_load.py
@@ -77,9 +77,11 @@
     parser.add_argument("--callers", type=int, default=1)
     parser.add_argument("--warm-s", type=float, default=1.0)
     parser.add_argument("--measured-s", type=float, default=4.0)
-    given = parser.parse_args()
-    callers = Callers(given.address, given.path, given.method, given.run)
-    callers.run(given.callers, given.warm_s, given.measured_s)
+    arguments = parser.parse_args()
+    callers = Callers(
+        arguments.address, arguments.path, arguments.method, arguments.run
+    )
+    callers.run(arguments.callers, arguments.warm_s, arguments.measured_s)
     line = {
         "answered": callers.latency.get_total_count(),
         "failed": callers.failed,
--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -229,8 +229,8 @@
 
             def call() -> None:
                 beat = _make_heartbeat(services)
-                told = link.call(lambda c: c.heartbeat(beat), TIMEOUT_MS)
-                assert isinstance(told, result.Ok), told
+                answer = link.call(lambda c: c.heartbeat(beat), TIMEOUT_MS)
+                assert isinstance(answer, result.Ok), answer
 
             call()
             whole_ns = time.process_time_ns()
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -58,13 +58,15 @@
         _measure_phase(policy_run, "idle", given.seconds)
         count = given.starts_per_s * given.seconds * 2
         work = measure_batch.jobs(1, count)
-        began = time.monotonic()
+        steady_started_s = time.monotonic()
         for second in range(given.seconds * 2):
             first = second * given.starts_per_s
             policy_run.submit(work[first : first + given.starts_per_s])
             if second == given.seconds:
                 steady_start = time.process_time(), policy_run.port.exchanges
-            time.sleep(max(0.0, began + second + 1 - time.monotonic()))
+            time.sleep(
+                max(0.0, steady_started_s + second + 1 - time.monotonic())
+            )
         spent_s = time.process_time() - steady_start[0]
         exchanges = policy_run.port.exchanges - steady_start[1]
         status = policy_run.service.status().owner
