--- a/testing/bench_load.py
+++ b/testing/bench_load.py
@@ -77,11 +77,9 @@
     parser.add_argument("--callers", type=int, default=1)
     parser.add_argument("--warm-s", type=float, default=1.0)
     parser.add_argument("--measured-s", type=float, default=4.0)
-    arguments = parser.parse_args()
-    callers = Callers(
-        arguments.address, arguments.path, arguments.method, arguments.run
-    )
-    callers.run(arguments.callers, arguments.warm_s, arguments.measured_s)
+    args = parser.parse_args()
+    callers = Callers(args.address, args.path, args.method, args.run)
+    callers.run(args.callers, args.warm_s, args.measured_s)
     line = {
         "answered": callers.latency.get_total_count(),
         "failed": callers.failed,
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -345,10 +345,10 @@
     parser.add_argument("--jobs", type=int, default=4_000)
     parser.add_argument("--slowdown-percent", type=int, default=10)
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    limits = objects.Limits(service_slowdown_percent=given.slowdown_percent)
+    args = parser.parse_args()
+    limits = objects.Limits(service_slowdown_percent=args.slowdown_percent)
     policy_runs = [
-        PolicyRun(policy, given.seed, limits=limits)
+        PolicyRun(policy, args.seed, limits=limits)
         for policy in placement.Policy
     ]
     with contextlib.ExitStack() as stack:
@@ -356,17 +356,17 @@
             stack.callback(policy_run.fleet.stop)
             stack.enter_context(policy_run.service)
             policy_run.start()
-        work = jobs(given.seed, given.jobs)
+        work = jobs(args.seed, args.jobs)
         threads = [
             threading.Thread(target=policy_run.submit, args=(work,))
             for policy_run in policy_runs
         ]
         for thread in threads:
             thread.start()
-        time.sleep(given.seconds / 3)
+        time.sleep(args.seconds / 3)
         for policy_run in policy_runs:
             policy_run.port.warm_start_index = len(policy_run.port.slowdowns)
-        time.sleep(given.seconds * 2 / 3)
+        time.sleep(args.seconds * 2 / 3)
         for thread in threads:
             thread.join()
         for policy_run in policy_runs:
