--- a/testing/bench.py
+++ b/testing/bench.py
@@ -50,7 +50,7 @@
 
     Attributes:
         cpu_us: Processor time of the target per request. Other load on the
-            machine affects it less than the other values.
+            machine affects this value least.
     """
 
     target: str
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -147,7 +147,10 @@
 
 
 def _record_us(running: int) -> float:
-    """Time per record, for equal numbers of four kinds of records."""
+    """Processor time per record, in microseconds.
+
+    A quarter each are admissions, assignments, checkpoints and ends.
+    """
     zone = _running(running)
     jobs = 100
     payloads = [
--- a/testing/capacity/slope.py
+++ b/testing/capacity/slope.py
@@ -39,7 +39,10 @@
     per_unit: float
 
     def at(self, size: float) -> float:
-        """Value at a size, interpolated between measurements or on the line."""
+        """Value at a size, interpolated within the measured range.
+
+        Outside of this range the value lies on the regression line.
+        """
         for index in range(1, len(self.sizes)):
             low, high = self.sizes[index - 1 : index + 1]
             if low <= size <= high:
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -32,7 +32,7 @@
 class FaultInjector:
     """Injects a fault once and clears it once, on a thread of its own.
 
-    Faults of one host, endpoint or worker affect the first one.
+    A fault of one zone, host, endpoint or worker affects the first one.
     """
 
     def __init__(
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -90,7 +90,7 @@
         useful_core_s: Work of finished jobs, in core seconds.
         kept_core_s: The same plus the checkpointed work of unfinished jobs.
         evictions: Attempts evicted.
-        lost_core_s: Work that was done and lost for lack of a checkpoint.
+        lost_core_s: Work of attempts that later attempts had to repeat.
         failures: Attempts that failed, mostly for lack of memory.
         p50_milli: Median slowdown of the service; 1000 without batch work.
         p99_milli: 99th percentile of the same slowdown.
@@ -339,7 +339,7 @@
 
 
 def main() -> None:
-    """Runs both policies side by side and prints a line for each."""
+    """Runs all policies at the same time and prints a line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=int, default=120)
     parser.add_argument("--jobs", type=int, default=4_000)
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -124,7 +124,7 @@
         """Executes the actions, clears all faults and checks the invariants.
 
         Raises:
-            PromiseBrokenError: An invariant doesn't hold.
+            InvariantViolationError: An invariant doesn't hold.
         """
         for action in actions:
             host = self._hosts[action.host % HOSTS]
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -31,7 +31,7 @@
 BURST_LOAD = 1.3
 BURST_INTERVAL_MS = 20_000
 BURST_DURATION_MS = 2_000
-# Of the normal distribution's 99th percentile.
+# 99th percentile of the standard normal distribution.
 P99_Z_SCORE = 2.326
 JOB_LOAD_FRACTION = 0.6
 FAILING_JOB_PROBABILITY = 0.02
