--- a/testing/bench_in_force.py
+++ b/testing/bench_in_force.py
@@ -45,13 +45,13 @@
 
 
 def measure(
-    running: fleet.Fleet, tickets: int, first: int, cut: bool
+    running: fleet.Fleet, tickets: int, first_number: int, cut: bool
 ) -> InForceLine:
     """Submits tickets through the last seat and polls every host."""
     seat = list(running.hosts)[-1]
     answered_ms: list[float] = []
     everywhere_ms: list[float] = []
-    for number in range(first, first + tickets):
+    for number in range(first_number, first_number + tickets):
         value = samples.ticket(number, samples.zone(f"zone-{number}"))
         started = time.monotonic()
         answer = running.submit_ticket(value, seat)
