--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -17,7 +17,7 @@
 
 OUTAGE_S = 20.0
 START_TIMEOUT_S = 60.0
-STEADY_STARTS = 20
+WARMUP_STARTS = 20
 
 
 def main() -> None:
@@ -45,9 +45,9 @@
             batch_fleet.wait_limits_applied(running)
             seed = given.seed + run
             with batch_fleet.submitter(running, seed=seed):
-                batch_fleet.wait_started(running, STEADY_STARTS)
+                batch_fleet.wait_started(running, WARMUP_STARTS)
                 death_recoveries_s.append(measure_owner_death(running))
-                batch_fleet.wait_started(running, STEADY_STARTS)
+                batch_fleet.wait_started(running, WARMUP_STARTS)
                 outage_recoveries_s.append(measure_log_outage(running))
     print("| from | to | runs | least s | median s | most s |")
     print("|---|---|---|---|---|---|")
