--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -356,9 +356,9 @@
             stack.callback(policy_run.fleet.stop)
             stack.enter_context(policy_run.service)
             policy_run.start()
-        work = jobs(args.seed, args.jobs)
+        submitted_jobs = jobs(args.seed, args.jobs)
         threads = [
-            threading.Thread(target=policy_run.submit, args=(work,))
+            threading.Thread(target=policy_run.submit, args=(submitted_jobs,))
             for policy_run in policy_runs
         ]
         for thread in threads:
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -57,11 +57,13 @@
         time.sleep(5)
         _measure_phase(policy_run, "idle", given.seconds)
         count = given.starts_per_s * given.seconds * 2
-        work = measure_batch.jobs(1, count)
+        submitted_jobs = measure_batch.jobs(1, count)
         steady_started_s = time.monotonic()
         for second in range(given.seconds * 2):
             first = second * given.starts_per_s
-            policy_run.submit(work[first : first + given.starts_per_s])
+            policy_run.submit(
+                submitted_jobs[first : first + given.starts_per_s]
+            )
             if second == given.seconds:
                 steady_start = time.process_time(), policy_run.port.exchanges
             time.sleep(
