--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -244,7 +244,7 @@
 
     def start(self) -> None:
         """Lists the workers and waits until the owner has claimed the zone."""
-        listed = tuple(
+        listed_hosts = tuple(
             hosts.ListedHost(
                 name,
                 hosts.HostKind.WORKER,
@@ -256,7 +256,7 @@
             )
             for name, address in self.fleet.addresses.items()
         )
-        self.service.update_host_list(hosts.HostList(listed))
+        self.service.update_host_list(hosts.HostList(listed_hosts))
         while not self.service.status().owner.holds:
             time.sleep(0.05)
 
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -78,7 +78,7 @@
         self.append(job_records.OwnerClaimed(1, 0, "bench", BOUNDS))
 
     def _set_up(self, count: int) -> None:
-        listed = tuple(
+        listed_hosts = tuple(
             hosts.ListedHost(
                 f"w{index}",
                 hosts.HostKind.WORKER,
@@ -94,7 +94,7 @@
             f"team-{index}": objects.Team(WORKER_CAPACITY)
             for index in range(TEAMS)
         }
-        self.scheduling.workers.set_list(hosts.HostList(listed))
+        self.scheduling.workers.set_list(hosts.HostList(listed_hosts))
         self.scheduling.workers.set_configuration(
             configuration_module.Configuration(
                 worker_classes={
@@ -105,7 +105,7 @@
         )
         self.scheduling.queue.set_teams(teams)
         self.scheduling.refresh_workers()
-        for host in listed:
+        for host in listed_hosts:
             self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
