--- a/testing/fakes/cell_workers.py
+++ b/testing/fakes/cell_workers.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class StartSeen:
+class RecordedStart:
     """A start that a worker has carried out."""
 
     worker_id: str
@@ -57,7 +57,7 @@
     ) -> None:
         self.entry = entry
         self.is_unreachable = False
-        self.starts: list[StartSeen] = []
+        self.starts: list[RecordedStart] = []
         self.deadlines_ms: list[int] = []
         self._clock = clock
         self._changed = threading.Condition()
@@ -125,7 +125,7 @@
             if self._running.get(order.task) != order.run:
                 self._running[order.task] = order.run
                 self.starts.append(
-                    StartSeen(
+                    RecordedStart(
                         self.entry.worker_id,
                         order.task,
                         order.run,
