--- a/testing/fakes/cell_workers.py
+++ b/testing/fakes/cell_workers.py
@@ -67,7 +67,7 @@
         self._last_number = 0
         self._token = 0
 
-    def _refused(
+    def _check_order(
         self, token: int
     ) -> result.Err[cell_workers.OrderError] | None:
         if self.is_unreachable:
@@ -85,7 +85,7 @@
         """See `WorkerOrders.hold`."""
         del timeout_ms
         with self._changed:
-            refused = self._refused(order.token)
+            refused = self._check_order(order.token)
             if refused:
                 return refused
             if order.deadline_ms:
@@ -115,7 +115,7 @@
         """See `WorkerOrders.start`."""
         del timeout_ms
         with self._changed:
-            refused = self._refused(order.token)
+            refused = self._check_order(order.token)
             if refused:
                 return refused
             if order.run <= self._closed.get(order.task, 0):
@@ -141,7 +141,7 @@
         """See `WorkerOrders.stop`."""
         del timeout_ms
         with self._changed:
-            refused = self._refused(order.token)
+            refused = self._check_order(order.token)
             if refused:
                 return refused
             if self._running.get(order.task) == order.run:
