--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -36,7 +36,7 @@
     share_milli: int = 1_000
     fails: bool = False
 
-    def line(self) -> workers.TaskStatus:
+    def to_status(self) -> workers.TaskStatus:
         """As reported."""
         return workers.TaskStatus(
             self.start.job,
@@ -139,7 +139,7 @@
             highest_term=self._term,
             lease_left_ms=max(0, self._lease_until_ms - now_ms),
             capacity=self.worker_capacity,
-            tasks=tuple(task.line() for task in self.tasks.values()),
+            tasks=tuple(task.to_status() for task in self.tasks.values()),
             usage=self.usage,
             statuses=statuses,
         )
--- a/testing/standins/worker_records.py
+++ b/testing/standins/worker_records.py
@@ -93,7 +93,7 @@
         """Whether it still runs."""
         return self.state == workers.TaskState.RUNNING
 
-    def line(self) -> workers.TaskStatus:
+    def to_status(self) -> workers.TaskStatus:
         """As reported."""
         return workers.TaskStatus(
             job=self.start.job,
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -73,7 +73,7 @@
 
     def lines(self) -> tuple[workers.TaskStatus, ...]:
         """All attempts as reported."""
-        return tuple(task.line() for task in self._by_key.values())
+        return tuple(task.to_status() for task in self._by_key.values())
 
     def end(
         self,
