--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -77,7 +77,7 @@
         self._report = 0
         self.tasks: dict[tuple[str, int], FakeTask] = {}
         self.started: list[workers.StartTask] = []
-        self.kept: set[tuple[str, int]] = set()
+        self.checkpoints: set[tuple[str, int]] = set()
         self.reboot()
 
     def reboot(self) -> None:
@@ -201,7 +201,7 @@
                 task.state = workers.TaskState.STOPPED
             case workers.CheckpointTask():
                 task.checkpoint_ms = task.progress_ms
-                self.kept.add((command.job, task.checkpoint_ms))
+                self.checkpoints.add((command.job, task.checkpoint_ms))
             case workers.ThrottleTask(share_milli=share_milli):
                 task.share_milli = share_milli
         return workers.CommandStatus.DONE
