--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -93,14 +93,14 @@
 
     def running(self) -> list[FakeTask]:
         """Tasks that run now."""
-        self.work()
+        self.advance()
         return [
             task
             for task in self.tasks.values()
             if task.state is workers.TaskState.RUNNING
         ]
 
-    def work(self) -> None:
+    def advance(self) -> None:
         """Lets the time since the last call pass."""
         now_ms = self._clock.now_ms
         until_ms = min(now_ms, max(self._lease_until_ms, self._worked_ms))
@@ -119,7 +119,7 @@
 
     def exchange(self, exchange: workers.Exchange) -> workers.WorkerReport:
         """Carries out one exchange."""
-        self.work()
+        self.advance()
         now_ms = self._clock.now_ms
         refusal = self._refusal(exchange, now_ms)
         statuses = tuple(refusal for _ in exchange.commands if refusal)
