--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -89,7 +89,7 @@
         self._lease_until_ms = 0
         self.tasks.clear()
         self._known: set[tuple[str, int]] = set()
-        self._worked_ms = self._clock.now_ms
+        self._advanced_ms = self._clock.now_ms
 
     def running(self) -> list[FakeTask]:
         """Tasks that run now."""
@@ -103,9 +103,9 @@
     def advance(self) -> None:
         """Lets the time since the last call pass."""
         now_ms = self._clock.now_ms
-        until_ms = min(now_ms, max(self._lease_until_ms, self._worked_ms))
-        elapsed_ms = until_ms - self._worked_ms
-        self._worked_ms = now_ms
+        until_ms = min(now_ms, max(self._lease_until_ms, self._advanced_ms))
+        elapsed_ms = until_ms - self._advanced_ms
+        self._advanced_ms = now_ms
         for task in self.tasks.values():
             if task.state is not workers.TaskState.RUNNING:
                 continue
