--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -128,7 +128,7 @@
             if exchange.lease_ms:
                 self._lease_until_ms = now_ms + exchange.lease_ms
             statuses = tuple(
-                self._carry_out(command) for command in exchange.commands
+                self._execute(command) for command in exchange.commands
             )
         self._report += 1
         self._report_times[self._report] = now_ms
@@ -174,7 +174,7 @@
         if task and task.state is not workers.TaskState.RUNNING:
             del self.tasks[command.job, command.attempt]
 
-    def _carry_out(self, command: workers.Command) -> workers.CommandStatus:
+    def _execute(self, command: workers.Command) -> workers.CommandStatus:
         key = (command.job, command.attempt)
         if isinstance(command, workers.StartTask):
             if not self._lease_until_ms > self._clock.now_ms:
--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -150,10 +150,10 @@
         if exchange.lease_ms > 0:
             self._lease_until_ms = now + exchange.lease_ms
         return tuple(
-            self._carry_out(command, now) for command in exchange.commands
+            self._execute(command, now) for command in exchange.commands
         )
 
-    def _carry_out(
+    def _execute(
         self, command: workers.Command, now: float
     ) -> workers.CommandStatus:
         if isinstance(command, workers.StartTask):
