--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -229,7 +229,7 @@
         for worker, exchange in arrived:
             self._fleet[worker].exchange(exchange)
 
-    def carry(
+    def deliver(
         self, host: str, worker: str, exchange: workers.Exchange
     ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
         """Carries one exchange, or not."""
@@ -274,4 +274,4 @@
         timeout_ms: int,  # noqa: ARG002
     ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
         """See `WorkerPort.exchange`."""
-        return self._network.carry(self._host, address, exchange)
+        return self._network.deliver(self._host, address, exchange)
