--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -12,7 +12,7 @@
 from comfreylatch._process.batch import capacity
 from testing.fakes import clock as fake_clock
 
-STALE_REPORT_MS = 2_000
+MAX_REPORT_AGE_MS = 2_000
 
 
 class ExchangeFault(enum.Enum):
@@ -165,7 +165,7 @@
         made_ms = self._report_times.get(exchange.quoted_report)
         if not self.checks_staleness:
             return None
-        if made_ms is None or now_ms - made_ms > STALE_REPORT_MS:
+        if made_ms is None or now_ms - made_ms > MAX_REPORT_AGE_MS:
             return workers.CommandStatus.REFUSED_STALE
         return None
 
--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -16,7 +16,7 @@
 from testing.standins import worker_records as records
 from testing.standins import worker_tasks
 
-STALE_REPORT_MS = 2_000
+MAX_REPORT_AGE_MS = 2_000
 
 
 class WorkerHost:
@@ -137,7 +137,7 @@
         if exchange.quoted_report == 0 and asks:
             return None
         made_ms = self._report_times.get(exchange.quoted_report)
-        if made_ms is None or now - made_ms > STALE_REPORT_MS:
+        if made_ms is None or now - made_ms > MAX_REPORT_AGE_MS:
             return workers.CommandStatus.REFUSED_STALE
         return None
 
@@ -209,7 +209,7 @@
         self._report += 1
         self._report_times[self._report] = now
         for number, made_ms in tuple(self._report_times.items()):
-            if now - made_ms <= STALE_REPORT_MS:
+            if now - made_ms <= MAX_REPORT_AGE_MS:
                 break
             del self._report_times[number]
         return workers.WorkerReport(
