--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -352,7 +352,7 @@
             )
         )
         self._started = 0
-        self.desk = FakeAppender(self.stream, "desk")
+        self.job_appender = FakeAppender(self.stream, "desk")
         self.hosts: list[FakeHost] = []
         for _ in range(host_count):
             self.hosts.append(self.new_host())
@@ -406,11 +406,11 @@
             run_time_ms=run_time_ms,
             urgent=urgent,
         )
-        self.desk.append([job_records.JobAdmitted(spec)], 0)
+        self.job_appender.append([job_records.JobAdmitted(spec)], 0)
 
     def cancel(self, job: str) -> None:
         """Cancels a job, as a job desk would."""
-        self.desk.append([job_records.JobCancelled(job)], 0)
+        self.job_appender.append([job_records.JobCancelled(job)], 0)
 
     def state(self, job: str) -> job_state.JobState:
         """A job as folded now, whoever is the owner."""
