--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -86,11 +86,11 @@
             self._tasks.work(max(until - self._advanced_ms, 0.0), until)
             self._advanced_ms = now
             if lapsed:
-                self._lapse()
+                self._expire_lease()
             self._tasks.guard_memory(now)
             self._tasks.measure(now)
 
-    def _lapse(self) -> None:
+    def _expire_lease(self) -> None:
         until = self._lease_until_ms
         self._lease_until_ms = 0.0
         for task in self._tasks.running():
