--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -37,7 +37,7 @@
         self._changed = threading.Condition(threading.RLock())
         self._boots = itertools.count(1)
         self.listener = serving.Listener(self._handle, spec.port)
-        self._forget()
+        self._reset_state()
         self.listener.start()
 
     def change(self, change: dict[str, Any]) -> None:
@@ -61,9 +61,9 @@
             self._tasks.end(task, workers.TaskState.STOPPED, "killed", now)
         self._note(now, "kill")
         self.listener.drop_connections()
-        self._forget()
+        self._reset_state()
 
-    def _forget(self) -> None:
+    def _reset_state(self) -> None:
         now = serving.now_ms()
         self._boot = f"{self.spec.name}-boot-{next(self._boots)}"
         self._report = 0
