--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -133,10 +133,10 @@
         count = len(payloads)
         if self.faults.lose_before > 0:
             self.faults.lose_before -= 1
-            self._note(now, "lost-before", name, -1, count, size)
+            self._record_event(now, "lost-before", name, -1, count, size)
             return serving.Drop()
         if not self._within_rate(now):
-            self._note(now, "refused-rate", name, -1, count, size)
+            self._record_event(now, "refused-rate", name, -1, count, size)
             return serving.json_reply(503, {"detail": "too many appends"})
         stream = self._streams[name]
         offset = stream.next_offset
@@ -147,12 +147,12 @@
         self._changed.notify_all()
         if self.faults.lose_after > 0:
             self.faults.lose_after -= 1
-            self._note(now, "lost-after", name, offset, count, size)
+            self._record_event(now, "lost-after", name, offset, count, size)
             return serving.Drop()
-        self._note(now, "append", name, offset, count, size)
+        self._record_event(now, "append", name, offset, count, size)
         return serving.json_reply(200, {"offset": offset})
 
-    def _note(
+    def _record_event(
         self,
         at_ms: float,
         kind: str,
--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -59,7 +59,7 @@
         now = serving.now_ms()
         for task in self._tasks.running():
             self._tasks.end(task, workers.TaskState.STOPPED, "killed", now)
-        self._note(now, "kill")
+        self._record_event(now, "kill")
         self.listener.drop_connections()
         self._reset_state()
 
@@ -75,7 +75,7 @@
         )
         self._tasks.fail_all = self.faults.fail_all
         self._advanced_ms = now
-        self._note(now, "boot")
+        self._record_event(now, "boot")
 
     def advance(self) -> None:
         """Lets the time since the last call pass: work, ends, the lease."""
@@ -95,7 +95,7 @@
         self._lease_until_ms = 0.0
         for task in self._tasks.running():
             self._tasks.end(task, workers.TaskState.STOPPED, "lapsed", until)
-        self._note(until, "lapse")
+        self._record_event(until, "lapse")
 
     def _handle(self, call: serving.Call) -> serving.Answer:
         if call.path != "/exchange" or call.method != "POST":
@@ -120,7 +120,7 @@
             statuses = self._accept(exchange, now)
         else:
             statuses = tuple(refusal for _ in exchange.commands)
-            self._note(now, refusal.value, detail=exchange.owner)
+            self._record_event(now, refusal.value, detail=exchange.owner)
         report = self._make_report(now, statuses)
         if refusal is None:
             for command in exchange.commands:
@@ -146,7 +146,7 @@
     ) -> tuple[workers.CommandStatus, ...]:
         if exchange.term > self._highest_term:
             self._highest_term = exchange.term
-            self._note(now, "term", detail=exchange.owner)
+            self._record_event(now, "term", detail=exchange.owner)
         if exchange.lease_ms > 0:
             self._lease_until_ms = now + exchange.lease_ms
         return tuple(
@@ -168,11 +168,11 @@
                 self._tasks.end(task, workers.TaskState.STOPPED, "stopped", now)
             case workers.CheckpointTask():
                 task.checkpoint_ms = task.progress_ms
-                self._note(now, "checkpoint", task)
+                self._record_event(now, "checkpoint", task)
             case workers.ThrottleTask():
                 share_milli = min(command.share_milli, models.FULL_SHARE_MILLI)
                 task.share_milli = max(share_milli, 1)
-                self._note(now, "throttle", task, str(task.share_milli))
+                self._record_event(now, "throttle", task, str(task.share_milli))
         return workers.CommandStatus.DONE
 
     def _start(
@@ -185,10 +185,10 @@
         )
         refusal = self._start_refusal(task)
         if refusal is not None:
-            self._note(now, refusal.value, task)
+            self._record_event(now, refusal.value, task)
             return refusal
         self._tasks.add(task)
-        self._note(now, "start", task)
+        self._record_event(now, "start", task)
         return workers.CommandStatus.DONE
 
     def _start_refusal(
@@ -225,9 +225,9 @@
         )
 
     def _ended(self, at_ms: float, task: records.Task, detail: str) -> None:
-        self._note(at_ms, "end", task, detail)
+        self._record_event(at_ms, "end", task, detail)
 
-    def _note(
+    def _record_event(
         self,
         at_ms: float,
         kind: str,
