--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -71,7 +71,7 @@
         self._highest_term = 0
         self._lease_until_ms = 0.0
         self._tasks = worker_tasks.TaskTable(
-            self.spec, self._model, self._speed, self._ended
+            self.spec, self._model, self._speed, self._on_task_end
         )
         self._tasks.fail_all = self.faults.fail_all
         self._advanced_ms = now
@@ -224,7 +224,9 @@
             statuses=statuses,
         )
 
-    def _ended(self, at_ms: float, task: records.Task, detail: str) -> None:
+    def _on_task_end(
+        self, at_ms: float, task: records.Task, detail: str
+    ) -> None:
         self._record_event(at_ms, "end", task, detail)
 
     def _record_event(
