--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -87,7 +87,7 @@
             self._advanced_ms = now
             if lapsed:
                 self._expire_lease()
-            self._tasks.guard_memory(now)
+            self._tasks.enforce_memory_limit(now)
             self._tasks.measure(now)
 
     def _expire_lease(self) -> None:
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -125,7 +125,7 @@
             task.progress_ms = task.start.run_time_ms
             self.end(task, workers.TaskState.FINISHED, "finished", now)
 
-    def guard_memory(self, now: float) -> None:
+    def enforce_memory_limit(self, now: float) -> None:
         """Fails the attempt furthest above its size when memory runs out."""
         while self._spec.guards:
             running = self.running()
