--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -220,7 +220,7 @@
             lease_left_ms=int(max(self._lease_until_ms - now, 0.0)),
             capacity=self.spec.capacity,
             tasks=self._tasks.lines(),
-            usage=self._tasks.late_usage(now),
+            usage=self._tasks.take_due_usage(now),
             statuses=statuses,
         )
 
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -216,7 +216,7 @@
             memory_mib=int(self._real_memory_mib(task)),
         )
 
-    def late_usage(self, now: float) -> tuple[workers.Usage, ...]:
+    def take_due_usage(self, now: float) -> tuple[workers.Usage, ...]:
         """Measurements old enough to be reported, and not reported yet."""
         ripe = [
             one
