--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -218,14 +218,14 @@
 
     def take_due_usage(self, now: float) -> tuple[workers.Usage, ...]:
         """Measurements old enough to be reported, and not reported yet."""
-        ripe = [
+        due = [
             one
             for one in self._measured
             if one.at_ms > self._reported_ms
             and one.at_ms <= now - self._spec.usage_lag_ms
         ]
-        if ripe:
-            self._reported_ms = ripe[-1].at_ms
+        if due:
+            self._reported_ms = due[-1].at_ms
         return tuple(
-            attrs.evolve(one.usage, age_ms=int(now - one.at_ms)) for one in ripe
+            attrs.evolve(one.usage, age_ms=int(now - one.at_ms)) for one in due
         )
