--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -196,7 +196,7 @@
     ) -> workers.CommandStatus | None:
         if not self._lease_until_ms:
             return workers.CommandStatus.REFUSED_LEASE
-        if self._tasks.knows(task.key):
+        if self._tasks.was_started(task.key):
             return workers.CommandStatus.REFUSED_DUPLICATE
         wanted = models.add(self._tasks.used(), task.start.resources)
         if self.spec.guards and not models.fits(wanted, self.spec.capacity):
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -52,7 +52,7 @@
         """The attempt, running or lately ended."""
         return self._by_key.get(key)
 
-    def knows(self, key: records.TaskKey) -> bool:
+    def was_started(self, key: records.TaskKey) -> bool:
         """Whether the attempt was ever started since the last boot."""
         return key in self._known
 
