--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -13,7 +13,7 @@
 
 USAGE_EVERY_MS = 1_000
 USAGE_HORIZON_MS = 10_000
-KEEP_ENDED_MS = 600_000
+ENDED_TASK_RETENTION_MS = 600_000
 FAIL_AFTER_MS = 50.0
 # Told of an attempt's end: when, which, and how it ended.
 EndListener = Callable[[float, records.Task, str], None]
@@ -104,7 +104,10 @@
             for task in running:
                 self._work_one(task, elapsed_ms, slowed[task.name], now)
         for key, task in tuple(self._by_key.items()):
-            if not task.running and task.ended_ms < now - KEEP_ENDED_MS:
+            if (
+                not task.running
+                and task.ended_ms < now - ENDED_TASK_RETENTION_MS
+            ):
                 del self._by_key[key]
 
     def _work_one(
