--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -11,7 +11,7 @@
 from testing.standins import worker_model as models
 from testing.standins import worker_records as records
 
-USAGE_EVERY_MS = 1_000
+USAGE_INTERVAL_MS = 1_000
 USAGE_HORIZON_MS = 10_000
 ENDED_TASK_RETENTION_MS = 600_000
 FAIL_AFTER_MS = 50.0
@@ -181,7 +181,10 @@
 
     def measure(self, now: float) -> None:
         """Takes a measurement when one is due."""
-        if self._measured and now - self._measured[-1].at_ms < USAGE_EVERY_MS:
+        if (
+            self._measured
+            and now - self._measured[-1].at_ms < USAGE_INTERVAL_MS
+        ):
             return
         self._measured.append(Measured(now, self._usage()))
         while self._measured[0].at_ms < now - USAGE_HORIZON_MS:
