--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -12,7 +12,7 @@
 from testing.standins import worker_records as records
 
 USAGE_INTERVAL_MS = 1_000
-USAGE_HORIZON_MS = 10_000
+USAGE_RETENTION_MS = 10_000
 ENDED_TASK_RETENTION_MS = 600_000
 FAIL_AFTER_MS = 50.0
 # Told of an attempt's end: when, which, and how it ended.
@@ -187,7 +187,7 @@
         ):
             return
         self._measured.append(Measured(now, self._usage()))
-        while self._measured[0].at_ms < now - USAGE_HORIZON_MS:
+        while self._measured[0].at_ms < now - USAGE_RETENTION_MS:
             self._measured.popleft()
 
     def _usage(self) -> workers.Usage:
