--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -14,7 +14,7 @@
 USAGE_INTERVAL_MS = 1_000
 USAGE_RETENTION_MS = 10_000
 ENDED_TASK_RETENTION_MS = 600_000
-FAIL_AFTER_MS = 50.0
+TIME_TO_FAILURE_MS = 50.0
 # Told of an attempt's end: when, which, and how it ended.
 EndListener = Callable[[float, records.Task, str], None]
 
@@ -122,7 +122,7 @@
         task.ran_ms += elapsed_ms
         task.progress_ms += elapsed_ms * self._speed * share / slowness
         if self.fail_all or models.never_works(task.start):
-            if task.ran_ms >= FAIL_AFTER_MS:
+            if task.ran_ms >= TIME_TO_FAILURE_MS:
                 self.end(task, workers.TaskState.FAILED, "failed", now)
         elif task.progress_ms >= task.start.run_time_ms:
             task.progress_ms = task.start.run_time_ms
