--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -20,7 +20,7 @@
 
 
 @attrs.frozen
-class Measured:
+class UsageSample:
     """One measurement of usage with the time it was made."""
 
     at_ms: float
@@ -43,7 +43,7 @@
         self._on_end = on_end
         self._by_key: dict[records.TaskKey, records.Task] = {}
         self._known: set[records.TaskKey] = set()
-        self._measured: collections.deque[Measured] = collections.deque()
+        self._measured: collections.deque[UsageSample] = collections.deque()
         self._reported_ms = 0.0
         self.fail_all = False
         self.service_load = {one.service: one.load for one in spec.services}
@@ -186,7 +186,7 @@
             and now - self._measured[-1].at_ms < USAGE_INTERVAL_MS
         ):
             return
-        self._measured.append(Measured(now, self._usage()))
+        self._measured.append(UsageSample(now, self._usage()))
         while self._measured[0].at_ms < now - USAGE_RETENTION_MS:
             self._measured.popleft()
 
