--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -43,7 +43,7 @@
         self._on_end = on_end
         self._by_key: dict[records.TaskKey, records.Task] = {}
         self._known: set[records.TaskKey] = set()
-        self._measured: collections.deque[UsageSample] = collections.deque()
+        self._samples: collections.deque[UsageSample] = collections.deque()
         self._reported_ms = 0.0
         self.fail_all = False
         self.service_load = {one.service: one.load for one in spec.services}
@@ -181,14 +181,11 @@
 
     def measure(self, now: float) -> None:
         """Takes a measurement when one is due."""
-        if (
-            self._measured
-            and now - self._measured[-1].at_ms < USAGE_INTERVAL_MS
-        ):
+        if self._samples and now - self._samples[-1].at_ms < USAGE_INTERVAL_MS:
             return
-        self._measured.append(UsageSample(now, self._usage()))
-        while self._measured[0].at_ms < now - USAGE_RETENTION_MS:
-            self._measured.popleft()
+        self._samples.append(UsageSample(now, self._usage()))
+        while self._samples[0].at_ms < now - USAGE_RETENTION_MS:
+            self._samples.popleft()
 
     def _usage(self) -> workers.Usage:
         slowed = self._slowdowns()
@@ -226,7 +223,7 @@
         """Measurements old enough to be reported, and not reported yet."""
         due = [
             one
-            for one in self._measured
+            for one in self._samples
             if one.at_ms > self._reported_ms
             and one.at_ms <= now - self._spec.usage_lag_ms
         ]
