--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -102,7 +102,7 @@
         if running:
             slowed = self._slowdowns()
             for task in running:
-                self._work_one(task, elapsed_ms, slowed[task.name], now)
+                self._advance_task(task, elapsed_ms, slowed[task.name], now)
         for key, task in tuple(self._by_key.items()):
             if (
                 not task.running
@@ -110,7 +110,7 @@
             ):
                 del self._by_key[key]
 
-    def _work_one(
+    def _advance_task(
         self,
         task: records.Task,
         elapsed_ms: float,
