--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -123,13 +123,13 @@
     def _job(self, count: int) -> dict[str, Any]:
         chance = self._chance
         urgent = chance.random() < self._load.urgent_share
-        never_works = chance.random() < self._load.never_works_share
+        always_fails = chance.random() < self._load.never_works_share
         teams = self._fleet.deployment.teams
         return {
             "id": f"{self._name}-{count}",
             "team": teams[0] if urgent else chance.choice(teams),
             "job_class": worker_model.FAILING_JOB_MARKER
-            if never_works
+            if always_fails
             else "stack",
             "resources": {
                 "processors_milli": chance.randrange(500, 3_001, 250),
--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -119,7 +119,7 @@
     )
 
 
-def never_works(start: workers.StartTask) -> bool:
+def always_fails(start: workers.StartTask) -> bool:
     """Whether an attempt fails wherever it runs."""
     return (
         start.job_class == FAILING_JOB_MARKER or FAILING_JOB_MARKER in start.job
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -121,7 +121,7 @@
         slowness = slowdown * self._model.time_factor(task.start.job_class)
         task.ran_ms += elapsed_ms
         task.progress_ms += elapsed_ms * self._speed * share / slowness
-        if self.fail_all or models.never_works(task.start):
+        if self.fail_all or models.always_fails(task.start):
             if task.ran_ms >= TIME_TO_FAILURE_MS:
                 self.end(task, workers.TaskState.FAILED, "failed", now)
         elif task.progress_ms >= task.start.run_time_ms:
