--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -48,7 +48,7 @@
     shortest_ms: int = 200
     longest_ms: int = 1_400
     urgent_share: float = 0.05
-    never_works_share: float = 0.02
+    failing_share: float = 0.02
     burst_every: int = 25
     burst: int = 5
     seed: int = 1
@@ -123,7 +123,7 @@
     def _job(self, count: int) -> dict[str, Any]:
         chance = self._chance
         urgent = chance.random() < self._load.urgent_share
-        always_fails = chance.random() < self._load.never_works_share
+        always_fails = chance.random() < self._load.failing_share
         teams = self._fleet.deployment.teams
         return {
             "id": f"{self._name}-{count}",
