--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -68,7 +68,7 @@
 
 
 @attrs.frozen
-class Presence:
+class Workload:
     """Something that runs on a worker, with the processors it really uses."""
 
     name: str
@@ -77,7 +77,7 @@
 
 
 def slowdowns(
-    model: WorkModel, present: Iterable[Presence], capacity_milli: int
+    model: WorkModel, present: Iterable[Workload], capacity_milli: int
 ) -> dict[str, float]:
     """Slowdown of each presence by name, 1 when alone on the host."""
     everyone = tuple(present)
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -157,9 +157,9 @@
         factor = self._model.size_factor(task.start.job_class)
         return task.start.resources.processors_milli * share * factor
 
-    def _present(self) -> list[models.Presence]:
+    def _present(self) -> list[models.Workload]:
         services = [
-            models.Presence(
+            models.Workload(
                 one.service,
                 one.service,
                 one.resources.processors_milli
@@ -168,7 +168,7 @@
             for one in self._spec.services
         ]
         tasks = [
-            models.Presence(
+            models.Workload(
                 task.name, task.start.job_class, self._real_processors(task)
             )
             for task in self.running()
