--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -157,7 +157,7 @@
         factor = self._model.size_factor(task.start.job_class)
         return task.start.resources.processors_milli * share * factor
 
-    def _present(self) -> list[models.Workload]:
+    def _workloads(self) -> list[models.Workload]:
         services = [
             models.Workload(
                 one.service,
@@ -177,7 +177,7 @@
 
     def _slowdowns(self) -> dict[str, float]:
         capacity_milli = self._spec.capacity.processors_milli
-        return models.slowdowns(self._model, self._present(), capacity_milli)
+        return models.slowdowns(self._model, self._workloads(), capacity_milli)
 
     def measure(self, now: float) -> None:
         """Takes a measurement when one is due."""
@@ -189,7 +189,7 @@
 
     def _usage(self) -> workers.Usage:
         slowed = self._slowdowns()
-        used_milli = sum(one.processors_milli for one in self._present())
+        used_milli = sum(one.processors_milli for one in self._workloads())
         running = self.running()
         return workers.Usage(
             age_ms=0,
