--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -77,10 +77,10 @@
 
 
 def slowdowns(
-    model: WorkModel, present: Iterable[Workload], capacity_milli: int
+    model: WorkModel, workloads: Iterable[Workload], capacity_milli: int
 ) -> dict[str, float]:
     """Slowdown of each presence by name, 1 when alone on the host."""
-    everyone = tuple(present)
+    everyone = tuple(workloads)
     used = sum(one.processors_milli for one in everyone)
     crowding = max(1.0, used / max(capacity_milli, 1))
     load_by_class: dict[str, float] = {}
