--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -82,7 +82,7 @@
     """Slowdown of each presence by name, 1 when alone on the host."""
     everyone = tuple(workloads)
     used = sum(one.processors_milli for one in everyone)
-    crowding = max(1.0, used / max(capacity_milli, 1))
+    contention = max(1.0, used / max(capacity_milli, 1))
     load_by_class: dict[str, float] = {}
     for one in everyone:
         load = one.processors_milli / max(capacity_milli, 1)
@@ -97,7 +97,7 @@
             * (load - own if job_class == one.job_class else load)
             for job_class, load in load_by_class.items()
         )
-        found[one.name] = crowding * (1.0 + max(extra, 0.0))
+        found[one.name] = contention * (1.0 + max(extra, 0.0))
     return found
 
 
