--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -80,17 +80,17 @@
     model: WorkModel, workloads: Iterable[Workload], capacity_milli: int
 ) -> dict[str, float]:
     """Slowdown of each presence by name, 1 when alone on the host."""
-    everyone = tuple(workloads)
-    used = sum(one.processors_milli for one in everyone)
+    all_workloads = tuple(workloads)
+    used = sum(one.processors_milli for one in all_workloads)
     contention = max(1.0, used / max(capacity_milli, 1))
     load_by_class: dict[str, float] = {}
-    for one in everyone:
+    for one in all_workloads:
         load = one.processors_milli / max(capacity_milli, 1)
         load_by_class[one.job_class] = (
             load_by_class.get(one.job_class, 0.0) + load
         )
     found = {}
-    for one in everyone:
+    for one in all_workloads:
         own = one.processors_milli / max(capacity_milli, 1)
         extra = sum(
             model.pair_slowdown(one.job_class, job_class)
