--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -12,7 +12,7 @@
 from comfreylatch._ports import workers
 
 FULL_SHARE_MILLI = 1_000
-HASH_STEPS = 1_000
+HASH_BUCKETS = 1_000
 MAX_PAIR_SLOWDOWN = 1.2
 FAILING_JOB_MARKER = "never-works"
 
@@ -20,9 +20,9 @@
 @functools.cache
 def _pair_slowdown(seed: int, victim: str, aggressor: str) -> float:
     key = f"{seed}/{victim}/{aggressor}".encode()
-    step = xxhash.xxh64_intdigest(key) % HASH_STEPS
+    step = xxhash.xxh64_intdigest(key) % HASH_BUCKETS
     # Squared, so that most pairs get along and a few do not.
-    return MAX_PAIR_SLOWDOWN * (step / HASH_STEPS) ** 2
+    return MAX_PAIR_SLOWDOWN * (step / HASH_BUCKETS) ** 2
 
 
 @attrs.frozen
