--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Kept:
+class StoredRecord:
     """One record of a stream."""
 
     offset: int
@@ -78,7 +78,9 @@
     """Records of one stream and its next offset."""
 
     next_offset: int = 0
-    records: collections.deque[Kept] = attrs.field(factory=collections.deque)
+    records: collections.deque[StoredRecord] = attrs.field(
+        factory=collections.deque
+    )
 
     @property
     def first_offset(self) -> int:
@@ -141,7 +143,9 @@
         stream = self._streams[name]
         offset = stream.next_offset
         for payload in payloads:
-            stream.records.append(Kept(stream.next_offset, payload, now))
+            stream.records.append(
+                StoredRecord(stream.next_offset, payload, now)
+            )
             stream.next_offset += 1
         self._expire(stream, now)
         self._changed.notify_all()
