--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -175,22 +175,22 @@
         )
 
     def _run(self, call: serving.Call, event: EndpointEvent) -> serving.Answer:
-        if self._strikes("busy"):
+        if self._consume_fault("busy"):
             event.outcome = "busy"
             return serving.Reply(503, b"", {"X-Outcome": "not-run"})
-        if self._strikes("reset"):
+        if self._consume_fault("reset"):
             event.outcome = "reset"
             return serving.Reset()
         time.sleep(self._work_ms(call) / 1_000)
         self._released.wait()
         reply = self._reply(call, event.request_id)
-        if self._strikes("truncate"):
+        if self._consume_fault("truncate"):
             event.outcome = "truncated"
             return serving.Truncated(reply, len(reply.body) // 2)
         event.outcome = "answered"
         return reply
 
-    def _strikes(self, fault: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         with self._lock:
             left: int = getattr(self.faults, fault)
             if left > 0:
