--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -200,12 +200,12 @@
     def _work_ms(self, call: serving.Call) -> float:
         asked = call.headers.get("X-Work-Ms")
         try:
-            work_ms = float(asked) if asked else self._drawn_ms()
+            work_ms = float(asked) if asked else self._sample_work_ms()
         except ValueError:
-            work_ms = self._drawn_ms()
+            work_ms = self._sample_work_ms()
         return min(max(work_ms, 0.0) * self.faults.slow, MAX_WORK_MS)
 
-    def _drawn_ms(self) -> float:
+    def _sample_work_ms(self) -> float:
         with self._lock:
             factor = self._random.lognormvariate(0.0, self.spec.spread)
         return self.spec.work_ms * factor
