--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -123,11 +123,11 @@
             self.listener.start()
         if "leave_ms" in change and self.faults.leave_ms >= 0:
             delay_s = self.faults.leave_ms / 1_000
-            timer = threading.Timer(delay_s, self._leave)
+            timer = threading.Timer(delay_s, self._refuse_connections)
             timer.daemon = True
             timer.start()
 
-    def _leave(self) -> None:
+    def _refuse_connections(self) -> None:
         if self.faults.leave_ms >= 0:
             self.listener.refuse()
 
