--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -100,7 +100,7 @@
         self.spec = spec
         self.faults = EndpointFaults()
         self.listener = serving.Listener(
-            self._handle, spec.port, self._connected
+            self._handle, spec.port, self._check_connections
         )
         self._journal = journal
         self._random = random.Random(f"{seed}/{spec.name}")
@@ -131,7 +131,7 @@
         if self.faults.leave_ms >= 0:
             self.listener.refuse()
 
-    def _connected(self, count: int) -> None:
+    def _check_connections(self, count: int) -> None:
         if count > self.spec.connections:
             now = serving.now_ms()
             self._journal.add(
