--- a/testing/standins/serving.py
+++ b/testing/standins/serving.py
@@ -99,7 +99,7 @@
 
     def setup(self) -> None:
         super().setup()
-        self.server.opened(self.connection)
+        self.server.add_connection(self.connection)
 
     def finish(self) -> None:
         self.server.ended(self.connection)
@@ -174,8 +174,8 @@
         self._listener = listener
         self.call_handler = listener.handler
 
-    def opened(self, connection: socket.socket) -> None:
-        self._listener.opened(connection)
+    def add_connection(self, connection: socket.socket) -> None:
+        self._listener.add_connection(connection)
 
     def ended(self, connection: socket.socket) -> None:
         self._listener.ended(connection)
@@ -219,7 +219,7 @@
         """`IP:port`."""
         return f"{LOOPBACK}:{self.port}"
 
-    def opened(self, connection: socket.socket) -> None:
+    def add_connection(self, connection: socket.socket) -> None:
         """Notes an accepted connection."""
         with self._lock:
             self._open.add(connection)
