--- a/testing/standins/serving.py
+++ b/testing/standins/serving.py
@@ -102,7 +102,7 @@
         self.server.add_connection(self.connection)
 
     def finish(self) -> None:
-        self.server.ended(self.connection)
+        self.server.remove_connection(self.connection)
         try:
             super().finish()
         except OSError:
@@ -177,8 +177,8 @@
     def add_connection(self, connection: socket.socket) -> None:
         self._listener.add_connection(connection)
 
-    def ended(self, connection: socket.socket) -> None:
-        self._listener.ended(connection)
+    def remove_connection(self, connection: socket.socket) -> None:
+        self._listener.remove_connection(connection)
 
     def shutdown_request(self, request: Any) -> None:
         # A shutdown before the close would send an orderly end, no reset.
@@ -227,7 +227,7 @@
         if self._on_connections is not None:
             self._on_connections(count)
 
-    def ended(self, connection: socket.socket) -> None:
+    def remove_connection(self, connection: socket.socket) -> None:
         """Notes the end of a connection."""
         with self._lock:
             self._open.discard(connection)
