--- a/testing/standins/hosts.py
+++ b/testing/standins/hosts.py
@@ -73,9 +73,9 @@
             return serving.json_reply(503, {"detail": "the list is down"})
         if call.path != "/hosts":
             return serving.json_reply(404, {"detail": call.path})
-        return serving.json_reply(200, {"hosts": self._seen()})
+        return serving.json_reply(200, {"hosts": self._visible_hosts()})
 
-    def _seen(self) -> tuple[hosts_port.ListedHost, ...]:
+    def _visible_hosts(self) -> tuple[hosts_port.ListedHost, ...]:
         with self._lock:
             as_of_ms = serving.now_ms() - self.lag_ms
             for snapshot in reversed(self._snapshots):
