--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -219,7 +219,7 @@
             highest_term=self._highest_term,
             lease_left_ms=int(max(self._lease_until_ms - now, 0.0)),
             capacity=self.spec.capacity,
-            tasks=self._tasks.lines(),
+            tasks=self._tasks.statuses(),
             usage=self._tasks.take_due_usage(now),
             statuses=statuses,
         )
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -71,7 +71,7 @@
         """Attempts that run."""
         return [task for task in self._by_key.values() if task.running]
 
-    def lines(self) -> tuple[workers.TaskStatus, ...]:
+    def statuses(self) -> tuple[workers.TaskStatus, ...]:
         """All attempts as reported."""
         return tuple(task.to_status() for task in self._by_key.values())
 
