--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -83,7 +83,7 @@
             now = serving.now_ms()
             lapsed = 0.0 < self._lease_until_ms <= now
             until = self._lease_until_ms if lapsed else now
-            self._tasks.work(max(until - self._advanced_ms, 0.0), until)
+            self._tasks.advance(max(until - self._advanced_ms, 0.0), until)
             self._advanced_ms = now
             if lapsed:
                 self._expire_lease()
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -96,7 +96,7 @@
             total = models.add(total, task.start.resources)
         return total
 
-    def work(self, elapsed_ms: float, now: float) -> None:
+    def advance(self, elapsed_ms: float, now: float) -> None:
         """Lets running attempts work for a time."""
         running = self.running()
         if running:
