--- a/testing/callers.py
+++ b/testing/callers.py
@@ -85,13 +85,13 @@
         return sum(one.answer.outcome == outcome for one in self.sent)
 
     def _run(self, number: int) -> None:
-        chance = random.Random(f"{self._load.seed}/{self._name}/{number}")
+        rng = random.Random(f"{self._load.seed}/{self._name}/{number}")
         turn = number
         count = 0
         while not self._stop.is_set():
             request_id = f"{self._name}-{number}-{count}"
-            body = chance.randbytes(chance.randrange(1, MAX_BODY_BYTES))
-            idempotent = chance.random() < self._load.idempotent_share
+            body = rng.randbytes(rng.randrange(1, MAX_BODY_BYTES))
+            idempotent = rng.random() < self._load.idempotent_share
             for _ in range(1 + self._load.repeats):
                 one = self._send(turn, request_id, body, idempotent)
                 turn += 1
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -121,22 +121,22 @@
                 self._submit(self._doubtful.popleft(), sent_before=True)
 
     def _job(self, count: int) -> dict[str, Any]:
-        chance = self._chance
-        urgent = chance.random() < self._load.urgent_share
-        always_fails = chance.random() < self._load.failing_share
+        rng = self._chance
+        urgent = rng.random() < self._load.urgent_share
+        always_fails = rng.random() < self._load.failing_share
         teams = self._fleet.deployment.teams
         return {
             "id": f"{self._name}-{count}",
-            "team": teams[0] if urgent else chance.choice(teams),
+            "team": teams[0] if urgent else rng.choice(teams),
             "job_class": worker_model.FAILING_JOB_MARKER
             if always_fails
             else "stack",
             "resources": {
-                "processors_milli": chance.randrange(500, 3_001, 250),
-                "memory_mib": chance.randrange(512, 8_193, 512),
-                "accelerators": int(chance.random() < ACCELERATOR_SHARE),
+                "processors_milli": rng.randrange(500, 3_001, 250),
+                "memory_mib": rng.randrange(512, 8_193, 512),
+                "accelerators": int(rng.random() < ACCELERATOR_SHARE),
             },
-            "run_time_ms": chance.randrange(
+            "run_time_ms": rng.randrange(
                 self._load.shortest_ms, self._load.longest_ms
             ),
             "urgent": urgent,
