--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -74,7 +74,7 @@
         self._fleet = fleet
         self._load = load
         self._name = name
-        self._chance = random.Random(f"{load.seed}/{name}")
+        self._rng = random.Random(f"{load.seed}/{name}")
         self._turn = itertools.count()
         self._doubtful: collections.deque[dict[str, Any]] = collections.deque()
         self._stop = threading.Event()
@@ -121,7 +121,7 @@
                 self._submit(self._doubtful.popleft(), sent_before=True)
 
     def _job(self, count: int) -> dict[str, Any]:
-        rng = self._chance
+        rng = self._rng
         urgent = rng.random() < self._load.urgent_share
         always_fails = rng.random() < self._load.failing_share
         teams = self._fleet.deployment.teams
