--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -76,7 +76,9 @@
         self._name = name
         self._rng = random.Random(f"{load.seed}/{name}")
         self._turn = itertools.count()
-        self._doubtful: collections.deque[dict[str, Any]] = collections.deque()
+        self._unconfirmed: collections.deque[dict[str, Any]] = (
+            collections.deque()
+        )
         self._stop = threading.Event()
         self._count = itertools.count(1)
         self._lock = threading.Lock()
@@ -99,10 +101,10 @@
     def settle_doubtful(self, timeout_s: float) -> tuple[str, ...]:
         """After the exit: sends jobs in doubt; returns those still in doubt."""
         until = time.monotonic() + timeout_s
-        while self._doubtful and time.monotonic() < until:
-            self._submit(self._doubtful.popleft(), sent_before=True)
+        while self._unconfirmed and time.monotonic() < until:
+            self._submit(self._unconfirmed.popleft(), sent_before=True)
             time.sleep(REPEAT_PAUSE_S)
-        return tuple(job["id"] for job in self._doubtful)
+        return tuple(job["id"] for job in self._unconfirmed)
 
     def _run(self) -> None:
         pause_s = self._load.pause_ms / 1_000 * THREADS
@@ -117,8 +119,8 @@
 
     def _run_doubtful(self) -> None:
         while not self._stop.wait(REPEAT_PAUSE_S):
-            if self._doubtful:
-                self._submit(self._doubtful.popleft(), sent_before=True)
+            if self._unconfirmed:
+                self._submit(self._unconfirmed.popleft(), sent_before=True)
 
     def _job(self, count: int) -> dict[str, Any]:
         rng = self._rng
@@ -161,7 +163,7 @@
         elif not sent_before and (answer.status in REFUSED or not_sent):
             self.refused[name] = answer.reason
         else:
-            self._doubtful.append(job)
+            self._unconfirmed.append(job)
 
     def _cancel_some(self) -> None:
         for name in list(self.accepted)[-2 * self._load.burst :: 2]:
