--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -85,7 +85,9 @@
         self._threads = [
             threading.Thread(target=self._run) for _ in range(THREADS)
         ]
-        self._threads.append(threading.Thread(target=self._run_doubtful))
+        self._threads.append(
+            threading.Thread(target=self._resubmit_unconfirmed)
+        )
 
     def __enter__(self) -> Self:
         print(f"seed {self._load.seed}")
@@ -117,7 +119,7 @@
             if every and count % every == 0:
                 self._cancel_some()
 
-    def _run_doubtful(self) -> None:
+    def _resubmit_unconfirmed(self) -> None:
         while not self._stop.wait(REPEAT_PAUSE_S):
             if self._unconfirmed:
                 self._submit(self._unconfirmed.popleft(), sent_before=True)
