--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -28,7 +28,7 @@
     timeout_s: float = SETTLE_S,
 ) -> None:
     """Waits until every accepted job has ended, as one host says."""
-    doubtful = submitter.settle_doubtful(timeout_s)
+    doubtful = submitter.confirm_submissions(timeout_s)
     if doubtful:
         raise fleet_plan.FleetError(f"in doubt: {doubtful}")
 
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -100,7 +100,7 @@
         for thread in self._threads:
             thread.join()
 
-    def settle_doubtful(self, timeout_s: float) -> tuple[str, ...]:
+    def confirm_submissions(self, timeout_s: float) -> tuple[str, ...]:
         """After the exit: sends jobs in doubt; returns those still in doubt."""
         until = time.monotonic() + timeout_s
         while self._unconfirmed and time.monotonic() < until:
