--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -28,9 +28,9 @@
     timeout_s: float = SETTLE_S,
 ) -> None:
     """Waits until every accepted job has ended, as one host says."""
-    doubtful = submitter.confirm_submissions(timeout_s)
-    if doubtful:
-        raise fleet_plan.FleetError(f"in doubt: {doubtful}")
+    unconfirmed = submitter.confirm_submissions(timeout_s)
+    if unconfirmed:
+        raise fleet_plan.FleetError(f"in doubt: {unconfirmed}")
 
     def ended() -> bool:
         found = pages(fleet, seat)
