--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -19,7 +19,7 @@
 
 OK = 200
 REFUSED = frozenset({422, 503})
-REPEAT_PAUSE_S = 0.1
+RESUBMIT_INTERVAL_S = 0.1
 # A host that answers later is taken for frozen.
 ANSWER_TIMEOUT_S = 2.0
 THREADS = 4
@@ -105,7 +105,7 @@
         until = time.monotonic() + timeout_s
         while self._unconfirmed and time.monotonic() < until:
             self._submit(self._unconfirmed.popleft(), sent_before=True)
-            time.sleep(REPEAT_PAUSE_S)
+            time.sleep(RESUBMIT_INTERVAL_S)
         return tuple(job["id"] for job in self._unconfirmed)
 
     def _run(self) -> None:
@@ -120,7 +120,7 @@
                 self._cancel_some()
 
     def _resubmit_unconfirmed(self) -> None:
-        while not self._stop.wait(REPEAT_PAUSE_S):
+        while not self._stop.wait(RESUBMIT_INTERVAL_S):
             if self._unconfirmed:
                 self._submit(self._unconfirmed.popleft(), sent_before=True)
 
