--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -18,7 +18,7 @@
 from testing.standins import worker_model
 
 OK = 200
-REFUSED = frozenset({422, 503})
+REFUSED_STATUSES = frozenset({422, 503})
 RESUBMIT_INTERVAL_S = 0.1
 # A host that answers later is taken for frozen.
 ANSWER_TIMEOUT_S = 2.0
@@ -162,7 +162,9 @@
         not_sent = answer.outcome == "unreachable"
         if answer.status == OK:
             self.accepted[name] = None
-        elif not sent_before and (answer.status in REFUSED or not_sent):
+        elif not sent_before and (
+            answer.status in REFUSED_STATUSES or not_sent
+        ):
             self.refused[name] = answer.reason
         else:
             self._unconfirmed.append(job)
