--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen
-class Ends:
+class JobOutcomes:
     """How jobs ended, as submitters and hosts say.
 
     Attributes:
@@ -97,7 +97,7 @@
             may not have been heard of in time.
     """
     events = fleet.worker_events()
-    ends = Ends(
+    ends = JobOutcomes(
         submitter.accepted,
         submitter.refused,
         submitter.cancel_asked,
@@ -135,7 +135,7 @@
 
 def ended_as_said(
     events: Sequence[checker.WorkerEvent],
-    ends: Ends,
+    ends: JobOutcomes,
     faulty: Collection[str],
 ) -> list[Violation]:
     """Jobs ended once, as their pages say, and refused ones never ran."""
@@ -161,7 +161,7 @@
 
 
 def _wrong_end(
-    job: str, finished: list[str], ends: Ends, faulty: Collection[str]
+    job: str, finished: list[str], ends: JobOutcomes, faulty: Collection[str]
 ) -> str:
     page = ends.pages.get(job)
     if page is None:
