--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -97,7 +97,7 @@
             may not have been heard of in time.
     """
     events = fleet.worker_events()
-    ends = JobOutcomes(
+    outcomes = JobOutcomes(
         submitter.accepted,
         submitter.refused,
         submitter.cancel_asked,
@@ -110,7 +110,7 @@
         *checker.attempts_start_once(events),
         *checker.resumed_from_checkpoint(events),
         *resumed_at_checkpoint(events, faulty),
-        *ended_as_said(events, ends, faulty),
+        *ended_as_said(events, outcomes, faulty),
     ]
 
 
@@ -135,7 +135,7 @@
 
 def ended_as_said(
     events: Sequence[checker.WorkerEvent],
-    ends: JobOutcomes,
+    outcomes: JobOutcomes,
     faulty: Collection[str],
 ) -> list[Violation]:
     """Jobs ended once, as their pages say, and refused ones never ran."""
@@ -146,24 +146,27 @@
             finished[event.job].append(event.worker)
     found = [
         Violation("refused-never-ran", job, "ran or is kept")
-        for job in ends.refused
-        if job in started or job in ends.pages
+        for job in outcomes.refused
+        if job in started or job in outcomes.pages
     ]
     found += [
         Violation("ran-unasked", job, "ran without being accepted")
-        for job in started - set(ends.accepted)
+        for job in started - set(outcomes.accepted)
     ]
-    for job in ends.accepted:
-        detail = _wrong_end(job, finished[job], ends, faulty)
+    for job in outcomes.accepted:
+        detail = _wrong_end(job, finished[job], outcomes, faulty)
         if detail:
             found.append(Violation("ended-as-said", job, detail))
     return found
 
 
 def _wrong_end(
-    job: str, finished: list[str], ends: JobOutcomes, faulty: Collection[str]
+    job: str,
+    finished: list[str],
+    outcomes: JobOutcomes,
+    faulty: Collection[str],
 ) -> str:
-    page = ends.pages.get(job)
+    page = outcomes.pages.get(job)
     if page is None:
         return "is lost"
     # An end that was not heard of leaves the job to another attempt.
@@ -172,11 +175,11 @@
         return f"finished on {finished}"
     match page["phase"]:
         case "finished":
-            if job in ends.cancelled:
+            if job in outcomes.cancelled:
                 return "finished after its cancellation was confirmed"
             return "" if finished else "is called finished and is not"
         case "cancelled":
-            return "" if job in ends.cancel_asked else "cancelled unasked"
+            return "" if job in outcomes.cancel_asked else "cancelled unasked"
         case "parked":
             return "" if page["detail"] else "parked without a reason"
         case phase:
