--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -15,7 +15,7 @@
 from testing import fleet_plan
 from testing import job_load
 
-ENDED = frozenset({"finished", "cancelled", "parked"})
+ENDED_PHASES = frozenset({"finished", "cancelled", "parked"})
 SETTLE_S = 25.0
 
 Violation = checker.Violation
@@ -35,7 +35,7 @@
     def ended() -> bool:
         found = pages(fleet, seat)
         return all(
-            name in found and found[name]["phase"] in ENDED
+            name in found and found[name]["phase"] in ENDED_PHASES
             for name in submitter.accepted
         )
 
@@ -46,7 +46,7 @@
         left = [
             found.get(name, name)
             for name in submitter.accepted
-            if name not in found or found[name]["phase"] not in ENDED
+            if name not in found or found[name]["phase"] not in ENDED_PHASES
         ]
         raise fleet_plan.FleetError(
             f"{error}; {len(left)} of {len(submitter.accepted)}: {left[:3]}; "
