--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -16,7 +16,7 @@
 from testing import job_load
 
 ENDED_PHASES = frozenset({"finished", "cancelled", "parked"})
-SETTLE_S = 25.0
+JOBS_END_TIMEOUT_S = 25.0
 
 Violation = checker.Violation
 
@@ -25,7 +25,7 @@
     fleet: fleet_module.Fleet,
     submitter: job_load.JobSubmitter,
     seat: str,
-    timeout_s: float = SETTLE_S,
+    timeout_s: float = JOBS_END_TIMEOUT_S,
 ) -> None:
     """Waits until every accepted job has ended, as one host says."""
     unconfirmed = submitter.confirm_submissions(timeout_s)
