--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -118,13 +118,13 @@
     events: Sequence[checker.WorkerEvent], faulty: Collection[str]
 ) -> list[Violation]:
     """An attempt after a kept checkpoint starts exactly there."""
-    kept_ms: dict[str, int] = {}
+    checkpoint_ms: dict[str, int] = {}
     found = []
     for event in events:
         if event.kind == "checkpoint" and event.worker not in faulty:
-            kept_ms[event.job] = event.progress_ms
+            checkpoint_ms[event.job] = event.progress_ms
         elif event.kind == "start":
-            last_ms = kept_ms.get(event.job, 0)
+            last_ms = checkpoint_ms.get(event.job, 0)
             if event.progress_ms < last_ms:
                 detail = f"at {event.progress_ms} ms, not {last_ms} ms"
                 found.append(
