--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -170,8 +170,8 @@
     if page is None:
         return "is lost"
     # An end that was not heard of leaves the job to another attempt.
-    heard = [name for name in finished[:-1] if name not in faulty]
-    if heard:
+    reported = [name for name in finished[:-1] if name not in faulty]
+    if reported:
         return f"finished on {finished}"
     match page["phase"]:
         case "finished":
