--- a/testing/checker.py
+++ b/testing/checker.py
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen
-class Span:
+class RunInterval:
     """Time in which an attempt ran on a worker; `end_ms` may be infinite."""
 
     job: str
@@ -199,7 +199,7 @@
 
 def never_in_two_places(events: Iterable[WorkerEvent]) -> list[Violation]:
     """No two attempts of a job ran at the same time, anywhere."""
-    by_job: dict[str, list[Span]] = collections.defaultdict(list)
+    by_job: dict[str, list[RunInterval]] = collections.defaultdict(list)
     for span in spans(events):
         by_job[span.job].append(span)
     violations = []
@@ -212,14 +212,14 @@
     return violations
 
 
-def _where(span: Span) -> str:
+def _where(span: RunInterval) -> str:
     return (
         f"attempt {span.attempt} on {span.worker} "
         f"from {span.start_ms:.0f} to {span.end_ms:.0f} ms"
     )
 
 
-def spans(events: Iterable[WorkerEvent]) -> list[Span]:
+def spans(events: Iterable[WorkerEvent]) -> list[RunInterval]:
     """When each attempt ran; one still running has no end."""
     open_spans: dict[tuple[str, str, int], WorkerEvent] = {}
     found = []
@@ -234,8 +234,10 @@
     return found
 
 
-def _span(start: WorkerEvent, end_ms: float) -> Span:
-    return Span(start.job, start.attempt, start.worker, start.at_ms, end_ms)
+def _span(start: WorkerEvent, end_ms: float) -> RunInterval:
+    return RunInterval(
+        start.job, start.attempt, start.worker, start.at_ms, end_ms
+    )
 
 
 def attempts_start_once(events: Iterable[WorkerEvent]) -> list[Violation]:
