--- a/testing/checker.py
+++ b/testing/checker.py
@@ -229,12 +229,14 @@
             open_spans[key] = event
         elif event.kind == "end" and key in open_spans:
             start = open_spans.pop(key)
-            found.append(_span(start, event.at_ms))
-    found += [_span(start, float("inf")) for start in open_spans.values()]
+            found.append(_run_interval(start, event.at_ms))
+    found += [
+        _run_interval(start, float("inf")) for start in open_spans.values()
+    ]
     return found
 
 
-def _span(start: WorkerEvent, end_ms: float) -> RunInterval:
+def _run_interval(start: WorkerEvent, end_ms: float) -> RunInterval:
     return RunInterval(
         start.job, start.attempt, start.worker, start.at_ms, end_ms
     )
