--- a/testing/checker.py
+++ b/testing/checker.py
@@ -200,11 +200,11 @@
 def never_in_two_places(events: Iterable[WorkerEvent]) -> list[Violation]:
     """No two attempts of a job ran at the same time, anywhere."""
     by_job: dict[str, list[RunInterval]] = collections.defaultdict(list)
-    for span in spans(events):
-        by_job[span.job].append(span)
+    for interval in spans(events):
+        by_job[interval.job].append(interval)
     violations = []
     for job, found in by_job.items():
-        found.sort(key=lambda span: span.start_ms)
+        found.sort(key=lambda interval: interval.start_ms)
         for earlier, later in itertools.pairwise(found):
             if later.start_ms < earlier.end_ms:
                 detail = f"{_where(earlier)} and {_where(later)}"
@@ -212,10 +212,10 @@
     return violations
 
 
-def _where(span: RunInterval) -> str:
+def _where(interval: RunInterval) -> str:
     return (
-        f"attempt {span.attempt} on {span.worker} "
-        f"from {span.start_ms:.0f} to {span.end_ms:.0f} ms"
+        f"attempt {interval.attempt} on {interval.worker} "
+        f"from {interval.start_ms:.0f} to {interval.end_ms:.0f} ms"
     )
 
 
