--- a/testing/checker.py
+++ b/testing/checker.py
@@ -221,18 +221,16 @@
 
 def spans(events: Iterable[WorkerEvent]) -> list[RunInterval]:
     """When each attempt ran; one still running has no end."""
-    open_spans: dict[tuple[str, str, int], WorkerEvent] = {}
+    running: dict[tuple[str, str, int], WorkerEvent] = {}
     found = []
     for event in events:
         key = (event.worker, event.job, event.attempt)
         if event.kind == "start":
-            open_spans[key] = event
-        elif event.kind == "end" and key in open_spans:
-            start = open_spans.pop(key)
+            running[key] = event
+        elif event.kind == "end" and key in running:
+            start = running.pop(key)
             found.append(_run_interval(start, event.at_ms))
-    found += [
-        _run_interval(start, float("inf")) for start in open_spans.values()
-    ]
+    found += [_run_interval(start, float("inf")) for start in running.values()]
     return found
 
 
