--- a/testing/checker.py
+++ b/testing/checker.py
@@ -200,7 +200,7 @@
 def never_in_two_places(events: Iterable[WorkerEvent]) -> list[Violation]:
     """No two attempts of a job ran at the same time, anywhere."""
     by_job: dict[str, list[RunInterval]] = collections.defaultdict(list)
-    for interval in spans(events):
+    for interval in run_intervals(events):
         by_job[interval.job].append(interval)
     violations = []
     for job, found in by_job.items():
@@ -219,7 +219,7 @@
     )
 
 
-def spans(events: Iterable[WorkerEvent]) -> list[RunInterval]:
+def run_intervals(events: Iterable[WorkerEvent]) -> list[RunInterval]:
     """When each attempt ran; one still running has no end."""
     running: dict[tuple[str, str, int], WorkerEvent] = {}
     found = []
