--- a/testing/checker.py
+++ b/testing/checker.py
@@ -207,12 +207,12 @@
         found.sort(key=lambda interval: interval.start_ms)
         for earlier, later in itertools.pairwise(found):
             if later.start_ms < earlier.end_ms:
-                detail = f"{_where(earlier)} and {_where(later)}"
+                detail = f"{_describe_run(earlier)} and {_describe_run(later)}"
                 violations.append(Violation("never-in-two-places", job, detail))
     return violations
 
 
-def _where(interval: RunInterval) -> str:
+def _describe_run(interval: RunInterval) -> str:
     return (
         f"attempt {interval.attempt} on {interval.worker} "
         f"from {interval.start_ms:.0f} to {interval.end_ms:.0f} ms"
