--- a/testing/client.py
+++ b/testing/client.py
@@ -13,7 +13,7 @@
 OPERATOR_TIMEOUT_S = 20.0
 CONNECT_TIMEOUT_S = 2.0
 # What a caller waits beyond the deadline it gave.
-GRACE_S = 2.0
+ANSWER_MARGIN_S = 2.0
 POOL_SIZE = 128
 
 
@@ -126,7 +126,7 @@
             f"http://{address}/services/{service}{path}",
             body,
             headers,
-            timeout_ms / 1_000 + GRACE_S,
+            timeout_ms / 1_000 + ANSWER_MARGIN_S,
         )
 
     def post_json(self, address: str, path: str, value: Any) -> Answer:
