--- a/testing/client.py
+++ b/testing/client.py
@@ -85,7 +85,7 @@
             return _failure("unreachable", error, started)
         except urllib3.exceptions.HTTPError as error:
             return _failure("lost", error, started)
-        if not _is_whole(raw.headers):
+        if not _has_body_length(raw.headers):
             # The library takes an end within the headers for their end.
             return _failure("lost", EOFError("cut in the headers"), started)
         return Answer(
@@ -147,7 +147,7 @@
         return self.call("DELETE", f"http://{address}{path}")
 
 
-def _is_whole(headers: Mapping[str, str]) -> bool:
+def _has_body_length(headers: Mapping[str, str]) -> bool:
     return "Content-Length" in headers or "Transfer-Encoding" in headers
 
 
