--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -8,7 +8,7 @@
 
 from testing import fleet
 
-STRIKE_AT = 1 / 3
+FAULT_START_FRACTION = 1 / 3
 HEAL_AT = 2 / 3
 SLOW_FACTOR = 5.0
 
@@ -58,10 +58,10 @@
         self._thread.join()
 
     def _run(self) -> None:
-        if self._closing.wait(self._duration_s * STRIKE_AT):
+        if self._closing.wait(self._duration_s * FAULT_START_FRACTION):
             return
         self._strike()
-        self._closing.wait(self._duration_s * (HEAL_AT - STRIKE_AT))
+        self._closing.wait(self._duration_s * (HEAL_AT - FAULT_START_FRACTION))
         self._heal()
 
     def _strike(self) -> None:
