--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -9,7 +9,7 @@
 from testing import fleet
 
 FAULT_START_FRACTION = 1 / 3
-HEAL_AT = 2 / 3
+FAULT_END_FRACTION = 2 / 3
 SLOW_FACTOR = 5.0
 
 
@@ -61,7 +61,9 @@
         if self._closing.wait(self._duration_s * FAULT_START_FRACTION):
             return
         self._strike()
-        self._closing.wait(self._duration_s * (HEAL_AT - FAULT_START_FRACTION))
+        self._closing.wait(
+            self._duration_s * (FAULT_END_FRACTION - FAULT_START_FRACTION)
+        )
         self._heal()
 
     def _strike(self) -> None:
