--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -60,13 +60,13 @@
     def _run(self) -> None:
         if self._closing.wait(self._duration_s * FAULT_START_FRACTION):
             return
-        self._strike()
+        self._inject()
         self._closing.wait(
             self._duration_s * (FAULT_END_FRACTION - FAULT_START_FRACTION)
         )
         self._heal()
 
-    def _strike(self) -> None:
+    def _inject(self) -> None:
         match self._fault:
             case Fault.KILL_HOST:
                 self._fleet.kill_host(self._seat)
