--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -77,9 +77,9 @@
             case Fault.CUT_ZONE:
                 self._fleet.network.isolate_zone(self._zone)
             case _:
-                self._strike_stand_in()
+                self._inject_into_stand_in()
 
-    def _strike_stand_in(self) -> None:
+    def _inject_into_stand_in(self) -> None:
         running = self._fleet
         match self._fault:
             case Fault.LOG_DOWN:
