--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -64,7 +64,7 @@
         self._closing.wait(
             self._duration_s * (FAULT_END_FRACTION - FAULT_START_FRACTION)
         )
-        self._heal()
+        self._clear()
 
     def _inject(self) -> None:
         match self._fault:
@@ -102,7 +102,7 @@
             case _:
                 pass
 
-    def _heal(self) -> None:
+    def _clear(self) -> None:
         running = self._fleet
         match self._fault:
             case Fault.KILL_HOST | Fault.STOP_HOST:
