--- a/testing/demo.py
+++ b/testing/demo.py
@@ -51,7 +51,7 @@
     options = fleet_plan.FleetOptions(
         links=frozenset({fleet_plan.Link.PEERS}), delays=True
     )
-    _say(
+    _print_line(
         f"Starting stand-ins, {deployment.endpoints} endpoints, "
         f"{deployment.workers} workers and two entry hosts in each of "
         f"{', '.join(deployment.zones)}."
@@ -78,7 +78,7 @@
         started = time.monotonic()
         self._fleet.apply_first_ticket()
         elapsed_ms = (time.monotonic() - started) * 1_000
-        _say(
+        _print_line(
             f"Ticket 1 is in force on {len(self._fleet.hosts)} hosts "
             f"{elapsed_ms:.0f} ms after it was submitted."
         )
@@ -91,7 +91,7 @@
                 self._request(seat, f"calibrate-{seat}-{number}")
         answered = [one for one in self._sent if _is_answered(one)]
         slowest_ms = max(one.answer.elapsed_ms for one in self._sent)
-        _say(
+        _print_line(
             f"{len(answered)} of {len(self._sent)} requests answered, "
             f"the slowest in {slowest_ms:.0f} ms."
         )
@@ -106,7 +106,7 @@
         answer = self._fleet.client.request(
             host.caller_address, "no-such-service", name
         )
-        _say(
+        _print_line(
             f"A request to an unknown service: {answer.outcome}, "
             f"{answer.reason}."
         )
@@ -139,7 +139,7 @@
             self._job_finished, f"end of job {JOB}", JOB_TIMEOUT_S
         )
         elapsed_s = time.monotonic() - started
-        _say(
+        _print_line(
             f"Job {JOB}, {JOB_RUN_TIME_MS} ms of work, finished "
             f"{elapsed_s:.1f} s after it was accepted."
         )
@@ -167,7 +167,7 @@
         self._sent += sent
         cut = [one for one in sent if one.answer.outcome in ("lost", "unknown")]
         answered = sum(_is_answered(one) for one in sent)
-        _say(
+        _print_line(
             f"SIGTERM to {seat} under load: {answered} requests answered, "
             f"{len(sent) - answered - len(cut)} sent elsewhere, "
             f"{len(cut)} cut off, exit code {code}."
@@ -195,7 +195,7 @@
             self._sent, self._fleet.endpoint_events()
         )
         violations += checker.check_jobs(self._fleet.worker_events(), {JOB})
-        _say(
+        _print_line(
             f"Records of endpoints and workers: {len(violations)} promises "
             "broken."
         )
@@ -241,7 +241,7 @@
     )[:500]
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
