--- a/testing/demo.py
+++ b/testing/demo.py
@@ -59,7 +59,7 @@
     with contextlib.ExitStack() as stack:
         running = stack.enter_context(fleet.Fleet(deployment, options))
         demo = Demo(running)
-        demo.put_configuration_in_force()
+        demo.apply_configuration()
         demo.answer_requests()
         demo.run_job()
         demo.stop_host_under_load()
@@ -73,7 +73,7 @@
         self._fleet = running
         self._sent: list[checker.SentRequest] = []
 
-    def put_configuration_in_force(self) -> None:
+    def apply_configuration(self) -> None:
         """Submits the first ticket."""
         started = time.monotonic()
         self._fleet.apply_first_ticket()
