--- a/testing/relay.py
+++ b/testing/relay.py
@@ -101,7 +101,9 @@
     ) -> None:
         target_writer = None
         try:
-            await self._while(lambda: self.faults.cut or self.faults.half_open)
+            await self._wait_while(
+                lambda: self.faults.cut or self.faults.half_open
+            )
             ip, _, port = self.spec.target.rpartition(":")
             target_reader, target_writer = await asyncio.open_connection(
                 ip, int(port), limit=CHUNK_BYTES
@@ -130,7 +132,7 @@
         group.create_task(self._receive(reader, queue))
         group.create_task(self._send(queue, writer, to_target))
 
-    async def _while(self, stalled: Any) -> None:
+    async def _wait_while(self, stalled: Any) -> None:
         while stalled():
             await asyncio.sleep(POLL_S)
 
@@ -175,7 +177,7 @@
             if chunk and self._blocked(to_target):
                 text = chunk[:HELD_TEXT_BYTES].decode("latin-1")
                 self._journal.add(HeldChunk(self.spec.name, to_target, text))
-            await self._while(lambda: self._blocked(to_target))
+            await self._wait_while(lambda: self._blocked(to_target))
             if not chunk:
                 writer.write_eof()
                 return
