--- a/testing/relay.py
+++ b/testing/relay.py
@@ -24,7 +24,7 @@
 
 CHUNK_BYTES = 65_536
 # A sender that lost a segment waits about this long before it sends again.
-LOSS_STALL_MS = 200.0
+RETRANSMISSION_DELAY_MS = 200.0
 POLL_S = 0.02
 NO_LIMIT = -1
 HELD_TEXT_BYTES = 2_048
@@ -147,7 +147,7 @@
         latency_ms = faults.delay_ms
         latency_ms += self._random.uniform(0.0, faults.jitter_ms)
         if faults.loss and self._random.random() < faults.loss:
-            latency_ms += LOSS_STALL_MS
+            latency_ms += RETRANSMISSION_DELAY_MS
         return latency_ms
 
     async def _receive(
