--- a/testing/relay.py
+++ b/testing/relay.py
@@ -182,12 +182,12 @@
                 writer.write_eof()
                 return
             if not to_target:
-                chunk = self._limit(chunk, sent, writer)
+                chunk = self._apply_byte_limits(chunk, sent, writer)
             sent += len(chunk)
             writer.write(chunk)
             await writer.drain()
 
-    def _limit(
+    def _apply_byte_limits(
         self, chunk: bytes, sent: int, writer: asyncio.StreamWriter
     ) -> bytes:
         faults = self.faults
