--- a/testing/fleet_plan.py
+++ b/testing/fleet_plan.py
@@ -113,15 +113,15 @@
             self._next += 1
             if self._next >= HIGHEST_PORT:
                 self._next = LOWEST_PORT
-            keeper = socket.socket()
+            reservation = socket.socket()
             try:
-                keeper.bind((serving.LOOPBACK, port))
+                reservation.bind((serving.LOOPBACK, port))
             except OSError:
-                keeper.close()
+                reservation.close()
                 continue
             # Lets a host listen on it, but no other picker bind it.
-            keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._stack.enter_context(keeper)
+            reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self._stack.enter_context(reservation)
             return f"{serving.LOOPBACK}:{port}"
 
 
