--- a/testing/fleet_plan.py
+++ b/testing/fleet_plan.py
@@ -157,12 +157,14 @@
             case Link.PEERS:
                 targets |= _peer_targets(hosts)
             case Link.WORKERS:
-                targets |= _named("worker", platform.workers)
+                targets |= _targets_by_name("worker", platform.workers)
             case Link.SEAT_WORKERS:
                 for seat in hosts:
-                    targets |= _named(f"worker/{seat}", platform.workers)
+                    targets |= _targets_by_name(
+                        f"worker/{seat}", platform.workers
+                    )
             case Link.ENDPOINTS:
-                targets |= _named("endpoint", platform.endpoints)
+                targets |= _targets_by_name("endpoint", platform.endpoints)
     return targets
 
 
@@ -178,7 +180,7 @@
     }
 
 
-def _named(kind: str, addresses: Mapping[str, str]) -> dict[str, str]:
+def _targets_by_name(kind: str, addresses: Mapping[str, str]) -> dict[str, str]:
     return {f"{kind}/{name}": at for name, at in addresses.items()}
 
 
