--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -29,7 +29,7 @@
 AUTONOMY_MS = 3_000
 # Longest time in which a predecessor's tasks run, and the longest jitter of
 # a claim with some slack.
-TAKEOVER_S = 10.0
+TAKEOVER_TIMEOUT_S = 10.0
 LINKS = frozenset(
     {
         fleet_plan.Link.PLATFORM,
@@ -73,7 +73,7 @@
     running.wait_until(
         lambda: claimed_lease_ms(running) == lease_ms,
         "the zone is owned under its limits",
-        2 * TAKEOVER_S,
+        2 * TAKEOVER_TIMEOUT_S,
     )
     wait_owner(running)
 
@@ -117,7 +117,7 @@
                 return True
         return False
 
-    running.wait_until(owned, "the zone has an owner", 2 * TAKEOVER_S)
+    running.wait_until(owned, "the zone has an owner", 2 * TAKEOVER_TIMEOUT_S)
     return found[0]
 
 
@@ -132,7 +132,9 @@
 
 
 def wait_started(
-    running: fleet_module.Fleet, more: int, timeout_s: float = TAKEOVER_S
+    running: fleet_module.Fleet,
+    more: int,
+    timeout_s: float = TAKEOVER_TIMEOUT_S,
 ) -> None:
     """Waits until workers have started so many more attempts."""
     before = count_starts(running)
