--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -27,7 +27,7 @@
 from testing.standins import worker_records
 
 READY_TIMEOUT_S = 30.0
-FORCE_TIMEOUT_S = 20.0
+APPLY_TIMEOUT_S = 20.0
 POLL_S = 0.05
 
 
@@ -302,7 +302,7 @@
         if answer.status != 200:
             raise fleet_plan.FleetError(f"ticket refused: {answer.body!r}")
         self.wait_until(
-            self._all_have_objects, "ticket in force", FORCE_TIMEOUT_S
+            self._all_have_objects, "ticket in force", APPLY_TIMEOUT_S
         )
 
     def _all_have_objects(self) -> bool:
