--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -302,10 +302,10 @@
         if answer.status != 200:
             raise fleet_plan.FleetError(f"ticket refused: {answer.body!r}")
         self.wait_until(
-            self._all_have_objects, "ticket in force", APPLY_TIMEOUT_S
+            self._all_hosts_configured, "ticket in force", APPLY_TIMEOUT_S
         )
 
-    def _all_have_objects(self) -> bool:
+    def _all_hosts_configured(self) -> bool:
         pages = [
             self.client.get(host.operator_address, "/objects")
             for host in self.hosts.values()
