--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -28,7 +28,7 @@
 
 READY_TIMEOUT_S = 30.0
 APPLY_TIMEOUT_S = 20.0
-POLL_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class Fleet:
@@ -283,7 +283,7 @@
         while not holds():
             if time.monotonic() > until:
                 raise fleet_plan.FleetError(f"not within {timeout_s} s: {what}")
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
     # Operators and callers.
 
--- a/testing/relay.py
+++ b/testing/relay.py
@@ -25,7 +25,7 @@
 CHUNK_BYTES = 65_536
 # A sender that lost a segment waits about this long before it sends again.
 RETRANSMISSION_DELAY_MS = 200.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 NO_LIMIT = -1
 HELD_TEXT_BYTES = 2_048
 
@@ -134,7 +134,7 @@
 
     async def _wait_while(self, stalled: Any) -> None:
         while stalled():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def _blocked(self, to_target: bool) -> bool:
         faults = self.faults
--- a/testing/standins/serving.py
+++ b/testing/standins/serving.py
@@ -25,7 +25,7 @@
 
 LOOPBACK = "127.0.0.1"
 ACCEPT_BACKLOG = 512
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 # Linger on, for no time at all: closing sends a reset.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -239,7 +239,9 @@
         self._server = _Server(self.port, self)
         self.port = self._server.server_address[1]
         threading.Thread(
-            target=self._server.serve_forever, args=(POLL_S,), daemon=True
+            target=self._server.serve_forever,
+            args=(POLL_INTERVAL_S,),
+            daemon=True,
         ).start()
 
     def refuse(self) -> None:
@@ -324,5 +326,5 @@
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stopped.set())
-    while not stopped.wait(POLL_S) and os.getppid() == parent:
+    while not stopped.wait(POLL_INTERVAL_S) and os.getppid() == parent:
         pass
