--- a/testing/fakes/log.py
+++ b/testing/fakes/log.py
@@ -72,20 +72,20 @@
         with self._changed:
             if self.down:
                 return result.Err(log_port.LogUnavailable("down"))
-            held = self._streams.setdefault(stream, [])
+            stored = self._streams.setdefault(stream, [])
             if offset < self._first[stream]:
                 return result.Err(log_port.LogExpired(self._first[stream]))
             self._changed.wait_for(
-                lambda: len(held) > offset or self.down, wait_ms / 1_000
+                lambda: len(stored) > offset or self.down, wait_ms / 1_000
             )
             if self.down:
                 return result.Err(log_port.LogUnavailable("down"))
-            taken = held[offset : offset + max_entries]
+            taken = stored[offset : offset + max_entries]
             entries = tuple(
                 log_port.LogEntry(offset + index, payload)
                 for index, payload in enumerate(taken)
             )
-            following = offset + len(taken) if taken else len(held)
+            following = offset + len(taken) if taken else len(stored)
             return result.Ok(
                 log_port.LogBatch(entries, self._first[stream], following)
             )
@@ -93,11 +93,11 @@
     def put(self, stream: str, payloads: Sequence[bytes]) -> int:
         """Adds payloads without any fault; returns the first one's offset."""
         with self._changed:
-            held = self._streams.setdefault(stream, [])
-            held.extend(payloads)
+            stored = self._streams.setdefault(stream, [])
+            stored.extend(payloads)
             self.appends[stream] += 1
             self._changed.notify_all()
-            return len(held) - len(payloads)
+            return len(stored) - len(payloads)
 
     def deliver_late(self) -> None:
         """Lets the appends that were held up on the way take effect."""
