--- a/tests/process/batch/test_evictions.py
+++ b/tests/process/batch/test_evictions.py
@@ -41,7 +41,7 @@
         if fault is not None:
             self.lose(fault)
         self.exchange()
-        self.assertEqual(1, len(self.worker.kept))
+        self.assertEqual(1, len(self.worker.checkpoints))
 
     def lose(self, fault: fake_workers.ExchangeFault) -> None:
         pair = (self.owner.name, self.worker.name)
@@ -52,7 +52,7 @@
         self.zone.run(60_000)
         state = self.zone.state("job")
         self.assertEqual(job_state.JobPhase.FINISHED, state.phase)
-        kept = {0} | {kept_ms for _, kept_ms in self.worker.kept}
+        kept = {0} | {kept_ms for _, kept_ms in self.worker.checkpoints}
         starts = [
             start.checkpoint_ms
             for worker in self.zone.fleet.values()
@@ -125,7 +125,7 @@
         self.lose(fake_workers.ExchangeFault.LOSE_REQUEST)
         self.exchange()
         self.check_finished(2)
-        self.assertEqual(2, len(self.worker.kept))
+        self.assertEqual(2, len(self.worker.checkpoints))
 
     def test_throttled_attempt_resumes_at_its_checkpoint(self) -> None:
         self.owner.owner.throttle("job", 250)
--- a/tests/process/batch/test_ownership_model.py
+++ b/tests/process/batch/test_ownership_model.py
@@ -230,7 +230,7 @@
             assert capacity.fits(used, worker.worker_capacity), (
                 f"{worker.name} {used}"
             )
-            checkpoints |= worker.kept
+            checkpoints |= worker.checkpoints
         for name, worker in self.zone.fleet.items():
             for start in worker.started:
                 self._check_start(name, start, checkpoints)
