--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -35,7 +35,7 @@
     """
 
     def __init__(self) -> None:
-        self.kept = record_store.MemoryStore()
+        self.memory_store = record_store.MemoryStore()
         self.page_size = 500
 
     def serve(self) -> http_server.HttpServer:
@@ -67,7 +67,7 @@
                 query["Producer"], int(query["epoch"]), int(query["Sequence"])
             )
         at_offset = int(query["At"]) if "At" in query else None
-        match self.kept.append(
+        match self.memory_store.append(
             topic,
             part,
             _records(request.body),
@@ -90,7 +90,9 @@
         self, request: http.HttpRequest, topic: str, part: int
     ) -> http.HttpReply:
         wait_ms = int(request.query.get("WaitMs", "0"))
-        match self.kept.read(topic, part, int(request.query["From"]), wait_ms):
+        match self.memory_store.read(
+            topic, part, int(request.query["From"]), wait_ms
+        ):
             case result.Ok(batch):
                 body = struct.pack(">QQ", batch.end_offset, 0)
                 for record in batch.records:
@@ -105,7 +107,7 @@
     def _newest(
         self, request: http.HttpRequest, topic: str, part: int
     ) -> http.HttpReply:
-        match self.kept.newest(topic, part):
+        match self.memory_store.newest(topic, part):
             case result.Ok(batch):
                 pass
             case result.Err(_):
--- a/tests/platform/test_host.py
+++ b/tests/platform/test_host.py
@@ -84,7 +84,7 @@
     def write_record(self, topic: str, key: str, value: Any) -> None:
         """Writes a record as an operator or executor would."""
         record = store_port.NewRecord(key, json.dumps(value).encode())
-        self.store.kept.append("keyed." + topic, 0, (record,))
+        self.store.memory_store.append("keyed." + topic, 0, (record,))
 
     def start(self, store_address: str) -> subprocess.Popen[bytes]:
         """Starts the host process."""
@@ -177,11 +177,11 @@
     def test_sigterm_releases_the_cell_and_exits_cleanly(self) -> None:
         self.wait_for(self.is_ready)
         jobs = ("keyed.jobs", 0)
-        self.wait_for(lambda: "owner" in self.store.kept.keys(*jobs))
+        self.wait_for(lambda: "owner" in self.store.memory_store.keys(*jobs))
         self.process.send_signal(signal.SIGTERM)
         self.wait_for(lambda: self.process.poll() is not None)
         self.assertEqual(0, self.process.returncode)
-        newest = self.store.kept.newest(*jobs).unwrap()
+        newest = self.store.memory_store.newest(*jobs).unwrap()
         (heartbeat,) = newest.records
         assert heartbeat.value is not None
         self.assertTrue(json.loads(heartbeat.value)["is_released"])
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -101,12 +101,12 @@
 
     def test_expired_records_return_first_offset(self) -> None:
         self.append(make_record("a"), make_record("b"))
-        self.standin.kept.expire("keyed.jobs", 0)
+        self.standin.memory_store.expire("keyed.jobs", 0)
         outcome = self.client.read("jobs", 0, 0, 0)
         self.assertEqual(store_port.RecordsExpired(2), outcome.err())
 
     def test_rejected_append_returns_unavailable(self) -> None:
-        self.standin.kept.is_down = True
+        self.standin.memory_store.is_down = True
         self.assertIsInstance(
             self.append(make_record("a")), store_port.StoreUnavailable
         )
