--- a/testing/__init__.py
+++ b/testing/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins for the platform and tools that drive real processes."""
+"""Test support: platform stand-ins, fakes and fleets of real processes."""
 
 from __future__ import annotations
--- a/testing/fakes/__init__.py
+++ b/testing/fakes/__init__.py
@@ -1,3 +1,3 @@
-"""Small in-memory stand-ins at the ports."""
+"""In-memory fakes of the ports."""
 
 from __future__ import annotations
--- a/testing/fakes/cell_workers.py
+++ b/testing/fakes/cell_workers.py
@@ -1,4 +1,4 @@
-"""Workers of a cell in memory, which run what they are told."""
+"""In-memory workers of a cell; their tasks end only when tests end them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen
 class RecordedStart:
-    """A start that a worker has carried out."""
+    """A start order that a worker executed."""
 
     worker_id: str
     task: str
@@ -29,7 +29,7 @@
     rack: str = "r1-1",
     born_ms: int = 1,
 ) -> cell_workers.WorkerEntry:
-    """A worker's entry."""
+    """Returns a worker entry with default values."""
     return cell_workers.WorkerEntry(
         worker_id,
         f"10.0.0.1:{9_000 + int(worker_id.strip('w') or 0)}",
@@ -44,12 +44,12 @@
 
 @final
 class FakeWorker:
-    """Implements `WorkerOrders`; tests end its tasks.
+    """Implements `WorkerOrders`; tasks run until a test ends them.
 
     Attributes:
-        is_dark: No call is answered, and none is carried out.
-        starts: Every start carried out.
-        deadlines_ms: Ends of lease that it was given.
+        is_unreachable: Orders fail without being executed.
+        starts: Every start order executed.
+        deadlines_ms: Lease deadlines received.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self, token: int
     ) -> result.Err[cell_workers.OrderError] | None:
         if self.is_unreachable:
-            return result.Err(cell_workers.OrderUnanswered("dark"))
+            return result.Err(cell_workers.OrderUnanswered("unreachable"))
         if token < self._token:
             return result.Err(
                 cell_workers.OrderRefused(cell_workers.Refusal.FENCED)
@@ -169,13 +169,13 @@
         self._changed.notify_all()
 
     def end_all(self, how: cell_workers.RunEnd) -> None:
-        """Ends all that runs."""
+        """Ends every running task."""
         with self._changed:
             for task in list(self._running):
                 self._end(task, how)
 
     @property
     def running(self) -> dict[str, int]:
-        """Run numbers by task."""
+        """Run number of each running task."""
         with self._changed:
             return dict(self._running)
--- a/testing/fakes/clock.py
+++ b/testing/fakes/clock.py
@@ -1,4 +1,4 @@
-"""A clock that tests move."""
+"""A clock that tests advance."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @final
 class FakeClock:
-    """Implements `Clock`; both clocks show the same time."""
+    """Implements `Clock`; monotonic and wall time are equal."""
 
     def __init__(self, now_ms: int = 1_000) -> None:
         self.now_ms = now_ms
@@ -21,5 +21,5 @@
         return self.now_ms
 
     def advance(self, elapsed_ms: int) -> None:
-        """Moves both clocks forward."""
+        """Advances monotonic and wall time."""
         self.now_ms += elapsed_ms
--- a/testing/fakes/http_server.py
+++ b/testing/fakes/http_server.py
@@ -1,4 +1,4 @@
-"""A raw HTTP server that answers as badly as a test wants."""
+"""A raw HTTP server for malformed and missing answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @final
 class RawServer:
-    """Reads one request a connection and leaves the answer to a function."""
+    """Reads one request per connection and lets a function answer it."""
 
     def __init__(self, answer: Answer) -> None:
         self.requests: list[bytes] = []
@@ -51,7 +51,7 @@
                 try:
                     self._answer(connection)
                 except OSError:
-                    # The client may have given up before.
+                    # The client may have closed the connection already.
                     continue
 
 
@@ -70,12 +70,12 @@
 
 
 def reply(status: int, body: bytes, length: int | None = None) -> Answer:
-    """Answers with a status and a body, of which the length may be untrue."""
+    """Answers with a status and a body; `length` overrides Content-Length."""
     shown = len(body) if length is None else length
     head = f"HTTP/1.1 {status} X\r\nContent-Length: {shown}\r\n\r\n"
     return lambda connection: connection.sendall(head.encode() + body)
 
 
 def close(connection: socket.socket) -> None:
-    """Closes without an answer."""
+    """Sends nothing; the server then closes the connection."""
     connection.close()
--- a/testing/fakes/log.py
+++ b/testing/fakes/log.py
@@ -1,4 +1,4 @@
-"""A log in memory that fails on command."""
+"""An in-memory log with fault injection."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class AppendFault(enum.Enum):
-    """What happens to one append."""
+    """Fault injected into one append."""
 
     NONE = enum.auto()
     DOWN = enum.auto()
@@ -29,9 +29,9 @@
     """Implements `LogPort`. Thread-safe.
 
     Attributes:
-        down: While set, every call is answered `LogUnavailable`.
-        faults: Taken from the left, one for each append; then none.
-        append_s: How long each append takes, in seconds of real time.
+        down: While set, every call fails with `LogUnavailable`.
+        faults: Faults of the next appends, in order; later ones succeed.
+        append_s: Duration of each append, in seconds of real time.
         appends: Number of appends that took effect, by stream.
     """
 
@@ -91,7 +91,7 @@
             )
 
     def put(self, stream: str, payloads: Sequence[bytes]) -> int:
-        """Adds payloads without any fault; returns the first one's offset."""
+        """Appends payloads without faults; returns the first one's offset."""
         with self._changed:
             stored = self._streams.setdefault(stream, [])
             stored.extend(payloads)
@@ -100,17 +100,17 @@
             return len(stored) - len(payloads)
 
     def deliver_late(self) -> None:
-        """Lets the appends that were held up on the way take effect."""
+        """Applies the appends that were lost with `LOST_AND_LATE`."""
         late, self._late = self._late, []
         for stream, payloads in late:
             self.put(stream, payloads)
 
     def expire_below(self, stream: str, offset: int) -> None:
-        """Drops what lies below an offset."""
+        """Expires all records below an offset."""
         with self._changed:
             self._first[stream] = max(self._first[stream], offset)
 
     def payloads(self, stream: str) -> list[bytes]:
-        """Everything ever appended, expired or not."""
+        """Returns every payload ever appended, including expired ones."""
         with self._changed:
             return list(self._streams.get(stream, []))
--- a/testing/fakes/peers.py
+++ b/testing/fakes/peers.py
@@ -1,4 +1,4 @@
-"""Peers that only show views and remember pushes."""
+"""Peers that return preset views and pass pushes to their followers."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @final
 class FakePeers:
-    """Implements what the control half uses of `Peers`.
+    """Implements the methods of `Peers` that the control plane uses.
 
     Attributes:
-        followers: Followers of other seats, by seat; they answer catch-ups
-            and take pushes at once.
-        shown: What `views` returns.
+        followers: Followers of other seats, by seat; they serve catch-up
+            requests and apply pushes immediately.
+        peer_views: Result of `views`.
     """
 
     def __init__(self) -> None:
--- a/testing/fakes/record_store.py
+++ b/testing/fakes/record_store.py
@@ -1,4 +1,4 @@
-"""A store of records in memory, with the faults of the platform's."""
+"""An in-memory record store with the faults of the platform's store."""
 
 from __future__ import annotations
 
@@ -26,8 +26,9 @@
     """Implements `RecordStore`.
 
     Attributes:
-        is_down: Calls are refused without effect.
-        lose_answers: So many of the next appends are done and not answered.
+        is_down: Calls fail without effect.
+        lose_answers: Number of next appends that take effect but report a
+            lost answer.
         timeouts_ms: Timeout of each append.
     """
 
@@ -126,14 +127,14 @@
             return result.Ok(store_port.StoreBatch(tuple(found), end, end))
 
     def expire(self, topic: str, partition: int) -> None:
-        """Forgets all but the newest record of each key."""
+        """Expires all records for `read`; `newest` still returns them."""
         with self._changed:
             kept = self._partition(topic, partition)
             kept.first_offset = len(kept.records)
             self._changed.notify_all()
 
     def keys(self, topic: str, partition: int) -> list[str]:
-        """Keys of all records, in their order."""
+        """Returns the keys of all records, in order of offset."""
         kept = self._partition(topic, partition)
         return [record.key for record in kept.records]
 
@@ -141,7 +142,7 @@
 def _check(
     kept: _Partition, producer: store_port.Producer, has_records: bool
 ) -> result.Err[store_port.AppendError] | None:
-    """The refusal of a producer's append, if it is refused."""
+    """Checks the epoch and sequence; returns the error of a refused append."""
     epoch = kept.epochs.get(producer.name, 0)
     if producer.epoch < epoch:
         return result.Err(store_port.ProducerFenced(f"epoch {epoch}"))
--- a/testing/fakes/tickets.py
+++ b/testing/fakes/tickets.py
@@ -1,4 +1,4 @@
-"""Tickets for tests, as JSON values."""
+"""Builds tickets as JSON values."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 def change(
     kind: str, name: str, replaces: int, state: dict[str, Any] | None
 ) -> dict[str, Any]:
-    """One change of a ticket."""
+    """Returns one change of a ticket."""
     return {"kind": kind, "name": name, "replaces": replaces, "state": state}
 
 
 def ticket(number: int, *changes: dict[str, Any]) -> dict[str, Any]:
-    """A ticket with these changes."""
+    """Returns a ticket with the given changes."""
     return {
         "number": number,
         "author": "mona",
@@ -24,19 +24,19 @@
 
 
 def service(name: str, replaces: int = 0, **state: int) -> dict[str, Any]:
-    """A change that sets a service."""
+    """Returns a change that sets a service."""
     return change("service", name, replaces, dict(state))
 
 
 def zone(name: str, replaces: int = 0) -> dict[str, Any]:
-    """A change that sets a zone with one seat."""
+    """Returns a change that sets a zone with one seat."""
     return change("zone", name, replaces, {"seats": [f"{name}-1"]})
 
 
 def endpoint(
     name: str, service_name: str, zone_name: str, replaces: int = 0
 ) -> dict[str, Any]:
-    """A change that sets an endpoint, at an address made of its name."""
+    """Returns a change that sets an endpoint; the name gives its address."""
     spread = zlib.crc32(name.encode())
     port = 1_024 + spread % 60_000
     state = {
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -1,4 +1,4 @@
-"""Workers and the network to them, in memory, on a clock that tests move."""
+"""In-memory workers and their network, driven by a fake clock."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ExchangeFault(enum.Enum):
-    """What happens to one exchange."""
+    """Fault injected into one exchange."""
 
     LOSE_REQUEST = enum.auto()
     LOSE_ANSWER = enum.auto()
@@ -26,7 +26,7 @@
 
 @attrs.define
 class FakeTask:
-    """One attempt on a worker."""
+    """One attempt of a job on a worker."""
 
     start: workers.StartTask
     started_ms: int
@@ -37,7 +37,7 @@
     fails: bool = False
 
     def to_status(self) -> workers.TaskStatus:
-        """As reported."""
+        """Returns the status as the worker reports it."""
         return workers.TaskStatus(
             self.start.job,
             self.start.attempt,
@@ -50,14 +50,15 @@
 
 @final
 class FakeWorker:
-    """Keeps the rules of docs/PLATFORM.md, guards of capacity switched off.
+    """Follows docs/PLATFORM.md, but accepts tasks beyond its capacity.
 
     Attributes:
-        checks_term: Whether it refuses lower terms.
-        checks_staleness: Whether it refuses what quotes an old report.
+        checks_term: Whether it refuses exchanges with a lower term.
+        checks_staleness: Whether it refuses exchanges that quote a stale
+            report.
         fail_all: Whether every task it starts fails.
-        started: Every start it carried out.
-        kept: Every checkpoint it wrote, by job.
+        started: Every start command executed.
+        checkpoints: Job and progress of every checkpoint written.
     """
 
     def __init__(
@@ -81,7 +82,7 @@
         self.reboot()
 
     def reboot(self) -> None:
-        """Forgets everything; running tasks are gone."""
+        """Clears all state, including running tasks."""
         self._boots += 1
         self._report = 1_000_000 * self._boots
         self._report_times: dict[int, int] = {}
@@ -92,7 +93,7 @@
         self._advanced_ms = self._clock.now_ms
 
     def running(self) -> list[FakeTask]:
-        """Tasks that run now."""
+        """Returns the running tasks."""
         self.advance()
         return [
             task
@@ -101,7 +102,7 @@
         ]
 
     def advance(self) -> None:
-        """Lets the time since the last call pass."""
+        """Advances all tasks by the time since the last call."""
         now_ms = self._clock.now_ms
         until_ms = min(now_ms, max(self._lease_until_ms, self._advanced_ms))
         elapsed_ms = until_ms - self._advanced_ms
@@ -118,7 +119,7 @@
                 task.state = workers.TaskState.STOPPED
 
     def exchange(self, exchange: workers.Exchange) -> workers.WorkerReport:
-        """Carries out one exchange."""
+        """Processes one exchange and returns the report."""
         self.advance()
         now_ms = self._clock.now_ms
         refusal = self._refusal(exchange, now_ms)
@@ -149,7 +150,7 @@
         return report
 
     def used(self) -> workers.Resources:
-        """What running tasks hold."""
+        """Returns the resources of all running tasks."""
         total = capacity.NO_RESOURCES
         for task in self.running():
             total = capacity.add(total, task.start.resources)
@@ -209,7 +210,7 @@
 
 @final
 class FakeNetwork:
-    """Links between hosts and workers that cut, lose, delay and repeat."""
+    """Links between hosts and workers, with fault injection."""
 
     def __init__(self, fleet: dict[str, FakeWorker]) -> None:
         self._fleet = fleet
@@ -219,11 +220,11 @@
         self.delayed: list[tuple[str, workers.Exchange]] = []
 
     def port(self, host: str) -> FakeWorkerPort:
-        """The worker port of one host."""
+        """Returns the worker port of one host."""
         return FakeWorkerPort(self, host)
 
     def deliver_delayed(self) -> None:
-        """Lets everything that lay in buffers arrive."""
+        """Delivers all delayed and duplicated exchanges."""
         arrived = self.delayed
         self.delayed = []
         for worker, exchange in arrived:
@@ -232,7 +233,7 @@
     def deliver(
         self, host: str, worker: str, exchange: workers.Exchange
     ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
-        """Carries one exchange, or not."""
+        """Delivers one exchange, unless a fault prevents it."""
         if (host, worker) in self.cut:
             return result.Err(workers.WorkerUnreachable("cut"))
         target = self._fleet[worker]
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -1,4 +1,4 @@
-"""One zone in memory: its stream, owners without threads, and workers."""
+"""An in-memory zone: its stream, single-threaded owners and workers."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @final
 class FakeConfigurationSource:
-    """Implements `ConfigurationSource` with a version that tests set."""
+    """Implements `ConfigurationSource` with a value that tests set."""
 
     def __init__(
         self, configuration: configuration_module.Configuration
@@ -59,7 +59,7 @@
 
 @final
 class FakeStream:
-    """The zone's stream; hosts in `cut` reach it neither way."""
+    """The zone's stream; hosts in `cut` can neither read nor append."""
 
     def __init__(self) -> None:
         self.payloads: list[bytes] = []
@@ -68,11 +68,11 @@
 
 @final
 class FakeAppender:
-    """Implements `RecordAppender` without a thread.
+    """Implements `RecordAppender` synchronously.
 
     Attributes:
-        lose_next: Whether the answer of the next append is lost.
-        hold_next: Whether the next append is sent only with the one after.
+        lose_next: Whether the answer to the next append is lost.
+        hold_next: Whether the next append is delayed until the one after it.
     """
 
     def __init__(self, stream: FakeStream, host: str) -> None:
@@ -111,7 +111,7 @@
 
 @final
 class FakeFollower:
-    """Implements `ownership.Follower`; reads only when told to."""
+    """Implements `ownership.Follower`; reads only when called."""
 
     def __init__(
         self,
@@ -129,7 +129,7 @@
         self._read_ms = -1_000_000
 
     def read(self) -> None:
-        """Folds everything new, unless this host is cut off."""
+        """Applies all new records, unless this host is cut off."""
         if self._host in self._stream.cut:
             return
         start = self.offset() + 1
@@ -156,7 +156,7 @@
 
 @final
 class FakeLinkPool:
-    """`LinkPool` without threads."""
+    """Implements `LinkPool` without threads."""
 
     def __init__(self, host: str) -> None:
         self._host = host
@@ -219,7 +219,7 @@
 
 @final
 class FakeHost:
-    """One entry host's part in the zone, stepped by tests."""
+    """The zone-related parts of one entry host, stepped by tests."""
 
     def __init__(
         self,
@@ -267,7 +267,7 @@
         )
 
     def tick(self) -> None:
-        """Does everything that is due now."""
+        """Runs every step that is due now."""
         if self.paused or self.released:
             return
         self.follower.read()
@@ -278,7 +278,7 @@
         self.owner.step()
 
     def exchange(self, session: worker_session.WorkerSession) -> None:
-        """Makes the exchange that is due with one worker, if any."""
+        """Runs the exchanges that are due with one worker, at most two."""
         for _ in range(2):
             permissions = self.ownership.permissions()
             if session.due_in_ms(permissions, self._clock.now_ms):
@@ -293,7 +293,7 @@
                 return
 
     def release(self) -> None:
-        """A planned stop."""
+        """Stops the host and releases its ownership."""
         self.released = True
         self.follower.read()
         self.ownership.release()
@@ -301,7 +301,7 @@
 
 @final
 class FakeZone:
-    """A zone of workers and entry hosts on one clock."""
+    """A zone of workers and entry hosts that share a fake clock."""
 
     def __init__(
         self,
@@ -358,7 +358,7 @@
             self.hosts.append(self.new_host())
 
     def new_host(self) -> FakeHost:
-        """A fresh process."""
+        """Returns a host with a new name and empty state."""
         self._started += 1
         host = FakeHost(
             f"host-{self._started}",
@@ -372,14 +372,14 @@
         return host
 
     def run(self, elapsed_ms: int, tick_ms: int = TICK_MS) -> None:
-        """Lets time pass, with every host doing what is due."""
+        """Advances the clock in ticks and steps every host after each."""
         for _ in range(max(1, elapsed_ms // tick_ms)):
             self.clock.advance(tick_ms)
             for host in self.hosts:
                 host.tick()
 
     def owner(self) -> FakeHost | None:
-        """The host that may start work now."""
+        """Returns the host that may start work now, if any."""
         for host in self.hosts:
             if host.ownership.permissions().may_start(self.clock.now_ms):
                 return host
@@ -396,7 +396,7 @@
         job_class: str = "stack",
         urgent: bool = False,
     ) -> None:
-        """Admits a job, as a job desk would."""
+        """Admits a job, as the job handler does."""
         spec = job_records.JobSpec(
             id=job,
             team=team,
@@ -409,22 +409,22 @@
         self.job_appender.append([job_records.JobAdmitted(spec)], 0)
 
     def cancel(self, job: str) -> None:
-        """Cancels a job, as a job desk would."""
+        """Cancels a job, as the job handler does."""
         self.job_appender.append([job_records.JobCancelled(job)], 0)
 
     def state(self, job: str) -> job_state.JobState:
-        """A job as folded now, whoever is the owner."""
+        """Returns a job's state as seen by the first host not cut off."""
         reached = [
             host for host in self.hosts if host.name not in self.stream.cut
         ]
         host = (reached or self.hosts)[0]
         host.follower.read()
         found = host.fold.job(job)
-        assert found is not None, f"{job} is not known"
+        assert found is not None, f"job {job} is unknown"
         return found
 
     def running(self) -> dict[str, str]:
-        """Worker of each job that runs."""
+        """Returns the worker of each running job."""
         return {
             task.start.job: worker.name
             for worker in self.fleet.values()
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet of real processes on loopback: stand-ins, relays, hosts."""
+"""Runs a complete fleet of real processes on the loopback interface."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 
 class Fleet:
-    """Starts everything on entry and stops everything on exit.
+    """A context manager that runs stand-ins, relays and entry hosts.
 
     Args:
-        deployment: Sizes and names.
-        options: How to start it.
-        folder: Where settings and logs go; a temporary one when absent.
-        start_hosts: Whether entry hosts are started on entry.
+        deployment: Sizes and names of the fleet.
+        options: Options of the processes.
+        folder: Directory for settings and logs; defaults to a temporary one.
+        start_hosts: Whether entering the context starts the entry hosts.
     """
 
     def __init__(
@@ -196,7 +196,7 @@
     def update_listed_host(
         self, kind: hosts_port.HostKind, name: str, **changes: Any
     ) -> None:
-        """Changes one line of the host list, seen after its lag."""
+        """Changes one host list entry; hosts see it after the list's lag."""
         for seat, stand_in in self.host_lists.items():
             addresses = self.worker_addresses[seat]
             lines = self.deployment.listed_workers(addresses)
@@ -212,10 +212,12 @@
     # Entry hosts.
 
     def start_host(self, seat: str) -> fleet_plan.Host:
-        """Starts a process in an empty seat; does not wait for it."""
+        """Starts a process in an empty seat without waiting for readiness."""
         host = self.hosts[seat]
         if host.process is not None and host.process.exit_code is None:
-            raise fleet_plan.FleetError(f"seat {seat} is taken")
+            raise fleet_plan.FleetError(
+                f"seat {seat} already has a running process"
+            )
         host.starts += 1
         host.process = processes.ChildProcess(
             f"{seat}-{host.starts}",
@@ -225,14 +227,14 @@
         return host
 
     def replace_host(self, seat: str) -> fleet_plan.Host:
-        """Kills the process in a seat and starts another, ready on return."""
+        """Kills the process in a seat and starts another; waits until ready."""
         self.kill_host(seat)
         host = self.start_host(seat)
         self.wait_ready(seat)
         return host
 
     def kill_host(self, seat: str) -> None:
-        """Ends a host by SIGKILL."""
+        """Kills a host with SIGKILL."""
         self._process(seat).kill()
 
     def signal_host(self, seat: str, number: signal.Signals) -> None:
@@ -240,13 +242,13 @@
         self._process(seat).send_signal(number)
 
     def wait_host(self, seat: str, timeout_s: float = READY_TIMEOUT_S) -> int:
-        """Waits for the end of a host and returns its exit code."""
+        """Waits until a host exits and returns its exit code."""
         return self._process(seat).wait(timeout_s)
 
     def _process(self, seat: str) -> processes.ChildProcess:
         process = self.hosts[seat].process
         if process is None:
-            raise fleet_plan.FleetError(f"seat {seat} is empty")
+            raise fleet_plan.FleetError(f"seat {seat} has no process")
         return process
 
     def _stop_hosts(self) -> None:
@@ -258,7 +260,7 @@
             process.stop()
 
     def wait_ready(self, *seats: str) -> None:
-        """Waits until the hosts of the seats, or all, say they are ready."""
+        """Waits until the hosts of the seats, or all hosts, report ready."""
         for seat in seats or tuple(self.hosts):
             self.wait_until(
                 lambda seat=seat: self._is_ready(seat),
@@ -269,7 +271,9 @@
     def _is_ready(self, seat: str) -> bool:
         process = self._process(seat)
         if process.exit_code is not None:
-            raise fleet_plan.FleetError(f"{seat} ended: {process.tail()}")
+            raise fleet_plan.FleetError(
+                f"{seat} exited before it was ready: {process.tail()}"
+            )
         answer = self.client.get(
             self.hosts[seat].operator_address, "/health/ready"
         )
@@ -278,11 +282,13 @@
     def wait_until(
         self, holds: Callable[[], bool], what: str, timeout_s: float
     ) -> None:
-        """Polls a condition; raises FleetError when it never holds."""
+        """Polls a condition; raises FleetError when the timeout expires."""
         until = time.monotonic() + timeout_s
         while not holds():
             if time.monotonic() > until:
-                raise fleet_plan.FleetError(f"not within {timeout_s} s: {what}")
+                raise fleet_plan.FleetError(
+                    f"timed out after {timeout_s} s waiting for: {what}"
+                )
             time.sleep(POLL_INTERVAL_S)
 
     # Operators and callers.
@@ -294,15 +300,19 @@
         return self.client.post_json(self._operator(seat), "/tickets", ticket)
 
     def apply_first_ticket(self, number: int = 1) -> None:
-        """Submits the first ticket and waits until every host has it."""
+        """Submits the first ticket and waits until all hosts applied it."""
         ticket = deployments.first_ticket(
             self.deployment, self.endpoint_addresses, number
         )
         answer = self.submit_ticket(ticket)
         if answer.status != 200:
-            raise fleet_plan.FleetError(f"ticket refused: {answer.body!r}")
+            raise fleet_plan.FleetError(
+                f"first ticket was refused: {answer.body!r}"
+            )
         self.wait_until(
-            self._all_hosts_configured, "ticket in force", APPLY_TIMEOUT_S
+            self._all_hosts_configured,
+            "first ticket applied by all hosts",
+            APPLY_TIMEOUT_S,
         )
 
     def _all_hosts_configured(self) -> bool:
@@ -323,7 +333,7 @@
         return self.client.post_json(self._operator(seat), "/jobs", job)
 
     def job(self, name: str, seat: str | None = None) -> client_module.Answer:
-        """Asks one host about a job."""
+        """Returns one host's answer about a job."""
         return self.client.get(self._operator(seat), f"/jobs/{name}")
 
     def cancel_job(
@@ -333,7 +343,7 @@
         return self.client.delete(self._operator(seat), f"/jobs/{name}")
 
     def status(self, seat: str) -> dict[str, Any]:
-        """The status page of a host."""
+        """Returns the status page of a host."""
         page: dict[str, Any] = self.client.get(
             self.hosts[seat].operator_address, "/status"
         ).json()
@@ -342,7 +352,7 @@
     def request(
         self, seat: str, request_id: str, body: bytes = b"", **options: Any
     ) -> client_module.Answer:
-        """A caller's request; `options` as `Client.request` takes them."""
+        """Sends a caller's request; `options` are those of `Client.request`."""
         return self.client.request(
             self.hosts[seat].caller_address,
             self.deployment.service,
@@ -355,24 +365,24 @@
         chosen = next(iter(self.hosts)) if seat is None else seat
         return self.hosts[chosen].operator_address
 
-    # Records of the stand-ins.
+    # Journals of the stand-ins.
 
     def endpoint_events(self) -> list[endpoint_stand_in.EndpointEvent]:
-        """Every request that reached an endpoint."""
+        """Returns every request that reached an endpoint."""
         events: list[endpoint_stand_in.EndpointEvent] = self.endpoints.journal(
             endpoint_stand_in.EndpointEvent
         )
         return events
 
     def worker_events(self) -> list[worker_records.WorkerEvent]:
-        """Everything that happened on workers."""
+        """Returns every event on the workers."""
         events: list[worker_records.WorkerEvent] = self.workers.journal(
             worker_records.WorkerEvent
         )
         return events
 
     def log_events(self) -> list[log_stand_in.LogEvent]:
-        """Every append that reached the log."""
+        """Returns every append that reached the log."""
         events: list[log_stand_in.LogEvent] = self.log.journal(
             log_stand_in.LogEvent
         )
