--- a/testing/fakes/peers.py
+++ b/testing/fakes/peers.py
@@ -25,11 +25,11 @@
 
     def __init__(self) -> None:
         self.followers: dict[str, follower_module.StreamFollower] = {}
-        self.shown: tuple[peers_port.PeerView, ...] = ()
+        self.peer_views: tuple[peers_port.PeerView, ...] = ()
 
     def views(self) -> tuple[peers_port.PeerView, ...]:
         """See `Peers.views`."""
-        return self.shown
+        return self.peer_views
 
     def catch_up(
         self, seat: str, request: ttypes.CatchUpRequest, timeout_ms: int
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -60,14 +60,14 @@
     """Peers that answer what tests set."""
 
     def __init__(self) -> None:
-        self.shown: tuple[peers_port.PeerView, ...] = ()
+        self.peer_views: tuple[peers_port.PeerView, ...] = ()
         self.forwarded: list[ttypes.ForwardRequest] = []
         self.forward_result: result.Result[
             ttypes.ForwardReply, peers_port.PeerError
         ] = result.Err(peers_port.PeerUnreachable("no such peer"))
 
     def views(self) -> tuple[peers_port.PeerView, ...]:
-        return self.shown
+        return self.peer_views
 
     def forward(
         self, seat: str, request: ttypes.ForwardRequest, timeout_ms: int
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -68,7 +68,7 @@
             peer.step()
         self.peers.followers["peer"] = peer
         view = peers_port.PeerView("peer", ZONE, reachable=True)
-        self.peers.shown = (view,)
+        self.peers.peer_views = (view,)
         return fold
 
     def append_notes(self, notes: int) -> None:
@@ -123,7 +123,7 @@
     def test_expired_records_are_replaced_by_a_snapshot(self) -> None:
         peer_fold = self.add_peer(5)
         peer = self.peers.followers.pop("peer")
-        self.peers.shown = ()
+        self.peers.peer_views = ()
         self.publish(peer.snapshot())
         self.log.put("s", [payload(9, 9)])
         self.log.expire_below("s", 4)
@@ -145,7 +145,7 @@
     def test_snapshot_with_wrong_digest_is_rejected(self) -> None:
         self.add_peer(3)
         snapshot = self.peers.followers.pop("peer").snapshot()
-        self.peers.shown = ()
+        self.peers.peer_views = ()
         self.publish(attrs.evolve(snapshot, digest="another"))
         self.log.expire_below("s", 3)
         for _ in range(3):
@@ -183,7 +183,7 @@
         ahead = peers_port.PeerView(
             "silent", ZONE, reachable=True, config_offset=9
         )
-        self.peers.shown = (ahead, *self.peers.shown)
+        self.peers.peer_views = (ahead, *self.peers.peer_views)
         self.log.down = True
         self.follower.step()
         self.assertEqual(4, self.follower.offset())
--- a/tests/process/test_ticket_handler.py
+++ b/tests/process/test_ticket_handler.py
@@ -217,7 +217,7 @@
 
     def test_ticket_page_lists_seats_where_it_is_in_force(self) -> None:
         self.host.submit(samples.ticket(1, samples.zone("bole")))
-        self.host.peers.shown = (
+        self.host.peers.peer_views = (
             peers_port.PeerView(
                 "seat-2",
                 "bole",
