--- a/testing/standins/__init__.py
+++ b/testing/standins/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins for the platform, the endpoints and the workers."""
+"""Stand-in processes for the platform, the endpoints and the workers."""
 
 from __future__ import annotations
--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -1,14 +1,14 @@
-"""Many endpoints in one process, each on its own port, strictly recorded.
+"""Many endpoints in one process, each on its own port, with a journal.
 
 Standard input or `--spec FILE` holds `[{"name", "port", "work_ms",
-"spread"}, ...]`; ports may be 0. A request takes `X-Work-Ms` of work, or a
-time drawn around the endpoint's `work_ms`.
+"spread"}, ...]`; ports may be 0. A request works for `X-Work-Ms`, or for a
+random time around the endpoint's `work_ms`.
 
 Control: `{"endpoint": NAME or "*", ...}` with any of `{"slow": factor,
 "refuse": bool, "hang": bool, "reset": K, "truncate": K, "busy": K,
-"leave_ms": N}`; K counts requests still to be hit. `leave_ms` puts
-`Connection: close` on answers and refuses connections N ms later; -1 ends it.
-`hang` false lets hanging requests go on.
+"leave_ms": N}`; K is the number of requests the fault still affects.
+`leave_ms` adds `Connection: close` to answers and refuses connections N ms
+later; -1 ends it. `hang` false resumes the requests that hang.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
     Attributes:
         name: Name, as in the configuration.
-        port: Port to listen on; 0 takes a free one.
-        work_ms: Median work of a request that does not say.
+        port: Port to listen on; 0 selects a free one.
+        work_ms: Median work of a request without `X-Work-Ms`.
         spread: Standard deviation of the logarithm of the work.
-        slots: Requests it bears at once.
-        connections: Connections it bears at once.
+        slots: Maximum number of concurrent requests.
+        connections: Maximum number of concurrent connections.
     """
 
     name: str
@@ -52,7 +52,7 @@
 
 @attrs.define
 class EndpointFaults:
-    """Faults in force at one endpoint; counts fall as they strike."""
+    """Active faults of one endpoint; each use lowers a fault's count."""
 
     slow: float = 1.0
     refuse: bool = False
@@ -65,19 +65,19 @@
 
 @attrs.define
 class EndpointEvent:
-    """One request that reached an endpoint, filled in as it goes.
+    """One request that reached an endpoint, updated while it runs.
 
     Attributes:
         endpoint: Name of the endpoint.
-        kind: `request`, or `connections` when there were too many.
-        request_id: As received.
-        idempotent: The header `X-Idempotent` as received; may be empty.
-        received_ms: When the whole request was there.
-        ended_ms: When its work ended; 0 while it runs.
+        kind: `request`, or `connections` when their limit was exceeded.
+        request_id: Id as received.
+        idempotent: Header `X-Idempotent` as received; may be empty.
+        received_ms: Time when the whole request had been received.
+        ended_ms: Time when its work ended; 0 while it runs.
         outcome: `running`, `answered`, `reset`, `truncated` or `busy`;
             only `busy` did no work.
-        running: Requests running at once, this one included.
-        violation: Whether a limit was broken by it.
+        running: Number of requests running, including this one.
+        violation: Whether it exceeded a limit.
     """
 
     endpoint: str
@@ -111,7 +111,7 @@
         self.listener.start()
 
     def change(self, change: dict[str, Any]) -> None:
-        """Sets faults by name; unknown names are refused."""
+        """Sets faults by name; raises TypeError for unknown names."""
         self.faults = attrs.evolve(self.faults, **change)
         if self.faults.hang:
             self._released.clear()
@@ -239,14 +239,14 @@
         }
 
     def addresses(self) -> dict[str, str]:
-        """Address by name."""
+        """Returns the address of each endpoint by name."""
         return {
             name: endpoint.listener.address
             for name, endpoint in self._by_name.items()
         }
 
     def control(self, change: dict[str, Any]) -> None:
-        """Passes faults on to one endpoint, or to all with `*`."""
+        """Sets faults at one endpoint, or at all with `*`."""
         name = change.pop("endpoint")
         if name == "*":
             for endpoint in self._by_name.values():
--- a/testing/standins/hosts.py
+++ b/testing/standins/hosts.py
@@ -2,8 +2,8 @@
 
 Control: `{"put": [entry, ...]}` adds or changes entries by kind and name,
 `{"remove": [[kind, name], ...]}`, `{"lag_ms": N}`, `{"down": bool}`,
-`{"slow_ms": N}`. Reads see the state as of `lag_ms` ago; a change with
-`"at_once": true` is seen at once, for a list that exists from the start.
+`{"slow_ms": N}`. Reads return the state of `lag_ms` ago. A change with
+`"at_once": true` is visible immediately, as if it had always been there.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 @attrs.frozen
 class Snapshot:
-    """The list from one moment on."""
+    """The entries that are current from `at_ms` on."""
 
     at_ms: float
     hosts: tuple[hosts_port.ListedHost, ...]
 
 
 class HostListStandIn:
-    """Every past state of the list. Thread-safe."""
+    """The host list with all its past states. Thread-safe."""
 
     def __init__(self, lag_ms: int) -> None:
         self.lag_ms = lag_ms
@@ -70,7 +70,7 @@
         if self.slow_ms:
             time.sleep(self.slow_ms / 1_000)
         if self.down:
-            return serving.json_reply(503, {"detail": "the list is down"})
+            return serving.json_reply(503, {"detail": "the host list is down"})
         if call.path != "/hosts":
             return serving.json_reply(404, {"detail": call.path})
         return serving.json_reply(200, {"hosts": self._visible_hosts()})
@@ -85,7 +85,7 @@
 
 
 def main() -> None:
-    """Runs the host list until SIGTERM."""
+    """Serves the host list until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--control-port", type=int, default=0)
--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -26,16 +26,17 @@
 
 @attrs.define
 class LogFaults:
-    """Faults and limits in force; all can be set while it runs.
+    """Active faults and limits, all of which can change at run time.
 
     Attributes:
-        down: Every call is answered 503.
-        slow_ms: Added to every call.
-        lose_after: Appends still to be kept without an answer.
-        lose_before: Appends still to be dropped without an answer.
-        keep_records: Records a stream keeps.
-        keep_ms: How long a stream keeps a record.
-        appends_per_second: Appends above it are answered 503.
+        down: Every call is answered with status 503.
+        slow_ms: Delay added to every call.
+        lose_after: Number of next appends stored without an answer.
+        lose_before: Number of next appends dropped without an answer.
+        keep_records: Maximum number of records in a stream.
+        keep_ms: Maximum age of a record in a stream.
+        appends_per_second: Appends beyond this rate are answered with
+            status 503.
     """
 
     down: bool = False
@@ -58,11 +59,11 @@
 
 @attrs.frozen
 class LogEvent:
-    """An append as the log saw it.
+    """One append that reached the log.
 
     Attributes:
         kind: `append`, `refused-rate`, `lost-after` or `lost-before`.
-        offset: Offset of the first record; -1 when none was kept.
+        offset: Offset of the first record; -1 when none was stored.
     """
 
     at_ms: float
@@ -75,7 +76,7 @@
 
 @attrs.define
 class Stream:
-    """Records of one stream and its next offset."""
+    """The records of one stream and its next offset."""
 
     next_offset: int = 0
     records: collections.deque[StoredRecord] = attrs.field(
@@ -84,7 +85,7 @@
 
     @property
     def first_offset(self) -> int:
-        """Lowest offset still kept; the next one when none is."""
+        """Lowest retained offset; the next offset when the stream is empty."""
         return self.records[0].offset if self.records else self.next_offset
 
 
@@ -99,14 +100,14 @@
         self._recent: collections.deque[float] = collections.deque()
 
     def control(self, change: dict[str, Any]) -> dict[str, Any]:
-        """Sets faults by name; unknown names are refused."""
+        """Sets faults by name; raises TypeError for unknown names."""
         with self._changed:
             self.faults = attrs.evolve(self.faults, **change)
             self._changed.notify_all()
         return attrs.asdict(self.faults)
 
     def handle(self, call: serving.Call) -> serving.Answer:
-        """Serves one call of the log's own interface."""
+        """Serves one append or read call."""
         if self.faults.slow_ms:
             time.sleep(self.faults.slow_ms / 1_000)
         if self.faults.down:
@@ -227,7 +228,7 @@
 
 
 def main() -> None:
-    """Runs the log until SIGTERM."""
+    """Serves the log until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--control-port", type=int, default=0)
--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the users' platform: its store and its executors."""
+"""Stand-ins for the users' platform: its record store and executors."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 @final
 class StoreStandIn:
-    """The store over HTTP, on a store in memory.
+    """Serves an in-memory record store over HTTP.
 
     Attributes:
         kept: The records.
-        page_size: Most items of a page of newest records.
+        page_size: Maximum number of items on a page of newest records.
     """
 
     def __init__(self) -> None:
@@ -149,7 +149,7 @@
 
 @final
 class ExecutorStandIn:
-    """An executor over HTTP, on a worker in memory."""
+    """Serves an in-memory worker over HTTP as an executor."""
 
     def __init__(self, worker: fake_workers.FakeWorker) -> None:
         self.worker = worker
--- a/testing/standins/serving.py
+++ b/testing/standins/serving.py
@@ -1,7 +1,7 @@
 """HTTP listeners, control calls and journals shared by the stand-ins.
 
-The standard library's server is used because faults need the bare socket: an
-answer can be dropped, cut short or ended by a reset.
+They use the standard library's server because fault injection needs access to
+the socket: an answer can be dropped, truncated or ended by a reset.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 LOOPBACK = "127.0.0.1"
 ACCEPT_BACKLOG = 512
 POLL_INTERVAL_S = 0.5
-# Linger on, for no time at all: closing sends a reset.
+# SO_LINGER on with a timeout of zero: closing the socket sends a reset.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @attrs.frozen
 class Call:
-    """A request as received; header names are matched in any case."""
+    """A request as received; header names are case-insensitive."""
 
     method: str
     path: str
@@ -41,13 +41,13 @@
     body: bytes
 
     def json(self) -> Any:
-        """The body decoded; an empty body is an empty object."""
+        """Decodes the body; an empty body is an empty object."""
         return msgspec.json.decode(self.body) if self.body else {}
 
 
 @attrs.frozen
 class Reply:
-    """An answer sent whole; `close` ends the connection after it."""
+    """A complete answer; `close` closes the connection after it."""
 
     status: int
     body: bytes = b""
@@ -57,17 +57,17 @@
 
 @attrs.frozen
 class Drop:
-    """No answer: the connection is closed."""
+    """Closes the connection without an answer."""
 
 
 @attrs.frozen
 class Reset:
-    """No answer: the connection is reset."""
+    """Resets the connection without an answer."""
 
 
 @attrs.frozen
 class Truncated:
-    """The answer announces its whole length and stops after some bytes."""
+    """An answer with its full Content-Length, cut after `sent_bytes`."""
 
     reply: Reply
     sent_bytes: int
@@ -78,7 +78,7 @@
 
 
 def json_reply(status: int, value: Any) -> Reply:
-    """A reply with a JSON body."""
+    """Returns a reply with a JSON body."""
     return Reply(
         status,
         msgspec.json.encode(value),
@@ -87,7 +87,7 @@
 
 
 def now_ms() -> float:
-    """Monotonic milliseconds, comparable across processes of one machine."""
+    """Returns monotonic time, comparable across processes of a machine."""
     return time.monotonic_ns() / 1_000_000
 
 
@@ -181,7 +181,7 @@
         self._listener.remove_connection(connection)
 
     def shutdown_request(self, request: Any) -> None:
-        # A shutdown before the close would send an orderly end, no reset.
+        # A shutdown before the close would end the connection without a reset.
         linger = request.getsockopt(socket.SOL_SOCKET, socket.SO_LINGER, 8)
         if linger == RESET_ON_CLOSE:
             request.close()
@@ -193,12 +193,13 @@
 
 
 class Listener:
-    """One listening address; it can refuse for a while and come back.
+    """One listening address; it can stop listening and start again.
 
     Args:
         handler: Called on the connection's own thread.
-        port: Port to take; 0 takes a free one, kept afterwards.
-        on_connections: Told the count of open connections when one opens.
+        port: Port to listen on; 0 selects a free one, which stays the same.
+        on_connections: Called with the number of open connections when one
+            opens.
     """
 
     def __init__(
@@ -220,7 +221,7 @@
         return f"{LOOPBACK}:{self.port}"
 
     def add_connection(self, connection: socket.socket) -> None:
-        """Notes an accepted connection."""
+        """Adds an accepted connection."""
         with self._lock:
             self._open.add(connection)
             count = len(self._open)
@@ -228,12 +229,12 @@
             self._on_connections(count)
 
     def remove_connection(self, connection: socket.socket) -> None:
-        """Notes the end of a connection."""
+        """Removes a closed connection."""
         with self._lock:
             self._open.discard(connection)
 
     def start(self) -> None:
-        """Listens; does nothing when it already does."""
+        """Starts to listen, unless it already does."""
         if self._server is not None:
             return
         self._server = _Server(self.port, self)
@@ -245,7 +246,7 @@
         ).start()
 
     def refuse(self) -> None:
-        """Stops listening; open connections stay."""
+        """Stops listening; open connections stay open."""
         if self._server is None:
             return
         server = self._server
@@ -254,7 +255,7 @@
         threading.Thread(target=_close, args=(server,), daemon=True).start()
 
     def drop_connections(self) -> None:
-        """Ends every open connection at once."""
+        """Shuts down every open connection."""
         with self._lock:
             connections = tuple(self._open)
         for connection in connections:
@@ -270,26 +271,26 @@
 
 
 class Journal:
-    """What a stand-in did, in order. Thread-safe."""
+    """Events of a stand-in, in order. Thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self._events: list[Any] = []
 
     def add(self, event: Any) -> None:
-        """Appends an event; a mutable one may still be filled in later."""
+        """Appends an event; mutable events may be updated later."""
         with self._lock:
             self._events.append(event)
 
     def page(self, first: int) -> dict[str, Any]:
-        """Events from index `first` on, and the next index."""
+        """Returns the events from index `first` on, and the next index."""
         with self._lock:
             events = self._events[first:]
         return {"next": first + len(events), "events": events}
 
 
 class ControlServer:
-    """`POST /control` and `GET /journal` of one stand-in process."""
+    """Serves `POST /control` and `GET /journal` of one stand-in process."""
 
     def __init__(
         self, journal: Journal, on_control: Callable[[Any], Any], port: int = 0
@@ -305,7 +306,9 @@
             return json_reply(200, self._journal.page(first))
         if call.method == "POST" and call.path == "/control":
             return self._control(call)
-        return json_reply(404, {"detail": "try /control or /journal"})
+        return json_reply(
+            404, {"detail": "unknown path; use POST /control or GET /journal"}
+        )
 
     def _control(self, call: Call) -> Reply:
         try:
@@ -316,12 +319,12 @@
 
 
 def announce(**ports: Any) -> None:
-    """Prints the one line that says the stand-in is ready."""
+    """Prints the JSON line that signals readiness to the parent process."""
     print(json.dumps(ports), flush=True)
 
 
 def wait_for_stop() -> None:
-    """Blocks until SIGTERM, SIGINT or the end of the parent process."""
+    """Blocks until SIGTERM, SIGINT or the exit of the parent process."""
     parent = os.getppid()
     stopped = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/testing/standins/worker.py
+++ b/testing/standins/worker.py
@@ -26,7 +26,7 @@
 
 
 class WorkerGroup:
-    """All workers of the process, and the thread that lets time pass."""
+    """All workers of the process, and the thread that advances them."""
 
     def __init__(
         self,
@@ -43,14 +43,14 @@
         }
 
     def addresses(self) -> dict[str, str]:
-        """Address by name."""
+        """Returns the address of each worker by name."""
         return {
             name: worker.listener.address
             for name, worker in self._by_name.items()
         }
 
     def control(self, change: dict[str, Any]) -> None:
-        """Passes faults on to one worker, or to all with `*`."""
+        """Sets faults at one worker, or at all with `*`."""
         name = change.pop("worker")
         if name == "*":
             for worker in self._by_name.values():
@@ -59,7 +59,7 @@
             self._by_name[name].change(change)
 
     def start(self) -> None:
-        """Starts the passing of time."""
+        """Starts the thread that advances all workers."""
         threading.Thread(target=self._run, daemon=True).start()
 
     def _run(self) -> None:
@@ -77,7 +77,10 @@
         "--model", default="{}", help="JSON with size_factors, time_factors"
     )
     parser.add_argument(
-        "--speed", type=float, default=1.0, help="task time per real time"
+        "--speed",
+        type=float,
+        default=1.0,
+        help="ratio of task time to real time",
     )
     parser.add_argument("--tick-ms", type=int, default=DEFAULT_TICK_MS)
     parser.add_argument("--control-port", type=int, default=0)
--- a/testing/standins/worker_codec.py
+++ b/testing/standins/worker_codec.py
@@ -1,4 +1,4 @@
-"""Decoding of exchanges as docs/PLATFORM.md writes them."""
+"""Decodes exchanges in the format of docs/PLATFORM.md."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     """Decodes one exchange; raises ValueError for a malformed one."""
     raw = msgspec.json.decode(body)
     if not isinstance(raw, dict):
-        raise ValueError("an exchange is an object")
+        raise ValueError("an exchange must be an object")
     header = msgspec.convert(raw, _Header)
     return workers.Exchange(
         owner=header.owner,
@@ -44,7 +44,7 @@
 
 def _decode_command(raw: Any) -> workers.Command:
     if not isinstance(raw, dict) or len(raw) != 1:
-        raise ValueError("a command has exactly one member")
+        raise ValueError("a command must be an object with exactly one member")
     ((name, fields),) = raw.items()
     if name not in COMMAND_CLASSES:
         raise ValueError(f"unknown command {name!r}")
--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -1,4 +1,4 @@
-"""One stand-in worker: the rules of docs/PLATFORM.md and its faults."""
+"""One stand-in worker, as docs/PLATFORM.md specifies it, with faults."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class WorkerHost:
-    """State of one worker. Thread-safe; time passes in `advance`."""
+    """State of one worker, updated by `advance`. Thread-safe."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self.listener.start()
 
     def change(self, change: dict[str, Any]) -> None:
-        """Sets faults by name, loads of services, or kills the worker."""
+        """Sets faults or service loads by name, or kills the worker."""
         with self._changed:
             self.advance()
             self._tasks.service_load.update(change.pop("service_load", {}))
@@ -78,7 +78,7 @@
         self._record_event(now, "boot")
 
     def advance(self) -> None:
-        """Lets the time since the last call pass: work, ends, the lease."""
+        """Advances tasks and lease by the time since the last call."""
         with self._changed:
             now = serving.now_ms()
             lapsed = 0.0 < self._lease_until_ms <= now
@@ -132,9 +132,9 @@
     ) -> workers.CommandStatus | None:
         if exchange.term < self._highest_term:
             return workers.CommandStatus.REFUSED_TERM
-        # A first exchange has nothing to quote; it may only ask.
-        asks = not exchange.commands and exchange.lease_ms == 0
-        if exchange.quoted_report == 0 and asks:
+        # The first exchange has no report to quote, so it may only read.
+        is_read_only = not exchange.commands and exchange.lease_ms == 0
+        if exchange.quoted_report == 0 and is_read_only:
             return None
         made_ms = self._report_times.get(exchange.quoted_report)
         if made_ms is None or now - made_ms > MAX_REPORT_AGE_MS:
--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -1,4 +1,4 @@
-"""How tasks on one stand-in worker slow each other and services down."""
+"""Model of interference between the workloads of one stand-in worker."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 def _pair_slowdown(seed: int, victim: str, aggressor: str) -> float:
     key = f"{seed}/{victim}/{aggressor}".encode()
     step = xxhash.xxh64_intdigest(key) % HASH_BUCKETS
-    # Squared, so that most pairs get along and a few do not.
+    # Squared, so that most pairs interfere little and a few a lot.
     return MAX_PAIR_SLOWDOWN * (step / HASH_BUCKETS) ** 2
 
 
@@ -31,8 +31,8 @@
 
     Attributes:
         service: Name of the service.
-        resources: What is set apart for it.
-        load: Part of its processors it uses, 0 to 1.
+        resources: Resources reserved for it.
+        load: Fraction of its processors in use, 0 to 1.
     """
 
     service: str
@@ -42,12 +42,12 @@
 
 @attrs.frozen
 class WorkModel:
-    """What is hidden from the scheduler.
+    """Properties of workloads that the scheduler cannot see.
 
     Attributes:
-        seed: Picks the table of interference.
-        size_factors: Real size over declared size, by job class.
-        time_factors: Real run time over declared run time, by job class.
+        seed: Selects the slowdowns of all pairs of job classes.
+        size_factors: Ratio of real to declared size, by job class.
+        time_factors: Ratio of real to declared run time, by job class.
     """
 
     seed: int = 1
@@ -55,21 +55,21 @@
     time_factors: Mapping[str, float] = attrs.field(factory=dict)
 
     def pair_slowdown(self, victim: str, aggressor: str) -> float:
-        """Slowdown of a victim when an aggressor fills the whole host."""
+        """Returns a victim's slowdown when an aggressor uses the whole host."""
         return _pair_slowdown(self.seed, victim, aggressor)
 
     def size_factor(self, job_class: str) -> float:
-        """Real size over declared size."""
+        """Returns the ratio of real to declared size."""
         return self.size_factors.get(job_class, 1.0)
 
     def time_factor(self, job_class: str) -> float:
-        """Real run time over declared run time."""
+        """Returns the ratio of real to declared run time."""
         return self.time_factors.get(job_class, 1.0)
 
 
 @attrs.frozen
 class Workload:
-    """Something that runs on a worker, with the processors it really uses."""
+    """A service or task on a worker, with the processors it really uses."""
 
     name: str
     job_class: str
@@ -79,7 +79,7 @@
 def slowdowns(
     model: WorkModel, workloads: Iterable[Workload], capacity_milli: int
 ) -> dict[str, float]:
-    """Slowdown of each presence by name, 1 when alone on the host."""
+    """Returns the slowdown of each workload by name; 1 when alone."""
     all_workloads = tuple(workloads)
     used = sum(one.processors_milli for one in all_workloads)
     contention = max(1.0, used / max(capacity_milli, 1))
@@ -102,7 +102,7 @@
 
 
 def add(left: workers.Resources, right: workers.Resources) -> workers.Resources:
-    """Sum, dimension by dimension."""
+    """Returns the sum in each dimension."""
     return workers.Resources(
         left.processors_milli + right.processors_milli,
         left.memory_mib + right.memory_mib,
@@ -111,7 +111,7 @@
 
 
 def fits(need: workers.Resources, capacity: workers.Resources) -> bool:
-    """Whether no dimension of `need` is above `capacity`."""
+    """Returns whether `need` is within `capacity` in every dimension."""
     return (
         need.processors_milli <= capacity.processors_milli
         and need.memory_mib <= capacity.memory_mib
@@ -120,7 +120,7 @@
 
 
 def always_fails(start: workers.StartTask) -> bool:
-    """Whether an attempt fails wherever it runs."""
+    """Returns whether an attempt fails on every worker."""
     return (
         start.job_class == FAILING_JOB_MARKER or FAILING_JOB_MARKER in start.job
     )
--- a/testing/standins/worker_records.py
+++ b/testing/standins/worker_records.py
@@ -16,11 +16,11 @@
 
     Attributes:
         name: Name, as in the host list.
-        port: Port to listen on; 0 takes a free one.
-        capacity: What it has.
+        port: Port to listen on; 0 selects a free one.
+        capacity: Resources of the worker.
         services: Latency-critical services that share it.
-        guards: Whether it refuses what does not fit.
-        usage_lag_ms: Age at which measurements get into reports.
+        guards: Whether it refuses starts that exceed its capacity.
+        usage_lag_ms: Age at which usage samples are reported.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
 @attrs.define
 class WorkerFaults:
-    """Faults in force at one worker."""
+    """Active faults of one worker."""
 
     pause: bool = False
     refuse: bool = False
@@ -42,15 +42,17 @@
 
 @attrs.frozen
 class WorkerEvent:
-    """What happened on a worker.
+    """One event on a worker.
 
     Attributes:
         kind: `start`, `end`, `checkpoint`, `throttle`, `lapse`, `boot`,
             `kill`, `term` or a command's refusal (`refused-...`).
         detail: How an attempt ended (`finished`, `failed`, `stopped`,
             `lapsed`, `killed`, `memory`), or the owner or share.
-        progress_ms: Of the attempt; where a start resumed.
-        used: Declared sizes on the worker after the event, services included.
+        progress_ms: Progress of the attempt; for a start, the progress it
+            resumes from.
+        used: Sum of the declared sizes on the worker after the event,
+            including services.
     """
 
     at_ms: float
@@ -68,7 +70,7 @@
 
 @attrs.define
 class Task:
-    """One attempt."""
+    """One attempt of a job."""
 
     start: workers.StartTask
     progress_ms: float
@@ -80,21 +82,21 @@
 
     @property
     def key(self) -> TaskKey:
-        """Job and attempt."""
+        """Job id and attempt number."""
         return (self.start.job, self.start.attempt)
 
     @property
     def name(self) -> str:
-        """Job and attempt as one text."""
+        """Job id and attempt number as one string."""
         return f"{self.start.job}/{self.start.attempt}"
 
     @property
     def running(self) -> bool:
-        """Whether it still runs."""
+        """Whether the attempt is still running."""
         return self.state == workers.TaskState.RUNNING
 
     def to_status(self) -> workers.TaskStatus:
-        """As reported."""
+        """Returns the status as the worker reports it."""
         return workers.TaskStatus(
             job=self.start.job,
             attempt=self.start.attempt,
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one stand-in worker: their work, ends and measured usage."""
+"""The tasks of one stand-in worker: progress, ends and measured usage."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 USAGE_RETENTION_MS = 10_000
 ENDED_TASK_RETENTION_MS = 600_000
 TIME_TO_FAILURE_MS = 50.0
-# Told of an attempt's end: when, which, and how it ended.
+# Called when an attempt ends, with the time, the task and how it ended.
 EndListener = Callable[[float, records.Task, str], None]
 
 
 @attrs.frozen
 class UsageSample:
-    """One measurement of usage with the time it was made."""
+    """One sample of resource usage and the time it was taken."""
 
     at_ms: float
     usage: workers.Usage
 
 
 class TaskTable:
-    """Attempts on one worker. Its owner holds the lock."""
+    """Attempts on one worker. Not thread-safe: the caller holds the lock."""
 
     def __init__(
         self,
@@ -49,11 +49,11 @@
         self.service_load = {one.service: one.load for one in spec.services}
 
     def get(self, key: records.TaskKey) -> records.Task | None:
-        """The attempt, running or lately ended."""
+        """Returns the attempt if it runs or ended recently."""
         return self._by_key.get(key)
 
     def was_started(self, key: records.TaskKey) -> bool:
-        """Whether the attempt was ever started since the last boot."""
+        """Returns whether the attempt was started since the last boot."""
         return key in self._known
 
     def add(self, task: records.Task) -> None:
@@ -62,17 +62,17 @@
         self._by_key[task.key] = task
 
     def drop_ended(self, key: records.TaskKey) -> None:
-        """Forgets the line of an ended attempt."""
+        """Drops the status of an ended attempt."""
         task = self._by_key.get(key)
         if task is not None and not task.running:
             del self._by_key[key]
 
     def running(self) -> list[records.Task]:
-        """Attempts that run."""
+        """Returns the running attempts."""
         return [task for task in self._by_key.values() if task.running]
 
     def statuses(self) -> tuple[workers.TaskStatus, ...]:
-        """All attempts as reported."""
+        """Returns the status of every attempt."""
         return tuple(task.to_status() for task in self._by_key.values())
 
     def end(
@@ -88,7 +88,7 @@
         self._on_end(now, task, detail)
 
     def used(self) -> workers.Resources:
-        """Declared sizes of services and running attempts."""
+        """Returns the sum of the declared sizes of services and attempts."""
         total = workers.Resources(0, 0, 0)
         for one in self._spec.services:
             total = models.add(total, one.resources)
@@ -97,7 +97,7 @@
         return total
 
     def advance(self, elapsed_ms: float, now: float) -> None:
-        """Lets running attempts work for a time."""
+        """Advances the running attempts and drops old ended ones."""
         running = self.running()
         if running:
             slowed = self._slowdowns()
@@ -129,7 +129,7 @@
             self.end(task, workers.TaskState.FINISHED, "finished", now)
 
     def enforce_memory_limit(self, now: float) -> None:
-        """Fails the attempt furthest above its size when memory runs out."""
+        """Fails attempts, largest excess first, until memory suffices."""
         while self._spec.guards:
             running = self.running()
             used_mib = self._memory_mib(running)
@@ -180,7 +180,7 @@
         return models.slowdowns(self._model, self._workloads(), capacity_milli)
 
     def measure(self, now: float) -> None:
-        """Takes a measurement when one is due."""
+        """Takes a usage sample when one is due."""
         if self._samples and now - self._samples[-1].at_ms < USAGE_INTERVAL_MS:
             return
         self._samples.append(UsageSample(now, self._usage()))
@@ -220,7 +220,7 @@
         )
 
     def take_due_usage(self, now: float) -> tuple[workers.Usage, ...]:
-        """Measurements old enough to be reported, and not reported yet."""
+        """Returns the unreported samples that are old enough to report."""
         due = [
             one
             for one in self._samples
--- a/tests/request/test_spill.py
+++ b/tests/request/test_spill.py
@@ -39,7 +39,7 @@
         self.fixture = harness.Harness(scripted_endpoint.whole, slots=0)
         self.fixture.__enter__()
         self.addCleanup(self.fixture.__exit__, None, None, None)
-        self.fixture.peers.shown = (view(2),)
+        self.fixture.peers.peer_views = (view(2),)
         self.fixture.peers.forward_result = reply("answered")
 
     def test_request_without_slot_is_forwarded_to_zone_with_spare_slots(
@@ -56,7 +56,7 @@
 
     def test_nothing_is_forwarded_without_spare_slots(self) -> None:
         for shown in (view(0), view(2, fakes.ZONE), view(2, reachable=False)):
-            self.fixture.peers.shown = (shown,)
+            self.fixture.peers.peer_views = (shown,)
             refused = self.fixture.send_request("r1", timeout_ms=10)
             self.assertEqual("not-run", refused.headers["X-Outcome"])
         self.assertEqual([], self.fixture.peers.forwarded)
