--- a/testing/bare_relay.py
+++ b/testing/bare_relay.py
@@ -1,7 +1,7 @@
-"""A relay of cheroot in and urllib3 out that decides nothing.
+"""A minimal HTTP relay of a cheroot server and a urllib3 client.
 
-The floor against which `testing.bench` holds the path of an entry host:
-each request goes to the next of the targets, and its answer back.
+It is the baseline for the request path of an entry host in `testing.bench`: it
+forwards each request to the next target in turn and returns the answer.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Targets:
-    """The targets' connection pools, taken in turn."""
+    """Connection pools of the targets, used round-robin."""
 
     def __init__(self, addresses: list[str]) -> None:
         self._turn = itertools.count()
@@ -36,21 +36,21 @@
             )
 
     def next(self) -> urllib3.HTTPConnectionPool:
-        """The pool of the next target."""
+        """Returns the pool of the next target."""
         return self._pools[next(self._turn) % len(self._pools)]
 
 
 class RelayServer(server.HTTPServer):
-    """The server, with the targets its gateways send to."""
+    """The server, with the targets of its gateways."""
 
     targets: Targets
 
 
 class RelayGateway(server.Gateway):
-    """Passes one request on."""
+    """Forwards one request."""
 
     def respond(self) -> None:
-        """Sends the request to a target and its answer back."""
+        """Forwards the request to a target and returns its answer."""
         request = self.req
         length = int(request.inheaders.get(b"Content-Length", b"0"))
         body = request.rfile.read(length) if length else None
--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -1,4 +1,4 @@
-"""A zone with short leases and claims, for faults of batch work."""
+"""A zone with short leases and claims, for fault tests of batch work."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from testing import job_load
 
 ZONE = "bole"
-# The stand-ins call a quoted report stale after 2 s.
+# The stand-ins treat a quoted report as stale after 2 s.
 LIMITS = objects.Limits(
     lease_ms=2_000,
     claim_ms=2_000,
@@ -27,8 +27,8 @@
     evictions_per_hour=1_000,
 )
 AUTONOMY_MS = 3_000
-# Longest time in which a predecessor's tasks run, and the longest jitter of
-# a claim with some slack.
+# The longest time that a predecessor's tasks may still run plus the longest
+# jitter of a claim, with a margin.
 TAKEOVER_TIMEOUT_S = 10.0
 LINKS = frozenset(
     {
@@ -40,11 +40,11 @@
 
 
 def deployment(**changes: Any) -> deployments.Deployment:
-    """One zone of three hosts and four workers."""
+    """Returns a deployment of one zone with three hosts and four workers."""
     values: dict[str, Any] = {
         "seats_per_zone": 3,
         "workers": 4,
-        # A guard would hide an assignment that is too much.
+        # A worker that checks its capacity would hide an excessive assignment.
         "worker_guards": False,
         "limits": LIMITS,
         "autonomy_ms": AUTONOMY_MS,
@@ -57,7 +57,7 @@
     log_arguments: tuple[str, ...] = (),
     **changes: Any,
 ) -> fleet_module.Fleet:
-    """A running zone with its configuration in force and an owner."""
+    """Starts a zone; returns it once it is configured and has an owner."""
     options = fleet_plan.FleetOptions(links=LINKS, log_arguments=log_arguments)
     running = test.enterContext(
         fleet_module.Fleet(deployment(**changes), options)
@@ -68,18 +68,18 @@
 
 
 def wait_limits_applied(running: fleet_module.Fleet) -> None:
-    """Waits until the zone is owned under the limits put in force."""
+    """Waits until the zone has an owner that uses the configured limits."""
     lease_ms = running.deployment.limits.lease_ms
     running.wait_until(
         lambda: claimed_lease_ms(running) == lease_ms,
-        "the zone is owned under its limits",
+        "the zone owner uses the configured limits",
         2 * TAKEOVER_TIMEOUT_S,
     )
     wait_owner(running)
 
 
 def claimed_lease_ms(running: fleet_module.Fleet) -> int:
-    """Lease of the last claim on the log; 0 when there is none."""
+    """Returns the lease of the last claim in the log; 0 without a claim."""
     address = running.log.ready["address"]
     stream = job_records.zone_stream(ZONE)
     answer = running.client.get(address, f"/streams/{stream}/records")
@@ -95,7 +95,7 @@
 
 
 def find_owner(running: fleet_module.Fleet) -> str:
-    """The seat whose host may start work now; empty if there is none."""
+    """Returns the seat whose host may start work now, or an empty string."""
     for seat, host in running.hosts.items():
         if host.process is None or host.process.exit_code is not None:
             continue
@@ -105,7 +105,7 @@
 
 
 def wait_owner(running: fleet_module.Fleet, *dead: str) -> str:
-    """Waits for an owner, without asking hosts that can't answer."""
+    """Waits for an owner without querying the hosts in `dead`."""
     found: list[str] = []
 
     def owned() -> bool:
@@ -124,7 +124,7 @@
 def submitter(
     running: fleet_module.Fleet, **changes: Any
 ) -> job_load.JobSubmitter:
-    """A steady load through every host."""
+    """Returns a submitter that sends jobs at a constant rate to all hosts."""
     seats = running.deployment.all_seats()
     return job_load.JobSubmitter(
         running, job_load.JobLoad(seats=seats, **changes)
@@ -136,7 +136,7 @@
     more: int,
     timeout_s: float = TAKEOVER_TIMEOUT_S,
 ) -> None:
-    """Waits until workers have started so many more attempts."""
+    """Waits until workers have started `more` further attempts."""
     before = count_starts(running)
     running.wait_until(
         lambda: count_starts(running) >= before + more,
@@ -146,7 +146,7 @@
 
 
 def count_starts(running: fleet_module.Fleet) -> int:
-    """Attempts that workers have started."""
+    """Returns the number of attempts that workers have started."""
     return sum(event.kind == "start" for event in running.worker_events())
 
 
@@ -156,17 +156,19 @@
     submitted: job_load.JobSubmitter,
     faulty: Collection[str] = (),
 ) -> None:
-    """Waits for the end of all jobs; asserts that every promise was kept."""
+    """Waits until all jobs have ended; asserts that no rule was violated."""
     seat = next(iter(running.hosts))
     job_checks.wait_all_ended(running, submitted, seat)
     found = job_checks.find_violations(running, submitted, seat, faulty)
     test.assertEqual([], found)
     running.wait_until(
-        lambda: hosts_agree(running), "all hosts know the same jobs", 5.0
+        lambda: hosts_agree(running),
+        "all hosts report the same job states",
+        5.0,
     )
 
 
 def hosts_agree(running: fleet_module.Fleet) -> bool:
-    """Whether all hosts show the same state of every job."""
+    """Returns whether all hosts report the same state of every job."""
     shown = [job_checks.pages(running, seat) for seat in running.hosts]
     return all(one == shown[0] for one in shown)
--- a/testing/build_binary.py
+++ b/testing/build_binary.py
@@ -1,4 +1,4 @@
-"""Builds the one-file program: a zipapp with every dependency inside."""
+"""Builds the single-file program, a zipapp with all dependencies."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def build(target: pathlib.Path) -> None:
-    """Writes the executable `target` from the locked dependencies."""
+    """Builds the executable `target` from the locked dependencies."""
     requirements = _runtime_requirements()
     with tempfile.TemporaryDirectory() as folder:
         site = pathlib.Path(folder) / "site"
@@ -56,7 +56,7 @@
 
 
 def _runtime_requirements() -> str:
-    """The lock's entries that the program itself needs, with their hashes."""
+    """Returns the lock file entries of the runtime dependencies and hashes."""
     return (REPO / "requirements-runtime.lock").read_text(encoding="utf-8")
 
 
--- a/testing/callers.py
+++ b/testing/callers.py
@@ -1,4 +1,4 @@
-"""Callers in threads: unique bodies, repeats through other hosts."""
+"""Callers in threads, with unique bodies and retries through other hosts."""
 
 from __future__ import annotations
 
@@ -19,17 +19,19 @@
 
 @attrs.frozen
 class Load:
-    """What the callers send.
+    """The load that the callers generate.
 
     Attributes:
-        seats: Hosts asked, in turn.
-        callers: Threads, each with one request at a time.
-        idempotent_share: Part of the requests that are idempotent.
-        work_ms: Work asked of the endpoint; None leaves it to the endpoint.
-        timeout_ms: Time a caller waits.
-        repeats: How often a lost request is sent again, elsewhere.
-        pause_ms: Time between two requests of a caller.
-        seed: For bodies and kinds.
+        seats: Seats of the hosts that receive requests, in turn.
+        callers: Number of threads, each with one request at a time.
+        idempotent_share: Fraction of idempotent requests.
+        work_ms: Work requested of the endpoint; None leaves it to the
+            endpoint.
+        timeout_ms: Timeout of a request.
+        repeats: Maximum number of retries of a lost request, each through
+            the next host.
+        pause_ms: Pause between two requests of a caller.
+        seed: Seed for bodies and idempotence.
     """
 
     seats: tuple[str, ...]
@@ -43,7 +45,7 @@
 
 
 class Callers:
-    """Sends while it is entered; `sent` holds what each caller saw."""
+    """A context manager that sends requests and records them in `sent`."""
 
     def __init__(
         self, fleet: fleet_module.Fleet, load: Load, name: str = "r"
@@ -67,13 +69,13 @@
         self.stop()
 
     def stop(self) -> None:
-        """Lets every caller end its present request."""
+        """Stops the callers after their current requests."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
 
     def wait_answered(self, requests: int, timeout_s: float) -> None:
-        """Waits until so many requests have been answered."""
+        """Waits until the given number of requests has been answered."""
         self._fleet.wait_until(
             lambda: self.count("answered") >= requests,
             f"{requests} requests answered",
@@ -81,7 +83,7 @@
         )
 
     def count(self, outcome: str) -> int:
-        """Requests whose caller saw an outcome."""
+        """Returns the number of requests with the given outcome."""
         return sum(one.answer.outcome == outcome for one in self.sent)
 
     def _run(self, number: int) -> None:
@@ -121,5 +123,5 @@
 def find_violations(
     fleet: fleet_module.Fleet, sent: Sequence[checker.SentRequest]
 ) -> list[checker.Violation]:
-    """What the endpoints' own records show of broken promises."""
+    """Checks the requests sent against the endpoints' journal."""
     return checker.check_requests(sent, fleet.endpoint_events())
--- a/testing/checker.py
+++ b/testing/checker.py
@@ -1,8 +1,8 @@
-"""Checks of what must always hold, from the stand-ins' own records alone.
+"""Checks invariants against the journals of the stand-ins alone.
 
-Each check returns what it found broken; an empty list means that it held.
-What entry hosts say of themselves is used only where a promise is about what
-they said: the answers that callers got, and the jobs that were accepted.
+Each check returns the violations found; an empty list means that it passed.
+Reports of entry hosts are used only where a rule is about them: the answers
+that callers received and the jobs that were accepted.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 
 @attrs.frozen
 class Violation:
-    """One promise found broken.
+    """One violation of a rule.
 
     Attributes:
         rule: Name of the check.
-        subject: Request, job, endpoint or worker.
-        detail: What was seen.
+        subject: Request, job, endpoint or worker concerned.
+        detail: Description of the violation.
     """
 
     rule: str
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class SentRequest:
-    """One request as its caller saw it."""
+    """One request and the answer that its caller received."""
 
     request_id: str
     body: bytes
@@ -56,7 +56,7 @@
 
 @attrs.frozen
 class RunInterval:
-    """Time in which an attempt ran on a worker; `end_ms` may be infinite."""
+    """Interval in which an attempt ran; `end_ms` is infinite while it runs."""
 
     job: str
     attempt: int
@@ -68,7 +68,7 @@
 def check_requests(
     sent: Sequence[SentRequest], events: Sequence[EndpointEvent]
 ) -> list[Violation]:
-    """All checks about requests."""
+    """Runs all checks of requests."""
     return [
         *limits_kept(events),
         *answers_whole(sent),
@@ -80,7 +80,7 @@
 def check_jobs(
     events: Sequence[WorkerEvent], accepted: Collection[str]
 ) -> list[Violation]:
-    """All checks about batch work, once every accepted job has ended."""
+    """Runs all checks of batch work, once every accepted job has ended."""
     return [
         *capacity_kept(events),
         *never_in_two_places(events),
@@ -91,7 +91,7 @@
 
 
 def limits_kept(events: Iterable[EndpointEvent]) -> list[Violation]:
-    """No endpoint had more requests or connections than it bears."""
+    """Checks that no endpoint exceeded its request or connection limit."""
     return [
         Violation(
             "limits-kept",
@@ -104,7 +104,7 @@
 
 
 def answers_whole(sent: Iterable[SentRequest]) -> list[Violation]:
-    """Every answer is whole and belongs to the request it was given for."""
+    """Checks that every answer is complete and belongs to its request."""
     violations = []
     for one in sent:
         if one.answer.outcome == ANSWERED:
@@ -126,22 +126,22 @@
     try:
         body = msgspec.json.decode(one.answer.body, type=_EndpointBody)
     except msgspec.MsgspecError as error:
-        return f"no whole body: {error}"
+        return f"invalid body: {error}"
     if body.request_id != one.request_id:
-        return f"got the answer of {body.request_id}"
+        return f"body is the answer to request {body.request_id}"
     if body.digest != xxhash.xxh64_hexdigest(one.body):
-        return "the endpoint got another body"
+        return "the endpoint received a different request body"
     if one.answer.request_id != one.request_id:
-        return f"header names {one.answer.request_id!r}"
+        return f"X-Request-Id of the answer is {one.answer.request_id!r}"
     return ""
 
 
 def not_run_never_ran(
     sent: Iterable[SentRequest], events: Iterable[EndpointEvent]
 ) -> list[Violation]:
-    """A request said to be not run was run by no endpoint.
+    """Checks that no endpoint ran a request reported as not run.
 
-    An id that was sent several times counts as run if any sending was.
+    A request sent several times counts as run if any answer was not `not-run`.
     """
     ran = _runs(events)
     said_ran = {one.request_id for one in sent if one.answer.outcome != NOT_RUN}
@@ -161,7 +161,7 @@
 def ran_at_most_once(
     sent: Iterable[SentRequest], events: Iterable[EndpointEvent]
 ) -> list[Violation]:
-    """A non-idempotent request ran at most once, however often it was sent."""
+    """Checks that non-idempotent requests ran at most once, despite retries."""
     ran = _runs(events)
     names = {one.request_id for one in sent if not one.idempotent}
     return [
@@ -186,7 +186,7 @@
 
 
 def capacity_kept(events: Iterable[WorkerEvent]) -> list[Violation]:
-    """No worker held more than it has, in any dimension."""
+    """Checks that no worker exceeded its capacity in any dimension."""
     return [
         Violation(
             "capacity-kept", event.worker, f"{event.used} after {event.job}"
@@ -198,7 +198,7 @@
 
 
 def never_in_two_places(events: Iterable[WorkerEvent]) -> list[Violation]:
-    """No two attempts of a job ran at the same time, anywhere."""
+    """Checks that no two attempts of a job ran at the same time."""
     by_job: dict[str, list[RunInterval]] = collections.defaultdict(list)
     for interval in run_intervals(events):
         by_job[interval.job].append(interval)
@@ -220,7 +220,7 @@
 
 
 def run_intervals(events: Iterable[WorkerEvent]) -> list[RunInterval]:
-    """When each attempt ran; one still running has no end."""
+    """Returns the interval of each attempt; a running one ends at infinity."""
     running: dict[tuple[str, str, int], WorkerEvent] = {}
     found = []
     for event in events:
@@ -241,7 +241,7 @@
 
 
 def attempts_start_once(events: Iterable[WorkerEvent]) -> list[Violation]:
-    """Each number of attempt was started once."""
+    """Checks that each attempt of a job was started once."""
     starts = collections.Counter(
         (event.job, event.attempt) for event in events if event.kind == "start"
     )
@@ -255,7 +255,7 @@
 
 
 def resumed_from_checkpoint(events: Iterable[WorkerEvent]) -> list[Violation]:
-    """No attempt resumed further on than the job's last checkpoint."""
+    """Checks that no attempt resumed beyond the job's last checkpoint."""
     reached: dict[str, int] = {}
     violations = []
     for event in events:
@@ -276,7 +276,7 @@
 def finished_once(
     events: Iterable[WorkerEvent], accepted: Collection[str]
 ) -> list[Violation]:
-    """Each accepted job finished exactly once, and no other one ran."""
+    """Checks that accepted jobs finished exactly once and no others ran."""
     finished: collections.Counter[str] = collections.Counter()
     started = set()
     for event in events:
--- a/testing/client.py
+++ b/testing/client.py
@@ -1,4 +1,4 @@
-"""Calls to an entry host as callers and operators make them."""
+"""A client for the caller and operator interfaces of entry hosts."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 OPERATOR_TIMEOUT_S = 20.0
 CONNECT_TIMEOUT_S = 2.0
-# What a caller waits beyond the deadline it gave.
+# Time that a caller waits for the answer beyond its own deadline.
 ANSWER_MARGIN_S = 2.0
 POOL_SIZE = 128
 
 
 @attrs.frozen
 class Answer:
-    """An answer, or why there was none.
+    """An answer, or the reason why there is none.
 
     Attributes:
         status: HTTP status; 0 when the connection failed.
         outcome: `X-Outcome`; `lost` when the connection broke after the
-            request was sent, `unreachable` when none was made.
-        reason: `X-Reason`, or the error's text.
-        elapsed_ms: Time from sending to the whole answer.
+            request was sent, `unreachable` when none could be made.
+        reason: `X-Reason`, or the text of the error.
+        elapsed_ms: Time from sending the request to the complete answer.
     """
 
     status: int
@@ -38,7 +38,7 @@
     elapsed_ms: float
 
     def json(self) -> Any:
-        """The decoded body."""
+        """Decodes the body."""
         return msgspec.json.decode(self.body)
 
     @property
@@ -48,7 +48,7 @@
 
 
 class Client:
-    """A pool of connections to entry hosts. Thread-safe; never retries."""
+    """A connection pool to entry hosts. Thread-safe; does not retry."""
 
     def __init__(self, pool_size: int = POOL_SIZE) -> None:
         self._pool = urllib3.PoolManager(
@@ -67,7 +67,7 @@
         headers: Mapping[str, str] | None = None,
         timeout_s: float = OPERATOR_TIMEOUT_S,
     ) -> Answer:
-        """One HTTP call; failures are answers too."""
+        """Makes one HTTP call; failures are returned as answers."""
         started = time.monotonic()
         try:
             raw = self._pool.request(
@@ -86,8 +86,12 @@
         except urllib3.exceptions.HTTPError as error:
             return _failure("lost", error, started)
         if not _has_body_length(raw.headers):
-            # The library takes an end within the headers for their end.
-            return _failure("lost", EOFError("cut in the headers"), started)
+            # urllib3 takes a connection closed within the headers as their end.
+            return _failure(
+                "lost",
+                EOFError("connection closed within the headers"),
+                started,
+            )
         return Answer(
             status=raw.status,
             outcome=raw.headers.get("X-Outcome", ""),
@@ -111,7 +115,7 @@
         work_ms: float | None = None,
         caller: str = "",
     ) -> Answer:
-        """A caller's request to a service through the host at `address`."""
+        """Sends a caller's request to a service through one entry host."""
         headers = {
             "X-Request-Id": request_id,
             "X-Idempotent": "true" if idempotent else "false",
@@ -130,7 +134,7 @@
         )
 
     def post_json(self, address: str, path: str, value: Any) -> Answer:
-        """An operator's POST."""
+        """Sends an operator's POST request."""
         return self.call(
             "POST",
             f"http://{address}{path}",
@@ -139,11 +143,11 @@
         )
 
     def get(self, address: str, path: str) -> Answer:
-        """An operator's GET."""
+        """Sends an operator's GET request."""
         return self.call("GET", f"http://{address}{path}")
 
     def delete(self, address: str, path: str) -> Answer:
-        """An operator's DELETE."""
+        """Sends an operator's DELETE request."""
         return self.call("DELETE", f"http://{address}{path}")
 
 
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -1,4 +1,4 @@
-"""`make demo`: a whole fleet for a minute, told plainly."""
+"""The demo of `make demo`: runs a complete fleet for about a minute."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class DemoError(Exception):
-    """Something did not go as it should."""
+    """A step of the demo failed."""
 
 
 def main() -> None:
-    """Runs the demo and exits 0 when all went well."""
+    """Runs the demo; exits with status 1 when a step fails."""
     try:
         _run()
     except (
@@ -67,7 +67,7 @@
 
 
 class Demo:
-    """The steps of the demo, on a running fleet."""
+    """The steps of the demo, run on a fleet."""
 
     def __init__(self, running: fleet.Fleet) -> None:
         self._fleet = running
@@ -96,11 +96,13 @@
             f"the slowest in {slowest_ms:.0f} ms."
         )
         if len(answered) < len(self._sent):
-            raise DemoError(f"not answered: {_failures(self._sent)}")
+            raise DemoError(
+                f"requests were not answered: {_failures(self._sent)}"
+            )
         self._refuse_request()
 
     def _refuse_request(self) -> None:
-        """Sends a request to a service that no ticket has set up."""
+        """Sends a request to a service that is not configured."""
         host = next(iter(self._fleet.hosts.values()))
         name = "calibrate-nowhere"
         answer = self._fleet.client.request(
@@ -115,7 +117,7 @@
         self._explain("request", name)
 
     def run_job(self) -> None:
-        """Submits a batch job and waits for its end."""
+        """Submits a batch job and waits until it finishes."""
         zone = self._fleet.deployment.zones[0]
         answer = self._fleet.submit_job(
             {
@@ -152,7 +154,7 @@
         return bool(answer.json()["phase"] == "finished")
 
     def stop_host_under_load(self) -> None:
-        """Stops one host by SIGTERM while callers use it."""
+        """Stops one host with SIGTERM while it serves callers."""
         seat = next(iter(self._fleet.hosts))
         with futures.ThreadPoolExecutor(CALLERS) as pool:
             until = time.monotonic() + LOAD_S
@@ -180,7 +182,7 @@
     def _load(
         self, seat: str, caller: int, until: float
     ) -> list[checker.SentRequest]:
-        """Sends until the host says that it stops, as a balancer would."""
+        """Sends until the host reports that it stops, like a load balancer."""
         sent = []
         while time.monotonic() < until:
             name = f"load-{caller}-{len(sent)}"
@@ -190,14 +192,14 @@
         return sent
 
     def check_records(self) -> None:
-        """Checks the promises against the stand-ins' records."""
+        """Checks the invariants against the stand-ins' journals."""
         violations = checker.check_requests(
             self._sent, self._fleet.endpoint_events()
         )
         violations += checker.check_jobs(self._fleet.worker_events(), {JOB})
         _print_line(
-            f"Records of endpoints and workers: {len(violations)} promises "
-            "broken."
+            f"Journals of endpoints and workers: {len(violations)} rule "
+            "violations."
         )
         if violations:
             raise DemoError(str(violations[:3]))
--- a/testing/deployments.py
+++ b/testing/deployments.py
@@ -1,4 +1,4 @@
-"""The two deployments of today, and a small one for tests."""
+"""The deployments of the two current users, and a small one for tests."""
 
 from __future__ import annotations
 
@@ -24,18 +24,19 @@
     """Sizes and names of one user's fleet.
 
     Attributes:
-        zones: Availability zones; hosts, endpoints and workers are spread
-            over them evenly, in turn.
+        zones: Availability zones; hosts, endpoints and workers are assigned
+            to them round-robin.
         service: Name of the latency-critical service.
         zone_delay_ms: One-way delay between zones.
         client_delay_ms: One-way delay to clients.
-        endpoint_resources: What an endpoint takes of its worker.
+        endpoint_resources: Resources that an endpoint uses on its worker.
         work_ms: Median work of a request.
-        teams: Teams, which share all workers evenly as their quotas.
-        job_classes: Names of the kinds of batch work.
-        worker_guards: Whether workers refuse what doesn't fit.
-        limits: Fleet-wide bounds.
-        service_options: The service as put in force.
+        teams: Names of the teams; their quotas are equal shares of all workers.
+        job_classes: Names of the job classes.
+        worker_guards: Whether workers refuse starts that exceed their
+            capacity.
+        limits: Fleet-wide limits.
+        service_options: Configuration of the service.
     """
 
     name: str
@@ -63,44 +64,44 @@
         return f"{self.name}-worker"
 
     def seats(self, zone: str) -> tuple[str, ...]:
-        """Seats of a zone."""
+        """Returns the seats of a zone."""
         return tuple(
             f"{zone}-{number}" for number in range(1, self.seats_per_zone + 1)
         )
 
     def all_seats(self) -> tuple[str, ...]:
-        """Seats of all zones, zone by zone."""
+        """Returns the seats of all zones, zone by zone."""
         return tuple(seat for zone in self.zones for seat in self.seats(zone))
 
     def zone_of_seat(self, seat: str) -> str:
-        """Zone of a seat."""
+        """Returns the zone of a seat."""
         return seat.rpartition("-")[0]
 
     def zone_of(self, index: int) -> str:
-        """Zone of the endpoint or worker of an index."""
+        """Returns the zone of the endpoint or worker with an index."""
         return self.zones[index % len(self.zones)]
 
     def endpoint_names(self) -> tuple[str, ...]:
-        """Names of all endpoints; index `i` shares worker `i`, if any."""
+        """Returns all endpoint names; index `i` shares worker `i`, if any."""
         return tuple(f"ex-{i + 1}" for i in range(self.endpoints))
 
     def worker_names(self) -> tuple[str, ...]:
-        """Names of all workers."""
+        """Returns the names of all workers."""
         return tuple(f"wk-{i + 1}" for i in range(self.workers))
 
     def worker_of(self, endpoint_index: int) -> str:
-        """Worker that an endpoint shares; empty when it has its own host."""
+        """Returns the worker that an endpoint shares, or an empty string."""
         if endpoint_index < self.workers:
             return self.worker_names()[endpoint_index]
         return ""
 
     def rack_of(self, index: int) -> str:
-        """Rack of the worker of an index."""
+        """Returns the rack of the worker with an index."""
         rack = index // len(self.zones) // WORKERS_PER_RACK
         return f"{self.zone_of(index)}-rack-{rack + 1}"
 
     def endpoint_specs(self) -> list[endpoint_stand_in.EndpointSpec]:
-        """Specs of the endpoint stand-in."""
+        """Returns the specs for the endpoint stand-in."""
         return [
             endpoint_stand_in.EndpointSpec(
                 name=name, work_ms=self.work_ms, spread=self.work_spread
@@ -109,7 +110,7 @@
         ]
 
     def worker_specs(self) -> list[worker_records.WorkerSpec]:
-        """Specs of the worker stand-in."""
+        """Returns the specs for the worker stand-in."""
         shared = (
             worker_model.ServiceSpec(self.service, self.endpoint_resources),
         )
@@ -126,7 +127,7 @@
     def listed_workers(
         self, addresses: dict[str, str]
     ) -> list[hosts_port.ListedHost]:
-        """Lines of the host list for the workers."""
+        """Returns the host list entries of the workers."""
         return [
             hosts_port.ListedHost(
                 name=name,
@@ -143,7 +144,7 @@
     def listed_endpoints(
         self, addresses: dict[str, str]
     ) -> list[hosts_port.ListedHost]:
-        """Lines of the host list for the endpoints."""
+        """Returns the host list entries of the endpoints."""
         return [
             hosts_port.ListedHost(
                 name=name,
@@ -158,7 +159,7 @@
 
 
 def utility() -> Deployment:
-    """The Addis Sky Imaging Municipal Utility."""
+    """Returns the deployment of the Addis Sky Imaging Municipal Utility."""
     return Deployment(
         name="utility",
         zones=("bole", "entoto", "kality"),
@@ -175,7 +176,7 @@
 
 
 def workshop() -> Deployment:
-    """El-Sharkawy Metal Spinning Works."""
+    """Returns the deployment of El-Sharkawy Metal Spinning Works."""
     return Deployment(
         name="workshop",
         zones=("front-shop", "spin-hall", "back-store"),
@@ -193,7 +194,7 @@
 
 
 def small(zones: int = 2, **changes: Any) -> Deployment:
-    """A few endpoints and workers; `changes` sets any other field."""
+    """Returns a small deployment; `changes` overrides any field."""
     base = Deployment(
         name="small",
         zones=("bole", "entoto", "kality")[:zones],
@@ -214,7 +215,7 @@
 def first_ticket(
     deployment: Deployment, endpoint_addresses: dict[str, str], number: int = 1
 ) -> dict[str, Any]:
-    """The ticket that puts a whole deployment in force."""
+    """Returns the ticket that configures a whole deployment."""
     states: list[tuple[str, objects.ConfigObject]] = [
         (deployment.service, deployment.service_options),
         (
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -1,4 +1,4 @@
-"""Named faults that strike a fleet in the middle of an experiment."""
+"""Injects named faults into a fleet during an experiment."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Fault(enum.StrEnum):
-    """What strikes; it is healed at two thirds of the trace."""
+    """Faults that can be injected."""
 
     NONE = "none"
     KILL_HOST = "kill-host"
@@ -30,9 +30,10 @@
 
 
 class FaultInjector:
-    """Strikes once and heals once, on a thread of its own.
+    """Injects one fault and clears it again, on a thread of its own.
 
-    The first zone's first seat, endpoint or worker is the victim.
+    The fault lasts from one third to two thirds of the trace. It affects the
+    first zone's first seat, endpoint or worker.
     """
 
     def __init__(
--- a/testing/fleet_plan.py
+++ b/testing/fleet_plan.py
@@ -1,4 +1,4 @@
-"""What a fleet is made of before anything of it runs."""
+"""Options, ports, relays and settings of a fleet."""
 
 from __future__ import annotations
 
@@ -18,42 +18,42 @@
 from testing import processes
 from testing.standins import serving
 
-# Below the range from which the system takes ports of outgoing connections.
+# Below the range from which the system assigns ephemeral ports.
 LOWEST_PORT = 12_000
 HIGHEST_PORT = 32_000
 
 
 class Link(enum.StrEnum):
-    """Which connections run through a relay."""
+    """Kinds of connections that can run through relays."""
 
     PEERS = "peers"
     PLATFORM = "platform"
     WORKERS = "workers"
     ENDPOINTS = "endpoints"
     CALLERS = "callers"
-    # A relay for each worker and seat; every seat has a host list of its own.
+    # One relay per seat and worker; each seat then has its own host list.
     SEAT_WORKERS = "seat-workers"
 
 
 class FleetError(Exception):
-    """The fleet did not do what a test set it up for."""
+    """A fleet operation failed or did not complete in time."""
 
 
 @attrs.frozen
 class FleetOptions:
-    """How a fleet is started.
+    """Options of a fleet's processes.
 
     Attributes:
         links: Connections that run through relays.
-        delays: Whether relays carry the deployment's delays from the start.
-        command: Command line of the product, before `serve`.
+        delays: Whether relays apply the deployment's delays from the start.
+        command: Command line of the program, without its subcommand.
         list_lag_ms: Lag of the host list.
-        speed: Task time per real time.
-        seed: For stand-ins and relays.
-        model: Size and time factors by job class, as `WorkModel` takes them.
-        log_arguments: Options of the log stand-in.
+        speed: Ratio of task time to real time.
+        seed: Seed for stand-ins and relays.
+        model: Size and time factors by job class; fields of `WorkModel`.
+        log_arguments: Command line options of the log stand-in.
         timing: Timing settings of every host.
-        threads: Threads for callers, per host; None keeps the default.
+        threads: Number of threads for callers per host; None for the default.
         log_level: Log level of every host.
         routing: Routing settings of every host.
     """
@@ -74,13 +74,13 @@
 
 @attrs.define
 class Host:
-    """An entry host in its seat.
+    """An entry host and its seat.
 
     Attributes:
-        caller_address: Where callers reach it, through a relay if any.
-        settings_path: Its settings file.
-        process: The process now in the seat; None when there is none.
-        starts: How many processes the seat has had.
+        caller_address: Address for callers, of a relay if there is one.
+        settings_path: Path of its settings file.
+        process: Last process started in the seat, or None.
+        starts: Number of processes started in the seat.
     """
 
     seat: str
@@ -94,7 +94,7 @@
 
 
 class PortPicker:
-    """Picks free ports and keeps other pickers from them until its exit."""
+    """Picks free ports and reserves them against other pickers until exit."""
 
     def __init__(self) -> None:
         self._stack = contextlib.ExitStack()
@@ -107,7 +107,7 @@
         self._stack.close()
 
     def address(self) -> str:
-        """An address with a free port."""
+        """Returns an address with a free port."""
         while True:
             port = self._next
             self._next += 1
@@ -119,7 +119,7 @@
             except OSError:
                 reservation.close()
                 continue
-            # Lets a host listen on it, but no other picker bind it.
+            # A host can then listen on the port, but no other picker binds it.
             reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self._stack.enter_context(reservation)
             return f"{serving.LOOPBACK}:{port}"
@@ -127,7 +127,7 @@
 
 @attrs.frozen
 class PlatformAddresses:
-    """Where the stand-ins for the platform listen; host lists by seat."""
+    """Addresses of the platform stand-ins; those of host lists are by seat."""
 
     log: str
     host_lists: Mapping[str, str]
@@ -140,7 +140,7 @@
     hosts: Mapping[str, Host],
     platform: PlatformAddresses,
 ) -> dict[str, str]:
-    """Target by name of every relay that a fleet needs."""
+    """Returns the target of every relay that a fleet needs, by name."""
     targets: dict[str, str] = {}
     for link in sorted(links):
         match link:
@@ -171,7 +171,7 @@
 def worker_routes(
     seat: str, routes: Mapping[str, str], workers: Mapping[str, str]
 ) -> dict[str, str]:
-    """Where the host of a seat reaches each worker."""
+    """Returns the address at which a seat's host reaches each worker."""
     return {
         name: routes.get(
             f"worker/{seat}/{name}", routes.get(f"worker/{name}", address)
@@ -194,7 +194,7 @@
 
 
 def peer_route(one: Host, other: Host) -> str:
-    """Name of the relay from one host to another."""
+    """Returns the name of the relay from one host to another."""
     return f"peer/{one.zone}/{one.seat}/{other.zone}/{other.seat}"
 
 
@@ -205,7 +205,7 @@
     platform: PlatformAddresses,
     options: FleetOptions,
 ) -> settings_module.Settings:
-    """Settings of one host, through relays where there are any."""
+    """Returns the settings of one host, with relay addresses where present."""
     peers = tuple(
         settings_module.PeerSettings(
             seat=other.seat,
--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -1,4 +1,4 @@
-"""Checks of how jobs ended, from the workers' records and the log's state."""
+"""Checks how jobs ended, from the workers' journal and the hosts' pages."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     seat: str,
     timeout_s: float = JOBS_END_TIMEOUT_S,
 ) -> None:
-    """Waits until every accepted job has ended, as one host says."""
+    """Waits until one host reports that every accepted job has ended."""
     unconfirmed = submitter.confirm_submissions(timeout_s)
     if unconfirmed:
-        raise fleet_plan.FleetError(f"in doubt: {unconfirmed}")
+        raise fleet_plan.FleetError(f"submissions not confirmed: {unconfirmed}")
 
     def ended() -> bool:
         found = pages(fleet, seat)
@@ -55,7 +55,7 @@
 
 
 def pages(fleet: fleet_module.Fleet, seat: str) -> dict[str, dict[str, Any]]:
-    """All jobs as one host shows them, by id."""
+    """Returns all jobs as one host reports them, by id."""
     answer = fleet.client.get(fleet.hosts[seat].operator_address, "/jobs")
     if answer.status != job_load.OK:
         return {}
@@ -64,14 +64,14 @@
 
 @attrs.frozen
 class JobOutcomes:
-    """How jobs ended, as submitters and hosts say.
+    """How jobs ended, as reported to submitters and by hosts.
 
     Attributes:
         accepted: Jobs that were accepted.
         refused: Jobs that were refused.
-        cancel_asked: Jobs whose cancellation was asked for.
+        cancel_asked: Jobs whose cancellation was requested.
         cancelled: Jobs whose cancellation was confirmed.
-        pages: Page by job.
+        pages: Page of each job, by id.
     """
 
     accepted: Collection[str]
@@ -87,14 +87,14 @@
     seat: str,
     faulty: Collection[str] = (),
 ) -> list[Violation]:
-    """Everything found broken, once all accepted jobs have ended.
+    """Runs all checks of jobs, once all accepted ones have ended.
 
     Args:
-        fleet: With its stand-ins' records.
-        submitter: What was submitted.
-        seat: Host whose pages of the jobs are taken.
-        faulty: Workers that died or could not be reached; what ended there
-            may not have been heard of in time.
+        fleet: Fleet whose stand-ins' journals are checked.
+        submitter: Submitter of the jobs.
+        seat: Seat of the host whose job pages are read.
+        faulty: Workers that died or were unreachable; the end of an attempt
+            there may not have been reported in time.
     """
     events = fleet.worker_events()
     outcomes = JobOutcomes(
@@ -117,7 +117,7 @@
 def resumed_at_checkpoint(
     events: Sequence[checker.WorkerEvent], faulty: Collection[str]
 ) -> list[Violation]:
-    """An attempt after a kept checkpoint starts exactly there."""
+    """Checks that attempts do not resume before the last checkpoint."""
     checkpoint_ms: dict[str, int] = {}
     found = []
     for event in events:
@@ -138,14 +138,16 @@
     outcomes: JobOutcomes,
     faulty: Collection[str],
 ) -> list[Violation]:
-    """Jobs ended once, as their pages say, and refused ones never ran."""
+    """Checks that jobs ended once, as reported, and refused ones never ran."""
     started = {event.job for event in events if event.kind == "start"}
     finished: dict[str, list[str]] = collections.defaultdict(list)
     for event in events:
         if event.kind == "end" and event.detail == "finished":
             finished[event.job].append(event.worker)
     found = [
-        Violation("refused-never-ran", job, "ran or is kept")
+        Violation(
+            "refused-never-ran", job, "was refused, but ran or has a page"
+        )
         for job in outcomes.refused
         if job in started or job in outcomes.pages
     ]
@@ -168,19 +170,27 @@
 ) -> str:
     page = outcomes.pages.get(job)
     if page is None:
-        return "is lost"
-    # An end that was not heard of leaves the job to another attempt.
+        return "is accepted, but has no page"
+    # If the end of an attempt was not reported, another attempt may follow.
     reported = [name for name in finished[:-1] if name not in faulty]
     if reported:
-        return f"finished on {finished}"
+        return f"finished more than once, on {finished}"
     match page["phase"]:
         case "finished":
             if job in outcomes.cancelled:
                 return "finished after its cancellation was confirmed"
-            return "" if finished else "is called finished and is not"
+            return (
+                ""
+                if finished
+                else "is reported as finished, but did not finish"
+            )
         case "cancelled":
-            return "" if job in outcomes.cancel_asked else "cancelled unasked"
+            return (
+                ""
+                if job in outcomes.cancel_asked
+                else "was cancelled without a request"
+            )
         case "parked":
-            return "" if page["detail"] else "parked without a reason"
+            return "" if page["detail"] else "was parked without a reason"
         case phase:
-            return f"is still {phase}"
+            return f"has not ended; its phase is {phase}"
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -1,4 +1,4 @@
-"""Submits jobs steadily and cancels some in bursts."""
+"""Submits jobs at a constant rate and cancels some in bursts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 OK = 200
 REFUSED_STATUSES = frozenset({422, 503})
 RESUBMIT_INTERVAL_S = 0.1
-# A host that answers later is taken for frozen.
+# A host that does not answer in this time is considered frozen.
 ANSWER_TIMEOUT_S = 2.0
 THREADS = 4
 ACCELERATOR_SHARE = 0.15
@@ -28,19 +28,20 @@
 
 @attrs.frozen
 class JobLoad:
-    """What is submitted.
+    """The jobs to submit and cancel.
 
     Attributes:
-        seats: Hosts asked, in turn.
-        pause_ms: Time between two submissions.
+        seats: Seats of the hosts that receive requests, in turn.
+        pause_ms: Interval between two submissions.
         shortest_ms: Shortest declared run time.
         longest_ms: Longest declared run time.
-        urgent_share: Part of the jobs that are urgent.
-        never_works_share: Part of the jobs that fail wherever they run.
-        burst_every: Submissions between two bursts of cancellations; 0 for
-            no bursts.
-        burst: Cancellations of a burst, among the jobs accepted last.
-        seed: For sizes, run times and choices.
+        urgent_share: Fraction of urgent jobs.
+        failing_share: Fraction of jobs that fail on every worker.
+        burst_every: Number of submissions between two bursts of
+            cancellations; 0 for no bursts.
+        burst: Number of cancellations in a burst, among the jobs accepted
+            last.
+        seed: Seed for sizes, run times and choices.
     """
 
     seats: tuple[str, ...]
@@ -55,13 +56,14 @@
 
 
 class JobSubmitter:
-    """Submits while it is entered; a job in doubt is sent until it isn't.
+    """A context manager that submits jobs and retries unconfirmed ones.
 
     Attributes:
-        accepted: Ids that a host said were accepted.
-        refused: Ids that were refused and not sent again, with the reason.
-        cancel_asked: Ids whose cancellation was asked for.
-        cancelled: Ids whose cancellation a host confirmed.
+        accepted: Ids of jobs that a host accepted.
+        refused: Ids of jobs that were refused and not retried, with the
+            reason.
+        cancel_asked: Ids of jobs whose cancellation was requested.
+        cancelled: Ids of jobs whose cancellation a host confirmed.
     """
 
     def __init__(
@@ -101,7 +103,7 @@
             thread.join()
 
     def confirm_submissions(self, timeout_s: float) -> tuple[str, ...]:
-        """After the exit: sends jobs in doubt; returns those still in doubt."""
+        """Retries unconfirmed jobs after the exit; returns those remaining."""
         until = time.monotonic() + timeout_s
         while self._unconfirmed and time.monotonic() < until:
             self._submit(self._unconfirmed.popleft(), sent_before=True)
--- a/testing/known_red.py
+++ b/testing/known_red.py
@@ -1,8 +1,8 @@
-"""A pytest plugin that passes over the failures listed in KNOWN-RED.txt.
+"""A pytest plugin that tolerates the failures listed in KNOWN-RED.txt.
 
-The tests listed are run like all others. A failure of one of them does not
-fail the run, but is printed at its end; so is a listed test that passes,
-whose entry should go.
+Listed tests run like all others. A failure of one does not fail the run, but is
+printed at its end. A listed test that passes is printed too, as its entry
+should be removed.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 @attrs.frozen
 class KnownRed:
-    """One entry.
+    """One entry of the file.
 
     Attributes:
         test: Node id of the test, as pytest prints it.
-        command: How to run it, with its seed.
-        seen: What was seen.
-        issue: Number of the issue about it.
+        command: Command that runs it, with its seed.
+        seen: Observed failure.
+        issue: Number of the issue.
     """
 
     test: str
@@ -37,7 +37,7 @@
 
 
 class BadEntryError(ValueError):
-    """The file does not have the form that its head describes."""
+    """The file does not follow the format described at its top."""
 
 
 def parse(text: str) -> dict[str, KnownRed]:
@@ -82,7 +82,7 @@
 def pytest_runtest_makereport(
     item: pytest.Item,
 ) -> Generator[None, Any, None]:
-    """Turns a listed test's failure into an expected one."""
+    """Reports the failure of a listed test as an expected failure."""
     outcome = yield
     entry = item.config.stash[_ENTRIES_KEY].get(item.nodeid)
     report = outcome.get_result()
@@ -92,7 +92,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Prints what became of every listed test."""
+    """Prints the outcome of every listed test."""
     entries = terminalreporter.config.stash[_ENTRIES_KEY]
     if not entries:
         return
--- a/testing/network.py
+++ b/testing/network.py
@@ -1,4 +1,4 @@
-"""Faults of the connections of a fleet."""
+"""Injects faults into the connections of a fleet."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
         self._deployment = deployment
 
     def set(self, pattern: str, **faults: Any) -> int:
-        """Sets faults of the relays that fit; returns how many did.
+        """Sets faults of all relays that match; returns their number.
 
         Names are `peer/ZONE/SEAT/OTHER-ZONE/OTHER-SEAT`, `log/SEAT`,
         `list/SEAT`, `caller/SEAT`, `worker/NAME` or `worker/SEAT/NAME`, and
@@ -32,19 +32,19 @@
         return int(answer["relays"])
 
     def held(self) -> list[relay.HeldChunk]:
-        """Everything that a stalled connection has kept in a relay."""
+        """Returns all chunks that a fault has held back in a relay."""
         chunks: list[relay.HeldChunk] = self._relays.journal(relay.HeldChunk)
         return chunks
 
     def cut_zones(self, one: str, other: str, cut: bool = True) -> None:
-        """Cuts, or heals, every peer connection between two zones."""
+        """Cuts or restores every peer connection between two zones."""
         matched = self.set(f"peer/{one}/*/{other}/*", cut=cut)
         matched += self.set(f"peer/{other}/*/{one}/*", cut=cut)
         if not matched:
             raise fleet_plan.FleetError("the fleet has no relays between peers")
 
     def cut_platform(self, zone: str, cut: bool = True) -> None:
-        """Cuts, or heals, the hosts of a zone from log and host list."""
+        """Cuts or restores a zone's connections to the log and host list."""
         matched = sum(
             self.set(f"{service}/{seat}", cut=cut)
             for service in ("log", "list")
@@ -56,14 +56,14 @@
             )
 
     def isolate_zone(self, zone: str, cut: bool = True) -> None:
-        """Cuts, or heals, a zone from all other zones and the platform."""
+        """Cuts or restores a zone's connections to other zones and platform."""
         for other in self._deployment.zones:
             if other != zone:
                 self.cut_zones(zone, other, cut)
         self.cut_platform(zone, cut)
 
     def set_delays(self) -> None:
-        """Sets the deployment's delays between zones and to callers."""
+        """Applies the deployment's delays between zones and to callers."""
         between_ms = self._deployment.zone_delay_ms
         for one in self._deployment.zones:
             for other in self._deployment.zones:
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -1,4 +1,4 @@
-"""Owned child processes: started, watched, logged and always stopped."""
+"""Child processes, with log files, readiness and control calls."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class ProcessError(Exception):
-    """A child process did not come up, or a control call failed."""
+    """A child process did not become ready, or a control call failed."""
 
 
 class ChildProcess:
-    """One process, its output in a file, its first line read when asked.
+    """One process with its output in a log file.
 
     Args:
-        name: For messages and the log file.
+        name: Name in error messages and of the log file.
         arguments: Command line.
-        folder: Where its output goes.
-        stdin: Text for its standard input.
+        folder: Directory of the log file.
+        stdin: Data for its standard input.
     """
 
     def __init__(
@@ -90,27 +90,31 @@
         return self._process.poll()
 
     def first_line(self) -> Any:
-        """The JSON line it prints when ready; raises ProcessError."""
+        """Returns the decoded first line, its readiness message.
+
+        Raises:
+            ProcessError: The process printed no line in time.
+        """
         self._first_read.wait(READY_TIMEOUT_S)
         if not self._first_line:
             raise ProcessError(f"{self.name} is not ready: {self.tail()}")
         return json.loads(self._first_line)
 
     def tail(self, size: int = 2_000) -> str:
-        """The last bytes of its output."""
+        """Returns the last bytes of its output."""
         return self.log_path.read_bytes()[-size:].decode(errors="replace")
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Sends a signal, unless it has ended."""
+        """Sends a signal, unless the process has exited."""
         if self._process.poll() is None:
             self._process.send_signal(number)
 
     def wait(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Waits for its end and returns the exit code."""
+        """Waits until it exits and returns the exit code."""
         return self._process.wait(timeout_s)
 
     def stop(self, timeout_s: float = STOP_TIMEOUT_S) -> int:
-        """Ends it: SIGTERM, and SIGKILL when it takes too long."""
+        """Stops it with SIGTERM, or with SIGKILL after the timeout."""
         self.send_signal(signal.SIGCONT)
         self.send_signal(signal.SIGTERM)
         try:
@@ -121,7 +125,7 @@
         return self._finish()
 
     def kill(self) -> int:
-        """Ends it by SIGKILL."""
+        """Kills it with SIGKILL."""
         self._process.kill()
         self._process.wait()
         return self._finish()
@@ -136,13 +140,13 @@
 
 @attrs.frozen
 class StandIn:
-    """A running stand-in: its process, what it printed, its control calls."""
+    """A running stand-in: its process, readiness message and control calls."""
 
     process: ChildProcess
     ready: Mapping[str, Any]
 
     def control(self, **change: Any) -> Any:
-        """Sets faults; raises ProcessError when they are refused."""
+        """Sets faults; raises ProcessError if the stand-in refuses them."""
         return _call(
             "POST",
             f"http://{self.ready['control']}/control",
@@ -150,7 +154,7 @@
         )
 
     def journal(self, event_class: type) -> Any:
-        """All events so far, as a list of the class given."""
+        """Returns all events so far, as a list of `event_class`."""
         page = _call("GET", f"http://{self.ready['control']}/journal")
         return msgspec.convert(page["events"], list[event_class])
 
--- a/testing/relay.py
+++ b/testing/relay.py
@@ -1,9 +1,10 @@
-"""Fault-injecting TCP relays, many in one process.
+"""TCP relays with fault injection, many in one process.
 
 Standard input or `--spec FILE` holds `[{"name", "target", "port"}, ...]`.
 
 Control: `{"relay": PATTERN, ...}` with any of the fields of `RelayFaults`;
-PATTERN is a shell pattern over names, so that `bole>*` cuts one way.
+PATTERN is a shell pattern for relay names, so that `peer/bole/*` cuts the peer
+connections of a zone in one direction only.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from testing.standins import serving
 
 CHUNK_BYTES = 65_536
-# A sender that lost a segment waits about this long before it sends again.
+# The usual time before a sender retransmits a lost segment.
 RETRANSMISSION_DELAY_MS = 200.0
 POLL_INTERVAL_S = 0.02
 NO_LIMIT = -1
@@ -41,19 +42,20 @@
 
 @attrs.frozen
 class RelayFaults:
-    """Faults in force at one relay.
+    """Active faults of one relay.
 
     Attributes:
         delay_ms: One-way delay of each direction.
-        jitter_ms: Up to so much is added to the delay of each chunk.
-        loss: Chance that a chunk is late by a retransmission.
-        cut: No connection is made, and open ones stall.
-        half_open: Connections are accepted and nothing is forwarded.
+        jitter_ms: Maximum random addition to the delay of each chunk.
+        loss: Probability that a retransmission delays a chunk.
+        cut: New connections are not forwarded, and open ones stall.
+        half_open: Connections are accepted, but nothing is forwarded.
         block_to_target: Bytes towards the target stall.
         block_from_target: Bytes from the target stall.
-        truncate_after: Bytes from the target after which a connection is
-            closed in order; -1 for none.
-        reset_after: The same, ended by a reset.
+        truncate_after: Number of bytes from the target after which a
+            connection is closed; -1 for no limit.
+        reset_after: Number of bytes from the target after which a
+            connection is reset; -1 for no limit.
     """
 
     delay_ms: float = 0.0
@@ -69,7 +71,7 @@
 
 @attrs.frozen
 class HeldChunk:
-    """Bytes that a fault kept in the relay; `text` is their beginning."""
+    """Bytes that a fault held back; `text` is their beginning."""
 
     relay: str
     to_target: bool
@@ -89,7 +91,7 @@
         self._random = random.Random(f"{seed}/{spec.name}")
 
     async def start(self) -> None:
-        """Listens."""
+        """Starts to listen."""
         server = await asyncio.start_server(
             self._serve, serving.LOOPBACK, self.spec.port, limit=CHUNK_BYTES
         )
@@ -127,7 +129,7 @@
         writer: asyncio.StreamWriter,
         to_target: bool,
     ) -> None:
-        """Forwards one direction; chunks keep order and overlap in flight."""
+        """Forwards one direction; chunks stay in order, but delays overlap."""
         queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue()
         group.create_task(self._receive(reader, queue))
         group.create_task(self._send(queue, writer, to_target))
@@ -211,7 +213,7 @@
 
 
 class RelayGroup:
-    """All relays of the process, run on one event loop in a thread."""
+    """All relays of the process, on one event loop in a thread."""
 
     def __init__(self, specs: list[RelaySpec], seed: int) -> None:
         self.journal = serving.Journal()
@@ -219,17 +221,17 @@
         self._loop = asyncio.new_event_loop()
 
     def start(self) -> None:
-        """Listens on every address."""
+        """Starts to listen on every address."""
         threading.Thread(target=self._loop.run_forever, daemon=True).start()
         for relay in self._relays:
             asyncio.run_coroutine_threadsafe(relay.start(), self._loop).result()
 
     def addresses(self) -> dict[str, str]:
-        """Address by name."""
+        """Returns the address of each relay by name."""
         return {relay.spec.name: relay.address for relay in self._relays}
 
     def control(self, change: dict[str, Any]) -> dict[str, int]:
-        """Changes the faults of every relay whose name fits the pattern."""
+        """Sets faults of all relays that match; returns their number."""
         pattern = change.pop("relay")
         matched = 0
         for relay in self._relays:
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -56,7 +56,7 @@
 
 
 def rules(violations: list[checker.Violation]) -> list[str]:
-    return [breach.rule for breach in violations]
+    return [violation.rule for violation in violations]
 
 
 class RequestChecksTest(testtools.TestCase):
