--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -1,4 +1,4 @@
-"""The checks find what they are for; each is given a broken record."""
+"""Tests that each check finds its violation in a journal that has one."""
 
 from __future__ import annotations
 
@@ -60,15 +60,15 @@
 
 
 class RequestChecksTest(testtools.TestCase):
-    """Checks about callers' requests."""
+    """Checks of callers' requests."""
 
-    def test_run_of_a_request_said_not_run_is_found(self) -> None:
+    def test_run_of_request_reported_as_not_run_is_found(self) -> None:
         found = checker.check_requests(
             [sent("a", "not-run")], [request_event("a")]
         )
         self.assertEqual(["not-run-never-ran"], rules(found))
 
-    def test_busy_endpoint_has_not_run_it(self) -> None:
+    def test_busy_endpoint_does_not_count_as_run(self) -> None:
         events = [request_event("a", outcome="busy")]
         found = checker.check_requests([sent("a", "not-run")], events)
         self.assertEqual([], found)
@@ -78,7 +78,7 @@
         found = checker.check_requests([sent("a", "unknown")], events)
         self.assertEqual(["ran-at-most-once"], rules(found))
 
-    def test_mixed_and_cut_answers_are_found(self) -> None:
+    def test_mismatched_and_truncated_answers_are_found(self) -> None:
         digest = xxhash.xxh64_hexdigest(b"q")
         right = {"request_id": "a", "digest": digest}
         bodies = [
@@ -94,7 +94,7 @@
 
 
 class JobChecksTest(testtools.TestCase):
-    """Checks about batch work."""
+    """Checks of batch work."""
 
     def test_overlap_on_two_workers_is_found(self) -> None:
         events = [
@@ -119,7 +119,7 @@
         ]
         self.assertEqual([], checker.check_jobs(events, {"j"}))
 
-    def test_lost_doubled_and_foreign_jobs_are_found(self) -> None:
+    def test_lost_duplicate_and_unaccepted_jobs_are_found(self) -> None:
         events = [
             worker_event("start", 1.0),
             worker_event("end", 2.0, detail="finished"),
--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -1,4 +1,4 @@
-"""Stand-in endpoints behind the fault-injecting relay, as processes."""
+"""Tests of stand-in endpoints behind a relay, as real processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointAndRelayTest(testtools.TestCase):
-    """Faults of endpoints and of the way to them."""
+    """Faults of endpoints and of the relay in front of them."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -33,9 +33,9 @@
         self.address = self.relay.ready["addresses"]["r"]
 
     def start(self, module: str, specs: Any) -> processes.StandIn:
-        found = processes.start_stand_in(module, self.folder, (), specs)
-        self.addCleanup(found.process.stop)
-        return found
+        stand_in = processes.start_stand_in(module, self.folder, (), specs)
+        self.addCleanup(stand_in.process.stop)
+        return stand_in
 
     def request(
         self, name: str, timeout_ms: int = 5_000, **options: Any
@@ -52,20 +52,20 @@
     def events(self) -> list[endpoint_stand_in.EndpointEvent]:
         return self.endpoints.journal(endpoint_stand_in.EndpointEvent)
 
-    def test_answer_names_its_request(self) -> None:
+    def test_answer_contains_id_and_digest_of_its_request(self) -> None:
         answer = self.request("q-1")
         self.assertEqual("q-1", answer.json()["request_id"])
         self.assertEqual(
             xxhash.xxh64_hexdigest(b"q-1"), answer.json()["digest"]
         )
 
-    def test_ninth_request_at_once_is_recorded(self) -> None:
+    def test_request_beyond_the_slots_is_a_violation(self) -> None:
         with futures.ThreadPoolExecutor(9) as pool:
             names = [f"q-{number}" for number in range(9)]
             list(pool.map(lambda one: self.request(one, work_ms=300), names))
         self.assertEqual(1, sum(event.violation for event in self.events()))
 
-    def test_truncated_and_reset_answers_are_no_answers(self) -> None:
+    def test_truncated_and_reset_answers_are_lost(self) -> None:
         for fault in ("truncate", "reset"):
             self.endpoints.control(endpoint="ex-1", **{fault: 1})
             self.assertEqual("lost", self.request(fault).outcome)
@@ -75,7 +75,7 @@
             self.relay.control(relay="*", **{fault: -1})
         self.assertEqual(200, self.request("whole").status)
 
-    def test_cut_relay_stalls_and_heals(self) -> None:
+    def test_cut_relay_stalls_and_recovers(self) -> None:
         self.relay.control(relay="r", cut=True)
         self.assertEqual("lost", self.request("cut", 2_200).outcome)
         self.assertEqual([], self.events())
@@ -87,7 +87,7 @@
         self.relay.control(relay="r", delay_ms=30)
         self.assertGreater(self.request("slow").elapsed_ms, 60)
 
-    def test_refusing_endpoint_comes_back_on_its_port(self) -> None:
+    def test_refusing_endpoint_listens_again_on_its_port(self) -> None:
         direct = self.endpoints.ready["addresses"]["ex-1"]
         self.endpoints.control(endpoint="*", refuse=True)
         refused = self.client.request(direct, "skyproc", "q-1")
@@ -96,7 +96,7 @@
         again = self.client.request(direct, "skyproc", "q-2")
         self.assertEqual(200, again.status)
 
-    def test_leaving_endpoint_says_so_then_refuses(self) -> None:
+    def test_leaving_endpoint_closes_then_refuses(self) -> None:
         direct = self.endpoints.ready["addresses"]["ex-1"]
         self.endpoints.control(endpoint="ex-1", leave_ms=100)
         leaving = self.client.request(direct, "skyproc", "q-1")
--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in for the platform's log."""
+"""Tests of the stand-in for the platform's log."""
 
 from __future__ import annotations
 
@@ -40,12 +40,12 @@
         self.assertEqual([0, 1, 2], [one["offset"] for one in page["records"]])
         self.assertEqual(3, page["next"])
 
-    def test_expired_offset_is_gone(self) -> None:
+    def test_read_of_expired_offset_fails(self) -> None:
         self.log.control({"keep_records": 2})
         append(self.log, "a", "b", "c")
         self.assertEqual((410, {"first": 1}), read(self.log, 0))
 
-    def test_lost_answer_keeps_record_or_not_as_set(self) -> None:
+    def test_lose_before_drops_and_lose_after_stores_record(self) -> None:
         self.log.control({"lose_before": 1})
         self.assertEqual(serving.Drop(), append(self.log, "a"))
         self.assertEqual([], read(self.log, 0)[1]["records"])
@@ -58,7 +58,7 @@
         statuses = [append(self.log, "a").status for _ in range(3)]
         self.assertEqual([200, 200, 503], statuses)
 
-    def test_down_log_keeps_nothing(self) -> None:
+    def test_unavailable_log_stores_nothing(self) -> None:
         self.log.control({"down": True})
         self.assertEqual(503, append(self.log, "a").status)
         self.log.control({"down": False})
--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -1,4 +1,4 @@
-"""The stand-in workers keep the rules of docs/PLATFORM.md."""
+"""Tests that stand-in workers follow docs/PLATFORM.md."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class WorkerStandInTest(testtools.TestCase):
-    """Leases, terms, stale quotes and capacity."""
+    """Leases, terms, stale reports and capacity."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -66,47 +66,49 @@
         answer = self.worker._handle(call)
         return msgspec.json.decode(answer.body, type=workers.WorkerReport)
 
-    def first(self) -> int:
+    def first_report(self) -> int:
         return self.exchange(0, lease_ms=0).report
 
     def test_start_needs_lease(self) -> None:
-        report = self.exchange(self.first(), start("a"), lease_ms=0)
+        report = self.exchange(self.first_report(), start("a"), lease_ms=0)
         self.assertEqual(("refused-lease",), report.statuses)
 
-    def test_lower_term_does_nothing(self) -> None:
-        quoted = self.exchange(self.first(), term=2, lease_ms=0).report
+    def test_lower_term_has_no_effect(self) -> None:
+        quoted = self.exchange(self.first_report(), term=2, lease_ms=0).report
         report = self.exchange(quoted, start("a"), term=1)
         self.assertEqual(("refused-term",), report.statuses)
         self.assertEqual(0, report.lease_left_ms)
 
-    def test_unknown_report_does_nothing(self) -> None:
+    def test_unknown_report_has_no_effect(self) -> None:
         report = self.exchange(99, start("a"))
         self.assertEqual(("refused-stale",), report.statuses)
         self.assertEqual(0, report.lease_left_ms)
 
     def test_duplicate_and_oversize_starts_are_refused(self) -> None:
         report = self.exchange(
-            self.first(), start("a"), start("a"), start("b"), start("c")
+            self.first_report(), start("a"), start("a"), start("b"), start("c")
         )
         self.assertEqual(
             ("done", "refused-duplicate", "done", "refused-capacity"),
             report.statuses,
         )
 
-    def test_lapsed_lease_stops_tasks_and_keeps_checkpoint(self) -> None:
+    def test_expired_lease_stops_tasks_and_keeps_checkpoint(self) -> None:
         checkpoint = {"checkpoint": {"job": "a", "attempt": 1}}
-        quoted = self.exchange(self.first(), start("a")).report
+        quoted = self.exchange(self.first_report(), start("a")).report
         time.sleep(0.02)
         quoted = self.exchange(quoted, checkpoint, lease_ms=20).report
         time.sleep(0.05)
         report = self.exchange(quoted, lease_ms=0)
-        (line,) = report.tasks
-        self.assertEqual(workers.TaskState.STOPPED, line.state)
-        self.assertGreater(line.checkpoint_ms, 0)
-        self.assertLessEqual(line.progress_ms, 60)
-
-    def test_ended_line_is_reported_until_a_command_names_it(self) -> None:
-        quoted = self.exchange(self.first(), start("a", run_time_ms=1)).report
+        (status,) = report.tasks
+        self.assertEqual(workers.TaskState.STOPPED, status.state)
+        self.assertGreater(status.checkpoint_ms, 0)
+        self.assertLessEqual(status.progress_ms, 60)
+
+    def test_ended_task_is_reported_until_a_command_names_it(self) -> None:
+        quoted = self.exchange(
+            self.first_report(), start("a", run_time_ms=1)
+        ).report
         time.sleep(0.01)
         report = self.exchange(quoted)
         self.assertEqual(workers.TaskState.FINISHED, report.tasks[0].state)
@@ -115,8 +117,8 @@
         self.assertEqual(1, len(report.tasks))
         self.assertEqual((), self.exchange(report.report).tasks)
 
-    def test_kill_forgets_everything(self) -> None:
-        before = self.exchange(self.first(), start("a"))
+    def test_kill_clears_all_state(self) -> None:
+        before = self.exchange(self.first_report(), start("a"))
         self.worker.change({"kill": True})
         kinds = [event.kind for event in self.journal.page(0)["events"]]
         after = self.exchange(0, lease_ms=0)
