--- a/testing/demo.py
+++ b/testing/demo.py
@@ -30,7 +30,7 @@
 
 
 def main() -> None:
-    """Runs the demo; exits with status 1 when a step fails."""
+    """Runs the demo; exits with status 0, or 1 when a step fails."""
     try:
         _run()
     except (
