--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -109,11 +109,15 @@
         source = fakes.FakeSource(with_seats("a", "b", "c"))
         peers = fakes.FakePeers()
         fixed_shares = make_shares(source, self.clock, peers=peers)
-        peers.peer_views = (peers_port.PeerView("b", fakes.ZONE, config_offset=1),)
+        peers.peer_views = (
+            peers_port.PeerView("b", fakes.ZONE, config_offset=1),
+        )
         source.replace(with_seats("a", "b", offset=2))
         self.clock.now_ms += MAX_REQUEST_MS * 10
         self.assertLess(fixed_shares.free("ex-1"), 4)
-        peers.peer_views = (peers_port.PeerView("b", fakes.ZONE, config_offset=2),)
+        peers.peer_views = (
+            peers_port.PeerView("b", fakes.ZONE, config_offset=2),
+        )
         self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
         fixed_shares.free("ex-1")
         self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
