--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -133,15 +133,15 @@
 
     def _check_connections(self, count: int) -> None:
         if count > self.spec.connections:
-            now = serving.now_ms()
+            now_ms = serving.now_ms()
             self._journal.add(
                 EndpointEvent(
                     endpoint=self.spec.name,
                     kind="connections",
                     request_id="",
                     idempotent="",
-                    received_ms=now,
-                    ended_ms=now,
+                    received_ms=now_ms,
+                    ended_ms=now_ms,
                     outcome="",
                     running=count,
                     violation=True,
--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -132,29 +132,29 @@
     def _append(
         self, name: str, payloads: list[str], size: int
     ) -> serving.Answer:
-        now = serving.now_ms()
+        now_ms = serving.now_ms()
         count = len(payloads)
         if self.faults.lose_before > 0:
             self.faults.lose_before -= 1
-            self._record_event(now, "lost-before", name, -1, count, size)
+            self._record_event(now_ms, "lost-before", name, -1, count, size)
             return serving.Drop()
-        if not self._within_rate(now):
-            self._record_event(now, "refused-rate", name, -1, count, size)
+        if not self._within_rate(now_ms):
+            self._record_event(now_ms, "refused-rate", name, -1, count, size)
             return serving.json_reply(503, {"detail": "too many appends"})
         stream = self._streams[name]
         offset = stream.next_offset
         for payload in payloads:
             stream.records.append(
-                StoredRecord(stream.next_offset, payload, now)
+                StoredRecord(stream.next_offset, payload, now_ms)
             )
             stream.next_offset += 1
-        self._expire(stream, now)
+        self._expire(stream, now_ms)
         self._changed.notify_all()
         if self.faults.lose_after > 0:
             self.faults.lose_after -= 1
-            self._record_event(now, "lost-after", name, offset, count, size)
+            self._record_event(now_ms, "lost-after", name, offset, count, size)
             return serving.Drop()
-        self._record_event(now, "append", name, offset, count, size)
+        self._record_event(now_ms, "append", name, offset, count, size)
         return serving.json_reply(200, {"offset": offset})
 
     def _record_event(
@@ -168,16 +168,16 @@
     ) -> None:
         self.journal.add(LogEvent(at_ms, kind, stream, offset, count, size))
 
-    def _within_rate(self, now: float) -> bool:
-        while self._recent and self._recent[0] <= now - 1_000:
+    def _within_rate(self, now_ms: float) -> bool:
+        while self._recent and self._recent[0] <= now_ms - 1_000:
             self._recent.popleft()
         if len(self._recent) >= self.faults.appends_per_second:
             return False
-        self._recent.append(now)
+        self._recent.append(now_ms)
         return True
 
-    def _expire(self, stream: Stream, now: float) -> None:
-        oldest_ms = now - self.faults.keep_ms
+    def _expire(self, stream: Stream, now_ms: float) -> None:
+        oldest_ms = now_ms - self.faults.keep_ms
         while len(stream.records) > self.faults.keep_records:
             stream.records.popleft()
         while stream.records and stream.records[0].at_ms < oldest_ms:
--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -56,15 +56,15 @@
             self.listener.start()
 
     def _kill(self) -> None:
-        now = serving.now_ms()
+        now_ms = serving.now_ms()
         for task in self._tasks.running():
-            self._tasks.end(task, workers.TaskState.STOPPED, "killed", now)
-        self._record_event(now, "kill")
+            self._tasks.end(task, workers.TaskState.STOPPED, "killed", now_ms)
+        self._record_event(now_ms, "kill")
         self.listener.drop_connections()
         self._reset_state()
 
     def _reset_state(self) -> None:
-        now = serving.now_ms()
+        now_ms = serving.now_ms()
         self._boot = f"{self.spec.name}-boot-{next(self._boots)}"
         self._report = 0
         self._report_times: dict[int, float] = {}
@@ -74,21 +74,21 @@
             self.spec, self._model, self._speed, self._on_task_end
         )
         self._tasks.fail_all = self.faults.fail_all
-        self._advanced_ms = now
-        self._record_event(now, "boot")
+        self._advanced_ms = now_ms
+        self._record_event(now_ms, "boot")
 
     def advance(self) -> None:
         """Advances tasks and lease by the time since the last call."""
         with self._changed:
-            now = serving.now_ms()
-            lapsed = 0.0 < self._lease_until_ms <= now
-            until = self._lease_until_ms if lapsed else now
+            now_ms = serving.now_ms()
+            lapsed = 0.0 < self._lease_until_ms <= now_ms
+            until = self._lease_until_ms if lapsed else now_ms
             self._tasks.advance(max(until - self._advanced_ms, 0.0), until)
-            self._advanced_ms = now
+            self._advanced_ms = now_ms
             if lapsed:
                 self._expire_lease()
-            self._tasks.enforce_memory_limit(now)
-            self._tasks.measure(now)
+            self._tasks.enforce_memory_limit(now_ms)
+            self._tasks.measure(now_ms)
 
     def _expire_lease(self) -> None:
         until = self._lease_until_ms
@@ -114,21 +114,21 @@
             return serving.json_reply(200, self._exchange(exchange))
 
     def _exchange(self, exchange: workers.Exchange) -> workers.WorkerReport:
-        now = serving.now_ms()
-        refusal = self._refusal(exchange, now)
+        now_ms = serving.now_ms()
+        refusal = self._refusal(exchange, now_ms)
         if refusal is None:
-            statuses = self._accept(exchange, now)
+            statuses = self._accept(exchange, now_ms)
         else:
             statuses = tuple(refusal for _ in exchange.commands)
-            self._record_event(now, refusal.value, detail=exchange.owner)
-        report = self._make_report(now, statuses)
+            self._record_event(now_ms, refusal.value, detail=exchange.owner)
+        report = self._make_report(now_ms, statuses)
         if refusal is None:
             for command in exchange.commands:
                 self._tasks.drop_ended((command.job, command.attempt))
         return report
 
     def _refusal(
-        self, exchange: workers.Exchange, now: float
+        self, exchange: workers.Exchange, now_ms: float
     ) -> workers.CommandStatus | None:
         if exchange.term < self._highest_term:
             return workers.CommandStatus.REFUSED_TERM
@@ -137,27 +137,27 @@
         if exchange.quoted_report == 0 and is_read_only:
             return None
         made_ms = self._report_times.get(exchange.quoted_report)
-        if made_ms is None or now - made_ms > MAX_REPORT_AGE_MS:
+        if made_ms is None or now_ms - made_ms > MAX_REPORT_AGE_MS:
             return workers.CommandStatus.REFUSED_STALE
         return None
 
     def _accept(
-        self, exchange: workers.Exchange, now: float
+        self, exchange: workers.Exchange, now_ms: float
     ) -> tuple[workers.CommandStatus, ...]:
         if exchange.term > self._highest_term:
             self._highest_term = exchange.term
-            self._record_event(now, "term", detail=exchange.owner)
+            self._record_event(now_ms, "term", detail=exchange.owner)
         if exchange.lease_ms > 0:
-            self._lease_until_ms = now + exchange.lease_ms
+            self._lease_until_ms = now_ms + exchange.lease_ms
         return tuple(
-            self._execute(command, now) for command in exchange.commands
+            self._execute(command, now_ms) for command in exchange.commands
         )
 
     def _execute(
-        self, command: workers.Command, now: float
+        self, command: workers.Command, now_ms: float
     ) -> workers.CommandStatus:
         if isinstance(command, workers.StartTask):
-            return self._start(command, now)
+            return self._start(command, now_ms)
         task = self._tasks.get((command.job, command.attempt))
         if task is None:
             return workers.CommandStatus.UNKNOWN_ATTEMPT
@@ -165,18 +165,22 @@
             return workers.CommandStatus.DONE
         match command:
             case workers.StopTask():
-                self._tasks.end(task, workers.TaskState.STOPPED, "stopped", now)
+                self._tasks.end(
+                    task, workers.TaskState.STOPPED, "stopped", now_ms
+                )
             case workers.CheckpointTask():
                 task.checkpoint_ms = task.progress_ms
-                self._record_event(now, "checkpoint", task)
+                self._record_event(now_ms, "checkpoint", task)
             case workers.ThrottleTask():
                 share_milli = min(command.share_milli, models.FULL_SHARE_MILLI)
                 task.share_milli = max(share_milli, 1)
-                self._record_event(now, "throttle", task, str(task.share_milli))
+                self._record_event(
+                    now_ms, "throttle", task, str(task.share_milli)
+                )
         return workers.CommandStatus.DONE
 
     def _start(
-        self, command: workers.StartTask, now: float
+        self, command: workers.StartTask, now_ms: float
     ) -> workers.CommandStatus:
         task = records.Task(
             start=command,
@@ -185,10 +189,10 @@
         )
         refusal = self._start_refusal(task)
         if refusal is not None:
-            self._record_event(now, refusal.value, task)
+            self._record_event(now_ms, refusal.value, task)
             return refusal
         self._tasks.add(task)
-        self._record_event(now, "start", task)
+        self._record_event(now_ms, "start", task)
         return workers.CommandStatus.DONE
 
     def _start_refusal(
@@ -204,12 +208,12 @@
         return None
 
     def _make_report(
-        self, now: float, statuses: tuple[workers.CommandStatus, ...]
+        self, now_ms: float, statuses: tuple[workers.CommandStatus, ...]
     ) -> workers.WorkerReport:
         self._report += 1
-        self._report_times[self._report] = now
+        self._report_times[self._report] = now_ms
         for number, made_ms in tuple(self._report_times.items()):
-            if now - made_ms <= MAX_REPORT_AGE_MS:
+            if now_ms - made_ms <= MAX_REPORT_AGE_MS:
                 break
             del self._report_times[number]
         return workers.WorkerReport(
@@ -217,10 +221,10 @@
             boot=self._boot,
             report=self._report,
             highest_term=self._highest_term,
-            lease_left_ms=int(max(self._lease_until_ms - now, 0.0)),
+            lease_left_ms=int(max(self._lease_until_ms - now_ms, 0.0)),
             capacity=self.spec.capacity,
             tasks=self._tasks.statuses(),
-            usage=self._tasks.take_due_usage(now),
+            usage=self._tasks.take_due_usage(now_ms),
             statuses=statuses,
         )
 
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -80,12 +80,12 @@
         task: records.Task,
         state: workers.TaskState,
         detail: str,
-        now: float,
+        now_ms: float,
     ) -> None:
         """Ends a running attempt."""
         task.state = state
-        task.ended_ms = now
-        self._on_end(now, task, detail)
+        task.ended_ms = now_ms
+        self._on_end(now_ms, task, detail)
 
     def used(self) -> workers.Resources:
         """Returns the sum of the declared sizes of services and attempts."""
@@ -96,17 +96,17 @@
             total = models.add(total, task.start.resources)
         return total
 
-    def advance(self, elapsed_ms: float, now: float) -> None:
+    def advance(self, elapsed_ms: float, now_ms: float) -> None:
         """Advances the running attempts and drops old ended ones."""
         running = self.running()
         if running:
             slowed = self._slowdowns()
             for task in running:
-                self._advance_task(task, elapsed_ms, slowed[task.name], now)
+                self._advance_task(task, elapsed_ms, slowed[task.name], now_ms)
         for key, task in tuple(self._by_key.items()):
             if (
                 not task.running
-                and task.ended_ms < now - ENDED_TASK_RETENTION_MS
+                and task.ended_ms < now_ms - ENDED_TASK_RETENTION_MS
             ):
                 del self._by_key[key]
 
@@ -115,7 +115,7 @@
         task: records.Task,
         elapsed_ms: float,
         slowdown: float,
-        now: float,
+        now_ms: float,
     ) -> None:
         share = task.share_milli / models.FULL_SHARE_MILLI
         slowness = slowdown * self._model.time_factor(task.start.job_class)
@@ -123,12 +123,12 @@
         task.progress_ms += elapsed_ms * self._speed * share / slowness
         if self.fail_all or models.always_fails(task.start):
             if task.ran_ms >= TIME_TO_FAILURE_MS:
-                self.end(task, workers.TaskState.FAILED, "failed", now)
+                self.end(task, workers.TaskState.FAILED, "failed", now_ms)
         elif task.progress_ms >= task.start.run_time_ms:
             task.progress_ms = task.start.run_time_ms
-            self.end(task, workers.TaskState.FINISHED, "finished", now)
+            self.end(task, workers.TaskState.FINISHED, "finished", now_ms)
 
-    def enforce_memory_limit(self, now: float) -> None:
+    def enforce_memory_limit(self, now_ms: float) -> None:
         """Fails attempts, largest excess first, until memory suffices."""
         while self._spec.guards:
             running = self.running()
@@ -136,7 +136,7 @@
             if not running or used_mib <= self._spec.capacity.memory_mib:
                 return
             worst = max(running, key=self._memory_excess)
-            self.end(worst, workers.TaskState.FAILED, "memory", now)
+            self.end(worst, workers.TaskState.FAILED, "memory", now_ms)
 
     def _memory_excess(self, task: records.Task) -> float:
         declared_mib = max(task.start.resources.memory_mib, 1)
@@ -179,12 +179,15 @@
         capacity_milli = self._spec.capacity.processors_milli
         return models.slowdowns(self._model, self._workloads(), capacity_milli)
 
-    def measure(self, now: float) -> None:
+    def measure(self, now_ms: float) -> None:
         """Takes a usage sample when one is due."""
-        if self._samples and now - self._samples[-1].at_ms < USAGE_INTERVAL_MS:
+        if (
+            self._samples
+            and now_ms - self._samples[-1].at_ms < USAGE_INTERVAL_MS
+        ):
             return
-        self._samples.append(UsageSample(now, self._usage()))
-        while self._samples[0].at_ms < now - USAGE_RETENTION_MS:
+        self._samples.append(UsageSample(now_ms, self._usage()))
+        while self._samples[0].at_ms < now_ms - USAGE_RETENTION_MS:
             self._samples.popleft()
 
     def _usage(self) -> workers.Usage:
@@ -219,16 +222,17 @@
             memory_mib=int(self._real_memory_mib(task)),
         )
 
-    def take_due_usage(self, now: float) -> tuple[workers.Usage, ...]:
+    def take_due_usage(self, now_ms: float) -> tuple[workers.Usage, ...]:
         """Returns the unreported samples that are old enough to report."""
         due = [
             one
             for one in self._samples
             if one.at_ms > self._reported_ms
-            and one.at_ms <= now - self._spec.usage_lag_ms
+            and one.at_ms <= now_ms - self._spec.usage_lag_ms
         ]
         if due:
             self._reported_ms = due[-1].at_ms
         return tuple(
-            attrs.evolve(one.usage, age_ms=int(now - one.at_ms)) for one in due
+            attrs.evolve(one.usage, age_ms=int(now_ms - one.at_ms))
+            for one in due
         )
