--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -89,7 +89,7 @@
         self._term = 0
         self._lease_until_ms = 0
         self.tasks.clear()
-        self._known: set[tuple[str, int]] = set()
+        self._started_keys: set[tuple[str, int]] = set()
         self._advanced_ms = self._clock.now_ms
 
     def running(self) -> list[FakeTask]:
@@ -180,9 +180,9 @@
         if isinstance(command, workers.StartTask):
             if not self._lease_until_ms > self._clock.now_ms:
                 return workers.CommandStatus.REFUSED_LEASE
-            if key in self._known:
+            if key in self._started_keys:
                 return workers.CommandStatus.REFUSED_DUPLICATE
-            self._known.add(key)
+            self._started_keys.add(key)
             self.started.append(command)
             self.tasks[key] = FakeTask(
                 start=command,
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -42,7 +42,7 @@
         self._speed = speed
         self._on_end = on_end
         self._by_key: dict[records.TaskKey, records.Task] = {}
-        self._known: set[records.TaskKey] = set()
+        self._started_keys: set[records.TaskKey] = set()
         self._samples: collections.deque[UsageSample] = collections.deque()
         self._reported_ms = 0.0
         self.fail_all = False
@@ -54,11 +54,11 @@
 
     def was_started(self, key: records.TaskKey) -> bool:
         """Returns whether the attempt was started since the last boot."""
-        return key in self._known
+        return key in self._started_keys
 
     def add(self, task: records.Task) -> None:
         """Starts an attempt."""
-        self._known.add(task.key)
+        self._started_keys.add(task.key)
         self._by_key[task.key] = task
 
     def drop_ended(self, key: records.TaskKey) -> None:
