--- a/testing/fakes/record_store.py
+++ b/testing/fakes/record_store.py
@@ -59,28 +59,28 @@
             self.timeouts_ms.append(timeout_ms)
             if self.is_down:
                 return result.Err(store_port.StoreUnavailable("down"))
-            kept = self._partition(topic, partition)
-            end = len(kept.records)
+            stored = self._partition(topic, partition)
+            end = len(stored.records)
             if at_offset is not None and at_offset != end:
                 return result.Err(store_port.EndOffsetMismatch(end))
             if producer is not None:
-                refused = _check(kept, producer, bool(records))
+                refused = _check(stored, producer, bool(records))
                 if refused is not None:
                     return refused
-                repeat = kept.answers.get(
+                repeat = stored.answers.get(
                     (producer.name, producer.epoch, producer.sequence)
                 )
                 if records and repeat is not None:
                     return result.Ok(repeat)
             for record in records:
-                kept.records.append(
+                stored.records.append(
                     store_port.StoredRecord(
-                        len(kept.records), record.key, record.value
+                        len(stored.records), record.key, record.value
                     )
                 )
             if producer is not None and records:
-                kept.sequences[producer.name] = producer.sequence
-                kept.answers[
+                stored.sequences[producer.name] = producer.sequence
+                stored.answers[
                     producer.name, producer.epoch, producer.sequence
                 ] = end
             self._changed.notify_all()
@@ -94,19 +94,21 @@
     ) -> result.Result[store_port.StoreBatch, store_port.ReadError]:
         """See `RecordStore.read`."""
         with self._changed:
-            kept = self._partition(topic, partition)
+            stored = self._partition(topic, partition)
             self._changed.wait_for(
-                lambda: len(kept.records) > from_offset or self.is_down,
+                lambda: len(stored.records) > from_offset or self.is_down,
                 wait_ms / 1_000,
             )
             if self.is_down:
                 return result.Err(store_port.StoreUnavailable("down"))
-            if from_offset < kept.first_offset:
-                return result.Err(store_port.RecordsExpired(kept.first_offset))
-            end = len(kept.records)
+            if from_offset < stored.first_offset:
+                return result.Err(
+                    store_port.RecordsExpired(stored.first_offset)
+                )
+            end = len(stored.records)
             return result.Ok(
                 store_port.StoreBatch(
-                    tuple(kept.records[from_offset:]),
+                    tuple(stored.records[from_offset:]),
                     max(end, from_offset),
                     end,
                 )
@@ -119,37 +121,37 @@
         with self._changed:
             if self.is_down:
                 return result.Err(store_port.StoreUnavailable("down"))
-            kept = self._partition(topic, partition)
-            newest = {record.key: record for record in kept.records}
+            stored = self._partition(topic, partition)
+            newest = {record.key: record for record in stored.records}
             found = [one for one in newest.values() if one.value is not None]
             found.sort(key=lambda record: record.offset)
-            end = len(kept.records)
+            end = len(stored.records)
             return result.Ok(store_port.StoreBatch(tuple(found), end, end))
 
     def expire(self, topic: str, partition: int) -> None:
         """Expires all records for `read`; `newest` still returns them."""
         with self._changed:
-            kept = self._partition(topic, partition)
-            kept.first_offset = len(kept.records)
+            stored = self._partition(topic, partition)
+            stored.first_offset = len(stored.records)
             self._changed.notify_all()
 
     def keys(self, topic: str, partition: int) -> list[str]:
         """Returns the keys of all records, in order of offset."""
-        kept = self._partition(topic, partition)
-        return [record.key for record in kept.records]
+        stored = self._partition(topic, partition)
+        return [record.key for record in stored.records]
 
 
 def _check(
-    kept: _Partition, producer: store_port.Producer, has_records: bool
+    stored: _Partition, producer: store_port.Producer, has_records: bool
 ) -> result.Err[store_port.AppendError] | None:
     """Checks the epoch and sequence; returns the error of a refused append."""
-    epoch = kept.epochs.get(producer.name, 0)
+    epoch = stored.epochs.get(producer.name, 0)
     if producer.epoch < epoch:
         return result.Err(store_port.ProducerFenced(f"epoch {epoch}"))
     if producer.epoch > epoch:
-        kept.epochs[producer.name] = producer.epoch
-        kept.sequences.pop(producer.name, None)
-    last = kept.sequences.get(producer.name)
+        stored.epochs[producer.name] = producer.epoch
+        stored.sequences.pop(producer.name, None)
+    last = stored.sequences.get(producer.name)
     if not has_records or last is None or producer.sequence <= last:
         return None
     if producer.sequence != last + 1:
