--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -220,8 +220,8 @@
             "first": lowest,
             "next": found[-1].offset + 1 if found else stream.next_offset,
             "records": [
-                {"offset": kept.offset, "payload": kept.payload}
-                for kept in found
+                {"offset": record.offset, "payload": record.payload}
+                for record in found
             ],
         },
     )
