--- a/testing/demo.py
+++ b/testing/demo.py
@@ -157,9 +157,9 @@
         """Stops one host with SIGTERM while it serves callers."""
         seat = next(iter(self._fleet.hosts))
         with futures.ThreadPoolExecutor(CALLERS) as pool:
-            until = time.monotonic() + LOAD_S
+            deadline_s = time.monotonic() + LOAD_S
             loads = [
-                pool.submit(self._load, seat, caller, until)
+                pool.submit(self._load, seat, caller, deadline_s)
                 for caller in range(CALLERS)
             ]
             time.sleep(LOAD_S / 2)
@@ -180,11 +180,11 @@
             )
 
     def _load(
-        self, seat: str, caller: int, until: float
+        self, seat: str, caller: int, deadline_s: float
     ) -> list[checker.SentRequest]:
         """Sends until the host reports that it stops, like a load balancer."""
         sent = []
-        while time.monotonic() < until:
+        while time.monotonic() < deadline_s:
             name = f"load-{caller}-{len(sent)}"
             sent.append(self._send(seat, name))
             if sent[-1].answer.reason == reasons.RefusalReason.STOPPING:
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -283,9 +283,9 @@
         self, holds: Callable[[], bool], what: str, timeout_s: float
     ) -> None:
         """Polls a condition; raises FleetError when the timeout expires."""
-        until = time.monotonic() + timeout_s
+        deadline_s = time.monotonic() + timeout_s
         while not holds():
-            if time.monotonic() > until:
+            if time.monotonic() > deadline_s:
                 raise fleet_plan.FleetError(
                     f"timed out after {timeout_s} s waiting for: {what}"
                 )
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -104,8 +104,8 @@
 
     def confirm_submissions(self, timeout_s: float) -> tuple[str, ...]:
         """Retries unconfirmed jobs after the exit; returns those remaining."""
-        until = time.monotonic() + timeout_s
-        while self._unconfirmed and time.monotonic() < until:
+        deadline_s = time.monotonic() + timeout_s
+        while self._unconfirmed and time.monotonic() < deadline_s:
             self._submit(self._unconfirmed.popleft(), sent_before=True)
             time.sleep(RESUBMIT_INTERVAL_S)
         return tuple(job["id"] for job in self._unconfirmed)
