--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -82,8 +82,10 @@
         with self._changed:
             now_ms = serving.now_ms()
             lapsed = 0.0 < self._lease_until_ms <= now_ms
-            until = self._lease_until_ms if lapsed else now_ms
-            self._tasks.advance(max(until - self._advanced_ms, 0.0), until)
+            until_ms = self._lease_until_ms if lapsed else now_ms
+            self._tasks.advance(
+                max(until_ms - self._advanced_ms, 0.0), until_ms
+            )
             self._advanced_ms = now_ms
             if lapsed:
                 self._expire_lease()
@@ -91,11 +93,11 @@
             self._tasks.measure(now_ms)
 
     def _expire_lease(self) -> None:
-        until = self._lease_until_ms
+        until_ms = self._lease_until_ms
         self._lease_until_ms = 0.0
         for task in self._tasks.running():
-            self._tasks.end(task, workers.TaskState.STOPPED, "lapsed", until)
-        self._record_event(until, "lapse")
+            self._tasks.end(task, workers.TaskState.STOPPED, "lapsed", until_ms)
+        self._record_event(until_ms, "lapse")
 
     def _handle(self, call: serving.Call) -> serving.Answer:
         if call.path != "/exchange" or call.method != "POST":
