--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -199,9 +199,9 @@
             return _read(stream, first, most)
 
     def _wait(self, stream: Stream, first: int, wait_ms: int) -> None:
-        until = serving.now_ms() + wait_ms
+        deadline_ms = serving.now_ms() + wait_ms
         while stream.next_offset <= first and not self.faults.down:
-            left_ms = until - serving.now_ms()
+            left_ms = deadline_ms - serving.now_ms()
             if left_ms <= 0:
                 return
             self._changed.wait(left_ms / 1_000)
