--- a/testing/processes.py
+++ b/testing/processes.py
@@ -59,7 +59,7 @@
             env={**os.environ, "PYTHONUNBUFFERED": "1"},
         )
         self._first_line: str | None = None
-        self._first_read = threading.Event()
+        self._first_line_read = threading.Event()
         self._reader = threading.Thread(target=self._drain, daemon=True)
         self._reader.start()
         if self._process.stdin is not None:
@@ -74,10 +74,10 @@
         for line in self._process.stdout:
             if self._first_line is None:
                 self._first_line = line.decode()
-                self._first_read.set()
+                self._first_line_read.set()
             self._log.write(line)
             self._log.flush()
-        self._first_read.set()
+        self._first_line_read.set()
 
     @property
     def pid(self) -> int:
@@ -95,7 +95,7 @@
         Raises:
             ProcessError: The process printed no line in time.
         """
-        self._first_read.wait(READY_TIMEOUT_S)
+        self._first_line_read.wait(READY_TIMEOUT_S)
         if not self._first_line:
             raise ProcessError(f"{self.name} is not ready: {self.tail()}")
         return json.loads(self._first_line)
