--- a/testing/client.py
+++ b/testing/client.py
@@ -70,7 +70,7 @@
         """Makes one HTTP call; failures are returned as answers."""
         started = time.monotonic()
         try:
-            raw = self._pool.request(
+            response = self._pool.request(
                 method,
                 url,
                 body=body,
@@ -85,7 +85,7 @@
             return _failure("unreachable", error, started)
         except urllib3.exceptions.HTTPError as error:
             return _failure("lost", error, started)
-        if not _has_body_length(raw.headers):
+        if not _has_body_length(response.headers):
             # urllib3 takes a connection closed within the headers as their end.
             return _failure(
                 "lost",
@@ -93,12 +93,12 @@
                 started,
             )
         return Answer(
-            status=raw.status,
-            outcome=raw.headers.get("X-Outcome", ""),
-            reason=raw.headers.get("X-Reason", ""),
-            request_id=raw.headers.get("X-Request-Id", ""),
-            body=raw.data,
-            headers=raw.headers,
+            status=response.status,
+            outcome=response.headers.get("X-Outcome", ""),
+            reason=response.headers.get("X-Reason", ""),
+            request_id=response.headers.get("X-Request-Id", ""),
+            body=response.data,
+            headers=response.headers,
             elapsed_ms=(time.monotonic() - started) * 1_000,
         )
 
