--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -186,7 +186,7 @@
     def _read_call(self, name: str, call: serving.Call) -> serving.Answer:
         try:
             first = int(call.query.get("from", "0"))
-            most = int(call.query.get("max", str(DEFAULT_READ_RECORDS)))
+            max_records = int(call.query.get("max", str(DEFAULT_READ_RECORDS)))
             wait_ms = int(call.query.get("wait_ms", "0"))
         except ValueError as error:
             return serving.json_reply(400, {"detail": str(error)})
@@ -196,7 +196,7 @@
             if self.faults.down:
                 return serving.json_reply(503, {"detail": "the log is down"})
             self._expire(stream, serving.now_ms())
-            return _read(stream, first, most)
+            return _read(stream, first, max_records)
 
     def _wait(self, stream: Stream, first: int, wait_ms: int) -> None:
         deadline_ms = serving.now_ms() + wait_ms
@@ -207,12 +207,12 @@
             self._changed.wait(left_ms / 1_000)
 
 
-def _read(stream: Stream, first: int, most: int) -> serving.Reply:
+def _read(stream: Stream, first: int, max_records: int) -> serving.Reply:
     lowest = stream.first_offset
     if first < lowest:
         return serving.json_reply(410, {"first": lowest})
     start = first - lowest
-    stop = min(start + most, len(stream.records))
+    stop = min(start + max_records, len(stream.records))
     found = [stream.records[index] for index in range(start, stop)]
     return serving.json_reply(
         200,
