--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -280,14 +280,14 @@
         return answer.status == 200
 
     def wait_until(
-        self, condition: Callable[[], bool], what: str, timeout_s: float
+        self, condition: Callable[[], bool], description: str, timeout_s: float
     ) -> None:
         """Polls a condition; raises FleetError when the timeout expires."""
         deadline_s = time.monotonic() + timeout_s
         while not condition():
             if time.monotonic() > deadline_s:
                 raise fleet_plan.FleetError(
-                    f"timed out after {timeout_s} s waiting for: {what}"
+                    f"timed out after {timeout_s} s waiting for: {description}"
                 )
             time.sleep(POLL_INTERVAL_S)
 
