--- a/testing/fakes/log.py
+++ b/testing/fakes/log.py
@@ -80,12 +80,12 @@
             )
             if self.down:
                 return result.Err(log_port.LogUnavailable("down"))
-            taken = stored[offset : offset + max_entries]
+            batch = stored[offset : offset + max_entries]
             entries = tuple(
                 log_port.LogEntry(offset + index, payload)
-                for index, payload in enumerate(taken)
+                for index, payload in enumerate(batch)
             )
-            following = offset + len(taken) if taken else len(stored)
+            following = offset + len(batch) if batch else len(stored)
             return result.Ok(
                 log_port.LogBatch(entries, self._first[stream], following)
             )
