--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -189,9 +189,9 @@
 
     def drain_events(self) -> list[worker_session.LinkEvent]:
         """See `LinkPool.drain_events`."""
-        taken = list(self.events)
+        events = list(self.events)
         self.events.clear()
-        return taken
+        return events
 
     def session(self, worker: str) -> worker_session.WorkerSession | None:
         """See `attempt.CommandSink.session`."""
