--- a/testing/bare_relay.py
+++ b/testing/bare_relay.py
@@ -80,14 +80,14 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("targets", nargs="+", metavar="IP:PORT")
     parser.add_argument("--threads", type=int, default=DEFAULT_THREADS)
-    given = parser.parse_args()
+    args = parser.parse_args()
     relay = RelayServer(
         (serving.LOOPBACK, 0),
         RelayGateway,
-        minthreads=given.threads,
-        maxthreads=given.threads,
+        minthreads=args.threads,
+        maxthreads=args.threads,
     )
-    relay.targets = Targets(given.targets)
+    relay.targets = Targets(args.targets)
     relay.keep_alive_conn_limit = KEPT_CONNECTIONS
     relay.prepare()
     threading.Thread(target=relay.serve, daemon=True).start()
--- a/testing/relay.py
+++ b/testing/relay.py
@@ -247,11 +247,11 @@
     parser.add_argument("--spec", default="-", help="file of specs")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--control-port", type=int, default=0)
-    given = parser.parse_args()
-    group = RelayGroup(endpoint.read_specs(given.spec, RelaySpec), given.seed)
+    args = parser.parse_args()
+    group = RelayGroup(endpoint.read_specs(args.spec, RelaySpec), args.seed)
     group.start()
     control = serving.ControlServer(
-        group.journal, group.control, given.control_port
+        group.journal, group.control, args.control_port
     )
     serving.announce(
         addresses=group.addresses(), control=control.listener.address
--- a/testing/standins/hosts.py
+++ b/testing/standins/hosts.py
@@ -90,12 +90,12 @@
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--control-port", type=int, default=0)
     parser.add_argument("--lag-ms", type=int, default=DEFAULT_LAG_MS)
-    given = parser.parse_args()
-    hosts = HostListStandIn(given.lag_ms)
-    listener = serving.Listener(hosts.handle, given.port)
+    args = parser.parse_args()
+    hosts = HostListStandIn(args.lag_ms)
+    listener = serving.Listener(hosts.handle, args.port)
     listener.start()
     control = serving.ControlServer(
-        hosts.journal, hosts.control, given.control_port
+        hosts.journal, hosts.control, args.control_port
     )
     serving.announce(address=listener.address, control=control.listener.address)
     serving.wait_for_stop()
--- a/testing/standins/worker.py
+++ b/testing/standins/worker.py
@@ -89,14 +89,14 @@
 
 def main() -> None:
     """Runs the workers until SIGTERM."""
-    given = _parser().parse_args()
-    factors = msgspec.json.decode(given.model)
-    model = worker_model.WorkModel(seed=given.seed, **factors)
-    specs = endpoint.read_specs(given.spec, worker_records.WorkerSpec)
-    group = WorkerGroup(specs, model, given.speed, given.tick_ms)
+    args = _parser().parse_args()
+    factors = msgspec.json.decode(args.model)
+    model = worker_model.WorkModel(seed=args.seed, **factors)
+    specs = endpoint.read_specs(args.spec, worker_records.WorkerSpec)
+    group = WorkerGroup(specs, model, args.speed, args.tick_ms)
     group.start()
     control = serving.ControlServer(
-        group.journal, group.control, given.control_port
+        group.journal, group.control, args.control_port
     )
     serving.announce(
         addresses=group.addresses(), control=control.listener.address
