--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -100,9 +100,11 @@
         """Advances the running attempts and drops old ended ones."""
         running = self.running()
         if running:
-            slowed = self._slowdowns()
+            slowdowns = self._slowdowns()
             for task in running:
-                self._advance_task(task, elapsed_ms, slowed[task.name], now_ms)
+                self._advance_task(
+                    task, elapsed_ms, slowdowns[task.name], now_ms
+                )
         for key, task in tuple(self._by_key.items()):
             if (
                 not task.running
@@ -191,7 +193,7 @@
             self._samples.popleft()
 
     def _usage(self) -> workers.Usage:
-        slowed = self._slowdowns()
+        slowdowns = self._slowdowns()
         used_milli = sum(one.processors_milli for one in self._workloads())
         running = self.running()
         return workers.Usage(
@@ -202,12 +204,12 @@
             memory_mib=int(self._memory_mib(running)),
             services=tuple(
                 workers.ServiceSlowdown(
-                    one.service, int(slowed[one.service] * 1_000)
+                    one.service, int(slowdowns[one.service] * 1_000)
                 )
                 for one in self._spec.services
             ),
             tasks=tuple(
-                self._task_usage(task, slowed[task.name]) for task in running
+                self._task_usage(task, slowdowns[task.name]) for task in running
             ),
         )
 
