--- a/testing/client.py
+++ b/testing/client.py
@@ -43,7 +43,7 @@
 
     @property
     def retry_after_ms(self) -> int:
-        """`X-Retry-After-Ms`, 0 when absent."""
+        """Value of `X-Retry-After-Ms`; 0 when absent."""
         return int(self.headers.get("X-Retry-After-Ms", "0"))
 
 
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -205,7 +205,9 @@
                 one for one in lines if (one.kind, one.name) == (kind, name)
             ]
             if not found:
-                raise fleet_plan.FleetError(f"no {kind} {name!r} is listed")
+                raise fleet_plan.FleetError(
+                    f"the host list has no {kind} {name!r}"
+                )
             changed = attrs.evolve(found[0], **changes)
             stand_in.control(put=[attrs.asdict(changed)])
 
--- a/testing/known_red.py
+++ b/testing/known_red.py
@@ -41,7 +41,7 @@
 
 
 def parse(text: str) -> dict[str, KnownRed]:
-    """Returns the entries by test; raises `BadEntryError`."""
+    """Returns the entries by test; raises BadEntryError if one is invalid."""
     fields_by_test: dict[str, dict[str, str]] = {}
     fields: dict[str, str] = {}
     for line in text.splitlines():
@@ -54,7 +54,9 @@
             continue
         name, colon, value = line.strip().partition(":")
         if not colon or name not in FIELDS or not value.strip():
-            raise BadEntryError(f"not one of {sorted(FIELDS)}: {line!r}")
+            raise BadEntryError(
+                f"expected one of {sorted(FIELDS)} and its value, got {line!r}"
+            )
         fields[name] = value.strip()
     return {
         test: _entry(test, fields) for test, fields in fields_by_test.items()
@@ -64,7 +66,9 @@
 def _entry(test: str, fields: dict[str, str]) -> KnownRed:
     missing = FIELDS - fields.keys()
     if missing:
-        raise BadEntryError(f"{test} lacks {sorted(missing)}")
+        raise BadEntryError(
+            f"entry of {test} lacks the fields {sorted(missing)}"
+        )
     return KnownRed(test=test, **fields)
 
 
--- a/testing/processes.py
+++ b/testing/processes.py
@@ -97,7 +97,9 @@
         """
         self._first_line_read.wait(READY_TIMEOUT_S)
         if not self._first_line:
-            raise ProcessError(f"{self.name} is not ready: {self.tail()}")
+            raise ProcessError(
+                f"{self.name} did not become ready: {self.tail()}"
+            )
         return json.loads(self._first_line)
 
     def tail(self, size: int = 2_000) -> str:
--- a/testing/standins/hosts.py
+++ b/testing/standins/hosts.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's list of live and leaving hosts.
+"""Stand-in for the platform's list of hosts and their states.
 
 Control: `{"put": [entry, ...]}` adds or changes entries by kind and name,
 `{"remove": [[kind, name], ...]}`, `{"lag_ms": N}`, `{"down": bool}`,
--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class StoredRecord:
-    """One record of a stream."""
+    """One record of a stream and the time of its append."""
 
     offset: int
     payload: str
--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -39,13 +39,13 @@
         self.page_size = 500
 
     def serve(self) -> http_server.HttpServer:
-        """A server for it, on a free port."""
+        """Returns an HTTP server for it on a free port."""
         return http_server.HttpServer(
             "127.0.0.1:0", self.handle, THREADS, MAX_BODY_BYTES
         )
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers one call."""
+        """Handles one HTTP request."""
         topic = request.query.get("Topic", "")
         part = int(request.query.get("part", "0"))
         match request.path:
@@ -155,13 +155,13 @@
         self.worker = worker
 
     def serve(self) -> http_server.HttpServer:
-        """A server for it, on a free port."""
+        """Returns an HTTP server for it on a free port."""
         return http_server.HttpServer(
             "127.0.0.1:0", self.handle, THREADS, MAX_BODY_BYTES
         )
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers one call."""
+        """Handles one HTTP request."""
         expected = request.headers.get("x-expected-instance")
         if expected not in (None, self.worker.entry.worker_id):
             return http.HttpReply(421)
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -57,7 +57,7 @@
         return key in self._started_keys
 
     def add(self, task: records.Task) -> None:
-        """Starts an attempt."""
+        """Adds an attempt that starts now."""
         self._started_keys.add(task.key)
         self._by_key[task.key] = task
 
@@ -82,7 +82,7 @@
         detail: str,
         now_ms: float,
     ) -> None:
-        """Ends a running attempt."""
+        """Ends a running attempt and notifies the listener."""
         task.state = state
         task.ended_ms = now_ms
         self._on_end(now_ms, task, detail)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests known to fail."""
+"""Tests of the plugin for tests known to fail."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class KnownRedTest(testtools.TestCase):
-    """What a run with a list says."""
+    """Effects of the list on the result of a test run."""
 
     def run_listed(
         self, listed: str, red: bool, other: bool = True
@@ -39,7 +39,7 @@
             timeout=60,
         )
 
-    def test_listed_failure_is_passed_over_and_printed(self) -> None:
+    def test_listed_failure_is_tolerated_and_printed(self) -> None:
         done = self.run_listed(ENTRY, red=False)
         self.assertEqual(0, done.returncode)
         self.assertIn("FAILED as known: test_a.py::test_red", done.stdout)
@@ -48,7 +48,7 @@
         done = self.run_listed(ENTRY, red=False, other=False)
         self.assertEqual(1, done.returncode)
 
-    def test_listed_test_that_passes_is_told(self) -> None:
+    def test_listed_test_that_passes_is_reported(self) -> None:
         done = self.run_listed(ENTRY, red=True)
         self.assertEqual(0, done.returncode)
         self.assertIn("take it off the list: test_a.py", done.stdout)
