--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -131,7 +131,7 @@
             self.end(task, workers.TaskState.FINISHED, "finished", now_ms)
 
     def enforce_memory_limit(self, now_ms: float) -> None:
-        """Fails the attempts furthest above their size until memory suffices."""
+        """Fails attempts furthest above their size until memory suffices."""
         while self._spec.guards:
             running = self.running()
             used_mib = self._memory_mib(running)
