--- a/testing/standins/worker_host.py
+++ b/testing/standins/worker_host.py
@@ -81,13 +81,13 @@
         """Advances tasks and lease by the time since the last call."""
         with self._changed:
             now_ms = serving.now_ms()
-            lapsed = 0.0 < self._lease_until_ms <= now_ms
-            until_ms = self._lease_until_ms if lapsed else now_ms
+            lease_expired = 0.0 < self._lease_until_ms <= now_ms
+            until_ms = self._lease_until_ms if lease_expired else now_ms
             self._tasks.advance(
                 max(until_ms - self._advanced_ms, 0.0), until_ms
             )
             self._advanced_ms = now_ms
-            if lapsed:
+            if lease_expired:
                 self._expire_lease()
             self._tasks.enforce_memory_limit(now_ms)
             self._tasks.measure(now_ms)
