--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -76,7 +76,7 @@
 
     accepted: Collection[str]
     refused: Collection[str]
-    cancel_asked: Collection[str]
+    cancel_requested: Collection[str]
     cancelled: Collection[str]
     pages: Mapping[str, Mapping[str, Any]]
 
@@ -100,7 +100,7 @@
     outcomes = JobOutcomes(
         submitter.accepted,
         submitter.refused,
-        submitter.cancel_asked,
+        submitter.cancel_requested,
         submitter.cancelled,
         pages(fleet, seat),
     )
@@ -187,7 +187,7 @@
         case "cancelled":
             return (
                 ""
-                if job in outcomes.cancel_asked
+                if job in outcomes.cancel_requested
                 else "was cancelled without a request"
             )
         case "parked":
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -71,7 +71,7 @@
     ) -> None:
         self.accepted: dict[str, None] = {}
         self.refused: dict[str, str] = {}
-        self.cancel_asked: dict[str, None] = {}
+        self.cancel_requested: dict[str, None] = {}
         self.cancelled: dict[str, None] = {}
         self._fleet = fleet
         self._load = load
@@ -173,7 +173,7 @@
 
     def _cancel_some(self) -> None:
         for name in list(self.accepted)[-2 * self._load.burst :: 2]:
-            self.cancel_asked[name] = None
+            self.cancel_requested[name] = None
             answer = self._call("DELETE", f"/jobs/{name}")
             if answer.status == OK and answer.json().get("cancelled"):
                 self.cancelled[name] = None
