--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -115,7 +115,7 @@
         while not self._stop.wait(pause_s):
             with self._lock:
                 count = next(self._count)
-                job = self._job(count)
+                job = self._make_job(count)
             self._submit(job, sent_before=False)
             every = self._load.burst_every
             if every and count % every == 0:
@@ -126,7 +126,7 @@
             if self._unconfirmed:
                 self._submit(self._unconfirmed.popleft(), sent_before=True)
 
-    def _job(self, count: int) -> dict[str, Any]:
+    def _make_job(self, count: int) -> dict[str, Any]:
         rng = self._rng
         urgent = rng.random() < self._load.urgent_share
         always_fails = rng.random() < self._load.failing_share
