--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -15,7 +15,7 @@
 STATE = records.STATE_PREFIX + ID
 
 
-class JobBookTest(testtools.TestCase):
+class JobReplicaTest(testtools.TestCase):
     """Records applied to a replica."""
 
     def setUp(self) -> None:
