--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -170,7 +170,7 @@
         )
 
 
-def listed(run: Any, percent: float = 50.0, reading: int = 0) -> Any:
+def running_task(run: Any, percent: float = 50.0, reading: int = 0) -> Any:
     """A worker's report of a run in progress."""
     return cell_workers.RunningTask(
         run.task.name, run.number, "", percent, reading
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -134,7 +134,7 @@
         )
         (run,) = self.cell.place()
         self.cell.hold(
-            run.worker_id, running=(harness.listed(run, percent=60.0),)
+            run.worker_id, running=(harness.running_task(run, percent=60.0),)
         )
         self.assertEqual([second], self.cell.jobs.nearly_ready_steps())
 
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -27,7 +27,7 @@
         cell = harness.Cell(workers=1)
         cell.submit(harness.job(step))  # type: ignore[arg-type]
         (run,) = cell.place()
-        cell.hold("w1", running=(harness.listed(run, percent),))
+        cell.hold("w1", running=(harness.running_task(run, percent),))
         self.drain(cell, "w1")
         return len(cell.sent["w1"].stops)
 
@@ -55,7 +55,9 @@
         step = harness.step(3, is_lasting=True, **fields)
         cell.submit(harness.job(step))
         runs = cell.place()
-        cell.hold("w1", running=tuple(harness.listed(r, 100.0) for r in runs))
+        cell.hold(
+            "w1", running=tuple(harness.running_task(r, 100.0) for r in runs)
+        )
         worker = cell.workers.find("w1")
         assert worker is not None
         worker.is_being_emptied = True
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -43,10 +43,12 @@
         """Reports readings twice a second."""
         for _ in range(2 * seconds):
             self.cell.clock.advance(500)
-            running = [harness.listed(self.serving, 100.0, self.tail_ms())]
+            running = [
+                harness.running_task(self.serving, 100.0, self.tail_ms())
+            ]
             if self.filling is not None:
                 used = 2_000 * self.filling.pace_percent // 100
-                running.append(harness.listed(self.filling, 50.0, used))
+                running.append(harness.running_task(self.filling, 50.0, used))
             self.cell.hold("w1", running=tuple(running))
 
 
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -114,7 +114,7 @@
         for _ in range(30):
             cell.clock.advance(500)
             for run in runs:
-                answer = harness.listed(run, 100.0, 16)
+                answer = harness.running_task(run, 100.0, 16)
                 cell.hold(run.worker_id, running=(answer,))
         cell.submit(
             harness.job(
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -131,7 +131,7 @@
         run = placed.run
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
         cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
-        cell.hold(run.worker_id, running=(harness.listed(run),))
+        cell.hold(run.worker_id, running=(harness.running_task(run),))
         self.assertIs(runs_module.RunPhase.RUNNING, run.phase)
 
     def test_unreachable_worker_keeps_its_runs_for_the_lease(self) -> None:
@@ -169,8 +169,8 @@
         cell = harness.Cell()
         cell.submit(harness.job())
         (run,) = cell.place()
-        cell.hold(run.worker_id, running=(harness.listed(run),))
+        cell.hold(run.worker_id, running=(harness.running_task(run),))
         cell.clock.advance(5_000)
-        cell.hold(run.worker_id, running=(harness.listed(run),))
+        cell.hold(run.worker_id, running=(harness.running_task(run),))
         cell.reconciler.move_runs(cell.clock.now_ms)
         self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
