--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -177,7 +177,7 @@
     )
 
 
-def ended(
+def ended_run(
     run: Any, how: cell_workers.RunEnd, number: int = 1, checkpoint: str = ""
 ) -> cell_workers.EndedRun:
     """A worker's report of a run that has ended."""
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -82,7 +82,7 @@
         first, second, _ = cell.place()
         cell.clock.advance(500)
         for run in (first, second):
-            cell.hold(run.worker_id, ended=(harness.ended(run, DONE),))
+            cell.hold(run.worker_id, ended=(harness.ended_run(run, DONE),))
         cell.clock.advance(1_000)
         return cell
 
@@ -94,7 +94,7 @@
         (second,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
         (slow,) = [run for run in second.run.task.runs if run is not second.run]
         self.assertNotEqual(slow.worker_id, second.run.worker_id)
-        end = harness.ended(second.run, DONE, 2)
+        end = harness.ended_run(second.run, DONE, 2)
         cell.hold(second.run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, jobs[0].state)
         self.assertEqual(
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -135,7 +135,9 @@
         self.cell.submit(harness.job(harness.step(9), job_id="b" * 16))
         placed = {run.worker_id for run in self.cell.place()}
         self.assertNotIn(worker_id, placed)
-        self.cell.hold(worker_id, ended=(harness.ended(runs[worker_id], DONE),))
+        self.cell.hold(
+            worker_id, ended=(harness.ended_run(runs[worker_id], DONE),)
+        )
         self.assertEqual([worker_id.replace("w", "m")], self.next_orders())
 
     def test_stuck_task_does_not_block_the_wave(self) -> None:
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -139,7 +139,7 @@
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(steps, now_ms)
         stopped = cell_workers.RunEnd.STOPPED
-        cell.hold(run.worker_id, ended=(harness.ended(run, stopped),))
+        cell.hold(run.worker_id, ended=(harness.ended_run(run, stopped),))
         placed = cell.place()
         self.assertEqual(
             {(run.worker_id, "b")},
@@ -152,7 +152,7 @@
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(cell.jobs.ready_steps(), now_ms)
         stopped = cell_workers.RunEnd.STOPPED
-        cell.hold(run.worker_id, ended=(harness.ended(run, stopped),))
+        cell.hold(run.worker_id, ended=(harness.ended_run(run, stopped),))
         cell.clock.advance(clearing.LASTING_OVERDUE_MS + 1)
         self.assertIn("a", [one.task.name[0] for one in cell.place()])
 
@@ -162,7 +162,7 @@
         steps = cell.jobs.ready_steps()
         (run,) = cell.planner.clear_worker(steps, cell.clock.now_ms)
         stopped = cell_workers.RunEnd.STOPPED
-        cell.hold(run.worker_id, ended=(harness.ended(run, stopped),))
+        cell.hold(run.worker_id, ended=(harness.ended_run(run, stopped),))
         cell.jobs.cancel("b" * 16)
         cell.planner.clear_worker(cell.jobs.ready_steps(), cell.clock.now_ms)
         self.assertEqual(["a"], [one.task.name[0] for one in cell.place()])
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -20,7 +20,7 @@
         cell = harness.Cell()
         job = cell.submit(harness.job(harness.step(2)))
         for number, run in enumerate(cell.place(), 1):
-            end = harness.ended(run, cell_workers.RunEnd.DONE, number)
+            end = harness.ended_run(run, cell_workers.RunEnd.DONE, number)
             cell.hold(run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, job.state)
 
@@ -31,9 +31,9 @@
         )
         first, second = cell.place()
         done = cell_workers.RunEnd.DONE
-        cell.hold(first.worker_id, ended=(harness.ended(first, done),))
+        cell.hold(first.worker_id, ended=(harness.ended_run(first, done),))
         self.assertEqual([], cell.place())
-        cell.hold(second.worker_id, ended=(harness.ended(second, done, 2),))
+        cell.hold(second.worker_id, ended=(harness.ended_run(second, done, 2),))
         (run,) = cell.place()
         self.assertEqual(1, run.task.step.number)
 
@@ -42,7 +42,7 @@
         job = cell.submit(harness.job())
         for number in range(1, 4):
             (run,) = cell.place()
-            end = harness.ended(run, cell_workers.RunEnd.FAILED, number)
+            end = harness.ended_run(run, cell_workers.RunEnd.FAILED, number)
             cell.hold(run.worker_id, ended=(end,))
         self.assertIs(records.JobState.FAILED, job.state)
 
@@ -52,7 +52,7 @@
         before = harness.Cell()
         job = before.submit(harness.job())
         (run,) = before.place()
-        end = harness.ended(run, cell_workers.RunEnd.FAILED)
+        end = harness.ended_run(run, cell_workers.RunEnd.FAILED)
         before.hold(run.worker_id, ended=(end,))
         progress = records.decode(
             records.ProgressRecord, records.encode(job.progress())
@@ -70,7 +70,7 @@
         job = cell.submit(harness.job(harness.step(1, is_lasting=True)))
         for number in range(1, 6):
             (run,) = cell.place()
-            end = harness.ended(run, cell_workers.RunEnd.FAILED, number)
+            end = harness.ended_run(run, cell_workers.RunEnd.FAILED, number)
             cell.hold(run.worker_id, ended=(end,))
             cell.clock.advance(1_000)
         self.assertIs(records.JobState.RUNNING, job.state)
@@ -81,7 +81,7 @@
         (run,) = cell.place()
         cell.dispatcher.stop(run, reasons.StopReason.STALLED)
         stopped = cell_workers.RunEnd.STOPPED
-        end = harness.ended(run, stopped, checkpoint="half")
+        end = harness.ended_run(run, stopped, checkpoint="half")
         cell.hold(run.worker_id, ended=(end,))
         (again,) = cell.place()
         self.assertEqual("half", again.task.checkpoint)
@@ -92,7 +92,7 @@
         job = cell.submit(harness.job(harness.step(3, is_gang=True)))
         placed = cell.place()
         self.assertEqual({1}, {run.number for run in placed})
-        end = harness.ended(placed[0], cell_workers.RunEnd.DONE)
+        end = harness.ended_run(placed[0], cell_workers.RunEnd.DONE)
         cell.hold(placed[0].worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, job.state)
 
