--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class _RecordedOrders:
+class _RecordingSession:
     """Implements a worker session that records orders."""
 
     starts: list[Any] = attrs.field(factory=list)
@@ -57,7 +57,7 @@
     latest_deadline_ms: int = 0
     acknowledged: int = 0
 
-    def __enter__(self) -> _RecordedOrders:
+    def __enter__(self) -> _RecordingSession:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -91,7 +91,7 @@
     def __init__(self, workers: int = 2, cpu_millicores: int = 8_000) -> None:
         self.clock = fake_clock.FakeClock(START_MS)
         self.jobs = job_table.JobTable(1, self.clock)
-        self.sent: dict[str, _RecordedOrders] = {}
+        self.sent: dict[str, _RecordingSession] = {}
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
@@ -122,7 +122,7 @@
         self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
-        return self.sent.setdefault(entry.worker_id, _RecordedOrders())
+        return self.sent.setdefault(entry.worker_id, _RecordingSession())
 
     def submit(self, spec: specs.JobSpec) -> Any:
         """Adds a job."""
