--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -118,7 +118,7 @@
         }
         self.workers.apply_listing(entries)
         for worker_id in entries:
-            self.hold(worker_id)
+            self.answer_hold(worker_id)
         self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
@@ -144,7 +144,7 @@
             )
         return [placement.run for placement in placed]
 
-    def hold(
+    def answer_hold(
         self,
         worker_id: str,
         running: tuple[cell_workers.RunningTask, ...] = (),
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -133,7 +133,7 @@
             self.ticket(),
         )
         (run,) = self.cell.place()
-        self.cell.hold(
+        self.cell.answer_hold(
             run.worker_id, running=(harness.running_task(run, percent=60.0),)
         )
         self.assertEqual([second], self.cell.jobs.nearly_ready_steps())
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -27,7 +27,7 @@
         cell = harness.Cell(workers=1)
         cell.submit(harness.job(step))  # type: ignore[arg-type]
         (run,) = cell.place()
-        cell.hold("w1", running=(harness.running_task(run, percent),))
+        cell.answer_hold("w1", running=(harness.running_task(run, percent),))
         self.drain(cell, "w1")
         return len(cell.sent["w1"].stops)
 
@@ -55,7 +55,7 @@
         step = harness.step(3, is_lasting=True, **fields)
         cell.submit(harness.job(step))
         runs = cell.place()
-        cell.hold(
+        cell.answer_hold(
             "w1", running=tuple(harness.running_task(r, 100.0) for r in runs)
         )
         worker = cell.workers.find("w1")
@@ -82,7 +82,9 @@
         first, second, _ = cell.place()
         cell.clock.advance(500)
         for run in (first, second):
-            cell.hold(run.worker_id, ended=(harness.ended_run(run, DONE),))
+            cell.answer_hold(
+                run.worker_id, ended=(harness.ended_run(run, DONE),)
+            )
         cell.clock.advance(1_000)
         return cell
 
@@ -95,7 +97,7 @@
         (slow,) = [run for run in second.run.task.runs if run is not second.run]
         self.assertNotEqual(slow.worker_id, second.run.worker_id)
         end = harness.ended_run(second.run, DONE, 2)
-        cell.hold(second.run.worker_id, ended=(end,))
+        cell.answer_hold(second.run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, jobs[0].state)
         self.assertEqual(
             [(slow.task.name, slow.number)], cell.sent[slow.worker_id].stops
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -49,7 +49,7 @@
             if self.filling is not None:
                 used = 2_000 * self.filling.pace_percent // 100
                 running.append(harness.running_task(self.filling, 50.0, used))
-            self.cell.hold("w1", running=tuple(running))
+            self.cell.answer_hold("w1", running=tuple(running))
 
 
 class InterferenceModelTest(testtools.TestCase):
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -135,7 +135,7 @@
         self.cell.submit(harness.job(harness.step(9), job_id="b" * 16))
         placed = {run.worker_id for run in self.cell.place()}
         self.assertNotIn(worker_id, placed)
-        self.cell.hold(
+        self.cell.answer_hold(
             worker_id, ended=(harness.ended_run(runs[worker_id], DONE),)
         )
         self.assertEqual([worker_id.replace("w", "m")], self.next_orders())
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -115,7 +115,7 @@
             cell.clock.advance(500)
             for run in runs:
                 answer = harness.running_task(run, 100.0, 16)
-                cell.hold(run.worker_id, running=(answer,))
+                cell.answer_hold(run.worker_id, running=(answer,))
         cell.submit(
             harness.job(
                 harness.step(
@@ -139,7 +139,9 @@
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(steps, now_ms)
         stopped = cell_workers.RunEnd.STOPPED
-        cell.hold(run.worker_id, ended=(harness.ended_run(run, stopped),))
+        cell.answer_hold(
+            run.worker_id, ended=(harness.ended_run(run, stopped),)
+        )
         placed = cell.place()
         self.assertEqual(
             {(run.worker_id, "b")},
@@ -152,7 +154,9 @@
         now_ms = cell.clock.now_ms
         (run,) = cell.planner.clear_worker(cell.jobs.ready_steps(), now_ms)
         stopped = cell_workers.RunEnd.STOPPED
-        cell.hold(run.worker_id, ended=(harness.ended_run(run, stopped),))
+        cell.answer_hold(
+            run.worker_id, ended=(harness.ended_run(run, stopped),)
+        )
         cell.clock.advance(clearing.LASTING_OVERDUE_MS + 1)
         self.assertIn("a", [one.task.name[0] for one in cell.place()])
 
@@ -162,7 +166,9 @@
         steps = cell.jobs.ready_steps()
         (run,) = cell.planner.clear_worker(steps, cell.clock.now_ms)
         stopped = cell_workers.RunEnd.STOPPED
-        cell.hold(run.worker_id, ended=(harness.ended_run(run, stopped),))
+        cell.answer_hold(
+            run.worker_id, ended=(harness.ended_run(run, stopped),)
+        )
         cell.jobs.cancel("b" * 16)
         cell.planner.clear_worker(cell.jobs.ready_steps(), cell.clock.now_ms)
         self.assertEqual(["a"], [one.task.name[0] for one in cell.place()])
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -21,7 +21,7 @@
         job = cell.submit(harness.job(harness.step(2)))
         for number, run in enumerate(cell.place(), 1):
             end = harness.ended_run(run, cell_workers.RunEnd.DONE, number)
-            cell.hold(run.worker_id, ended=(end,))
+            cell.answer_hold(run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, job.state)
 
     def test_dependent_step_waits_for_all_tasks(self) -> None:
@@ -31,9 +31,13 @@
         )
         first, second = cell.place()
         done = cell_workers.RunEnd.DONE
-        cell.hold(first.worker_id, ended=(harness.ended_run(first, done),))
+        cell.answer_hold(
+            first.worker_id, ended=(harness.ended_run(first, done),)
+        )
         self.assertEqual([], cell.place())
-        cell.hold(second.worker_id, ended=(harness.ended_run(second, done, 2),))
+        cell.answer_hold(
+            second.worker_id, ended=(harness.ended_run(second, done, 2),)
+        )
         (run,) = cell.place()
         self.assertEqual(1, run.task.step.number)
 
@@ -43,7 +47,7 @@
         for number in range(1, 4):
             (run,) = cell.place()
             end = harness.ended_run(run, cell_workers.RunEnd.FAILED, number)
-            cell.hold(run.worker_id, ended=(end,))
+            cell.answer_hold(run.worker_id, ended=(end,))
         self.assertIs(records.JobState.FAILED, job.state)
 
     def test_failure_counts_once_over_two_owners(self) -> None:
@@ -53,7 +57,7 @@
         job = before.submit(harness.job())
         (run,) = before.place()
         end = harness.ended_run(run, cell_workers.RunEnd.FAILED)
-        before.hold(run.worker_id, ended=(end,))
+        before.answer_hold(run.worker_id, ended=(end,))
         progress = records.decode(
             records.ProgressRecord, records.encode(job.progress())
         )
@@ -61,7 +65,7 @@
         after = harness.Cell()
         inherited = after.jobs.add(job.spec, 1_000, progress)
         assert inherited is not None
-        after.hold(run.worker_id, ended=(end,))
+        after.answer_hold(run.worker_id, ended=(end,))
         (task,) = inherited.steps[0][0].tasks
         self.assertEqual(1, task.failures)
 
@@ -71,7 +75,7 @@
         for number in range(1, 6):
             (run,) = cell.place()
             end = harness.ended_run(run, cell_workers.RunEnd.FAILED, number)
-            cell.hold(run.worker_id, ended=(end,))
+            cell.answer_hold(run.worker_id, ended=(end,))
             cell.clock.advance(1_000)
         self.assertIs(records.JobState.RUNNING, job.state)
 
@@ -82,7 +86,7 @@
         cell.dispatcher.stop(run, reasons.StopReason.STALLED)
         stopped = cell_workers.RunEnd.STOPPED
         end = harness.ended_run(run, stopped, checkpoint="half")
-        cell.hold(run.worker_id, ended=(end,))
+        cell.answer_hold(run.worker_id, ended=(end,))
         (again,) = cell.place()
         self.assertEqual("half", again.task.checkpoint)
         self.assertGreater(again.number, run.number)
@@ -93,7 +97,7 @@
         placed = cell.place()
         self.assertEqual({1}, {run.number for run in placed})
         end = harness.ended_run(placed[0], cell_workers.RunEnd.DONE)
-        cell.hold(placed[0].worker_id, ended=(end,))
+        cell.answer_hold(placed[0].worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, job.state)
 
 
@@ -110,7 +114,7 @@
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
         cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
         self.assertEqual([], cell.place())
-        cell.hold(run.worker_id)
+        cell.answer_hold(run.worker_id)
         self.assertIs(runs_module.RunPhase.STOPPING, run.phase)
         self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
         cell.clock.advance(10)
@@ -119,7 +123,7 @@
         )
         self.assertEqual([], cell.place())
         cell.clock.advance(10)
-        cell.hold(run.worker_id)
+        cell.answer_hold(run.worker_id)
         (again,) = cell.place()
         self.assertEqual(2, again.number)
 
@@ -131,7 +135,7 @@
         run = placed.run
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
         cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
-        cell.hold(run.worker_id, running=(harness.running_task(run),))
+        cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         self.assertIs(runs_module.RunPhase.RUNNING, run.phase)
 
     def test_unreachable_worker_keeps_its_runs_for_the_lease(self) -> None:
@@ -150,7 +154,7 @@
         cell = harness.Cell()
         job = cell.submit(harness.job())
         (task,) = job.steps[0][0].tasks
-        cell.hold(
+        cell.answer_hold(
             "w2",
             running=(cell_workers.RunningTask(task.name, 7, "", 10.0, 0),),
         )
@@ -160,7 +164,7 @@
     def test_run_of_an_unknown_job_is_stopped(self) -> None:
         cell = harness.Cell()
         name = "f" * 16 + ".0.0.0"
-        cell.hold(
+        cell.answer_hold(
             "w1", running=(cell_workers.RunningTask(name, 1, "", 1.0, 0),)
         )
         self.assertEqual([(name, 1)], cell.sent["w1"].stops)
@@ -169,8 +173,8 @@
         cell = harness.Cell()
         cell.submit(harness.job())
         (run,) = cell.place()
-        cell.hold(run.worker_id, running=(harness.running_task(run),))
+        cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         cell.clock.advance(5_000)
-        cell.hold(run.worker_id, running=(harness.running_task(run),))
+        cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         cell.reconciler.move_runs(cell.clock.now_ms)
         self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
