--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -91,7 +91,7 @@
     def __init__(self, workers: int = 2, cpu_millicores: int = 8_000) -> None:
         self.clock = fake_clock.FakeClock(START_MS)
         self.jobs = job_table.JobTable(1, self.clock)
-        self.sent: dict[str, _RecordingSession] = {}
+        self.sessions: dict[str, _RecordingSession] = {}
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
@@ -122,7 +122,7 @@
         self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
-        return self.sent.setdefault(entry.worker_id, _RecordingSession())
+        return self.sessions.setdefault(entry.worker_id, _RecordingSession())
 
     def submit(self, spec: specs.JobSpec) -> Any:
         """Adds a job."""
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -29,7 +29,7 @@
         (run,) = cell.place()
         cell.answer_hold("w1", running=(harness.running_task(run, percent),))
         self.drain(cell, "w1")
-        return len(cell.sent["w1"].stops)
+        return len(cell.sessions["w1"].stops)
 
     def test_lasting_task_moves(self) -> None:
         self.assertEqual(1, self.stops(harness.step(is_lasting=True)))
@@ -63,7 +63,7 @@
         worker.is_being_emptied = True
         cell.reconciler.move_runs(cell.clock.now_ms)
         cell.reconciler.move_runs(cell.clock.now_ms)
-        return len(cell.sent["w1"].stops)
+        return len(cell.sessions["w1"].stops)
 
     def test_lasting_tasks_move_at_once(self) -> None:
         self.assertEqual(3, self.stops())
@@ -100,7 +100,7 @@
         cell.answer_hold(second.run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, jobs[0].state)
         self.assertEqual(
-            [(slow.task.name, slow.number)], cell.sent[slow.worker_id].stops
+            [(slow.task.name, slow.number)], cell.sessions[slow.worker_id].stops
         )
 
     def test_step_without_speculation_gets_no_second_run(self) -> None:
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -116,7 +116,9 @@
         self.assertEqual([], cell.place())
         cell.answer_hold(run.worker_id)
         self.assertIs(runs_module.RunPhase.STOPPING, run.phase)
-        self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
+        self.assertEqual(
+            [(run.task.name, 1)], cell.sessions[run.worker_id].stops
+        )
         cell.clock.advance(10)
         cell.dispatcher.handle_stop(
             events.StopReturned(run.worker_id, run, result.Ok(0))
@@ -142,7 +144,7 @@
         cell = harness.Cell(workers=1)
         cell.submit(harness.job())
         (run,) = cell.place()
-        cell.sent["w1"].latest_deadline_ms = cell.clock.now_ms + 4_500
+        cell.sessions["w1"].latest_deadline_ms = cell.clock.now_ms + 4_500
         cell.fail_hold("w1")
         cell.clock.advance(4_500)
         self.assertEqual([], cell.workers.expire())
@@ -167,7 +169,7 @@
         cell.answer_hold(
             "w1", running=(cell_workers.RunningTask(name, 1, "", 1.0, 0),)
         )
-        self.assertEqual([(name, 1)], cell.sent["w1"].stops)
+        self.assertEqual([(name, 1)], cell.sessions["w1"].stops)
 
     def test_stalled_run_is_moved(self) -> None:
         cell = harness.Cell()
@@ -177,4 +179,6 @@
         cell.clock.advance(5_000)
         cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         cell.reconciler.move_runs(cell.clock.now_ms)
-        self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
+        self.assertEqual(
+            [(run.task.name, 1)], cell.sessions[run.worker_id].stops
+        )
