--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -26,7 +26,7 @@
 # The same for the excess of a pair of images over its filling image.
 PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
 # Maximum weight of a coefficient that was learned by a previous owner.
-MAX_INHERITED_WEIGHT = 0.2
+MAX_RESTORED_WEIGHT = 0.2
 MAX_COEFFICIENT = 6.0
 # Readings of a step within this time are compared with each other; workers
 # report averages over half a second.
@@ -99,12 +99,12 @@
     def restore(self, learned: records.LearnedRecord) -> None:
         """Uses what a previous owner learned as priors."""
         for pressure in learned.pressures:
-            weight = min(pressure.weight, MAX_INHERITED_WEIGHT)
+            weight = min(pressure.weight, MAX_RESTORED_WEIGHT)
             self._priors[pressure.filling] = _Prior(
                 pressure.coefficient, weight
             )
         for pair in learned.pairs:
-            weight = min(pair.weight, MAX_INHERITED_WEIGHT)
+            weight = min(pair.weight, MAX_RESTORED_WEIGHT)
             key = pair.serving, pair.filling
             self._pairs[key] = _PairSums(weight, weight * pair.excess)
             self._by_pair[key] = pair.excess
