--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -25,16 +25,16 @@
         self,
         model: interference.InterferenceModel,
         durations: duration_model_module.DurationModel,
-        inherited: records.LearnedRecord,
+        recovered: records.LearnedRecord,
         clock: clock_port.Clock,
     ) -> None:
         self._model = model
         self._durations = durations
         self._clock = clock
-        self._recorded = inherited
+        self._recorded = recovered
         self._recorded_ms = clock.monotonic_ms()
-        model.restore(inherited)
-        durations.restore(inherited.duration_ratios)
+        model.restore(recovered)
+        durations.restore(recovered.duration_ratios)
 
     def add_writes(self, work: dict[str, bytes | None]) -> None:
         """Adds the learned record to a write if it changed and is due."""
