--- a/tests/process/cell/test_pressure_model.py
+++ b/tests/process/cell/test_pressure_model.py
@@ -78,7 +78,7 @@
             successor.uncertainty("press"), successor.uncertainty("new")
         )
 
-    def test_readings_override_inherited_coefficient(self) -> None:
+    def test_readings_override_restored_coefficient(self) -> None:
         self.model.restore(
             records.LearnedRecord(
                 (records.LearnedPressure("press", 0.1, 100.0),)
