--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -63,10 +63,10 @@
         )
 
         after = harness.Cell()
-        inherited = after.jobs.add(job.spec, 1_000, progress)
-        assert inherited is not None
+        recovered = after.jobs.add(job.spec, 1_000, progress)
+        assert recovered is not None
         after.answer_hold(run.worker_id, ended=(end,))
-        (task,) = inherited.steps[0][0].tasks
+        (task,) = recovered.steps[0][0].tasks
         self.assertEqual(1, task.failures)
 
     def test_lasting_task_runs_again_however_it_ends(self) -> None:
