--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -92,7 +92,7 @@
         self._products: dict[str, float] = {}
         self._pairs: dict[tuple[str, str], _PairSums] = {}
         self._priors: dict[str, _Prior] = {}
-        self._by_image: dict[str, float] = {}
+        self._coefficients: dict[str, float] = {}
         self._by_pair: dict[tuple[str, str], float] = {}
         self._fitted_ms = 0
 
@@ -117,7 +117,7 @@
                 round(self.common_coefficient(name), 3),
                 round(self._coefficient_weight(name), 4),
             )
-            for name in sorted(self._priors.keys() | self._by_image.keys())
+            for name in sorted(self._priors.keys() | self._coefficients.keys())
         )
 
     def export_pairs(self) -> tuple[records.LearnedPair, ...]:
@@ -147,7 +147,7 @@
 
     def common_coefficient(self, filling: str) -> float:
         """Returns the coefficient of a filling image on any serving image."""
-        learned = self._by_image.get(filling)
+        learned = self._coefficients.get(filling)
         return self._prior(filling).coefficient if learned is None else learned
 
     def coefficient(self, serving: str, filling: str) -> float:
@@ -249,7 +249,7 @@
                 self._products[name] + prior.weight * prior.coefficient
             )
         solution = solve(matrix, values)
-        self._by_image = {
+        self._coefficients = {
             name: min(max(value, 0.0), MAX_COEFFICIENT)
             for name, value in zip(names, solution, strict=True)
         }
