--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -93,7 +93,7 @@
         self._pairs: dict[tuple[str, str], _PairSums] = {}
         self._priors: dict[str, _Prior] = {}
         self._coefficients: dict[str, float] = {}
-        self._by_pair: dict[tuple[str, str], float] = {}
+        self._pair_excesses: dict[tuple[str, str], float] = {}
         self._fitted_ms = 0
 
     def restore(self, learned: records.LearnedRecord) -> None:
@@ -107,7 +107,7 @@
             weight = min(pair.weight, MAX_RESTORED_WEIGHT)
             key = pair.serving, pair.filling
             self._pairs[key] = _PairSums(weight, weight * pair.excess)
-            self._by_pair[key] = pair.excess
+            self._pair_excesses[key] = pair.excess
 
     def export(self) -> tuple[records.LearnedPressure, ...]:
         """Returns the coefficients of all images, for the next owner."""
@@ -126,7 +126,7 @@
             records.LearnedPair(
                 serving,
                 filling,
-                round(self._by_pair.get((serving, filling), 0.0), 3),
+                round(self._pair_excesses.get((serving, filling), 0.0), 3),
                 round(sums.squares, 4),
             )
             for (serving, filling), sums in self._pairs.items()
@@ -152,7 +152,7 @@
 
     def coefficient(self, serving: str, filling: str) -> float:
         """Returns the coefficient of a filling image on a serving image."""
-        own = self._by_pair.get((serving, filling), 0.0)
+        own = self._pair_excesses.get((serving, filling), 0.0)
         return min(
             max(self.common_coefficient(filling) + own, 0.0), MAX_COEFFICIENT
         )
@@ -226,7 +226,7 @@
             for other, other_use in differences.items():
                 row[other] = row.get(other, 0.0) + use * other_use
             self._products[name] = self._products.get(name, 0.0) + use * load
-            own = self._by_pair.get((serving, name), 0.0)
+            own = self._pair_excesses.get((serving, name), 0.0)
             sums = self._pairs.setdefault((serving, name), _PairSums())
             sums.squares += use * use
             sums.products += use * (unexplained + own * use)
@@ -253,7 +253,7 @@
             name: min(max(value, 0.0), MAX_COEFFICIENT)
             for name, value in zip(names, solution, strict=True)
         }
-        self._by_pair = {
+        self._pair_excesses = {
             pair: sums.products / (sums.squares + PAIR_PRIOR_WEIGHT)
             for pair, sums in self._pairs.items()
         }
