--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -168,7 +168,7 @@
                     self._workers.mark_failing(worker, detail)
             case result.Err(cell_workers.OrderUnanswered(detail)):
                 run.is_in_doubt = True
-                run.unanswered += event.tries
+                run.unanswered_tries += event.tries
                 logs.event(
                     _logger,
                     "start-unanswered",
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -84,7 +84,7 @@
     slow_since_ms: int = 0
     intensity: float = DEFAULT_INTENSITY
     pace_changed_ms: int = 0
-    unanswered: int = 0
+    unanswered_tries: int = 0
     is_in_doubt: bool = False
 
     @property
