--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -33,7 +33,7 @@
         )
         self.offset += 1
 
-    def end(self) -> None:
+    def complete_job(self) -> None:
         """Applies the records of a job that is accepted and completed."""
         self.apply(JOB, harness.job())
         completed = records.JobState.COMPLETED
@@ -45,7 +45,7 @@
         return None if entry is None else entry.shown_state
 
     def test_state_outlives_the_spec(self) -> None:
-        self.end()
+        self.complete_job()
         self.apply(JOB, None)
         self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
@@ -58,7 +58,7 @@
 
     def test_repeat_after_the_end_is_not_run_again(self) -> None:
         received: list[object] = []
-        self.end()
+        self.complete_job()
         self.replica.listen(received.append)
         self.apply(JOB, None)
         self.apply(JOB, harness.job())
@@ -66,7 +66,7 @@
         self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
     def test_job_is_removed_with_its_state(self) -> None:
-        self.end()
+        self.complete_job()
         self.apply(STATE, None)
         self.assertIsNone(self.shown_state())
 
