--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -75,7 +75,7 @@
 class StragglerTest(testtools.TestCase):
     """One task of a step takes much longer than its siblings."""
 
-    def straggle(self, is_speculative: bool) -> harness.Cell:
+    def cell_with_straggler(self, is_speculative: bool) -> harness.Cell:
         """Finishes two of three tasks in half a second."""
         cell = harness.Cell(workers=3, cpu_millicores=1_000)
         cell.submit(harness.job(harness.step(3, is_speculative=is_speculative)))
@@ -91,7 +91,7 @@
     def test_second_run_is_on_another_worker_and_the_first_end_counts(
         self,
     ) -> None:
-        cell = self.straggle(True)
+        cell = self.cell_with_straggler(True)
         jobs = list(cell.jobs)
         (second,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
         (slow,) = [run for run in second.run.task.runs if run is not second.run]
@@ -104,7 +104,7 @@
         )
 
     def test_step_without_speculation_gets_no_second_run(self) -> None:
-        cell = self.straggle(False)
+        cell = self.cell_with_straggler(False)
         self.assertEqual(
             [], cell.planner.place_speculative_runs(list(cell.jobs), 10**9)
         )
