--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -16,7 +16,7 @@
 HEARTBEAT = records.HeartbeatRecord("entoto-1", "boot-1", 7, zone="entoto")
 
 
-def view(
+def claim_view(
     silent_ms: int, heartbeat: records.HeartbeatRecord, **fields: Any
 ) -> Any:
     """A view in which the owner's last heartbeat is `silent_ms` old."""
@@ -37,11 +37,11 @@
 
     def test_live_owner_is_not_replaced(self) -> None:
         self.assertIs(
-            None, claiming.reason_to_claim(view(600, HEARTBEAT), HOST)
+            None, claiming.reason_to_claim(claim_view(600, HEARTBEAT), HOST)
         )
 
     def test_silent_owner_is_replaced(self) -> None:
-        seen = view(
+        seen = claim_view(
             claiming.OWNER_TIMEOUT_MS + claiming.MAX_CLAIM_DELAY_MS, HEARTBEAT
         )
         self.assertIs(
@@ -50,15 +50,15 @@
         )
 
     def test_owner_gets_time_after_an_outage_of_the_store(self) -> None:
-        seen = view(9_000, HEARTBEAT, reachable_ms=300)
+        seen = claim_view(9_000, HEARTBEAT, reachable_ms=300)
         self.assertIs(None, claiming.reason_to_claim(seen, HOST))
 
     def test_stale_view_claims_nothing(self) -> None:
-        seen = view(9_000, HEARTBEAT, view_age_ms=2_000)
+        seen = claim_view(9_000, HEARTBEAT, view_age_ms=2_000)
         self.assertIs(None, claiming.reason_to_claim(seen, HOST))
 
     def test_restarted_owner_claims_at_once(self) -> None:
-        seen = view(0, attrs.evolve(HEARTBEAT, host="bole-1"))
+        seen = claim_view(0, attrs.evolve(HEARTBEAT, host="bole-1"))
         self.assertIs(
             reasons.ClaimReason.RESTARTED, claiming.reason_to_claim(seen, HOST)
         )
@@ -67,7 +67,9 @@
         released = attrs.evolve(HEARTBEAT, is_released=True)
         self.assertIs(
             reasons.ClaimReason.RELEASED,
-            claiming.reason_to_claim(view(HOST.claim_delay_ms, released), HOST),
+            claiming.reason_to_claim(
+                claim_view(HOST.claim_delay_ms, released), HOST
+            ),
         )
 
     def test_isolated_zone_leaves_the_cell_to_others(self) -> None:
@@ -76,9 +78,11 @@
         )
         self.assertIs(
             None,
-            claiming.reason_to_claim(view(HOST.claim_delay_ms, released), HOST),
+            claiming.reason_to_claim(
+                claim_view(HOST.claim_delay_ms, released), HOST
+            ),
         )
-        later = view(
+        later = claim_view(
             HOST.claim_delay_ms + claiming.ISOLATED_ZONE_DELAY_MS, released
         )
         self.assertIs(
@@ -97,7 +101,7 @@
         # Guards against a second claim at each handover: a host had decided to
         # claim before it read the first heartbeat of the new owner.
         released = attrs.evolve(HEARTBEAT, is_released=True)
-        seen = view(HOST.claim_delay_ms, released)
+        seen = claim_view(HOST.claim_delay_ms, released)
         newer = attrs.evolve(HEARTBEAT, host="kality-1", token=8)
         self.assertTrue(
             claiming.is_outdated(
@@ -106,10 +110,10 @@
         )
 
     def test_heartbeat_of_the_silent_owner_ends_the_claim(self) -> None:
-        seen = view(2_000, HEARTBEAT)
+        seen = claim_view(2_000, HEARTBEAT)
         again = job_replica.ObservedHeartbeat(HEARTBEAT, 100_000)
         self.assertTrue(claiming.is_outdated(seen, again))
 
     def test_view_without_new_heartbeat_is_current(self) -> None:
-        seen = view(2_000, HEARTBEAT)
+        seen = claim_view(2_000, HEARTBEAT)
         self.assertFalse(claiming.is_outdated(seen, seen.last_heartbeat))
