--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -20,7 +20,7 @@
 UP = machines_port.MachineState.UP
 AWAY = machines_port.MachineState.MAINTENANCE
 WAVE = machines_port.Wave(1, ("m1", "m2", "m3"), 60_000, 2)
-TIGHT = machines_port.Wave(1, ("m1", "m2", "m3"), 8_000, 2)
+TIGHT_WAVE = machines_port.Wave(1, ("m1", "m2", "m3"), 8_000, 2)
 
 
 class ConcurrentMachinesTest(testtools.TestCase):
@@ -30,7 +30,7 @@
         self.assertEqual(1, maintenance.concurrent_machines(WAVE, 3, 0))
 
     def test_limit_of_the_wave_is_kept_when_time_is_short(self) -> None:
-        self.assertEqual(2, maintenance.concurrent_machines(TIGHT, 3, 0))
+        self.assertEqual(2, maintenance.concurrent_machines(TIGHT_WAVE, 3, 0))
         self.assertEqual(2, maintenance.concurrent_machines(WAVE, 3, 90_000))
 
 
@@ -117,11 +117,11 @@
         self.assertNotEqual(first, second)
 
     def test_no_more_at_once_than_the_wave_allows(self) -> None:
-        ordered = self.next_orders(TIGHT)
+        ordered = self.next_orders(TIGHT_WAVE)
         self.assertEqual(2, len(ordered))
         self.return_outcome(ordered[0], result.Ok(None))
         self.states[ordered[0]] = AWAY
-        self.assertEqual([], self.next_orders(TIGHT))
+        self.assertEqual([], self.next_orders(TIGHT_WAVE))
 
     def test_emptied_worker_gets_no_work_and_finishes_its_runs(self) -> None:
         self.cell.submit(harness.job(harness.step(3, cpu_millicores=5_000)))
