--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -37,7 +37,7 @@
 LEASE_MS = 1_000
 KEEP_ENDED_MS = 200
 ID = "0" * 16
-ALLOWED = "w2"
+ALLOWED_WORKER = "w2"
 
 
 class HostStore:
@@ -98,7 +98,7 @@
     ) -> result.Result[advice_port.Advice, advice_port.AdviceUnavailable]:
         """See `AdviceService.advise`."""
         del timeout_ms
-        tickets = {ALLOWED: f"{step}/{ALLOWED}"}
+        tickets = {ALLOWED_WORKER: f"{step}/{ALLOWED_WORKER}"}
         allowed = {
             name: tickets[name] for name in worker_ids if name in tickets
         }
@@ -247,9 +247,9 @@
         self.first.job_api.submit(job, 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         starts = [one for w in self.workers.values() for one in w.starts]
-        self.assertEqual({ALLOWED}, {one.worker_id for one in starts})
+        self.assertEqual({ALLOWED_WORKER}, {one.worker_id for one in starts})
         self.assertEqual(
-            {f"{ID}.0.0/{ALLOWED}"}, {one.ticket for one in starts}
+            {f"{ID}.0.0/{ALLOWED_WORKER}"}, {one.ticket for one in starts}
         )
 
     def test_new_owner_restores_learned_models(self) -> None:
