--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -28,17 +28,17 @@
 # call on 30.
 MAX_WORKERS_PER_CALL = 30
 MIN_WORKERS_PER_CALL = 4
-# Capacity of the workers named, as a multiple of what the step's tasks need:
-# other steps use some of it before the answer arrives.
+# Number of tasks that the workers named should have capacity for, as a multiple
+# of those to place: other steps use some capacity before the answer arrives.
 CAPACITY_FACTOR = 2.0
 # Assumed share of workers that a policy allows, until answers show it.
 PRIOR_ALLOWED_SHARE = 0.5
-# Number of answers that the prior share counts for.
+# Number of answered workers that the prior share counts for.
 PRIOR_WEIGHT = 4.0
 # A ticket is not used this close to its expiry, as a start takes a while.
 TICKET_MARGIN_MS = 250
 RETRY_PAUSE_MS = 200
-# Validity of tickets of a service that does not state it.
+# Validity of tickets if the service does not state it.
 DEFAULT_VALIDITY_MS = 3_000
 
 _logger = logbook.Logger(__name__)
@@ -63,8 +63,8 @@
     """Advice received for a step, and the state of its calls.
 
     Attributes:
-        allowed: Whether a worker is allowed, by id.
-        is_call_pending: A call is in progress.
+        allowed: Whether a worker is allowed, by id, as last answered.
+        is_call_pending: Whether a call is in progress.
         not_before_ms: Earliest monotonic time of the next call.
     """
 
@@ -89,8 +89,8 @@
         now_ms: int,
     ) -> list[AdviceRequest]:
         """Drops expired tickets and returns the calls that are needed."""
-        advised = [step for step in steps if step.job.spec.queue.advice]
-        if not advised:
+        advisable = [step for step in steps if step.job.spec.queue.advice]
+        if not advisable:
             return []
         self._discard_ended()
         views = {worker.worker_id: worker for worker in workers}
@@ -98,7 +98,7 @@
             view for view in views.values() if view.accepts_work(now_ms)
         ]
         requests = []
-        for step in advised:
+        for step in advisable:
             _drop_expired(step, views, now_ms)
             state = self._steps.setdefault(step, _StepAdvice())
             if state.is_call_pending or now_ms < state.not_before_ms:
@@ -152,13 +152,13 @@
         )
         queue = step.job.spec.queue.name
         share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
-        wanted = CAPACITY_FACTOR * needed
+        wanted_tasks = CAPACITY_FACTOR * needed
         chosen: list[worker_view.WorkerView] = []
         for worker, fitting in candidates[:MAX_WORKERS_PER_CALL]:
-            if wanted <= 0 and len(chosen) >= MIN_WORKERS_PER_CALL:
+            if wanted_tasks <= 0 and len(chosen) >= MIN_WORKERS_PER_CALL:
                 break
             is_known_allowed = state.allowed.get(worker.worker_id, False)
-            wanted -= fitting * (1.0 if is_known_allowed else share)
+            wanted_tasks -= fitting * (1.0 if is_known_allowed else share)
             chosen.append(worker)
         return chosen
 
@@ -186,7 +186,7 @@
         reason: reasons.MissingAdvice,
         detail: str,
     ) -> None:
-        """Logs and counts that a step waits for lack of advice."""
+        """Logs and counts that a step got no advice and has to wait."""
         logs.warning(
             _logger,
             "advice-missing",
--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -13,14 +13,14 @@
 from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
 
-# The service's response time grows with the workers named, and it serves a
-# host's calls one at a time; thirty workers take well under a second.
+# The response time grows with the number of workers named; for thirty it is
+# well under a second. The service handles a host's calls one at a time.
 CALL_TIMEOUT_MS = 2_500
 
 
 @final
 class AdviceFetcher:
-    """Makes one call at a time. A context manager.
+    """Calls the advice service, one call at a time. A context manager.
 
     Args:
         advice_service: The advice service.
--- a/src/comfreylatch/_process/cell/candidates.py
+++ b/src/comfreylatch/_process/cell/candidates.py
@@ -19,9 +19,9 @@
     """Picks the cheapest worker for each of many similar tasks.
 
     Placing a task changes the cost of one worker only, so only the worker on
-    top of the heap is recomputed. A cost that falls in between is noticed
-    late, which matters little: costs fall only where a task of the step was
-    placed, and that worker was the cheapest before.
+    top of the heap is recomputed. A cost that falls while its worker is
+    deeper in the heap is noticed late. This matters little: costs fall only
+    where a task of the step was placed, and that worker was the cheapest.
     """
 
     def __init__(
@@ -30,9 +30,9 @@
         self._cost = cost
         self._heap: list[tuple[float, int, worker_view.WorkerView]] = []
         for index, worker in enumerate(workers):
-            first = cost(worker)
-            if first is not None:
-                self._heap.append((first, index, worker))
+            initial_cost = cost(worker)
+            if initial_cost is not None:
+                self._heap.append((initial_cost, index, worker))
         heapq.heapify(self._heap)
 
     def pick(
@@ -47,12 +47,12 @@
         set_aside = []
         chosen = None
         while self._heap:
-            stored, index, worker = self._heap[0]
-            now = self._cost(worker)
-            if now is None:
+            stored_cost, index, worker = self._heap[0]
+            current_cost = self._cost(worker)
+            if current_cost is None:
                 heapq.heappop(self._heap)
-            elif now > stored:
-                heapq.heapreplace(self._heap, (now, index, worker))
+            elif current_cost > stored_cost:
+                heapq.heapreplace(self._heap, (current_cost, index, worker))
             elif worker.worker_id in avoided or worker.worker_id in excluded:
                 set_aside.append(heapq.heappop(self._heap))
             else:
--- a/src/comfreylatch/_process/cell/claiming.py
+++ b/src/comfreylatch/_process/cell/claiming.py
@@ -78,16 +78,17 @@
             return reasons.ClaimReason.NO_OWNER
         return None
     heartbeat = observed.heartbeat
-    silent_ms = view.now_ms - observed.seen_ms
+    heartbeat_age_ms = view.now_ms - observed.seen_ms
     if heartbeat.host == host.name and heartbeat.boot != host.boot:
         return reasons.ClaimReason.RESTARTED
     if heartbeat.is_released:
         is_isolated_zone = heartbeat.is_isolated and heartbeat.zone == host.zone
         wait_ms = ISOLATED_ZONE_DELAY_MS if is_isolated_zone else 0
-        is_due = silent_ms >= wait_ms + host.claim_delay_ms
+        is_due = heartbeat_age_ms >= wait_ms + host.claim_delay_ms
         return reasons.ClaimReason.RELEASED if is_due else None
-    quiet_ms = min(silent_ms, view.reachable_ms)
-    if quiet_ms >= OWNER_TIMEOUT_MS + host.claim_delay_ms:
+    # Without answers from the store, no heartbeat could have been read.
+    silent_ms = min(heartbeat_age_ms, view.reachable_ms)
+    if silent_ms >= OWNER_TIMEOUT_MS + host.claim_delay_ms:
         return reasons.ClaimReason.OWNER_SILENT
     return None
 
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -1,4 +1,4 @@
-"""Clearing of a worker's lasting tasks for filling tasks that interfere.
+"""Clears workers of lasting tasks for filling tasks that interfere.
 
 Some images interfere so much that they can share a worker with no lasting
 task, while nearly every worker runs some. Clearing one worker for a few
@@ -40,8 +40,8 @@
 ) -> int:
     """Sums the processors that waiting tasks of harmful images request.
 
-    Harmless images are left out: they can use idle processors, and stopping a
-    lasting task frees processors worth hardly more than the task itself.
+    Harmless images are left out: they can use idle processors, so that stopping
+    a lasting task gains hardly more than the task is worth.
     """
     return sum(
         len(step.pending_tasks) * step.spec.cpu_millicores
--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -61,7 +61,7 @@
         store: The store to write to.
         cell: Number of the cell, which is the partition of both topics.
         heartbeat: The heartbeat, written at each interval.
-        on_fenced: Called once when the store has seen a higher epoch.
+        on_fenced: Called once when the store has seen a higher fencing token.
         clock: Source of monotonic time.
     """
 
@@ -106,20 +106,20 @@
         self._thread.join(2 * APPEND_TIMEOUT_MS / 1_000)
 
     def fence(self) -> int | None:
-        """Sets the epoch on both topics and writes the first heartbeat.
+        """Fences both topics against lower tokens; writes the first heartbeat.
 
         A previous owner reads this heartbeat ahead of all jobs that follow it,
         so that it starts none of those.
 
         Returns:
-            The offset of the heartbeat; None if another epoch is higher.
+            The offset of the heartbeat; None if another token is higher.
         """
         if self._append_until_known(records.WORK_TOPIC, ()) is None:
             return None
-        first = store_port.NewRecord(
+        first_heartbeat = store_port.NewRecord(
             records.HEARTBEAT_KEY, records.encode(self._heartbeat)
         )
-        return self._append_until_known(records.JOBS_TOPIC, (first,))
+        return self._append_until_known(records.JOBS_TOPIC, (first_heartbeat,))
 
     def may_act(self) -> bool:
         """Whether the owner may start tasks and renew leases."""
@@ -206,7 +206,7 @@
 
         Returns:
             The offset of the first record; None if this writer is fenced or
-            closed before.
+            closed before the outcome is known.
         """
         producer = store_port.Producer(
             self._name, self._heartbeat.token, self._sequences[topic]
--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -27,12 +27,12 @@
 # A reading above this load is outside the model's range: it shows only that
 # there is too much pressure.
 SATURATED_LOAD = 0.93
-# Deviation of a coefficient from its learned value.
+# Standard deviation of a coefficient from its learned value.
 COEFFICIENT_SD = 0.15
 # Readings are whole milliseconds.
 ROUNDING_SD_MS = 0.3
-# How far loads are extrapolated: for paces until readings show their effect,
-# for placements into a task's run.
+# How far loads are extrapolated: for paces, until readings show their effect;
+# for placements, until the placed task has run for a while.
 PACE_FORECAST_MS = 700
 PLACEMENT_FORECAST_MS = 1_200
 # A filling task is placed only where it can run at this pace at least.
@@ -69,7 +69,7 @@
 
 @attrs.frozen
 class Slack:
-    """Headroom of the lasting tasks of an image below their load limit."""
+    """Headroom of a lasting step on a worker, below its load limit."""
 
     image: str
     left: float
@@ -124,7 +124,7 @@
         return min(self._base_ms.get(spec.image, guess), guess)
 
     def load_limit(self, run: runs_module.Run) -> float:
-        """Sum of load and pressures at which a task nears its target."""
+        """Sum of load and pressures that plans allow for a lasting task."""
         target_ms = run.task.step.spec.tail_target_ms
         return 1 - self._base_tail_ms(run) / (PLANNED_TARGET_SHARE * target_ms)
 
@@ -147,8 +147,8 @@
             use = fill.reading * fill.intensity / cpu
             uses[image] = uses.get(image, 0.0) + use
         for run in serving_runs(worker):
-            settled = now_ms - run.confirmed_ms > SETTLING_MS
-            if run.reading > 0 and run.confirmed_ms and settled:
+            is_settled = now_ms - run.confirmed_ms > SETTLING_MS
+            if run.reading > 0 and run.confirmed_ms and is_settled:
                 self._learn_from_reading(run, uses, now_ms)
 
     def _learn_from_reading(
@@ -241,7 +241,10 @@
         )
 
     def pace_changes(self, worker: worker_view.WorkerView) -> list[PaceChange]:
-        """Paces that keep a worker's lasting tasks within their targets."""
+        """Returns the changes of pace that keep lasting tasks within targets.
+
+        A pace is raised only to the full one or by at least two steps.
+        """
         filling_runs = list(_filling_runs(worker))
         lasting = list(serving_runs(worker))
         if not filling_runs:
@@ -262,7 +265,7 @@
         ]
 
     def _cpu_bound_pace(self, worker: worker_view.WorkerView) -> int:
-        """Pace at which filling tasks leave other tasks their processors."""
+        """Pace at which all tasks together fit into the worker's processors."""
         lasting_use = 0.0
         for run in serving_runs(worker):
             load = self.load_estimate(run).forecast(PACE_FORECAST_MS)
@@ -271,14 +274,14 @@
             return FULL_PACE
         cpu = worker.entry.capacity.cpu_millicores
         reserved = cpu - worker.free_cpu - worker.lasting_millicores
-        left = MAX_REQUESTED_CPU_SHARE * cpu - reserved - lasting_use
-        asked = sum(
+        available = MAX_REQUESTED_CPU_SHARE * cpu - reserved - lasting_use
+        requested = sum(
             fill.task.step.spec.cpu_millicores * fill.intensity
             for fill in _filling_runs(worker)
         )
-        if asked <= left:
+        if requested <= available:
             return FULL_PACE
-        steps = int(max(left, 0.0) / asked * FULL_PACE) // PACE_STEP
+        steps = int(max(available, 0.0) / requested * FULL_PACE) // PACE_STEP
         return steps * PACE_STEP
 
     def _lower_paces(
@@ -321,14 +324,14 @@
 
 
 def _update_intensity(fill: runs_module.Run, now_ms: int) -> None:
-    """Updates a filling run's ratio of used to requested processors."""
+    """Updates the share of its allowed processors that a filling run uses."""
     since_ms = max(fill.confirmed_ms, fill.pace_changed_ms)
     if not fill.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
         return
     if fill.pace_percent <= MAX_UNINFORMATIVE_PACE_PERCENT or fill.reading <= 0:
         return
-    asked = fill.task.step.spec.cpu_millicores * fill.pace_percent / FULL_PACE
-    fill.intensity = min(max(fill.reading / asked, MIN_INTENSITY), 1.0)
+    allowed = fill.task.step.spec.cpu_millicores * fill.pace_percent / FULL_PACE
+    fill.intensity = min(max(fill.reading / allowed, MIN_INTENSITY), 1.0)
 
 
 def _filling_runs(worker: worker_view.WorkerView) -> Iterable[runs_module.Run]:
--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -64,7 +64,7 @@
         if parsed.occurrence not in job.steps and (
             parsed.occurrence < job.occurrence_count
         ):
-            # Started by a previous owner whose records are not all known here.
+            # A previous owner started it, but its record isn't known here.
             job.create_occurrence(parsed.occurrence)
             self._add_ready_steps(job, parsed.occurrence)
         return job.find(parsed.occurrence, parsed.step, parsed.index)
@@ -102,7 +102,7 @@
         return job
 
     def create_due_occurrences(self) -> None:
-        """Creates the steps of repetitions that are due."""
+        """Creates the occurrences that are due, with their steps."""
         now_ms = self._clock.wall_ms()
         for job_id in list(self._repeating):
             job = self._jobs[job_id]
@@ -132,7 +132,7 @@
         return [step for step in self._ready.values() if step.pending_tasks]
 
     def nearly_ready_steps(self) -> list[runs_module.StepInstance]:
-        """Returns steps that wait only for tasks at least half done.
+        """Returns steps that wait only for tasks that are at least half done.
 
         Only for queues that require advice, so that it can be requested before
         the step is ready.
--- a/src/comfreylatch/_process/cell/machine_caller.py
+++ b/src/comfreylatch/_process/cell/machine_caller.py
@@ -27,7 +27,7 @@
         machines: The machine API.
         holder: Name of this host.
         token: The owner's fencing token.
-        may_act: Whether this host is still the owner.
+        may_act: Tells whether this host is still the owner.
         post: Receives the outcome of each call as an event.
         clock: Measures the times of calls.
     """
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -1,9 +1,9 @@
 """Plans the maintenance of machines in waves, a few machines at a time.
 
-Maintenance ends everything on a machine. So its worker first gets no new work
-and its runs end or move, and only then is the maintenance ordered. How many
-machines are away at once follows from the remaining time, within the wave's
-limit.
+Maintenance ends everything that runs on a machine. So its worker first gets no
+new work and its runs end or move; only then is the maintenance ordered. How
+many machines are away at once depends on the time left, within the limit of the
+wave.
 """
 
 from __future__ import annotations
@@ -75,9 +75,9 @@
             if wave.number not in self._waves:
                 self._open_wave(wave, wall_ms)
         running = [
-            progress
-            for progress in self._waves.values()
-            if not progress.is_completed
+            wave_progress
+            for wave_progress in self._waves.values()
+            if not wave_progress.is_completed
         ]
         for wave_progress in running:
             self._advance(wave_progress, workers, now_ms, wall_ms, actions)
@@ -226,7 +226,7 @@
         workers: dict[str, worker_view.WorkerView],
         now_ms: int,
     ) -> bool:
-        """Whether maintenance may start: nothing runs, or time is up."""
+        """Whether maintenance may be ordered: nothing runs, or time is up."""
         view = workers.get(progress.worker_id)
         if view is None:
             return True
@@ -396,7 +396,7 @@
         return writes
 
     def handle_report_failed(self, wave: int) -> None:
-        """Schedules a failed report again."""
+        """Has the next plan repeat a report that failed."""
         wave_progress = self._waves.get(wave)
         if wave_progress is not None:
             wave_progress.reported = None
--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -9,14 +9,14 @@
 from comfreylatch._process.cell import interference
 from comfreylatch._process.cell import records
 
-# Interval between two records, and so the most learning that is lost with an
-# owner. A record has about 2 KB.
+# Interval between two records of the models. If the owner fails, what it has
+# learned since the last record is lost. A record has about 2 KB.
 RECORD_INTERVAL_MS = 2_000
 
 
 @final
 class ModelPersistence:
-    """Restores the previous owner's models and records the current ones.
+    """Restores the previous owner's models and records those of this owner.
 
     Used by the owner's thread only.
     """
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -38,21 +38,21 @@
 from comfreylatch._process.cell import worker_session
 from comfreylatch._process.cell import worker_table as worker_table_module
 
-# Interval between two checks of state that changes with time alone.
+# Interval between two checks of what changes without an event: repetitions that
+# fall due, leases that expire, stalled runs and maintenance.
 TICK_INTERVAL_MS = 100
 # Shortest interval between two placement passes over more than
 # BUSY_STEP_COUNT steps, as the cost of a pass grows with the number of steps.
 # A pass over fewer steps is made at once.
 BUSY_PASS_INTERVAL_MS = 25
 BUSY_STEP_COUNT = 24
-# The same interval as a multiple of the duration of the last pass, so that the
-# thread spends most of its time on the answers of workers.
+# The interval is at least this multiple of the duration of the last pass, so
+# that the thread spends most of its time on the answers of workers.
 PASS_INTERVAL_FACTOR = 3
 # Interval between two log lines on the load of the cell.
 REPORT_INTERVAL_MS = 1_000
-# Run numbers reserved per fencing token. A new owner starts above the range of
-# its predecessor, whose starts it can't all know, so that no run number is
-# used twice.
+# Run numbers reserved per fencing token. A new owner may not know all runs that
+# its predecessor started, so it numbers its own above the predecessor's range.
 RUN_NUMBERS_PER_TOKEN = 1_000
 
 _logger = logbook.Logger(__name__)
@@ -321,10 +321,10 @@
         self._run_maintenance(now_ms)
         self._reconciler.move_runs(now_ms)
         if self._is_settled and self._writer.may_act():
-            for copy in self._planner.place_speculative_runs(
+            for placement in self._planner.place_speculative_runs(
                 self._jobs, now_ms
             ):
-                self._dispatcher.send_start(copy.run)
+                self._dispatcher.send_start(placement.run)
         if now_ms - self._last_report_ms >= REPORT_INTERVAL_MS:
             self._last_report_ms = now_ms
             self._log_load()
@@ -341,7 +341,7 @@
         )
 
     def _check_settled(self, now_ms: int) -> None:
-        """Checks whether all runs of the previous owner are known."""
+        """Settles the takeover when the old owner's runs are known or over."""
         waited_ms = now_ms - self._started_ms
         known = self._recovered.known_workers
         is_timed_out = now_ms > self._recovered.release_after_ms
@@ -386,9 +386,9 @@
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
         """Requests advice on workers for steps whose queue requires it."""
-        wanted = steps + self._jobs.nearly_ready_steps()
+        advisable = steps + self._jobs.nearly_ready_steps()
         for request in self._advice_planner.plan_requests(
-            wanted, self._workers, now_ms
+            advisable, self._workers, now_ms
         ):
             if self._advice_fetcher is not None:
                 self._advice_fetcher.fetch(request)
@@ -411,10 +411,10 @@
 
     def _end_recorded_timer(self) -> Callable[[], None]:
         """Returns a callback that measures the time until ends are recorded."""
-        seen_ms = self._clock.monotonic_ms()
+        started_ms = self._clock.monotonic_ms()
 
         def observe() -> None:
-            took_ms = self._clock.monotonic_ms() - seen_ms
+            took_ms = self._clock.monotonic_ms() - started_ms
             self._metrics.observe(
                 metrics_module.Latency.END_RECORDED, took_ms * 1_000
             )
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -38,8 +38,8 @@
 # Interval between two checks of whether to claim the cell.
 CHECK_INTERVAL_MS = 40
 # Pause between two reads of the topic of jobs on a host that doesn't own the
-# cell. Each read costs a call to the store, and callers may be shown a state
-# that is two seconds old.
+# cell. It saves calls to the store; callers may be shown a state that is two
+# seconds old.
 STANDBY_READ_PAUSE_MS = 120
 CLAIM_TIMEOUT_MS = 800
 
@@ -50,7 +50,10 @@
 class Ownership:
     """Watches the owner of a cell and takes over when it fails.
 
-    Runs on a thread of its own.
+    Works on a thread of its own, which also runs the owner.
+
+    Attributes:
+        is_owner: Whether this host owns the cell and has taken over its state.
     """
 
     def __init__(
@@ -185,7 +188,7 @@
         return False
 
     def _find_own_claim(self, key: str) -> int | None:
-        """Returns the token of a claim whose answer was lost, if stored."""
+        """Returns the token of this host's claim if the store has it."""
         match self._deps.store.newest(
             records.CLAIMS_TOPIC, records.CLAIMS_PARTITION
         ):
@@ -205,10 +208,10 @@
         heartbeat = records.HeartbeatRecord(
             self._host.name, self._host.boot, token, zone=self._host.zone
         )
-        event_handlers: list[Callable[[events.Event], None]] = []
+        post_functions: list[Callable[[events.Event], None]] = []
 
         def on_fenced(detail: str) -> None:
-            for post in event_handlers:
+            for post in post_functions:
                 post(events.Fenced(detail))
 
         with fenced_writer_module.FencedWriter(
@@ -222,7 +225,7 @@
             with owner_module.Owner(
                 recovered, writer, deps, self._host.name
             ) as owner:
-                event_handlers.append(owner.post)
+                post_functions.append(owner.post)
                 for entry in deps.replica.listen(owner.post_change):
                     if entry.spec is None:
                         continue
--- a/src/comfreylatch/_process/cell/partition_reader.py
+++ b/src/comfreylatch/_process/cell/partition_reader.py
@@ -39,8 +39,8 @@
         store: The store.
         topic: Topic of the partition.
         partition: Number of the partition.
-        apply: Called with records in rising order of offset. The flag is set
-            if they are complete: the newest record of each key.
+        apply: Called with records in rising order of offset. The flag tells
+            whether they are complete: the newest record of each key.
         clock: Source of monotonic time.
         read_wait_ms: How long a read waits for a record.
         pause_ms: Pause between two reads, so that one read returns several
@@ -176,7 +176,8 @@
         with self._offset_changed:
             self._next_offset = batch.next_offset
             self._offset_changed.notify_all()
-        # A read without records waited for some until it returned.
+        # A read without records has waited for new ones until it returned, so
+        # the view was current when it returned.
         is_current = batch.next_offset >= batch.end_offset
         if not batch.records:
             self._synced_ms = self._clock.monotonic_ms()
--- a/src/comfreylatch/_process/cell/placement.py
+++ b/src/comfreylatch/_process/cell/placement.py
@@ -13,9 +13,8 @@
 from comfreylatch._process.cell import specs
 from comfreylatch._process.cell import worker_view
 
-# Penalties of a worker, in millicores of leftover capacity that they are worth.
-# Another rack multiplies a task's duration, a slow worker does so by its
-# slowness.
+# Penalties for another rack and for a slow worker, in millicores of leftover
+# capacity. Both multiply a task's duration, the latter by the slowness.
 OFF_RACK_COST = 60_000.0
 SLOWNESS_COST = 40_000.0
 # Penalty for each millicore that filling tasks would lose or lasting ones lack.
@@ -35,7 +34,7 @@
 def is_allowed(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
-    """Whether a worker may run a step's tasks, regardless of capacity."""
+    """Whether a worker may run one more task of a step, if it has capacity."""
     if not is_eligible(worker, step):
         return False
     limit = step.spec.max_per_worker
@@ -47,7 +46,7 @@
 def is_eligible(
     worker: worker_view.WorkerView, step: runs_module.StepInstance
 ) -> bool:
-    """Whether service and label match, regardless of policy and capacity."""
+    """Whether service and label match, regardless of tickets and capacity."""
     label = step.spec.required_label
     return worker.entry.service == step.job.spec.queue.service and (
         not label or label in worker.entry.labels
@@ -128,9 +127,9 @@
     for worker in workers:
         if not worker.fits(spec.need):
             continue
-        each = max(spec.need.cpu_millicores, 1)
+        millicores = max(spec.need.cpu_millicores, 1)
         fitting[worker.rack] = (
-            fitting.get(worker.rack, 0) + worker.free_cpu // each
+            fitting.get(worker.rack, 0) + worker.free_cpu // millicores
         )
     if not fitting:
         return ""
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -18,7 +18,8 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# How long a short task waits for capacity before it preempts a lasting one.
+# How long a step of short tasks waits for capacity, in milliseconds, before
+# it may preempt lasting runs.
 PREEMPTION_DELAY_MS = 40
 # Tasks of one step that one pass preempts lasting runs for.
 MAX_PREEMPTING_TASKS_PER_STEP = 8
@@ -40,11 +41,11 @@
 
     Attributes:
         workers: Workers that accept work.
-        cleared: Ids of workers that lasting tasks are kept off.
+        cleared: Ids of cleared workers; lasting tasks use them only if overdue.
         racks: The rack of each worker, by worker id.
         now_ms: Monotonic time of the pass.
-        min_unplaceable_millicores: Smallest size of an unconstrained task
-            that fit on no worker.
+        min_unplaceable_millicores: Smallest processor request of an
+            unconstrained task that fit on no worker.
         min_unplaceable_filling_millicores: The same for filling tasks, by
             image.
         candidates: Candidate workers of each step tried so far.
@@ -119,7 +120,7 @@
             self._place_task(task, this_pass, task.last_run + 1)
             for task in stragglers
         )
-        return [started for started in placed if started is not None]
+        return [one for one in placed if one is not None]
 
     def _new_pass(
         self, workers: list[worker_view.WorkerView], now_ms: int
@@ -134,7 +135,11 @@
     def clear_worker(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
-        """Clears a worker if waiting tasks justify it; returns runs to stop."""
+        """Clears a worker if waiting tasks justify it.
+
+        Returns:
+            The worker's lasting runs, which have to be stopped.
+        """
         demand = clearing.waiting_millicores(steps, self._interference, now_ms)
         if not demand:
             clearing.reopen_unused(self._workers, now_ms)
@@ -155,9 +160,9 @@
     ) -> list[runs_module.Run]:
         """Chooses lasting runs to stop for short tasks that fit nowhere.
 
-        A short job is worth as much as a lasting one is in two seconds, and
-        takes a fraction of the processors. The lasting task restarts once the
-        short ones are done.
+        A short job is worth as much as two seconds of a lasting one, for a
+        fraction of the processors. The lasting task restarts once the short
+        ones are done.
         """
         urgent = [step for step in steps if self._may_preempt(step, now_ms)]
         if not urgent:
@@ -165,7 +170,7 @@
         available = [
             worker for worker in self._workers if worker.accepts_work(now_ms)
         ]
-        lasting = sum(
+        lasting_count = sum(
             run.task.step.spec.is_lasting
             for worker in available
             for run in worker.runs.values()
@@ -178,7 +183,10 @@
             ]:
                 if capacity.reserve(task):
                     continue
-                if capacity.stopping_count >= lasting * MAX_STOPPING_SHARE:
+                if (
+                    capacity.stopping_count
+                    >= lasting_count * MAX_STOPPING_SHARE
+                ):
                     return victims
                 victim = capacity.find_victim(task)
                 if victim is None:
@@ -214,7 +222,7 @@
     def _is_known_unplaceable(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether placement would fail, as it did for a smaller task."""
+        """Whether a task of the same or a smaller size fit on no worker."""
         spec = step.spec
         unplaceable = this_pass.min_unplaceable_millicores
         if spec.fills_idle:
@@ -226,15 +234,15 @@
     def _record_unplaceable(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> None:
-        """Records a failed size, so that the pass skips tasks as large."""
+        """Records that a size fit nowhere, so that the pass skips it."""
         spec = step.spec
-        is_plain = not (
+        is_unconstrained = not (
             spec.required_label
             or spec.max_per_worker
             or spec.gpus
             or step.tickets is not None
         )
-        if not is_plain:
+        if not is_unconstrained:
             return
         if spec.fills_idle:
             before = this_pass.min_unplaceable_filling_millicores.get(
@@ -251,7 +259,7 @@
     def _is_memory_bound(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether a step lacked memory rather than processors."""
+        """Whether a worker has the processors, so that it lacks memory."""
         return any(
             worker.free_cpu >= step.spec.cpu_millicores
             for worker in this_pass.workers
@@ -260,9 +268,9 @@
     def _candidates(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> candidates_module.Candidates:
-        found = this_pass.candidates.get(step)
-        if found is not None:
-            return found
+        cached = this_pass.candidates.get(step)
+        if cached is not None:
+            return cached
         workers = this_pass.workers
         if step.spec.fills_idle:
             cost = self._filling_costs.cost(step)
@@ -271,9 +279,9 @@
             if step.spec.needs_one_rack and not rack:
                 rack = placement.roomiest_rack(workers, step.spec)
             cost = placement.reservation_cost(step, rack)
-        found = candidates_module.Candidates(workers, cost)
-        this_pass.candidates[step] = found
-        return found
+        cached = candidates_module.Candidates(workers, cost)
+        this_pass.candidates[step] = cached
+        return cached
 
     def _place_task(
         self, task: runs_module.Task, this_pass: _PlacementPass, number: int
@@ -315,9 +323,9 @@
         for task in step.tasks:
             placed = self._place_task(task, this_pass, number)
             if placed is None:
-                for made in placements:
-                    made.worker.remove(made.run)
-                    step.remove_run(made.run, this_pass.now_ms)
+                for earlier in placements:
+                    earlier.worker.remove(earlier.run)
+                    step.remove_run(earlier.run, this_pass.now_ms)
                 return []
             placements.append(placed)
         return placements
--- a/src/comfreylatch/_process/cell/preemption.py
+++ b/src/comfreylatch/_process/cell/preemption.py
@@ -55,7 +55,7 @@
     def find_victim(self, task: runs_module.Task) -> runs_module.Run | None:
         """Finds the smallest lasting run whose end lets a task fit.
 
-        Reserves the task's capacity on that worker.
+        Counts that run as ended and reserves the task's capacity.
         """
         need = task.step.spec.need
         best: runs_module.Run | None = None
--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -23,7 +23,7 @@
 COMPARISON_SD = 0.06
 # Weight of the prior: variance of a reading over variance of coefficients.
 PRIOR_WEIGHT = (COMPARISON_SD / 0.5) ** 2
-# The same for the excess of a pair of images over its filling image.
+# The same for a pair's excess over the coefficient of its filling image.
 PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
 # Maximum weight of a coefficient that was learned by a previous owner.
 MAX_RESTORED_WEIGHT = 0.2
@@ -137,9 +137,9 @@
         return self._priors.get(filling, _Prior())
 
     def _coefficient_weight(self, filling: str) -> float:
-        """Weight of an image's readings and prior."""
-        own = self._squares.get(filling, {}).get(filling, 0.0)
-        return own + self._prior(filling).weight
+        """Weight of an image's coefficient: of its readings and its prior."""
+        squares = self._squares.get(filling, {}).get(filling, 0.0)
+        return squares + self._prior(filling).weight
 
     def uncertainty(self, filling: str) -> float:
         """Returns the standard deviation of an image's coefficient."""
@@ -152,9 +152,10 @@
 
     def coefficient(self, serving: str, filling: str) -> float:
         """Returns the coefficient of a filling image on a serving image."""
-        own = self._pair_excesses.get((serving, filling), 0.0)
+        excess = self._pair_excesses.get((serving, filling), 0.0)
         return min(
-            max(self.common_coefficient(filling) + own, 0.0), MAX_COEFFICIENT
+            max(self.common_coefficient(filling) + excess, 0.0),
+            MAX_COEFFICIENT,
         )
 
     def discard_step(self, step: object) -> None:
@@ -176,8 +177,9 @@
             step: The task's step.
             serving: The task's image.
             worker_id: The worker it runs on.
-            load: Sum of load and pressures that the tail implies.
-            uses: Shares of the worker that filling images use, by image.
+            load: Sum of load and pressures that the tail latency implies.
+            uses: Shares of the worker's processors that filling tasks use, by
+                image.
             now_ms: Monotonic time of the reading.
         """
         comparison = self._open_comparisons.get(step)
@@ -216,7 +218,7 @@
     def _add_differences(
         self, serving: str, load: float, differences: Mapping[str, float]
     ) -> None:
-        """Adds a load difference and the use differences that explain it."""
+        """Adds the load and use differences of one reading to the sums."""
         unexplained = load - sum(
             self.coefficient(serving, name) * use
             for name, use in differences.items()
@@ -226,10 +228,10 @@
             for other, other_use in differences.items():
                 row[other] = row.get(other, 0.0) + use * other_use
             self._products[name] = self._products.get(name, 0.0) + use * load
-            own = self._pair_excesses.get((serving, name), 0.0)
+            excess = self._pair_excesses.get((serving, name), 0.0)
             sums = self._pairs.setdefault((serving, name), _PairSums())
             sums.squares += use * use
-            sums.products += use * (unexplained + own * use)
+            sums.products += use * (unexplained + excess * use)
 
     def _fit_coefficients(self, now_ms: int) -> None:
         """Decays the sums and solves them for the coefficients."""
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -66,7 +66,7 @@
         self._queues: dict[str, QueueWork] = {}
 
     def add_job(self, job: runs_module.ActiveJob) -> None:
-        """Adds a new job to the mean work of its queue."""
+        """Adds the work of a new job to the mean of its queue."""
         queue = job.spec.queue.name
         work = self._queues.setdefault(queue, QueueWork())
         work.observe(self._total_core_ms(job))
@@ -120,8 +120,8 @@
                 ),
                 default=0.0,
             )
-            own_ms = estimate_ms if step.unfinished_count else 0.0
-            end_times_ms.append(start_ms + own_ms)
+            remaining_ms = estimate_ms if step.unfinished_count else 0.0
+            end_times_ms.append(start_ms + remaining_ms)
             core_ms += (
                 step.unfinished_count
                 * estimate_ms
--- a/src/comfreylatch/_process/cell/recorded_workers.py
+++ b/src/comfreylatch/_process/cell/recorded_workers.py
@@ -54,7 +54,7 @@
         if not is_settled:
             born_ms = {**self._predecessor_workers, **born_ms}
         if born_ms == self._queued:
-            # The stored record counts only if no newer one is queued.
+            # The stored record allows starts only if no newer one is queued.
             if self._recorded is self._queued:
                 self._workers.allow_starts(born_ms)
             return
--- a/src/comfreylatch/_process/cell/records.py
+++ b/src/comfreylatch/_process/cell/records.py
@@ -105,10 +105,10 @@
 
 @attrs.frozen
 class StepProgress:
-    """Progress of one step of one repetition.
+    """Progress of one step in one occurrence of a job.
 
     Attributes:
-        occurrence: Number of the repetition.
+        occurrence: Number of the occurrence.
         step: Number of the step.
         done: Indexes of the tasks that are done.
         failed_runs: Numbers of the failed runs, by task index.
@@ -142,7 +142,7 @@
 
 @attrs.frozen
 class LearnedPressure:
-    """Interference coefficient of a filling image and weight of its samples."""
+    """Interference coefficient of a filling image, and its weight."""
 
     filling: str
     coefficient: float
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -20,9 +20,10 @@
 from comfreylatch._process.cell import worker_view
 
 # Time for which a worker gets no new runs after it has refused one for lack of
-# capacity that the owner thought free. Until then the worker can report the
+# capacity that the owner thought free. Meanwhile the worker can report
 # ends that the owner doesn't know of.
 NO_ROOM_PAUSE_MS = 300
+# The same after a refusal because the worker is unhealthy.
 UNHEALTHY_PAUSE_MS = 1_000
 # Pace, in percent, at or below which a filling task counts as slow. A run that
 # stays slow is moved if it can resume from a checkpoint.
@@ -133,7 +134,7 @@
             self._interference.discard_step(step)
 
     def handle_lost(self, lost: worker_table_module.LostRuns) -> None:
-        """Removes runs that are certainly over, but whose end is unknown."""
+        """Removes runs that are certainly over without a reported end."""
         for run in lost.runs:
             logs.event(
                 _logger,
@@ -180,7 +181,7 @@
                 )
 
     def confirm(self, run: runs_module.Run, now_ms: int) -> None:
-        """Marks a run as confirmed by its worker."""
+        """Records that the worker has confirmed the start of a run."""
         run.is_in_doubt = False
         run.confirmed_ms = now_ms
         run.progressed_ms = now_ms
@@ -274,7 +275,7 @@
             session.pace(run.task.name, run.number, change.percent)
 
     def resolve_doubt(self, run: runs_module.Run) -> None:
-        """Resolves an unanswered order: stops a start, repeats a stop."""
+        """Resolves a lost answer: repeats a stop, or stops the run."""
         run.is_in_doubt = False
         if run.phase is runs_module.RunPhase.STOPPING:
             self.send_stop(run)
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -22,9 +22,8 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# Consecutive failed runs, of tasks of different jobs, after which a worker is
-# considered faulty and avoided for a while. By chance, this happens once in ten
-# thousand.
+# Consecutive failed runs, of any jobs, after which a worker is considered
+# faulty and avoided for a while. By chance, this happens once in ten thousand.
 FAILURES_BEFORE_AVOIDANCE = 3
 FAILING_WORKER_AVOIDANCE_MS = 5_000
 # Time without progress after which a run is considered stalled while its worker
@@ -32,10 +31,10 @@
 STALL_TIMEOUT_MS = 2_500
 # Time at a low pace after which a run with checkpoints is moved.
 SLOW_TIMEOUT_MS = 1_200
-# Weight of a new run in the moving average of a worker's slowness.
+# Weight of the newest run in the exponential average of a worker's slowness.
 SLOWNESS_SMOOTHING = 0.3
-# Most ends in one hold answer. A run missing from an answer with so many may
-# have ended without being listed.
+# Most ends in one hold answer. A run missing from an answer with this many may
+# have ended although its end isn't listed.
 MAX_LISTED_ENDS = 500
 
 _logger = logbook.Logger(__name__)
@@ -70,7 +69,7 @@
     def handle_hold(
         self, event: events.HoldReturned, answer: cell_workers.HoldAnswer
     ) -> bool:
-        """Processes a worker's lists of running tasks and ends.
+        """Applies a hold answer, which lists running tasks and ended runs.
 
         Returns:
             Whether there are new ends to record.
@@ -147,9 +146,10 @@
     def _observe_duration(
         self, worker: worker_view.WorkerView, run: runs_module.Run
     ) -> None:
-        """Updates the duration model and the slowness of the worker.
+        """Adds a completed run to the duration model and the worker's slowness.
 
-        The run must not have been interrupted. Skips filling tasks and gangs.
+        Only for tasks without a checkpoint, as others may have been resumed.
+        Skips filling tasks and gangs.
         """
         step = run.task.step
         if step.spec.fills_idle or step.spec.is_gang or not run.confirmed_ms:
@@ -218,7 +218,7 @@
         listed: cell_workers.RunningTask,
         now_ms: int,
     ) -> None:
-        """Adopts a run that a previous owner started, or stops it."""
+        """Adopts a previous owner's run if its task needs it, else stops it."""
         task = self._jobs.find_task(listed.task)
         should_adopt = (
             task is not None
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -59,16 +59,17 @@
             start or stop order; 0 before.
         percent: Progress as last reported.
         progressed_ms: Monotonic time at which the progress last rose.
-        reading: Usage, or tail latency of a lasting task, as last reported.
+        reading: Tail latency in milliseconds of a task with a tail target, else
+            the millicores in use, as last reported.
         pace_percent: Pace that was last ordered.
         slow_since_ms: Monotonic time since which its pace has been too low for
             useful progress; 0 while it isn't.
         intensity: Share of its request that a filling task uses at full pace;
             tasks alternate between heavy and light phases.
         pace_changed_ms: Monotonic time of the last change of pace; 0 before.
-        unanswered: Consecutive orders without an answer.
-        is_in_doubt: Whether the worker may have carried out an order, or may
-            still do so, without a confirmation.
+        unanswered_tries: Tries of its start order that got no answer.
+        is_in_doubt: Whether an order is unconfirmed that the worker may have
+            carried out or may still carry out.
     """
 
     task: Task
@@ -138,11 +139,11 @@
 
 @attrs.define(eq=False)
 class StepInstance:
-    """One step of one repetition of a job.
+    """One step in one occurrence of a job.
 
     Attributes:
         job: The job it belongs to.
-        occurrence: Number of the repetition.
+        occurrence: Number of the occurrence.
         number: Number of the step.
         spec: The step as submitted.
         tasks: Its tasks in the order of their indexes.
@@ -150,7 +151,8 @@
         unfinished_count: Number of tasks that are not done.
         runs_per_worker: Number of runs by worker.
         tickets: Tickets by worker if the queue requires advice, else None.
-        ready_ms: Monotonic time since which it may run.
+        ready_ms: Monotonic time at which the steps that it depends on were
+            done; 0 before.
         durations_ms: Durations of its runs that ran from start to end without
             an interruption.
     """
@@ -230,11 +232,14 @@
 class ActiveJob:
     """A job that has not ended.
 
+    Its steps run once in each occurrence; a job without repetitions has one
+    occurrence.
+
     Attributes:
         spec: The job as submitted.
         accepted_ms: When it was accepted, on this host's monotonic clock.
-        steps: Steps of the occurrences that are due, by occurrence.
-        next_occurrence: The first occurrence that is not due yet.
+        steps: Steps of the occurrences created so far, by occurrence.
+        next_occurrence: The occurrence after the last one created so far.
         state: State as last recorded.
         is_cancelled: Whether a caller has cancelled it.
         is_dirty: Whether its progress has to be recorded.
@@ -260,13 +265,13 @@
         return max(self.spec.repetitions, 1)
 
     def due_wall_ms(self, occurrence: int) -> int:
-        """Wall time at which a repetition is due; 0 for at once."""
+        """Wall time at which an occurrence is due; 0 for at once."""
         if self.spec.repetitions == 0:
             return 0
         return self.spec.first_due_ms + occurrence * self.spec.interval_ms
 
     def create_occurrence(self, occurrence: int) -> list[StepInstance]:
-        """Creates the steps of a repetition."""
+        """Creates the steps of an occurrence."""
         steps = []
         for number, spec in enumerate(self.spec.steps):
             step = StepInstance(self, occurrence, number, spec)
@@ -284,7 +289,7 @@
         return steps
 
     def all_steps(self) -> Iterator[StepInstance]:
-        """Yields the steps of all repetitions that are due."""
+        """Yields the steps of all occurrences created so far."""
         for steps in self.steps.values():
             yield from steps
 
@@ -295,7 +300,7 @@
                 yield from task.runs
 
     def find(self, occurrence: int, step: int, index: int) -> Task | None:
-        """Returns a task by its numbers; None if there is none."""
+        """Returns the task with these numbers; None if there is none."""
         steps = self.steps.get(occurrence)
         if steps is None or not 0 <= step < len(steps):
             return None
@@ -304,7 +309,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every task of every repetition is done."""
+        """Whether every task of every occurrence is done."""
         if self.next_occurrence < self.occurrence_count:
             return False
         return all(step.unfinished_count == 0 for step in self.all_steps())
@@ -319,7 +324,7 @@
         )
 
     def is_nearly_ready(self, step: StepInstance) -> bool:
-        """Whether all tasks that a step waits for are at least half done."""
+        """Whether all tasks that a step depends on are at least half done."""
         siblings = self.steps[step.occurrence]
         return all(
             task.is_done or any(run.percent >= 50 for run in task.runs)
--- a/src/comfreylatch/_process/cell/specs.py
+++ b/src/comfreylatch/_process/cell/specs.py
@@ -90,9 +90,9 @@
         service: Pool of workers that runs its tasks.
         priority: 0 is the highest and may preempt others.
         max_attempts: Failed runs of a task after which its job fails.
-        slack_factor: Multiple of its longest chain of steps in which a job
-            should complete.
-        target_ms: Time added to that.
+        slack_factor: Multiple of the duration of its longest chain of steps in
+            which a job should complete.
+        target_ms: Time added to this product.
         advice: Advice policy; None if none is required.
     """
 
@@ -151,9 +151,10 @@
         queue: The queue that accepted it.
         payload: Text passed to each task.
         steps: Its steps, in the order of their numbers.
-        repetitions: Number of times that the steps run; 0 for once, at once.
-        first_due_ms: Wall time at which the first repetition is due.
-        interval_ms: Interval between two repetitions.
+        repetitions: Number of occurrences of a job that repeats; 0 if its steps
+            run once, at once.
+        first_due_ms: Wall time at which the first occurrence is due.
+        interval_ms: Interval between two occurrences.
         accepted_wall_ms: Wall time of the accepting host at acceptance.
     """
 
--- a/src/comfreylatch/_process/cell/wave_state.py
+++ b/src/comfreylatch/_process/cell/wave_state.py
@@ -27,8 +27,8 @@
         machine_id: Its id.
         phase: Its current phase.
         worker_id: Worker on the machine when its evacuation started.
-        since_ms: When it entered the phase.
-        not_before_ms: No order before this monotonic time.
+        since_ms: Monotonic time at which it entered the phase.
+        not_before_ms: Earliest monotonic time of the next evacuation or order.
     """
 
     machine_id: str
@@ -44,9 +44,9 @@
 
     Attributes:
         wave: The wave that operators requested.
-        began_wall_ms: When it was first seen.
+        began_wall_ms: Wall time at which an owner first saw it.
         machines: Progress of its machines, by id.
-        is_completed: All machines are maintained or no longer listed.
+        is_completed: Whether all machines are maintained or no longer listed.
         reported: Completion last reported to the operators; None before the
             first report.
     """
--- a/src/comfreylatch/_process/cell/worker_session.py
+++ b/src/comfreylatch/_process/cell/worker_session.py
@@ -42,7 +42,7 @@
     Attributes:
         token: The owner's fencing token.
         lease_ms: Duration of a lease on the worker's clock.
-        may_renew: Whether this host is still the owner.
+        may_renew: Tells whether this host is still the owner.
     """
 
     token: int
@@ -165,7 +165,7 @@
         if self._clock_read_ms == 0 or not self._lease.may_renew():
             return 0
         if self._is_failing:
-            # The worker's runs are unknown, so let their lease expire.
+            # What the worker runs is unknown, so its lease is left to expire.
             return 0
         elapsed_ms = self._clock.monotonic_ms() - self._clock_read_ms
         deadline_ms = self._clock_ms + elapsed_ms + self._lease.lease_ms
@@ -196,7 +196,7 @@
                     self._clock_ms = answer.clock_ms
                     self._clock_read_ms = received_ms
                     if self._is_failing or is_first:
-                        # The answered call renewed no lease; renew at once.
+                        # The call sent no deadline; renew the lease at once.
                         wait_ms = 0
                     self._is_failing = False
                 case result.Err(_):
@@ -259,7 +259,7 @@
         )
         while tries < MAX_START_ATTEMPTS:
             deadline_ms = self._deadline_ms()
-            # The run may have been abandoned while its start was queued.
+            # The run may have been stopped while its start order was queued.
             if deadline_ms == 0 or not order.run.should_start:
                 break
             tries += 1
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -142,7 +142,11 @@
         return LostRuns(tuple(lost), reasons.LossReason.REBORN)
 
     def handle_hold(self, event: events.HoldReturned) -> bool:
-        """Applies a hold's outcome; False if it is of a former incarnation."""
+        """Applies the outcome of a hold call.
+
+        Returns:
+            False if the call was to a former incarnation and is ignored.
+        """
         view = self._views.get(event.worker_id)
         if view is None or view.entry.born_ms != event.born_ms:
             return False
@@ -190,7 +194,7 @@
         return new
 
     def acknowledger(self, worker_id: str) -> Callable[[], None] | None:
-        """Returns a function that acknowledges the ends processed so far."""
+        """Returns a function that acknowledges the ends processed by now."""
         session = self._sessions.get(worker_id)
         if session is None:
             return None
--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -14,6 +14,7 @@
 # Share of a lasting task's processors counted as used where its own usage is
 # not reported; filling tasks may use the rest.
 ASSUMED_LASTING_USE_SHARE = 0.5
+# A label that contains this text is the name of a rack.
 RACK_LABEL_MARKER = "-"
 
 
@@ -23,8 +24,9 @@
 
     Attributes:
         entry: The entry that it publishes.
-        is_listed: Its entry is in the store.
-        unlisted_since_ms: When its entry went missing; 0 while it is listed.
+        is_listed: Whether its entry is in the store.
+        unlisted_since_ms: Monotonic time at which its entry went missing; 0
+            while it is listed.
         free_cpu: Millicores that no run has reserved.
         free_memory: Megabytes that no run has reserved.
         free_gpus: GPUs that no run has reserved.
@@ -32,17 +34,20 @@
         clock_ms: Its clock as last read.
         clock_read_ms: Monotonic time at which that reading arrived.
         deadline_ms: Latest lease deadline ever sent to it, on its clock.
-        answered_ms: When it last answered a hold; 0 before the first.
-        failing_since_ms: When its calls began to fail; 0 while they don't.
+        answered_ms: Monotonic time at which it last answered a hold; 0 before
+            the first answer.
+        failing_since_ms: Monotonic time at which its calls began to fail; 0
+            while they don't.
         fill_millicores: Processors requested by filling tasks.
         lasting_millicores: Processors reserved by lasting tasks.
         avoided_until_ms: No new work before this time, as too many runs fail.
         recent_failures: Consecutive failed runs, across jobs.
         slowness: Smoothed ratio of its tasks' durations to their peers'.
         revision: Increases with every change to what may be placed on it.
-        is_recorded: The store has a record of this incarnation, so that the
-            next owner will ask it for its runs.
-        is_being_emptied: Its runs are moved off for its machine's maintenance.
+        is_recorded: Whether the store has a record of this incarnation, so that
+            the next owner will ask it for its runs.
+        is_being_emptied: Whether its runs are moved off for its machine's
+            maintenance.
         cleared_until_ms: No lasting tasks before this time.
         release_after_ms: For a worker that has never answered this owner: the
             time by which the previous owner's leases have certainly ended.
@@ -130,6 +135,7 @@
             self._reserve(run, -1)
 
     def _reserve(self, run: runs_module.Run, sign: int) -> None:
+        """Reserves what a run needs; with a `sign` of -1, releases it."""
         self.revision += 1
         spec = run.task.step.spec
         need = spec.need
@@ -142,7 +148,7 @@
             self.lasting_millicores += sign * spec.cpu_millicores
 
     def lease_expiry_ms(self) -> int:
-        """Monotonic time after which no run that we started is on it."""
+        """Monotonic time after which no run of an owner is left on it."""
         if self.clock_read_ms == 0:
             return self.release_after_ms
         remaining_ms = max(self.deadline_ms - self.clock_ms, 0)
