--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -33,7 +33,7 @@
 CAPACITY_FACTOR = 2.0
 # Assumed share of workers that a policy allows, until answers show it.
 PRIOR_ALLOWED_SHARE = 0.5
-# Number of answered workers that the prior share counts for.
+# Number of decisions on workers that the prior share counts for.
 PRIOR_WEIGHT = 4.0
 # A ticket is not used this close to its expiry, as a start takes a while.
 TICKET_MARGIN_MS = 250
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -52,7 +52,8 @@
 # Interval between two log lines on the load of the cell.
 REPORT_INTERVAL_MS = 1_000
 # Run numbers reserved per fencing token. A new owner may not know all runs that
-# its predecessor started, so it numbers its own above the predecessor's range.
+# its predecessor started, so it numbers its own above the predecessor's range;
+# no run number is then used twice.
 RUN_NUMBERS_PER_TOKEN = 1_000
 
 _logger = logbook.Logger(__name__)
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -120,7 +120,7 @@
             self._place_task(task, this_pass, task.last_run + 1)
             for task in stragglers
         )
-        return [one for one in placed if one is not None]
+        return [placed_run for placed_run in placed if placed_run is not None]
 
     def _new_pass(
         self, workers: list[worker_view.WorkerView], now_ms: int
@@ -259,7 +259,7 @@
     def _is_memory_bound(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether a worker has the processors, so that it lacks memory."""
+        """Whether some worker has enough processors, so that memory is short."""
         return any(
             worker.free_cpu >= step.spec.cpu_millicores
             for worker in this_pass.workers
