--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -150,7 +150,7 @@
         running: tuple[cell_workers.RunningTask, ...] = (),
         ended: tuple[cell_workers.EndedRun, ...] = (),
     ) -> None:
-        """Processes a worker's lists of running tasks and ends."""
+        """Answers a hold call with running tasks and ended runs."""
         now_ms = self.clock.monotonic_ms()
         answer = cell_workers.HoldAnswer(now_ms, running, ended)
         event = events.HoldReturned(
@@ -160,9 +160,9 @@
         self.reconciler.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
-        """Processes a hold call without an answer."""
+        """Has a hold call end without an answer."""
         now_ms = self.clock.monotonic_ms()
-        error = cell_workers.OrderUnanswered("dark")
+        error = cell_workers.OrderUnanswered("no answer")
         self.workers.handle_hold(
             events.HoldReturned(
                 worker_id, 1, now_ms, now_ms, 0, result.Err(error)
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -22,7 +22,7 @@
         worker.entry = attrs.evolve(worker.entry, is_draining=True)
         cell.reconciler.move_runs(cell.clock.now_ms)
 
-    def stops(self, step: object, percent: float = 10.0) -> int:
+    def count_stops(self, step: object, percent: float = 10.0) -> int:
         """Returns how many runs of a step stop when their worker drains."""
         cell = harness.Cell(workers=1)
         cell.submit(harness.job(step))  # type: ignore[arg-type]
@@ -32,25 +32,25 @@
         return len(cell.sessions["w1"].stops)
 
     def test_lasting_task_moves(self) -> None:
-        self.assertEqual(1, self.stops(harness.step(is_lasting=True)))
+        self.assertEqual(1, self.count_stops(harness.step(is_lasting=True)))
 
     def test_long_task_with_checkpoints_moves(self) -> None:
         step = harness.step(estimated_ms=9_000, has_checkpoints=True)
-        self.assertEqual(1, self.stops(step))
+        self.assertEqual(1, self.count_stops(step))
 
     def test_task_that_will_end_in_time_stays(self) -> None:
         step = harness.step(estimated_ms=9_000, has_checkpoints=True)
-        self.assertEqual(0, self.stops(step, percent=90.0))
+        self.assertEqual(0, self.count_stops(step, percent=90.0))
 
     def test_task_without_checkpoints_stays(self) -> None:
-        self.assertEqual(0, self.stops(harness.step(estimated_ms=9_000)))
+        self.assertEqual(0, self.count_stops(harness.step(estimated_ms=9_000)))
 
 
 class EmptiedWorkerTest(testtools.TestCase):
     """A worker that is emptied for its machine's maintenance."""
 
-    def stops(self, **fields: object) -> int:
-        """Returns how many of its three lasting tasks are stopped at once."""
+    def count_stops(self, **fields: object) -> int:
+        """Returns how many of the three lasting tasks are stopped at once."""
         cell = harness.Cell(workers=1)
         step = harness.step(3, is_lasting=True, **fields)
         cell.submit(harness.job(step))
@@ -66,17 +66,17 @@
         return len(cell.sessions["w1"].stops)
 
     def test_lasting_tasks_move_at_once(self) -> None:
-        self.assertEqual(3, self.stops())
+        self.assertEqual(3, self.count_stops())
 
     def test_limit_on_unavailable_tasks_is_kept(self) -> None:
-        self.assertEqual(1, self.stops(max_unavailable=1))
+        self.assertEqual(1, self.count_stops(max_unavailable=1))
 
 
 class StragglerTest(testtools.TestCase):
     """One task of a step takes much longer than its siblings."""
 
     def cell_with_straggler(self, is_speculative: bool) -> harness.Cell:
-        """Finishes two of three tasks in half a second."""
+        """Returns a cell in which two of three tasks have ended early."""
         cell = harness.Cell(workers=3, cpu_millicores=1_000)
         cell.submit(harness.job(harness.step(3, is_speculative=is_speculative)))
         first, second, _ = cell.place()
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -37,9 +37,9 @@
         self, writer: fenced_writer_module.FencedWriter, key: str
     ) -> bool:
         """Writes a record; returns whether it was reported as stored."""
-        kept = threading.Event()
-        writer.write({key: b"{}"}, {}, [kept.set])
-        return kept.wait(WAIT_S)
+        stored = threading.Event()
+        writer.write({key: b"{}"}, {}, [stored.set])
+        return stored.wait(WAIT_S)
 
     def test_lost_answer_writes_once(self) -> None:
         with self.make_writer(1) as writer:
@@ -50,7 +50,7 @@
         self.assertEqual(1, keys.count("state/a"))
 
     def test_first_try_of_an_append_is_short(self) -> None:
-        # Guards against the loss of a cell to lost answers: two in a row kept
+        # Guards against the loss of a cell to lost answers: two in a row stored
         # the owner from writing for longer than OWNER_TIMEOUT_MS.
         self.store.lose_answers = 3
         with self.make_writer(1) as writer:
@@ -67,7 +67,7 @@
             ).start()
             self.assertTrue(self.write(writer, "state/a"))
 
-    def test_higher_epoch_fences_the_writer(self) -> None:
+    def test_higher_token_fences_the_writer(self) -> None:
         with self.make_writer(1) as old:
             old.fence()
             with self.make_writer(2) as new:
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -32,7 +32,7 @@
         self.filling: Any = None
 
     def tail_ms(self) -> int:
-        """Returns the tail of a queue with these loads."""
+        """Returns the tail latency that the model implies for these loads."""
         busy = self.load
         if self.filling is not None:
             used = 0.25 * self.filling.pace_percent / 100
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -86,13 +86,13 @@
     def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
         self.assertEqual(job_api_module.UnknownJob(), self.job_api.state(ID))
         self.store.is_down = True
-        old = testtools.matchers.IsInstance(job_api_module.StaleView)
-        deadline = clock_port.SystemClock()
-        until_ms = deadline.monotonic_ms() + 5_000
-        while deadline.monotonic_ms() < until_ms:
-            if old.match(self.job_api.state(ID)) is None:
+        is_stale = testtools.matchers.IsInstance(job_api_module.StaleView)
+        clock = clock_port.SystemClock()
+        deadline_ms = clock.monotonic_ms() + 5_000
+        while clock.monotonic_ms() < deadline_ms:
+            if is_stale.match(self.job_api.state(ID)) is None:
                 return
-        self.fail("an old view still denied a job")
+        self.fail("a stale view still denied a job")
 
     def test_expired_records_cause_a_complete_read(self) -> None:
         self.submit()
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -56,12 +56,16 @@
             metrics.Metrics(),
         )
 
-    def execute_step(self, wave: machines_port.Wave = WAVE) -> list[Any]:
-        """Executes a listing action; returns the other actions."""
+    def plan_and_list_machines(
+        self, wave: machines_port.Wave = WAVE
+    ) -> list[Any]:
+        """Plans, and lists machines if planned; returns the other actions."""
         now_ms = self.cell.clock.monotonic_ms()
         actions = self.plan_actions(wave)
         self.reports += [
-            one for one in actions if isinstance(one, wave_state.ReportWave)
+            action
+            for action in actions
+            if isinstance(action, wave_state.ReportWave)
         ]
         if wave_state.ListMachines() not in actions:
             return actions
@@ -74,7 +78,9 @@
             self.cell.workers.by_id(),
             now_ms,
         )
-        return [one for one in actions if one != wave_state.ListMachines()]
+        return [
+            action for action in actions if action != wave_state.ListMachines()
+        ]
 
     def plan_actions(self, wave: machines_port.Wave) -> list[Any]:
         """Returns the actions due now."""
@@ -92,9 +98,9 @@
             self.cell.clock.advance(100)
             self.cell.reconciler.move_runs(self.cell.clock.monotonic_ms())
             found += [
-                one.machine_id
-                for one in self.execute_step(wave)
-                if isinstance(one, wave_state.OrderMaintenance)
+                action.machine_id
+                for action in self.plan_and_list_machines(wave)
+                if isinstance(action, wave_state.OrderMaintenance)
             ]
         return found
 
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -114,8 +114,8 @@
         for _ in range(30):
             cell.clock.advance(500)
             for run in runs:
-                answer = harness.running_task(run, 100.0, 16)
-                cell.answer_hold(run.worker_id, running=(answer,))
+                task = harness.running_task(run, 100.0, 16)
+                cell.answer_hold(run.worker_id, running=(task,))
         cell.submit(
             harness.job(
                 harness.step(
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -61,14 +61,16 @@
     def __init__(self, host: Host, worker: fake_workers.FakeWorker) -> None:
         self._host = host
         self._worker = worker
-        self._dark = fake_workers.FakeWorker(
+        self._unreachable_worker = fake_workers.FakeWorker(
             worker.entry, clock_port.SystemClock()
         )
-        self._dark.is_unreachable = True
+        self._unreachable_worker.is_unreachable = True
 
     def __getattr__(self, name: str) -> Any:
         is_unreachable = self._host.is_unreachable
-        return getattr(self._dark if is_unreachable else self._worker, name)
+        return getattr(
+            self._unreachable_worker if is_unreachable else self._worker, name
+        )
 
 
 class FixedWorkerList:
@@ -131,7 +133,7 @@
         self.job_api = job_api_module.JobApi(
             self.replica, self.reader, appender, metrics_registry, clock
         )
-        entries = {name: one.entry for name, one in workers.items()}
+        entries = {name: worker.entry for name, worker in workers.items()}
         self.deps = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
--- a/tests/process/cell/test_worker_session.py
+++ b/tests/process/cell/test_worker_session.py
@@ -28,9 +28,9 @@
         self.may_renew = True
         entry = fake_workers.entry("w1")
         self.worker = fake_workers.FakeWorker(entry, clock)
-        terms = worker_session.LeaseParameters(1, 4_000, lambda: self.may_renew)
+        lease = worker_session.LeaseParameters(1, 4_000, lambda: self.may_renew)
         self.session = worker_session.WorkerSession(
-            entry, self.worker, terms, self.events.append, clock
+            entry, self.worker, lease, self.events.append, clock
         )
         stack = contextlib.ExitStack()
         self.addCleanup(stack.close)
@@ -43,8 +43,8 @@
             self.assertLess(time.monotonic(), deadline_s)
             time.sleep(0.01)
 
-    def holds(self, kind: type) -> list[Any]:
-        """Returns the holds with an outcome of a kind."""
+    def hold_events(self, kind: type) -> list[Any]:
+        """Returns the events of hold calls with an outcome of a kind."""
         return [
             event
             for event in list(self.events)
@@ -60,10 +60,12 @@
         # of a worker that was gone were never counted as lost.
         self.wait_for(lambda: self.worker.deadlines_ms)
         self.worker.is_unreachable = True
-        self.wait_for(lambda: len(self.holds(result.Err)) >= 1)
+        self.wait_for(lambda: len(self.hold_events(result.Err)) >= 1)
         before_ms = self.session.latest_deadline_ms
-        failed_count = len(self.holds(result.Err))
-        self.wait_for(lambda: len(self.holds(result.Err)) >= failed_count + 3)
+        failed_count = len(self.hold_events(result.Err))
+        self.wait_for(
+            lambda: len(self.hold_events(result.Err)) >= failed_count + 3
+        )
         self.assertEqual(before_ms, self.session.latest_deadline_ms)
 
     def test_host_that_lost_ownership_starts_nothing(self) -> None:
