--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -259,7 +259,7 @@
     def _is_memory_bound(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether some worker has enough processors, so that memory is short."""
+        """Whether some worker has the processors, so that memory is short."""
         return any(
             worker.free_cpu >= step.spec.cpu_millicores
             for worker in this_pass.workers
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -50,7 +50,7 @@
         self.assertEqual(1, keys.count("state/a"))
 
     def test_first_try_of_an_append_is_short(self) -> None:
-        # Guards against the loss of a cell to lost answers: two in a row stored
+        # Guards against the loss of a cell to lost answers: two in a row kept
         # the owner from writing for longer than OWNER_TIMEOUT_MS.
         self.store.lose_answers = 3
         with self.make_writer(1) as writer:
