--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -62,28 +62,36 @@
 def reopen_unused(
     workers: Iterable[worker_view.WorkerView], now_ms: int
 ) -> None:
-    """Reopens little-used cleared workers; called when no task waits."""
+    """Reopens little-used_millicores cleared workers; called when no task waits."""
     for worker in workers:
         if now_ms >= worker.cleared_until_ms:
             continue
-        used = worker.fill_millicores
-        if used < MIN_USE_SHARE * worker.entry.capacity.cpu_millicores:
+        used_millicores = worker.fill_millicores
+        if (
+            used_millicores
+            < MIN_USE_SHARE * worker.entry.capacity.cpu_millicores
+        ):
             worker.cleared_until_ms = now_ms
 
 
 def choose_worker(
-    workers: list[worker_view.WorkerView], demand: int, now_ms: int
+    workers: list[worker_view.WorkerView], demand_millicores: int, now_ms: int
 ) -> worker_view.WorkerView | None:
     """Returns the worker to clear next; None if clearing isn't justified."""
     cleared = [worker for worker in workers if now_ms < worker.cleared_until_ms]
     if len(cleared) >= max(MAX_CLEARED_SHARE * len(workers), 1):
         return None
-    demand -= sum(max(worker.idle_millicores, 0) for worker in cleared)
+    demand_millicores -= sum(
+        max(worker.idle_millicores, 0) for worker in cleared
+    )
     candidates = [worker for worker in workers if _may_clear(worker, now_ms)]
     if not candidates:
         return None
     best = max(candidates, key=_benefit_ratio)
-    if demand < MIN_DEMAND_SHARE * best.entry.capacity.cpu_millicores:
+    if (
+        demand_millicores
+        < MIN_DEMAND_SHARE * best.entry.capacity.cpu_millicores
+    ):
         return None
     return best
 
--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -158,16 +158,16 @@
         base_ms = min(self._base_tail_ms(run), run.reading)
         self._base_ms[image] = base_ms
         observed_load = 1 - base_ms / run.reading
-        state = self.load_estimate(run)
-        state.predict(now_ms)
+        estimate = self.load_estimate(run)
+        estimate.predict(now_ms)
         pressure = sum(
             self.coefficient(image, filling) * use
             for filling, use in uses.items()
         )
-        error = observed_load - state.load - pressure
+        error = observed_load - estimate.load - pressure
         if observed_load > SATURATED_LOAD:
             if error > 0:
-                state.update(error, now_ms)
+                estimate.update(error, now_ms)
             return
         self.pressures.observe(
             run.task.step, image, run.worker_id, observed_load, uses, now_ms
@@ -176,7 +176,7 @@
         # Readings are rounded, and coefficients are uncertain.
         variance += (ROUNDING_SD_MS * base_ms / run.reading**2) ** 2
         variance += sum((COEFFICIENT_SD * use) ** 2 for use in uses.values())
-        state.update(error, now_ms, variance)
+        estimate.update(error, now_ms, variance)
 
     def slacks(self, worker: worker_view.WorkerView) -> tuple[Slack, ...]:
         """Forecasts the slack of each lasting step on a worker."""
@@ -295,22 +295,28 @@
         budget = self.load_limit(run) - self.load_estimate(run).forecast(
             PACE_FORECAST_MS
         )
-        full = {
+        full_pressures = {
             fill: self.coefficient(image, _image(fill))
             * fill.task.step.spec.cpu_millicores
             * fill.intensity**2
             / cpu
             for fill in paces
         }
-        total = sum(full[fill] * paces[fill] / FULL_PACE for fill in paces)
-        for fill in sorted(paces, key=lambda run: -full[run]):
+        total_pressure = sum(
+            full_pressures[fill] * paces[fill] / FULL_PACE for fill in paces
+        )
+        for fill in sorted(paces, key=lambda run: -full_pressures[run]):
             margin = PACE_RAISE_MARGIN if fill.pace_percent < FULL_PACE else 0.0
-            excess = total - budget + margin
-            if excess <= 0 or full[fill] <= 0:
+            excess = total_pressure - budget + margin
+            if excess <= 0 or full_pressures[fill] <= 0:
                 return
-            cut = -(-int(excess / full[fill] * FULL_PACE) // PACE_STEP)
+            cut = -(
+                -int(excess / full_pressures[fill] * FULL_PACE) // PACE_STEP
+            )
             lowered = max(paces[fill] - cut * PACE_STEP, 0)
-            total -= full[fill] * (paces[fill] - lowered) / FULL_PACE
+            total_pressure -= (
+                full_pressures[fill] * (paces[fill] - lowered) / FULL_PACE
+            )
             paces[fill] = lowered
 
 
--- a/src/comfreylatch/_process/cell/ownership.py
+++ b/src/comfreylatch/_process/cell/ownership.py
@@ -273,12 +273,12 @@
             reasons.OwnershipEnd.STOPPING,
             reasons.OwnershipEnd.ISOLATED,
         ):
-            last = attrs.evolve(
+            last_heartbeat = attrs.evolve(
                 heartbeat,
                 is_released=True,
                 is_isolated=reason is reasons.OwnershipEnd.ISOLATED,
             )
-            writer.release(last)
+            writer.release(last_heartbeat)
 
     def _reason_to_stop(
         self,
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -79,12 +79,14 @@
         ended = self._workers.new_ends(event.worker_id, answer)
         for end in ended:
             self._handle_end(worker, end)
-        listed = set()
-        for task in answer.running:
-            listed.add(worker_view.run_key(task.task, task.run))
-            self._handle_running(worker, task, event.received_ms)
+        listed_keys = set()
+        for running_task in answer.running:
+            listed_keys.add(
+                worker_view.run_key(running_task.task, running_task.run)
+            )
+            self._handle_running(worker, running_task, event.received_ms)
         if len(answer.ended) < MAX_LISTED_ENDS:
-            self._handle_missing(worker, listed, event.sent_ms)
+            self._handle_missing(worker, listed_keys, event.sent_ms)
         self._interference.learn(worker, event.received_ms)
         worker.revision += 1
         self._dispatcher.update_paces(worker)
@@ -192,22 +194,22 @@
     def _handle_running(
         self,
         worker: worker_view.WorkerView,
-        listed: cell_workers.RunningTask,
+        running_task: cell_workers.RunningTask,
         now_ms: int,
     ) -> None:
-        key = worker_view.run_key(listed.task, listed.run)
+        key = worker_view.run_key(running_task.task, running_task.run)
         run = worker.runs.get(key)
         if run is None:
-            self._handle_unknown(worker, listed, now_ms)
+            self._handle_unknown(worker, running_task, now_ms)
             return
         if run.phase is runs_module.RunPhase.STARTING:
             self._dispatcher.confirm(run, now_ms)
-        if listed.percent > run.percent or run.progressed_ms == 0:
-            run.percent = listed.percent
+        if running_task.percent > run.percent or run.progressed_ms == 0:
+            run.percent = running_task.percent
             run.progressed_ms = now_ms
-        run.reading = listed.reading
-        if listed.checkpoint and run.number == run.task.last_run:
-            run.task.checkpoint = listed.checkpoint
+        run.reading = running_task.reading
+        if running_task.checkpoint and run.number == run.task.last_run:
+            run.task.checkpoint = running_task.checkpoint
         if run.phase is runs_module.RunPhase.STOPPING and run.is_in_doubt:
             run.is_in_doubt = False
             self._dispatcher.send_stop(run)
@@ -215,11 +217,11 @@
     def _handle_unknown(
         self,
         worker: worker_view.WorkerView,
-        listed: cell_workers.RunningTask,
+        running_task: cell_workers.RunningTask,
         now_ms: int,
     ) -> None:
         """Adopts a previous owner's run if its task needs it, else stops it."""
-        task = self._jobs.find_task(listed.task)
+        task = self._jobs.find_task(running_task.task)
         should_adopt = (
             task is not None
             and not task.is_done
@@ -228,15 +230,15 @@
         if task is not None and should_adopt:
             run = runs_module.Run(
                 task,
-                listed.run,
+                running_task.run,
                 worker.worker_id,
                 runs_module.RunPhase.RUNNING,
                 now_ms,
                 confirmed_ms=now_ms,
                 progressed_ms=now_ms,
-                percent=listed.percent,
+                percent=running_task.percent,
             )
-            task.last_run = max(task.last_run, listed.run)
+            task.last_run = max(task.last_run, running_task.run)
             task.step.add_run(run)
             worker.add(run)
             self._jobs.mark_started(task.step.job)
@@ -244,23 +246,23 @@
         logs.event(
             _logger,
             "stray-stopped",
-            task=listed.task,
-            run=listed.run,
+            task=running_task.task,
+            run=running_task.run,
             worker=worker.worker_id,
         )
         session = self._workers.session(worker.worker_id)
         if session is not None:
-            session.stop(None, listed.task, listed.run)
+            session.stop(None, running_task.task, running_task.run)
 
     def _handle_missing(
         self,
         worker: worker_view.WorkerView,
-        listed: set[str],
+        listed_keys: set[str],
         sent_ms: int,
     ) -> None:
         """Handles runs that the worker lists neither as running nor ended."""
         for key, run in list(worker.runs.items()):
-            if key in listed:
+            if key in listed_keys:
                 continue
             if run.confirmed_ms and run.confirmed_ms < sent_ms:
                 logs.event(
