--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -62,7 +62,7 @@
 def reopen_unused(
     workers: Iterable[worker_view.WorkerView], now_ms: int
 ) -> None:
-    """Reopens little-used_millicores cleared workers; called when no task waits."""
+    """Reopens cleared workers with little use; called when no task waits."""
     for worker in workers:
         if now_ms >= worker.cleared_until_ms:
             continue
