--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -133,8 +133,8 @@
             self.ticket(),
         )
         (run,) = self.cell.place()
-        self.cell.hold(
-            run.worker_id, running=(harness.listed(run, percent=60.0),)
+        self.cell.answer_hold(
+            run.worker_id, running=(harness.running_task(run, percent=60.0),)
         )
         self.assertEqual([second], self.cell.jobs.nearly_ready_steps())
 
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -32,7 +32,7 @@
         self.filling: Any = None
 
     def tail_ms(self) -> int:
-        """Returns the tail of a queue with these loads."""
+        """Returns the tail latency that the model implies for these loads."""
         busy = self.load
         if self.filling is not None:
             used = 0.25 * self.filling.pace_percent / 100
@@ -43,11 +43,13 @@
         """Reports readings twice a second."""
         for _ in range(2 * seconds):
             self.cell.clock.advance(500)
-            running = [harness.listed(self.serving, 100.0, self.tail_ms())]
+            running = [
+                harness.running_task(self.serving, 100.0, self.tail_ms())
+            ]
             if self.filling is not None:
                 used = 2_000 * self.filling.pace_percent // 100
-                running.append(harness.listed(self.filling, 50.0, used))
-            self.cell.hold("w1", running=tuple(running))
+                running.append(harness.running_task(self.filling, 50.0, used))
+            self.cell.answer_hold("w1", running=tuple(running))
 
 
 class InterferenceModelTest(testtools.TestCase):
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -20,7 +20,7 @@
 UP = machines_port.MachineState.UP
 AWAY = machines_port.MachineState.MAINTENANCE
 WAVE = machines_port.Wave(1, ("m1", "m2", "m3"), 60_000, 2)
-TIGHT = machines_port.Wave(1, ("m1", "m2", "m3"), 8_000, 2)
+TIGHT_WAVE = machines_port.Wave(1, ("m1", "m2", "m3"), 8_000, 2)
 
 
 class ConcurrentMachinesTest(testtools.TestCase):
@@ -30,7 +30,7 @@
         self.assertEqual(1, maintenance.concurrent_machines(WAVE, 3, 0))
 
     def test_limit_of_the_wave_is_kept_when_time_is_short(self) -> None:
-        self.assertEqual(2, maintenance.concurrent_machines(TIGHT, 3, 0))
+        self.assertEqual(2, maintenance.concurrent_machines(TIGHT_WAVE, 3, 0))
         self.assertEqual(2, maintenance.concurrent_machines(WAVE, 3, 90_000))
 
 
@@ -56,12 +56,16 @@
             metrics.Metrics(),
         )
 
-    def execute_step(self, wave: machines_port.Wave = WAVE) -> list[Any]:
-        """Executes a listing action; returns the other actions."""
+    def plan_and_list_machines(
+        self, wave: machines_port.Wave = WAVE
+    ) -> list[Any]:
+        """Plans, and lists machines if planned; returns the other actions."""
         now_ms = self.cell.clock.monotonic_ms()
         actions = self.plan_actions(wave)
         self.reports += [
-            one for one in actions if isinstance(one, wave_state.ReportWave)
+            action
+            for action in actions
+            if isinstance(action, wave_state.ReportWave)
         ]
         if wave_state.ListMachines() not in actions:
             return actions
@@ -74,7 +78,9 @@
             self.cell.workers.by_id(),
             now_ms,
         )
-        return [one for one in actions if one != wave_state.ListMachines()]
+        return [
+            action for action in actions if action != wave_state.ListMachines()
+        ]
 
     def plan_actions(self, wave: machines_port.Wave) -> list[Any]:
         """Returns the actions due now."""
@@ -92,9 +98,9 @@
             self.cell.clock.advance(100)
             self.cell.reconciler.move_runs(self.cell.clock.monotonic_ms())
             found += [
-                one.machine_id
-                for one in self.execute_step(wave)
-                if isinstance(one, wave_state.OrderMaintenance)
+                action.machine_id
+                for action in self.plan_and_list_machines(wave)
+                if isinstance(action, wave_state.OrderMaintenance)
             ]
         return found
 
@@ -117,11 +123,11 @@
         self.assertNotEqual(first, second)
 
     def test_no_more_at_once_than_the_wave_allows(self) -> None:
-        ordered = self.next_orders(TIGHT)
+        ordered = self.next_orders(TIGHT_WAVE)
         self.assertEqual(2, len(ordered))
         self.return_outcome(ordered[0], result.Ok(None))
         self.states[ordered[0]] = AWAY
-        self.assertEqual([], self.next_orders(TIGHT))
+        self.assertEqual([], self.next_orders(TIGHT_WAVE))
 
     def test_emptied_worker_gets_no_work_and_finishes_its_runs(self) -> None:
         self.cell.submit(harness.job(harness.step(3, cpu_millicores=5_000)))
@@ -135,7 +141,9 @@
         self.cell.submit(harness.job(harness.step(9), job_id="b" * 16))
         placed = {run.worker_id for run in self.cell.place()}
         self.assertNotIn(worker_id, placed)
-        self.cell.hold(worker_id, ended=(harness.ended(runs[worker_id], DONE),))
+        self.cell.answer_hold(
+            worker_id, ended=(harness.ended_run(runs[worker_id], DONE),)
+        )
         self.assertEqual([worker_id.replace("w", "m")], self.next_orders())
 
     def test_stuck_task_does_not_block_the_wave(self) -> None:
