--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -31,8 +31,8 @@
     def on_free(self, callback: Callable[[str], None]) -> None:
         """Registers a callback for endpoints that have a slot again.
 
-        It is never called from `try_take` or `free`, as their callers hold
-        locks.
+        It is never called from `try_take` or `free`, as their
+        callers hold locks.
         """
         ...
 
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -174,7 +174,7 @@
             self._notify_listeners(endpoint)
 
     def want(self, endpoint: str) -> None:
-        """See `SlotLedger.want`; does nothing, as the share is fixed."""
+        """See `SlotLedger.want`; no effect, as the share is fixed."""
 
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
