--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -16,7 +16,7 @@
         """
         ...
 
-    def want(self, endpoint: str) -> None:
+    def report_demand(self, endpoint: str) -> None:
         """Reports that a request is waiting for a slot; never blocks."""
         ...
 
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -132,7 +132,7 @@
             account = self._account(endpoint)
             taken = account.acquire(now_ms, duration_ms)
         if not taken:
-            self.want(endpoint)
+            self.report_demand(endpoint)
         return taken
 
     def give_back(self, endpoint: str) -> None:
@@ -156,7 +156,7 @@
         """See `SlotLedger.connection_share`."""
         return self._shares.connection_share(endpoint)
 
-    def want(self, endpoint: str) -> None:
+    def report_demand(self, endpoint: str) -> None:
         """Requests a loan of slots of an endpoint; never blocks."""
         if endpoint not in self._requested_endpoints:
             self._requested_endpoints.add(endpoint)
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -173,8 +173,8 @@
         if is_free:
             self._notify_listeners(endpoint)
 
-    def want(self, endpoint: str) -> None:
-        """See `SlotLedger.want`; no effect, as the share is fixed."""
+    def report_demand(self, endpoint: str) -> None:
+        """See `SlotLedger.report_demand`; no effect, as the share is fixed."""
 
     def free(self, endpoint: str) -> int:
         """See `SlotLedger.free`."""
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -157,7 +157,9 @@
         )
         if endpoint is None:
             if state.usable_endpoints:
-                slots.want(self._deps.rng.choice(state.usable_endpoints))
+                slots.report_demand(
+                    self._deps.rng.choice(state.usable_endpoints)
+                )
             return None
         hold_ms = shares.MAX_SEND_DELAY_MS + self._deps.table.max_request_ms
         # The clock is read before the slot is taken. Otherwise, after a pause
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -87,7 +87,7 @@
         self.highest = 0
         self.wanted: set[str] = set()
 
-    def want(self, endpoint: str) -> None:
+    def report_demand(self, endpoint: str) -> None:
         self.wanted.add(endpoint)
 
     def try_take(self, endpoint: str, duration_ms: int) -> bool:
