--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -9,7 +9,7 @@
 class SlotLedger(Protocol):
     """Slots and connections of endpoints that this host may use."""
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
         """Reserves a slot for a request of at most `duration_ms`.
 
         Returns False if no slot is available.
@@ -31,7 +31,7 @@
     def on_free(self, callback: Callable[[str], None]) -> None:
         """Registers a callback for endpoints that have a slot again.
 
-        It is never called from `try_take` or `free`, as their
+        It is never called from `try_acquire_slot` or `free`, as their
         callers hold locks.
         """
         ...
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -125,8 +125,8 @@
         self._thread.join()
         self._return_idle(0)
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """See `SlotLedger.try_take`."""
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
+        """See `SlotLedger.try_acquire_slot`."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             account = self._account(endpoint)
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -149,8 +149,8 @@
         source.on_change(self._apply)
         self._apply(source.current())
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """See `SlotLedger.try_take`; fixed slots don't expire."""
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
+        """See `SlotLedger.try_acquire_slot`; fixed slots don't expire."""
         del duration_ms
         self._apply_due_increases()
         with self._lock:
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -165,7 +165,7 @@
         # The clock is read before the slot is taken. Otherwise, after a pause
         # in between, the slot would seem younger than in its ledger.
         now_ms = self._deps.clock.monotonic_ms()
-        if not slots.try_take(endpoint, hold_ms):
+        if not slots.try_acquire_slot(endpoint, hold_ms):
             return None
         self._slot_taken_ms = now_ms
         state.stats.record_start(endpoint, now_ms)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -90,7 +90,7 @@
     def report_demand(self, endpoint: str) -> None:
         self.wanted.add(endpoint)
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
         with self._lock:
             taken = self.taken.get(endpoint, 0)
             if taken >= self._slots:
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -91,7 +91,7 @@
         """Acquires every available slot; returns their number."""
         ledger = self.ledgers[seat]
         acquired = 0
-        while ledger.try_take(ENDPOINT, RUN_MS):
+        while ledger.try_acquire_slot(ENDPOINT, RUN_MS):
             acquired += 1
         return acquired
 
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -73,7 +73,7 @@
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a", "b")), self.clock
         )
-        taken = [fixed_shares.try_take("ex-1", 1_000) for _ in range(8)]
+        taken = [fixed_shares.try_acquire_slot("ex-1", 1_000) for _ in range(8)]
         self.assertEqual(4, sum(taken))
         fixed_shares.give_back("ex-1")
         self.assertEqual(1, fixed_shares.free("ex-1"))
@@ -82,18 +82,18 @@
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a")), self.clock, MAX_REQUEST_MS
         )
-        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
+        self.assertFalse(fixed_shares.try_acquire_slot("ex-1", 1_000))
         self.clock.now_ms += MAX_REQUEST_MS
-        self.assertTrue(fixed_shares.try_take("ex-1", 1_000))
+        self.assertTrue(fixed_shares.try_acquire_slot("ex-1", 1_000))
 
     def test_decrease_takes_effect_at_once(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
         fixed_shares = make_shares(source, self.clock)
         for _ in range(5):
-            fixed_shares.try_take("ex-1", 1_000)
+            fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(with_seats("a", "b", offset=2))
         fixed_shares.give_back("ex-1")
-        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
+        self.assertFalse(fixed_shares.try_acquire_slot("ex-1", 1_000))
 
     def test_increase_waits_for_longest_request(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b"))
@@ -135,7 +135,7 @@
     def test_slot_is_given_back_after_endpoint_is_removed(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
         fixed_shares = make_shares(source, self.clock)
-        fixed_shares.try_take("ex-1", 1_000)
+        fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(fakes.make_configuration({}, offset=2))
         fixed_shares.give_back("ex-1")
         self.assertEqual(0, fixed_shares.free("ex-1"))
@@ -146,6 +146,6 @@
         )
         notified: list[str] = []
         fixed_shares.on_free(notified.append)
-        fixed_shares.try_take("ex-1", 1_000)
+        fixed_shares.try_acquire_slot("ex-1", 1_000)
         fixed_shares.give_back("ex-1")
         self.assertEqual(["ex-1"], notified)
