--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -24,14 +24,14 @@
         """Releases a reserved slot once its request has ended."""
         ...
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         """Returns the number of available slots; never below 0."""
         ...
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """Registers a callback for endpoints that have a slot again.
 
-        It is never called from `try_acquire_slot` or `free`, as their
+        It is never called from `try_acquire_slot` or `count_free`, as their
         callers hold locks.
         """
         ...
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -36,7 +36,7 @@
 class ShareSource(Protocol):
     """Provides this host's own slots and connections of each endpoint."""
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         """Returns the slots of this host's own share that may be used now."""
         ...
 
@@ -141,10 +141,10 @@
             self._account(endpoint).release(self._clock.monotonic_ms())
         self._notify_listeners(endpoint)
 
-    def free(self, endpoint: str) -> int:
-        """See `SlotLedger.free`."""
+    def count_free(self, endpoint: str) -> int:
+        """See `SlotLedger.count_free`."""
         with self._lock:
-            return self._account(endpoint).free(
+            return self._account(endpoint).count_free(
                 self._clock.monotonic_ms(), self._max_hold_ms()
             )
 
@@ -200,7 +200,7 @@
             return tuple(
                 LoanStatus(
                     endpoint,
-                    self._shares.free(endpoint),
+                    self._shares.count_free(endpoint),
                     account.used,
                     account.lent_slots,
                     account.borrowed_slots,
@@ -213,7 +213,7 @@
         if account is None:
             account = slot_account.SlotAccount(endpoint)
             self._accounts[endpoint] = account
-        account.set_own_slots(self._shares.free(endpoint))
+        account.set_own_slots(self._shares.count_free(endpoint))
         return account
 
     def _notify_listeners(self, endpoint: str) -> None:
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -176,8 +176,8 @@
     def report_demand(self, endpoint: str) -> None:
         """See `SlotLedger.report_demand`; no effect, as the share is fixed."""
 
-    def free(self, endpoint: str) -> int:
-        """See `SlotLedger.free`."""
+    def count_free(self, endpoint: str) -> int:
+        """See `SlotLedger.count_free`."""
         self._apply_due_increases()
         usage = self._endpoints.get(endpoint)
         if (
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -110,7 +110,7 @@
         if use.loan.used == 0:
             use.loan.idle_since_ms = now_ms
 
-    def free(self, now_ms: int, duration_ms: int) -> int:
+    def count_free(self, now_ms: int, duration_ms: int) -> int:
         """Returns the slots a request of `duration_ms` could acquire now."""
         self._expire(now_ms)
         borrowed_free = sum(
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -150,7 +150,7 @@
         endpoint = state.picker.pick(
             load_balancing.PickArgs(
                 endpoints=state.usable_endpoints,
-                free_slots=slots.free,
+                free_slots=slots.count_free,
                 idempotent=self._call.idempotent,
                 excluded_endpoints=self._tried_endpoints,
             )
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -171,10 +171,11 @@
 
     def spare_slots(self) -> dict[str, int]:
         """Slots by service that other zones may use now, for heartbeats."""
-        free = self._deps.slots.free
+        count_free = self._deps.slots.count_free
         return {
             state.name: int(
-                sum(map(free, state.usable_endpoints)) * ADVERTISED_SPARE_SHARE
+                sum(map(count_free, state.usable_endpoints))
+                * ADVERTISED_SPARE_SHARE
             )
             for state in self._table.all()
             if state.queue.waiting == 0 and not self._stopping.is_set()
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -105,7 +105,7 @@
         for listener in self._listeners:
             listener(endpoint)
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         return self._slots - self.taken.get(endpoint, 0)
 
     def on_free(self, callback: Callable[[str], None]) -> None:
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -23,7 +23,7 @@
 class _FakeShares:
     """A fixed share of one endpoint."""
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         return SHARE
 
     def connection_share(self, endpoint: str) -> int:
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -76,7 +76,7 @@
         taken = [fixed_shares.try_acquire_slot("ex-1", 1_000) for _ in range(8)]
         self.assertEqual(4, sum(taken))
         fixed_shares.give_back("ex-1")
-        self.assertEqual(1, fixed_shares.free("ex-1"))
+        self.assertEqual(1, fixed_shares.count_free("ex-1"))
 
     def test_no_slot_before_predecessors_requests_have_ended(self) -> None:
         fixed_shares = make_shares(
@@ -99,11 +99,11 @@
         source = fakes.FakeSource(with_seats("a", "b"))
         fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", offset=2))
-        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.assertEqual(4, fixed_shares.count_free("ex-1"))
         self.clock.now_ms += MAX_REQUEST_MS - 1
-        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.assertEqual(4, fixed_shares.count_free("ex-1"))
         self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
-        self.assertEqual(8, fixed_shares.free("ex-1"))
+        self.assertEqual(8, fixed_shares.count_free("ex-1"))
 
     def test_increase_waits_until_other_seats_have_applied_it(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c"))
@@ -114,14 +114,14 @@
         )
         source.replace(with_seats("a", "b", offset=2))
         self.clock.now_ms += MAX_REQUEST_MS * 10
-        self.assertLess(fixed_shares.free("ex-1"), 4)
+        self.assertLess(fixed_shares.count_free("ex-1"), 4)
         peers.peer_views = (
             peers_port.PeerView("b", fakes.ZONE, config_offset=2),
         )
         self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
-        fixed_shares.free("ex-1")
+        fixed_shares.count_free("ex-1")
         self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
-        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.assertEqual(4, fixed_shares.count_free("ex-1"))
 
     def test_changed_increase_restarts_its_wait(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c", "d"))
@@ -130,7 +130,7 @@
         self.clock.now_ms += MAX_REQUEST_MS - 1
         source.replace(with_seats("a", offset=3))
         self.clock.now_ms += MAX_REQUEST_MS - 1
-        self.assertEqual(2, fixed_shares.free("ex-1"))
+        self.assertEqual(2, fixed_shares.count_free("ex-1"))
 
     def test_slot_is_given_back_after_endpoint_is_removed(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
@@ -138,7 +138,7 @@
         fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(fakes.make_configuration({}, offset=2))
         fixed_shares.give_back("ex-1")
-        self.assertEqual(0, fixed_shares.free("ex-1"))
+        self.assertEqual(0, fixed_shares.count_free("ex-1"))
 
     def test_freed_slot_notifies_listeners(self) -> None:
         fixed_shares = make_shares(
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -33,8 +33,8 @@
 
     def test_lent_slot_is_unavailable_until_loan_expires(self) -> None:
         self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
-        self.assertEqual(1, self.account.free(LOAN_MS, RUN_MS))
-        self.assertEqual(2, self.account.free(LOAN_MS + 100, RUN_MS))
+        self.assertEqual(1, self.account.count_free(LOAN_MS, RUN_MS))
+        self.assertEqual(2, self.account.count_free(LOAN_MS + 100, RUN_MS))
 
     def test_last_free_slot_is_not_lent(self) -> None:
         self.account.acquire(0, RUN_MS)
@@ -56,7 +56,7 @@
         self.account.acquire(0, RUN_MS)
         self.account.acquire(0, RUN_MS)
         self.account.release(1)
-        self.assertEqual(1, self.account.free(1, RUN_MS))
+        self.assertEqual(1, self.account.count_free(1, RUN_MS))
 
 
 class LoanModel(stateful.RuleBasedStateMachine):
--- a/tests/request/test_dispatch_guard.py
+++ b/tests/request/test_dispatch_guard.py
@@ -318,7 +318,7 @@
     def test_refused_claim_releases_slot(self) -> None:
         self.first_host.send_request("r1")
         self.second_host.send_request("r1")
-        self.assertEqual(8, self.second_host.slots.free("ex-0"))
+        self.assertEqual(8, self.second_host.slots.count_free("ex-0"))
 
 
 class _IgnoreDeadlineGuard:
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -199,9 +199,9 @@
         self.assert_outcome(
             fixture.send_request("r1", timeout_ms=100), 504, "unknown"
         )
-        self.assertEqual(0, fixture.slots.free("ex-0"))
+        self.assertEqual(0, fixture.slots.count_free("ex-0"))
         time.sleep(0.6)
-        self.assertEqual(1, fixture.slots.free("ex-0"))
+        self.assertEqual(1, fixture.slots.count_free("ex-0"))
 
     def test_late_idempotent_request_is_hedged(self) -> None:
         fixture = self.make_fixture(
