--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -217,7 +217,7 @@
         attempt.share_milli = task.share_milli
         match task.state:
             case workers.TaskState.RUNNING:
-                self._pending.checkpoint(attempt, now_ms)
+                self._pending.add_checkpoint(attempt, now_ms)
                 self._request_checkpoint(attempt, now_ms)
             case workers.TaskState.FINISHED:
                 self._pending.end(attempt, job_records.AttemptEnd.FINISHED)
--- a/src/comfreylatch/_process/batch/pending_records.py
+++ b/src/comfreylatch/_process/batch/pending_records.py
@@ -61,7 +61,9 @@
             checkpoint_ms=attempt.checkpoint_ms,
         )
 
-    def checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
+    def add_checkpoint(
+        self, attempt: attempt_module.Attempt, now_ms: int
+    ) -> None:
         """Adds a newer checkpoint if due; that of an eviction always is."""
         due = (
             now_ms - attempt.checkpoint_recorded_ms
