--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -172,12 +172,12 @@
             The previous `last_sent_ms`, to be passed to `on_no_answer`.
         """
         with self._lock:
-            before_ms = self._last_sent_ms
+            previous_sent_ms = self._last_sent_ms
             # An exchange without a lease can't keep a task running.
             if exchange.lease_ms > 0:
                 self._last_sent_ms = now_ms
                 self._lease_sent_ms = now_ms
-            return before_ms
+            return previous_sent_ms
 
     def on_answer(
         self,
@@ -215,7 +215,7 @@
         exchange: workers.Exchange,
         error: workers.WorkerError,
         sent_ms: int,
-        before_ms: int,
+        previous_sent_ms: int,
     ) -> Unanswered:
         """Handles an exchange without an answer."""
         was_sent = isinstance(error, workers.WorkerAnswerLost)
@@ -224,7 +224,7 @@
             self._last_report = 0
             self._lease_sent_ms = -1
             if not was_sent:
-                self._last_sent_ms = before_ms
+                self._last_sent_ms = previous_sent_ms
         return Unanswered(
             worker=self.worker,
             term=exchange.term,
