--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -34,7 +34,7 @@
     quarantined_until_ms: int = 0
     quarantine_ms: int = FIRST_QUARANTINE_MS
 
-    def halve(self) -> None:
+    def decay(self) -> None:
         if self.finished + self.failed > MAX_COUNTED_ENDS:
             self.finished //= 2
             self.failed //= 2
