--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -20,7 +20,7 @@
         """Reports that a request is waiting for a slot; never blocks."""
         ...
 
-    def give_back(self, endpoint: str) -> None:
+    def release_slot(self, endpoint: str) -> None:
         """Releases a reserved slot once its request has ended."""
         ...
 
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -51,7 +51,7 @@
             return
         if attempt.checkpointed:
             # Its record is not folded yet.
-            self._pending.checkpoint(attempt, now_ms)
+            self._pending.add_checkpoint(attempt, now_ms)
             return
         queued_ms = attempt.checkpoint_queued_ms
         if queued_ms < 0 or now_ms - queued_ms >= RESEND_INTERVAL_MS:
@@ -67,4 +67,4 @@
         ):
             return
         attempt.checkpointed = True
-        self._pending.checkpoint(attempt, now_ms)
+        self._pending.add_checkpoint(attempt, now_ms)
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -220,15 +220,15 @@
                 self._pending.add_checkpoint(attempt, now_ms)
                 self._request_checkpoint(attempt, now_ms)
             case workers.TaskState.FINISHED:
-                self._pending.end(attempt, job_records.AttemptEnd.FINISHED)
+                self._pending.add_end(attempt, job_records.AttemptEnd.FINISHED)
             case workers.TaskState.FAILED:
-                self._pending.end(attempt, job_records.AttemptEnd.FAILED)
+                self._pending.add_end(attempt, job_records.AttemptEnd.FAILED)
             case workers.TaskState.STOPPED:
                 evicted = (
                     attempt.stop_reason is attempt_module.StopReason.EVICTED
                 )
                 end = job_records.AttemptEnd
-                self._pending.end(attempt, end.EVICTED if evicted else end.LOST)
+                self._pending.add_end(attempt, end.EVICTED if evicted else end.LOST)
 
     def _request_checkpoint(
         self, attempt: attempt_module.Attempt, now_ms: int
@@ -292,7 +292,7 @@
         self._sink.queue_command(worker, command, at_once=running)
 
     def _record_lost(self, attempt: attempt_module.Attempt) -> None:
-        self._pending.end(attempt, job_records.AttemptEnd.LOST)
+        self._pending.add_end(attempt, job_records.AttemptEnd.LOST)
 
     def record_lost_attempts(
         self,
--- a/src/comfreylatch/_process/batch/pending_records.py
+++ b/src/comfreylatch/_process/batch/pending_records.py
@@ -46,7 +46,7 @@
         if pending is not None and pending.checkpoint_ms <= checkpoint_ms:
             del self._checkpoints[job]
 
-    def end(
+    def add_end(
         self, attempt: attempt_module.Attempt, end: job_records.AttemptEnd
     ) -> None:
         """Adds the end of an attempt; later ends of it are ignored."""
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -142,7 +142,7 @@
         self._failed -= history.failed
         history.finished += finished
         history.failed += failed
-        history.halve()
+        history.decay()
         self._finished += history.finished
         self._failed += history.failed
 
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -135,8 +135,8 @@
             self.report_demand(endpoint)
         return taken
 
-    def give_back(self, endpoint: str) -> None:
-        """See `SlotLedger.give_back`."""
+    def release_slot(self, endpoint: str) -> None:
+        """See `SlotLedger.release_slot`."""
         with self._lock:
             self._account(endpoint).release(self._clock.monotonic_ms())
         self._notify_listeners(endpoint)
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -162,8 +162,8 @@
             usage.in_use += 1
             return True
 
-    def give_back(self, endpoint: str) -> None:
-        """See `SlotLedger.give_back`."""
+    def release_slot(self, endpoint: str) -> None:
+        """See `SlotLedger.release_slot`."""
         with self._lock:
             usage = self._endpoints[endpoint]
             usage.in_use -= 1
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -202,7 +202,7 @@
         def release_slot() -> None:
             state.stats.record_end(endpoint, slot_taken_ms)
             state.queue.record_release(clock.monotonic_ms() - slot_taken_ms)
-            slots.give_back(endpoint)
+            slots.release_slot(endpoint)
 
         return release_slot
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -99,7 +99,7 @@
             self.highest = max(self.highest, taken + 1)
             return True
 
-    def give_back(self, endpoint: str) -> None:
+    def release_slot(self, endpoint: str) -> None:
         with self._lock:
             self.taken[endpoint] -= 1
         for listener in self._listeners:
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -130,7 +130,7 @@
         self._acquire_all("a")
         self.ledgers["a"].run_once()
         for _ in range(SHARE):
-            self.ledgers["b"].give_back(ENDPOINT)
+            self.ledgers["b"].release_slot(ENDPOINT)
         self._acquire_all("a")
         self.ledgers["a"].run_once()
         self.assertEqual(0, self._acquire_all("a"))
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -75,7 +75,7 @@
         )
         taken = [fixed_shares.try_acquire_slot("ex-1", 1_000) for _ in range(8)]
         self.assertEqual(4, sum(taken))
-        fixed_shares.give_back("ex-1")
+        fixed_shares.release_slot("ex-1")
         self.assertEqual(1, fixed_shares.count_free("ex-1"))
 
     def test_no_slot_before_predecessors_requests_have_ended(self) -> None:
@@ -92,7 +92,7 @@
         for _ in range(5):
             fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(with_seats("a", "b", offset=2))
-        fixed_shares.give_back("ex-1")
+        fixed_shares.release_slot("ex-1")
         self.assertFalse(fixed_shares.try_acquire_slot("ex-1", 1_000))
 
     def test_increase_waits_for_longest_request(self) -> None:
@@ -137,7 +137,7 @@
         fixed_shares = make_shares(source, self.clock)
         fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(fakes.make_configuration({}, offset=2))
-        fixed_shares.give_back("ex-1")
+        fixed_shares.release_slot("ex-1")
         self.assertEqual(0, fixed_shares.count_free("ex-1"))
 
     def test_freed_slot_notifies_listeners(self) -> None:
@@ -147,5 +147,5 @@
         notified: list[str] = []
         fixed_shares.on_free(notified.append)
         fixed_shares.try_acquire_slot("ex-1", 1_000)
-        fixed_shares.give_back("ex-1")
+        fixed_shares.release_slot("ex-1")
         self.assertEqual(["ex-1"], notified)
