--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -228,7 +228,9 @@
                     attempt.stop_reason is attempt_module.StopReason.EVICTED
                 )
                 end = job_records.AttemptEnd
-                self._pending.add_end(attempt, end.EVICTED if evicted else end.LOST)
+                self._pending.add_end(
+                    attempt, end.EVICTED if evicted else end.LOST
+                )
 
     def _request_checkpoint(
         self, attempt: attempt_module.Attempt, now_ms: int
--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -71,7 +71,7 @@
 
     caller: str
     deadline_ms: int
-    take_slot: Callable[[], str | None]
+    acquire_slot: Callable[[], str | None]
     is_retry: bool = False
     may_wait: bool = True
 
@@ -123,7 +123,7 @@
         """Waits for a slot and returns the name of its endpoint."""
         with self._lock:
             if self._waiting_count == 0 or request.is_retry:
-                endpoint = request.take_slot()
+                endpoint = request.acquire_slot()
                 if endpoint is not None:
                     self._in_flight += 1
                     return result.Ok(endpoint)
@@ -134,12 +134,12 @@
             self._shed_longest_backlog()
         return self._wait(waiter)
 
-    def try_acquire(self, take_slot: Callable[[], str | None]) -> str | None:
+    def try_acquire(self, acquire_slot: Callable[[], str | None]) -> str | None:
         """Takes a free slot without waiting, unless requests are queued."""
         with self._lock:
             if self._waiting_count:
                 return None
-            endpoint = take_slot()
+            endpoint = acquire_slot()
             self._in_flight += endpoint is not None
             return endpoint
 
@@ -161,7 +161,7 @@
                 waiter = self._next_waiter()
                 if self._shed_if_late(waiter):
                     continue
-                endpoint = waiter.request.take_slot()
+                endpoint = waiter.request.acquire_slot()
                 if endpoint is None:
                     return
                 self._remove(waiter)
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -137,7 +137,7 @@
         slot_request = admission.SlotRequest(
             caller=self._call.caller,
             deadline_ms=self._call.deadline_ms,
-            take_slot=self._take_slot,
+            acquire_slot=self._take_slot,
             is_retry=self._tries > 0,
             may_wait=self._may_wait,
         )
--- a/tests/process/routing/test_admission.py
+++ b/tests/process/routing/test_admission.py
@@ -23,7 +23,7 @@
     def __init__(self, free: int) -> None:
         self.free = free
 
-    def take_slot(self) -> str | None:
+    def acquire_slot(self) -> str | None:
         if self.free == 0:
             return None
         self.free -= 1
@@ -49,16 +49,16 @@
     def slot_request(
         self,
         caller: str,
-        take_slot: Callable[[], str | None],
+        acquire_slot: Callable[[], str | None],
         timeout_ms: int = 2_000,
     ) -> admission.SlotRequest:
         deadline_ms = self.clock.monotonic_ms() + timeout_ms
-        return admission.SlotRequest(caller, deadline_ms, take_slot)
+        return admission.SlotRequest(caller, deadline_ms, acquire_slot)
 
     def enqueue_in_thread(
         self,
         caller: str,
-        take_slot: Callable[[], str | None],
+        acquire_slot: Callable[[], str | None],
         timeout_ms: int = 2_000,
     ) -> None:
         """Requests a slot on a new thread and waits until it is queued."""
@@ -66,7 +66,7 @@
 
         def acquire() -> None:
             outcome = self.queue.acquire(
-                self.slot_request(caller, take_slot, timeout_ms)
+                self.slot_request(caller, acquire_slot, timeout_ms)
             )
             self.order.append(caller)
             self.outcomes.append(outcome)
@@ -79,24 +79,24 @@
     def exhausted_slots(self) -> _Slots:
         """One slot, held by a request in flight."""
         slots = _Slots(1)
-        self.queue.acquire(self.slot_request("z", slots.take_slot)).unwrap()
+        self.queue.acquire(self.slot_request("z", slots.acquire_slot)).unwrap()
         return slots
 
     def test_host_without_any_slot_refuses_at_once(self) -> None:
         refused = self.queue.acquire(
-            self.slot_request("a", _Slots(0).take_slot)
+            self.slot_request("a", _Slots(0).acquire_slot)
         ).unwrap_err()
         self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
 
     def test_free_slot_is_granted_at_once(self) -> None:
         slots = _Slots(1)
-        granted = self.queue.acquire(self.slot_request("a", slots.take_slot))
+        granted = self.queue.acquire(self.slot_request("a", slots.acquire_slot))
         self.assertEqual(result.Ok("ex-1"), granted)
 
     def test_too_short_deadline_is_refused_at_once(self) -> None:
         refused = self.queue.acquire(
             self.slot_request(
-                "a", self.exhausted_slots().take_slot, timeout_ms=5
+                "a", self.exhausted_slots().acquire_slot, timeout_ms=5
             )
         ).unwrap_err()
         self.assertEqual(
@@ -106,10 +106,10 @@
     def test_queue_that_cannot_drain_in_time_refuses_at_once(self) -> None:
         slots = self.exhausted_slots()
         for _ in range(3):
-            self.enqueue_in_thread("a", slots.take_slot)
+            self.enqueue_in_thread("a", slots.acquire_slot)
         started = time.monotonic()
         refused = self.queue.acquire(
-            self.slot_request("b", slots.take_slot, timeout_ms=50)
+            self.slot_request("b", slots.acquire_slot, timeout_ms=50)
         ).unwrap_err()
         self.assertLess(time.monotonic() - started, 0.05)
         self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
@@ -122,7 +122,7 @@
     def test_callers_are_served_round_robin(self) -> None:
         slots = self.exhausted_slots()
         for caller in ("a", "a", "a", "b", "c"):
-            self.enqueue_in_thread(caller, slots.take_slot)
+            self.enqueue_in_thread(caller, slots.acquire_slot)
         for _ in range(5):
             slots.free = 1
             before = len(self.order)
@@ -134,8 +134,8 @@
     def test_last_request_of_longest_backlog_is_shed(self) -> None:
         slots = self.exhausted_slots()
         for _ in range(5):
-            self.enqueue_in_thread("a", slots.take_slot, timeout_ms=130)
-        self.enqueue_in_thread("b", slots.take_slot, timeout_ms=130)
+            self.enqueue_in_thread("a", slots.acquire_slot, timeout_ms=130)
+        self.enqueue_in_thread("b", slots.acquire_slot, timeout_ms=130)
         self.join()
         shed = collections.Counter(
             outcome.err_value.reason
@@ -148,7 +148,7 @@
         slots = self.exhausted_slots()
         started = time.monotonic()
         refused = self.queue.acquire(
-            self.slot_request("a", slots.take_slot, timeout_ms=80)
+            self.slot_request("a", slots.acquire_slot, timeout_ms=80)
         ).unwrap_err()
         self.assertEqual(reasons.RefusalReason.DEADLINE_PASSED, refused.reason)
         self.assertLess(time.monotonic() - started, 0.2)
