--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -91,7 +91,7 @@
     def run(self) -> outcomes.RequestOutcome:
         """Tries endpoints until one answers or no further try is allowed."""
         self._state.budget.earn()
-        endpoint = self._state.queue.try_acquire(self._take_slot)
+        endpoint = self._state.queue.try_acquire(self._acquire_slot)
         if endpoint is None and self._spill_handler is not None:
             spilled_outcome = self._spill_handler(self._call)
             if spilled_outcome is not None:
@@ -137,13 +137,13 @@
         slot_request = admission.SlotRequest(
             caller=self._call.caller,
             deadline_ms=self._call.deadline_ms,
-            acquire_slot=self._take_slot,
+            acquire_slot=self._acquire_slot,
             is_retry=self._tries > 0,
             may_wait=self._may_wait,
         )
         return self._state.queue.acquire(slot_request)
 
-    def _take_slot(self) -> str | None:
+    def _acquire_slot(self) -> str | None:
         """Takes a slot of the best endpoint; None if no slot is free."""
         state = self._state
         slots = self._deps.slots
@@ -274,7 +274,7 @@
             self._count_retry(reasons.RetryReason.BUDGET_SPENT)
             return None
         self._tried_endpoints |= {sent.endpoint}
-        endpoint = self._state.queue.try_acquire(self._take_slot)
+        endpoint = self._state.queue.try_acquire(self._acquire_slot)
         if endpoint is None:
             self._state.budget.refund()
             return None
