--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -197,11 +197,11 @@
         state = self._state
         slots = self._deps.slots
         clock = self._deps.clock
-        slot_taken_ms = self._slot_taken_ms
+        slot_acquired_ms = self._slot_taken_ms
 
         def release_slot() -> None:
-            state.stats.record_end(endpoint, slot_taken_ms)
-            state.queue.record_release(clock.monotonic_ms() - slot_taken_ms)
+            state.stats.record_end(endpoint, slot_acquired_ms)
+            state.queue.record_release(clock.monotonic_ms() - slot_acquired_ms)
             slots.release_slot(endpoint)
 
         return release_slot
