--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -85,7 +85,7 @@
         self._claim: outcomes.Claim | None = None
         self._last_loss: exchange.LostAfterSend | None = None
         self._tries = 0
-        self._slot_taken_ms = 0
+        self._slot_acquired_ms = 0
         self._answered_by = ""
 
     def run(self) -> outcomes.RequestOutcome:
@@ -167,7 +167,7 @@
         now_ms = self._deps.clock.monotonic_ms()
         if not slots.try_acquire_slot(endpoint, hold_ms):
             return None
-        self._slot_taken_ms = now_ms
+        self._slot_acquired_ms = now_ms
         state.stats.record_start(endpoint, now_ms)
         return endpoint
 
@@ -197,7 +197,7 @@
         state = self._state
         slots = self._deps.slots
         clock = self._deps.clock
-        slot_acquired_ms = self._slot_taken_ms
+        slot_acquired_ms = self._slot_acquired_ms
 
         def release_slot() -> None:
             state.stats.record_end(endpoint, slot_acquired_ms)
@@ -225,7 +225,7 @@
     ) -> result.Result[sent_try.SentTry, exchange.EndpointError]:
         self._tries += 1
         deps = self._deps
-        send_by_ms = self._slot_taken_ms + shares.MAX_SEND_DELAY_MS
+        send_by_ms = self._slot_acquired_ms + shares.MAX_SEND_DELAY_MS
         started_s = time.monotonic()
         limits = exchange.TryLimits(
             deadline_ms=self._call.deadline_ms,
