--- a/src/comfreylatch/_process/routing/endpoint_stats.py
+++ b/src/comfreylatch/_process/routing/endpoint_stats.py
@@ -167,12 +167,12 @@
             if stats.is_ejected:
                 stats.is_probing = True
 
-    def record_end(self, endpoint: str, begun_ms: int) -> None:
+    def record_end(self, endpoint: str, started_ms: int) -> None:
         """Records that the endpoint no longer runs a request."""
         stats = self.get(endpoint)
         with self._lock:
             stats.in_flight -= 1
-            stats.start_sum_ms -= begun_ms
+            stats.start_sum_ms -= started_ms
 
     def record_inconclusive(self, endpoint: str) -> None:
         """Records a try whose result says nothing about the endpoint."""
