--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -17,7 +17,7 @@
 NEGLIGIBLE_ADDED_SLOWDOWN = 0.004
 MIN_SHARE_MILLI = 100
 AVOID_COST_MILLI = 5_000
-AVOID_MS = 60_000
+AVOID_DURATION_MS = 60_000
 
 
 @final
@@ -73,8 +73,10 @@
             del self._load_milli[worker]
 
     def avoid(self, worker: str, job_class: str) -> None:
-        """Raises the cost of a class on a worker for `AVOID_MS`."""
-        self._avoid_until_ms[worker, job_class] = self.now_ms + AVOID_MS
+        """Raises the cost of a class on a worker for `AVOID_DURATION_MS`."""
+        self._avoid_until_ms[worker, job_class] = (
+            self.now_ms + AVOID_DURATION_MS
+        )
         expired = [
             key
             for key, until_ms in self._avoid_until_ms.items()
