--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -10,7 +10,7 @@
     """Slots and connections of endpoints that this host may use."""
 
     def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
-        """Reserves a slot for a request of at most `duration_ms`.
+        """Acquires a slot for a request of at most `duration_ms`.
 
         Returns False if no slot is available.
         """
@@ -21,7 +21,7 @@
         ...
 
     def release_slot(self, endpoint: str) -> None:
-        """Releases a reserved slot once its request has ended."""
+        """Releases a slot once its request has ended."""
         ...
 
     def count_free(self, endpoint: str) -> int:
--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -190,12 +190,12 @@
 
     def observe(self, applied: stream_state.Applied) -> None:
         """Resolves an unknown append from the entries a follower applied."""
-        line = applied.last_records.get(self._writer)
-        if line is not None:
-            self.resolve(line.sequence, line.offset)
+        position = applied.last_records.get(self._writer)
+        if position is not None:
+            self.resolve(position.sequence, position.offset)
 
     def step(self) -> int:
-        """Makes at most one call to the log.
+        """Sends at most one batch, after a probe of the log if it is needed.
 
         Returns:
             Milliseconds to wait before the next step; 0 for none.
--- a/src/comfreylatch/_process/batch/attempt.py
+++ b/src/comfreylatch/_process/batch/attempt.py
@@ -58,7 +58,7 @@
         stop_reason: Why it is being stopped; None if it isn't.
         evicted_ms: When its eviction was decided.
         checkpointed: Whether the checkpoint of its eviction has been written
-            or is not wanted.
+            or is not required.
         checkpoint_queued_ms: When that checkpoint was last queued; -1 if it
             isn't.
         stop_queued_ms: When its stop was last queued; -1 if it isn't.
@@ -112,7 +112,7 @@
         )
 
     def on_start_unanswered(self, was_sent: bool, sent_ms: int) -> None:
-        """Notes that a start got no answer."""
+        """Records that a start command got no answer."""
         self.start_queued_ms = -1
         if was_sent:
             self.unanswered_start_ms = sent_ms
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -8,7 +8,8 @@
 from comfreylatch._process.batch import pending_records
 
 RESEND_INTERVAL_MS = 2_000
-# Until its checkpoint is recorded; then the attempt simply goes on.
+# Time for an eviction to record its checkpoint; after it the eviction is
+# abandoned and the attempt continues.
 EVICTION_TIMEOUT_MS = 10_000
 
 
@@ -50,7 +51,7 @@
             attempt.stop_reason = None
             return
         if attempt.checkpointed:
-            # Its record is not folded yet.
+            # The checkpoint record is not folded yet.
             self._pending.add_checkpoint(attempt, now_ms)
             return
         queued_ms = attempt.checkpoint_queued_ms
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -410,10 +410,10 @@
     def evict(
         self, job: str, now_ms: int, checkpoint_first: bool = True
     ) -> bool:
-        """Starts an eviction: a checkpoint if wanted, then a stop.
+        """Starts an eviction; first a checkpoint if `checkpoint_first`.
 
         Returns:
-            False if the job has no attempt or that is ending already.
+            False if the job has no attempt, or it is already ending.
         """
         attempt = self._attempts.get(job)
         if attempt is None or attempt.stop_reason is not None:
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -53,7 +53,7 @@
 
 @attrs.frozen
 class Throttle:
-    """Limit attempts to shares; `relaxes` if the shares are raised."""
+    """Limit attempts to shares; `relaxes` tells if that raises them."""
 
     shares: tuple[JobShare, ...]
     relaxes: bool = False
@@ -91,7 +91,8 @@
     """Decides the escalation steps of every worker. Not thread-safe.
 
     Attributes:
-        allowed_slowdown: Allowed extra slowdown of a service, as a fraction.
+        allowed_slowdown: Allowed extra slowdown of a service, as a fraction of
+            its time when running alone.
     """
 
     def __init__(self, model: interference.InterferenceModel) -> None:
@@ -206,8 +207,8 @@
             coefficient = self._model.coefficient(
                 service, attempt.state.spec.job_class
             )
-            part = attempt.share_milli / FULL_SHARE_MILLI
-            excess -= coefficient.mean * load_of(attempt) * part
+            share = attempt.share_milli / FULL_SHARE_MILLI
+            excess -= coefficient.mean * load_of(attempt) * share
             chosen.append(attempt)
         return chosen
 
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -22,11 +22,14 @@
 
 @final
 class InterferenceCostModel:
-    """Implements `placement.CostModel`. Not thread-safe.
+    """Predicts slowdowns; implements `placement.CostModel`.
+
+    Not thread-safe.
 
     Attributes:
         now_ms: Monotonic time, set by the owner's loop.
-        allowed_slowdown: How much slower a service may get, as a fraction.
+        allowed_slowdown: Allowed extra slowdown of a service, as a fraction of
+            its time when running alone.
     """
 
     def __init__(
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -26,12 +26,12 @@
     used: workers.Resources, quota: workers.Resources
 ) -> int:
     """Largest used share of a quota over all dimensions, in thousandths."""
-    parts = [
+    shares_milli = [
         _share_milli(used.processors_milli, quota.processors_milli),
         _share_milli(used.memory_mib, quota.memory_mib),
         _share_milli(used.accelerators, quota.accelerators),
     ]
-    return max(parts)
+    return max(shares_milli)
 
 
 def _share_milli(used: int, quota: int) -> int:
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -95,7 +95,7 @@
         self._events.clear()
 
     def drain_events(self) -> list[worker_session.LinkEvent]:
-        """Returns events since the last call, in order for each worker."""
+        """Removes and returns the queued events, in order for each worker."""
         taken: list[worker_session.LinkEvent] = []
         while self._events:
             taken.append(self._events.popleft())
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -1,11 +1,11 @@
 """Leader election for a zone, by claims on the zone's stream.
 
 A host owns the zone by a claim record. What it may do follows from its last
-proof: a claim or renewal known to be on the stream under its own term, dated
-from before that record was sent. Until `claim_ms` after the proof no other
-host claims the zone, and everything is allowed. Until `autonomy_ms` after it
-the host still renews the leases of workers that no later term has fenced, but
-starts nothing. A successor treats tasks of workers that it has not fenced as
+proof of ownership: a claim or renewal of its own term that is known to be on
+the stream. The proof counts from just before that record was sent. Until
+`claim_ms` after the proof no other host claims the zone, and the owner may do
+everything. Until `autonomy_ms` after it the owner still renews the leases of
+workers that no later term has fenced, but starts nothing. A successor treats tasks of workers that it has not fenced as
 running until the bounds of the predecessor's claim have passed.
 """
 
@@ -175,7 +175,7 @@
             return max(self._predecessor_tasks_until_ms.values(), default=0)
 
     def report_fenced(self, term: int) -> None:
-        """Notes that a worker has seen a term higher than this host's."""
+        """Records a later term that a worker has seen."""
         with self._lock:
             self._fenced_term = max(self._fenced_term, term)
 
@@ -220,7 +220,7 @@
         return claim.host == self._host_id and not claim.released
 
     def _observe(self) -> None:
-        """Notes new claims and renewals and the time they were first seen."""
+        """Records new claims and renewals, and updates the permissions."""
         now_ms = self._clock.monotonic_ms()
         claims = self._fold.claims()
         with self._lock:
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -56,7 +56,7 @@
     largest: workers.Resources
 
     def describe(self, size: workers.Resources) -> str:
-        """Describes for people what is too large."""
+        """Describes which dimensions of the request are too large."""
         parts = []
         for name in self.dimensions:
             requested = getattr(size, name)
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -22,7 +22,7 @@
 
 @final
 class SchedulingState:
-    """Built from the fold at the start of each term. Not thread-safe.
+    """Scheduling state, rebuilt from the fold in each term. Not thread-safe.
 
     Attributes:
         ledger: Free capacity of each worker.
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -32,7 +32,7 @@
     zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
-    """Makes one exchange if permitted; checked right before it is sent."""
+    """Makes one exchange if permitted; checks right before sending it."""
     now_ms = clock.monotonic_ms()
     exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -166,7 +166,7 @@
             )
 
     def mark_sent(self, exchange: workers.Exchange, now_ms: int) -> int:
-        """Notes that an exchange is about to be sent.
+        """Records that an exchange is about to be sent.
 
         Returns:
             The previous `last_sent_ms`, to be passed to `on_no_answer`.
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -135,17 +135,17 @@
     def status(self) -> owner_status.OwnerStatus:
         """Returns what the `status` command shows. Thread-safe."""
         now_ms = self._clock.monotonic_ms()
-        holds = self._ownership.permissions().may_start(now_ms)
+        may_start = self._ownership.permissions().may_start(now_ms)
         quarantined = self._health.quarantined()
-        return owner_status.from_fold(self._fold, holds, quarantined)
+        return owner_status.from_fold(self._fold, may_start, quarantined)
 
     def evict(self, job: str, reason: str) -> bool:
-        """Starts to evict a job's attempt: a checkpoint, then a stop.
+        """Starts the eviction of a job's attempt: a checkpoint, then a stop.
 
         Must be called from the thread that calls `step`.
 
         Returns:
-            False if no attempt runs here or it is ending already.
+            False if the job has no attempt here, or it is already ending.
         """
         now_ms = self._clock.monotonic_ms()
         if not self._scheduling.attempts.evict(job, now_ms):
@@ -161,7 +161,7 @@
         self._scheduling.attempts.throttle(job, share_milli)
 
     def step(self) -> int:
-        """Does all work that is due.
+        """Runs one pass of the control loop.
 
         Returns:
             Milliseconds until the next step.
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -157,7 +157,7 @@
         return self._shares.connection_share(endpoint)
 
     def report_demand(self, endpoint: str) -> None:
-        """Requests a loan of slots of an endpoint; never blocks."""
+        """See `SlotLedger.report_demand`; queues a loan request."""
         if endpoint not in self._requested_endpoints:
             self._requested_endpoints.add(endpoint)
             self._wake.set()
--- a/src/comfreylatch/_process/local_state.py
+++ b/src/comfreylatch/_process/local_state.py
@@ -110,7 +110,7 @@
 
 @attrs.frozen
 class GateDependencies:
-    """Collaborators of the gate of a seat.
+    """Dependencies of the gate of a seat.
 
     Attributes:
         config: Follower of the configuration stream.
--- a/src/comfreylatch/_process/pause_detector.py
+++ b/src/comfreylatch/_process/pause_detector.py
@@ -20,7 +20,7 @@
 
 @final
 class PauseDetector:
-    """Calls `on_pause(length_ms)` after a pause, on a thread of its own."""
+    """Calls `on_pause(length_ms)` on its own thread after a pause."""
 
     def __init__(
         self, clock: clock_port.Clock, on_pause: Callable[[int], None]
--- a/src/comfreylatch/_process/peer_service.py
+++ b/src/comfreylatch/_process/peer_service.py
@@ -118,7 +118,7 @@
         return self._router.run_forwarded(request)
 
     def mark(self, request: ttypes.MarkRequest) -> ttypes.MarkReply:
-        """Marks a request id, as its home host or as a replica."""
+        """Marks a request id for one claimant, or removes its mark."""
         if self._marks is None:
             raise ttypes.PeerRefused(
                 "no-marks", "this host holds no dispatch marks"
--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -62,8 +62,8 @@
     Attributes:
         caller: Name of the caller.
         deadline_ms: Monotonic time by which the answer must arrive.
-        take_slot: Takes a slot and returns its endpoint, or None. Called
-            under the queue's lock, so it must not block.
+        acquire_slot: Acquires a slot and returns its endpoint, or None.
+            Called under the queue's lock, so it must not block.
         is_retry: Whether the request was tried before; a retry precedes its
             caller's other requests.
         may_wait: Whether it may wait if no slot is free now.
@@ -135,7 +135,7 @@
         return self._wait(waiter)
 
     def try_acquire(self, acquire_slot: Callable[[], str | None]) -> str | None:
-        """Takes a free slot without waiting, unless requests are queued."""
+        """Acquires a free slot without waiting; None if requests are queued."""
         with self._lock:
             if self._waiting_count:
                 return None
@@ -187,7 +187,7 @@
 
     @property
     def _answer_ms(self) -> float:
-        """Time within which most requests are answered after taking a slot."""
+        """Time from acquiring a slot to the answer, for most requests."""
         return max(self._answer_quantile.estimate_ms, self._mean_hold_ms)
 
     def _wait(self, waiter: _Waiter) -> result.Result[str, Refusal]:
--- a/src/comfreylatch/_process/routing/endpoint_stats.py
+++ b/src/comfreylatch/_process/routing/endpoint_stats.py
@@ -135,13 +135,13 @@
 
         New endpoints begin in slow start.
         """
-        wanted = frozenset(endpoints)
+        configured = frozenset(endpoints)
         with self._lock:
-            for name in self._stats.keys() - wanted:
+            for name in self._stats.keys() - configured:
                 if self._stats[name].in_flight == 0:
                     self._ejected_count -= self._stats[name].is_ejected
                     del self._stats[name]
-            for name in wanted - self._stats.keys():
+            for name in configured - self._stats.keys():
                 now_ms = self._clock.monotonic_ms()
                 self._stats[name] = EndpointStats(readmitted_ms=now_ms)
 
--- a/src/comfreylatch/_process/routing/load_balancing.py
+++ b/src/comfreylatch/_process/routing/load_balancing.py
@@ -145,8 +145,8 @@
         """See `Picker.pick`."""
         count = len(args.endpoints)
         first = next(self._calls)
-        for step in range(count):
-            name = args.endpoints[(first + step) % count]
+        for offset in range(count):
+            name = args.endpoints[(first + offset) % count]
             if args.free_slots(name) > 0:
                 return name
         return None
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -23,7 +23,7 @@
 from comfreylatch._version import objects
 
 INCREASE_CHECK_INTERVAL_MS = 100
-# Maximum time between taking a slot and sending the request.
+# Maximum time between acquiring a slot and sending the request.
 MAX_SEND_DELAY_MS = 500
 
 
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -40,10 +40,10 @@
 def stop_gracefully(deps: ShutdownDependencies, timeout_ms: int) -> bool:
     """Stops accepting work and waits for the work in progress.
 
-    First the load balancer moves callers to other hosts and requests in
-    progress are answered. Then the claim on the zone's workers is released,
-    and slots in use or on loan come back. Peers are told whether all work has
-    ended, so that a successor doesn't wait for it.
+    First the load balancer moves callers to other hosts, and requests in
+    progress are answered. Then the host releases its claim on the zone's
+    workers, and waits for the slots in use or on loan. At last it tells its
+    peers whether all work has ended, so that a successor need not wait.
 
     Returns:
         Whether all requests of callers were answered within `timeout_ms`.
--- a/src/comfreylatch/_process/slot_account.py
+++ b/src/comfreylatch/_process/slot_account.py
@@ -4,7 +4,7 @@
 hosts and borrows from them. The lender debits a loan before it sends the reply
 and credits it when the loan is returned, or has expired by the lender's clock
 plus a margin. The borrower measures the same duration from before its request,
-so it stops using the slots first. A request takes a borrowed slot only if it
+so it stops using the slots first. A request gets a borrowed slot only if it
 must end before the loan does. Together the hosts therefore never use more
 slots than the endpoint has, whichever messages are lost and whichever hosts
 crash, as long as clock rates differ by less than the margin.
--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -57,7 +57,7 @@
         seat: Seat of this host.
         seats: Returns the seats that follow the stream.
         metrics: Counts appends.
-        clock: Clock for ages and turns.
+        clock: Monotonic time.
         policy: When snapshots are published.
     """
 
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -1,4 +1,4 @@
-"""Waits at start for requests, loans and seats of other processes."""
+"""Times a starting host waits for a predecessor in its seat."""
 
 from __future__ import annotations
 
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -170,7 +170,9 @@
             self._recent.clear()
             self._recent_bytes = 0
             self._changed.notify_all()
-        last_records = {line.writer: line for line in snapshot.writers}
+        last_records = {
+            position.writer: position for position in snapshot.writers
+        }
         self._notify(Applied(self._stream, source, (), last_records))
         return True
 
--- a/src/comfreylatch/_request/outcomes.py
+++ b/src/comfreylatch/_request/outcomes.py
@@ -44,7 +44,7 @@
     Attributes:
         reason: Reason code.
         sentence: The reason as a sentence for people.
-        retry_after_ms: Time until a retry is useful; 0 when it never is.
+        retry_after_ms: Time until a retry is useful; 0 if none is.
     """
 
     reason: reasons.RefusalReason
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -99,7 +99,7 @@
         return self._run_tries(endpoint)
 
     def _run_tries(self, endpoint: str | None) -> outcomes.RequestOutcome:
-        """Tries an endpoint whose slot is taken, then others one by one."""
+        """Tries an endpoint with an acquired slot, then others one by one."""
         while True:
             if endpoint is None:
                 match self._wait_for_slot():
@@ -144,7 +144,7 @@
         return self._state.queue.acquire(slot_request)
 
     def _acquire_slot(self) -> str | None:
-        """Takes a slot of the best endpoint; None if no slot is free."""
+        """Acquires a slot of the best endpoint; None if no slot is free."""
         state = self._state
         slots = self._deps.slots
         endpoint = state.picker.pick(
@@ -162,8 +162,8 @@
                 )
             return None
         hold_ms = shares.MAX_SEND_DELAY_MS + self._deps.table.max_request_ms
-        # The clock is read before the slot is taken. Otherwise, after a pause
-        # in between, the slot would seem younger than in its ledger.
+        # The clock is read before the slot is acquired. Otherwise, after a
+        # pause in between, the slot would seem younger than in its ledger.
         now_ms = self._deps.clock.monotonic_ms()
         if not slots.try_acquire_slot(endpoint, hold_ms):
             return None
@@ -193,7 +193,7 @@
                 return refusal
 
     def _make_slot_release(self, endpoint: str) -> Callable[[], None]:
-        """Returns a callback that frees the slot when its request has ended."""
+        """Returns a callback that releases the slot of an ended request."""
         state = self._state
         slots = self._deps.slots
         clock = self._deps.clock
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -27,7 +27,7 @@
 # Assumed network time to another zone, before the first measured request.
 INITIAL_NETWORK_MS = 15.0
 ROUND_TRIP_SMOOTHING = 0.1
-# Part of the remaining time that is kept for the reply's way back.
+# Part of the remaining time that is reserved for returning the reply.
 FORWARD_MARGIN_MS = 5
 ROUTE_PAUSE_MS = 500
 
@@ -77,7 +77,7 @@
     def forward_before_waiting(
         self, call: call_module.Call
     ) -> outcomes.RequestOutcome | None:
-        """Forwards a request that would wait longer here, else None."""
+        """Forwards a request if another zone can answer sooner, else None."""
         queue = call.state.queue
         if queue.in_flight == 0:
             # No slot here can become free; the request will be refused and
