--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -5,8 +5,9 @@
 the stream. The proof counts from just before that record was sent. Until
 `claim_ms` after the proof no other host claims the zone, and the owner may do
 everything. Until `autonomy_ms` after it the owner still renews the leases of
-workers that no later term has fenced, but starts nothing. A successor treats tasks of workers that it has not fenced as
-running until the bounds of the predecessor's claim have passed.
+workers that no later term has fenced, but starts nothing. A successor treats
+tasks of workers that it has not fenced as running until the bounds of the
+predecessor's claim have passed.
 """
 
 from __future__ import annotations
--- a/src/comfreylatch/_process/dispatch_marks.py
+++ b/src/comfreylatch/_process/dispatch_marks.py
@@ -55,7 +55,7 @@
         self._expiries: collections.deque[_Expiry] = collections.deque()
 
     def assume_complete(self) -> None:
-        """Lets ids be granted at once; none was dispatched before this start."""
+        """Grants ids from now on; none was dispatched before this start."""
         self._is_complete = True
 
     @property
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -100,7 +100,7 @@
 
 @attrs.frozen
 class TicketSummary:
-    """One line in the list of tickets."""
+    """A ticket in the list of tickets."""
 
     number: int
     author: str
@@ -147,7 +147,7 @@
 
 
 def verdict_page(line: verdicts.TicketEntry, reason: str) -> VerdictPage:
-    """Builds the verdict that the submitter is answered with."""
+    """Builds the reply to the submitter of a ticket."""
     return VerdictPage(
         number=line.number,
         verdict=line.verdict,
--- a/tests/process/batch/test_worker_session.py
+++ b/tests/process/batch/test_worker_session.py
@@ -23,8 +23,8 @@
     def test_exchange_without_lease_keeps_last_sent(self) -> None:
         lease = workers.Exchange("host", 1, quoted_report=7, lease_ms=2_000)
         self.session.mark_sent(lease, 1_000)
-        question = workers.Exchange("host", 1, quoted_report=0, lease_ms=0)
-        previous_sent_ms = self.session.mark_sent(question, 5_000)
+        poll = workers.Exchange("host", 1, quoted_report=0, lease_ms=0)
+        previous_sent_ms = self.session.mark_sent(poll, 5_000)
         lost = workers.WorkerAnswerLost("timeout")
-        self.session.on_no_answer(question, lost, 5_000, previous_sent_ms)
+        self.session.on_no_answer(poll, lost, 5_000, previous_sent_ms)
         self.assertEqual(1_000, self.session.last_sent_ms)
