--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -98,10 +98,10 @@
     def show_ticket(self, request: http.HttpRequest) -> http.HttpReply:
         """`GET /tickets/N`."""
         text = request.path.rpartition("/")[2]
-        line = None
+        entry = None
         if text.isascii() and text.isdigit():
-            line = self._fold.ticket(int(text))
-        if line is None:
+            entry = self._fold.ticket(int(text))
+        if entry is None:
             return http.error_reply(
                 404,
                 "unknown-ticket",
@@ -111,7 +111,7 @@
             )
         decisions = self._journal.about(reasons.Subject.TICKET, text)
         page = ticket_pages.ticket_page(
-            line, self._own_view(), self._peers.views(), decisions
+            entry, self._own_view(), self._peers.views(), decisions
         )
         return http.json_reply(200, page)
 
@@ -125,20 +125,20 @@
         )
         return http.json_reply(200, page)
 
-    def _record_verdict(self, line: verdicts.TicketEntry) -> None:
+    def _record_verdict(self, entry: verdicts.TicketEntry) -> None:
         """Records a verdict in the journal, except those replayed at start."""
         if not self._follower.ready:
             return
-        what = "came into force" if line.accepted else "was refused"
+        what = "came into force" if entry.accepted else "was refused"
         sentence = f"{what} on {self._seat}"
-        if line.detail:
-            sentence += f": {line.detail}"
+        if entry.detail:
+            sentence += f": {entry.detail}"
         self._journal.record(
             reasons.Subject.TICKET,
-            str(line.number),
-            line.verdict,
+            str(entry.number),
+            entry.verdict,
             sentence,
-            line.offset,
+            entry.offset,
         )
 
     def _own_view(self) -> ticket_pages.OwnView:
@@ -179,9 +179,9 @@
         known = self._fold.ticket(ticket.number)
         if known is not None:
             return self._reply(ticket, known)
-        line = self._fold.evaluate(-1, ticket)
-        if not line.accepted and not _names_unread_version(line):
-            return self._refuse_stale(ticket, line)
+        entry = self._fold.evaluate(-1, ticket)
+        if not entry.accepted and not _names_unread_version(entry):
+            return self._refuse_stale(ticket, entry)
         record = tickets.TicketRecord(tickets.to_json(ticket))
         match self._appender.append([record], timeout_ms):
             case result.Ok(appended):
@@ -223,45 +223,45 @@
                 f"the ticket is on the log at offset {offset}, but this host"
                 f" has read only to {self._follower.offset()}",
             )
-        line = self._fold.ticket(ticket.number)
-        if line is None:
+        entry = self._fold.ticket(ticket.number)
+        if entry is None:
             return self._reply_unknown(
                 ticket, "this host no longer keeps the ticket"
             )
-        return self._reply(ticket, line)
+        return self._reply(ticket, entry)
 
     def _reply(
-        self, ticket: tickets.Ticket, line: verdicts.TicketEntry
+        self, ticket: tickets.Ticket, entry: verdicts.TicketEntry
     ) -> http.HttpReply:
         """Answers with the verdict on the ticket that has the number."""
-        if line.content_hash != tickets.content_hash(ticket):
+        if entry.content_hash != tickets.content_hash(ticket):
             return self._refuse(
                 ticket,
                 _Refusal(
                     409,
                     reasons.RefusalReason.TICKET_NUMBER_TAKEN,
                     f"number {ticket.number} belongs to another ticket, by"
-                    f" {line.author or 'an unknown author'} at offset"
-                    f" {line.offset}: use a new number",
+                    f" {entry.author or 'an unknown author'} at offset"
+                    f" {entry.offset}: use a new number",
                 ),
             )
-        if line.accepted:
-            page = ticket_pages.verdict_page(line, str(line.verdict))
+        if entry.accepted:
+            page = ticket_pages.verdict_page(entry, str(entry.verdict))
             return http.json_reply(200, page)
-        reason = _refusal_reason(line)
-        page = ticket_pages.verdict_page(line, str(reason))
+        reason = _refusal_reason(entry)
+        page = ticket_pages.verdict_page(entry, str(reason))
         self._count_refusal(reason)
         return http.json_reply(409, page, {"X-Reason": str(reason)})
 
     def _refuse_stale(
-        self, ticket: tickets.Ticket, line: verdicts.TicketEntry
+        self, ticket: tickets.Ticket, entry: verdicts.TicketEntry
     ) -> http.HttpReply:
         """Refuses a ticket that the fold would refuse, without an append."""
-        reason = _refusal_reason(line)
+        reason = _refusal_reason(entry)
         self._count_refusal(reason)
-        sentence = f"refused before it was appended: {line.detail}"
+        sentence = f"refused before it was appended: {entry.detail}"
         self._record_decision(ticket, reason, sentence, -1)
-        page = ticket_pages.verdict_page(line, str(reason))
+        page = ticket_pages.verdict_page(entry, str(reason))
         return http.json_reply(409, page, {"X-Reason": str(reason)})
 
     def _refuse(
@@ -307,14 +307,14 @@
         return DEFAULT_TIMEOUT_MS
 
 
-def _names_unread_version(line: verdicts.TicketEntry) -> bool:
+def _names_unread_version(entry: verdicts.TicketEntry) -> bool:
     """Whether the ticket names a version this host has not read yet."""
     return any(
-        conflict.replaces > conflict.current for conflict in line.conflicts
+        conflict.replaces > conflict.current for conflict in entry.conflicts
     )
 
 
-def _refusal_reason(line: verdicts.TicketEntry) -> reasons.RefusalReason:
-    if line.verdict is verdicts.Verdict.CONFLICT:
+def _refusal_reason(entry: verdicts.TicketEntry) -> reasons.RefusalReason:
+    if entry.verdict is verdicts.Verdict.CONFLICT:
         return reasons.RefusalReason.TICKET_CONFLICT
     return reasons.RefusalReason.BAD_TICKET
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -146,15 +146,15 @@
     return ProblemPage("bad-ticket", detail, tuple(problems))
 
 
-def verdict_page(line: verdicts.TicketEntry, reason: str) -> VerdictPage:
+def verdict_page(entry: verdicts.TicketEntry, reason: str) -> VerdictPage:
     """Builds the reply to the submitter of a ticket."""
     return VerdictPage(
-        number=line.number,
-        verdict=line.verdict,
+        number=entry.number,
+        verdict=entry.verdict,
         reason=reason,
-        detail=line.detail,
-        offset=line.offset,
-        conflicts=line.conflicts,
+        detail=entry.detail,
+        offset=entry.offset,
+        conflicts=entry.conflicts,
     )
 
 
@@ -164,14 +164,18 @@
     """Summarises tickets in log order."""
     return tuple(
         TicketSummary(
-            line.number, line.author, line.reason, line.verdict, line.offset
+            entry.number,
+            entry.author,
+            entry.reason,
+            entry.verdict,
+            entry.offset,
         )
-        for line in lines
+        for entry in lines
     )
 
 
 def ticket_page(
-    line: verdicts.TicketEntry,
+    entry: verdicts.TicketEntry,
     own: OwnView,
     views: Iterable[peers_port.PeerView],
     decisions: Iterable[journal_module.Decision],
@@ -179,26 +183,26 @@
     """Describes a ticket and the seats that have or haven't folded it."""
     seats = [
         SeatLine(
-            own.seat, own.offset >= line.offset, own.offset, own.digest, True
+            own.seat, own.offset >= entry.offset, own.offset, own.digest, True
         )
     ]
-    seats += [_seat_line(line, own, view) for view in views]
+    seats += [_seat_line(entry, own, view) for view in views]
     in_force = tuple(seat for seat in seats if seat.applied)
     not_yet = tuple(seat for seat in seats if not seat.applied)
     return TicketPage(
-        number=line.number,
-        author=line.author,
-        reason=line.reason,
-        verdict=line.verdict,
-        detail=line.detail,
-        offset=line.offset,
-        objects=line.objects,
-        conflicts=line.conflicts,
+        number=entry.number,
+        author=entry.author,
+        reason=entry.reason,
+        verdict=entry.verdict,
+        detail=entry.detail,
+        offset=entry.offset,
+        objects=entry.objects,
+        conflicts=entry.conflicts,
         age_ms=own.age_ms,
-        since_wall_ms=_since_wall_ms(line, decisions),
-        in_force=in_force if line.accepted else (),
+        since_wall_ms=_since_wall_ms(entry, decisions),
+        in_force=in_force if entry.accepted else (),
         not_yet=not_yet,
-        sentence=_sentence(line, in_force, not_yet, own.age_ms),
+        sentence=_sentence(entry, in_force, not_yet, own.age_ms),
     )
 
 
@@ -230,21 +234,21 @@
 
 
 def _since_wall_ms(
-    line: verdicts.TicketEntry, decisions: Iterable[journal_module.Decision]
+    entry: verdicts.TicketEntry, decisions: Iterable[journal_module.Decision]
 ) -> int:
     for decision in decisions:
-        if decision.offset == line.offset and decision.reason == line.verdict:
+        if decision.offset == entry.offset and decision.reason == entry.verdict:
             return decision.wall_ms
     return 0
 
 
 def _seat_line(
-    line: verdicts.TicketEntry, own: OwnView, view: peers_port.PeerView
+    entry: verdicts.TicketEntry, own: OwnView, view: peers_port.PeerView
 ) -> SeatLine:
     same_offset = view.config_offset == own.offset
     return SeatLine(
         seat=view.seat,
-        applied=view.config_offset >= line.offset,
+        applied=view.config_offset >= entry.offset,
         offset=view.config_offset,
         digest=view.config_digest,
         reachable=view.reachable,
@@ -253,18 +257,18 @@
 
 
 def _sentence(
-    line: verdicts.TicketEntry,
+    entry: verdicts.TicketEntry,
     in_force: Sequence[SeatLine],
     not_yet: Sequence[SeatLine],
     age_ms: int,
 ) -> str:
-    if not line.accepted:
+    if not entry.accepted:
         return (
-            f"Ticket {line.number} was refused at offset {line.offset}"
-            f" ({line.verdict}) and changed nothing: {line.detail}."
+            f"Ticket {entry.number} was refused at offset {entry.offset}"
+            f" ({entry.verdict}) and changed nothing: {entry.detail}."
         )
     text = (
-        f"Ticket {line.number} was accepted at offset {line.offset} and is in"
+        f"Ticket {entry.number} was accepted at offset {entry.offset} and is in"
         f" force on {len(in_force)} of {len(in_force) + len(not_yet)} seats"
     )
     if not_yet:
