--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -92,8 +92,8 @@
     def list_tickets(self, request: http.HttpRequest) -> http.HttpReply:
         """`GET /tickets`."""
         del request
-        lines = self._fold.tickets()
-        return http.json_reply(200, ticket_pages.ticket_list(lines))
+        entries = self._fold.tickets()
+        return http.json_reply(200, ticket_pages.ticket_list(entries))
 
     def show_ticket(self, request: http.HttpRequest) -> http.HttpReply:
         """`GET /tickets/N`."""
