--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -85,10 +85,10 @@
         self._listeners: list[Callable[[str], None]] = []
         self.taken: dict[str, int] = {}
         self.highest = 0
-        self.wanted: set[str] = set()
+        self.reported_demand: set[str] = set()
 
     def report_demand(self, endpoint: str) -> None:
-        self.wanted.add(endpoint)
+        self.reported_demand.add(endpoint)
 
     def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
         with self._lock:
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -192,7 +192,7 @@
     def test_request_without_slot_registers_demand(self) -> None:
         fixture = self.make_fixture(echo, slots=0)
         fixture.send_request("r1")
-        self.assertEqual({"ex-0"}, fixture.slots.wanted)
+        self.assertEqual({"ex-0"}, fixture.slots.reported_demand)
 
     def test_slot_stays_taken_while_lost_request_may_run(self) -> None:
         fixture = self.make_fixture(slow(0.5), slots=1)
