--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -91,7 +91,7 @@
     def clear_commands(self) -> None:
         """Drops queued commands and events, as when the claim is lost."""
         for session in self._sessions.values():
-            session.clear()
+            session.clear_commands()
         self._events.clear()
 
     def drain_events(self) -> list[worker_session.LinkEvent]:
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -111,7 +111,7 @@
                 queue.append(command)
 
     def poll_by(self, due_ms: int) -> None:
-        """Requests an exchange by `due_ms`, as when an attempt should end."""
+        """Requests an exchange by `due_ms`, when an attempt should have ended."""
         self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
     def withdraw_command(self, command: workers.Command) -> bool:
@@ -122,7 +122,7 @@
             self._commands.remove(command)
             return True
 
-    def clear(self) -> None:
+    def clear_commands(self) -> None:
         """Drops all queued commands, as when the claim is lost."""
         with self._lock:
             self._commands.clear()
--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -379,7 +379,7 @@
         self._used_count = 0
 
     def try_acquire(self, service: str, weight_share: float) -> bool:
-        """Takes a thread for a service.
+        """Acquires a thread for a service.
 
         Args:
             service: Name of the service.
@@ -400,7 +400,7 @@
             return True
 
     def release(self, service: str) -> None:
-        """Returns a thread of a service."""
+        """Releases a thread of a service."""
         with self._lock:
             self._used_by_service[service] -= 1
             self._used_count -= 1
--- a/src/comfreylatch/_process/routing/retry_budget.py
+++ b/src/comfreylatch/_process/routing/retry_budget.py
@@ -38,7 +38,7 @@
             self._tokens = min(self._tokens + self._percent / 100, MAX_TOKENS)
 
     def try_spend(self) -> bool:
-        """Takes a token for a retry or hedge; False if there is none."""
+        """Spends a token on a retry or hedge; False if there is none."""
         with self._lock:
             if self._tokens < 1:
                 return False
--- a/src/comfreylatch/_process/ticket_pages.py
+++ b/src/comfreylatch/_process/ticket_pages.py
@@ -159,7 +159,7 @@
 
 
 def ticket_list(
-    lines: Iterable[verdicts.TicketEntry],
+    entries: Iterable[verdicts.TicketEntry],
 ) -> tuple[TicketSummary, ...]:
     """Summarises tickets in log order."""
     return tuple(
@@ -170,7 +170,7 @@
             entry.verdict,
             entry.offset,
         )
-        for entry in lines
+        for entry in entries
     )
 
 
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -184,7 +184,7 @@
     def clear_commands(self) -> None:
         """See `LinkPool.clear_commands`."""
         for session in self.sessions.values():
-            session.clear()
+            session.clear_commands()
         self.events.clear()
 
     def drain_events(self) -> list[worker_session.LinkEvent]:
