--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -111,7 +111,7 @@
                 queue.append(command)
 
     def poll_by(self, due_ms: int) -> None:
-        """Requests an exchange by `due_ms`, when an attempt should have ended."""
+        """Requests an exchange by `due_ms`, as when an attempt should end."""
         self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
     def withdraw_command(self, command: workers.Command) -> bool:
