--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -25,7 +25,7 @@
     def process(
         self,
         report: workers.WorkerReport,
-        job_of: Callable[[str], job_state.JobState | None],
+        find_job: Callable[[str], job_state.JobState | None],
         attempts: tuple[attempt_module.Attempt, ...],
         now_ms: int,
     ) -> interference_control.Action | None:
@@ -45,7 +45,7 @@
 
         action: interference_control.Action | None = None
         for usage in report.usage:
-            self._learn(usage, report.capacity, job_of)
+            self._learn(usage, report.capacity, find_job)
             services = [
                 (
                     service.service,
@@ -68,11 +68,11 @@
         self,
         usage: workers.Usage,
         amount: workers.Resources,
-        job_of: Callable[[str], job_state.JobState | None],
+        find_job: Callable[[str], job_state.JobState | None],
     ) -> None:
         class_by_job: dict[str, str] = {}
         for used in usage.tasks:
-            state = job_of(used.job)
+            state = find_job(used.job)
             if state is None:
                 continue
             spec = state.spec
