--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -58,7 +58,7 @@
         self._jobs_needing_command.clear()
         self._pending.reset(term)
 
-    def attempt(self, job: str) -> attempt_module.Attempt | None:
+    def find_attempt(self, job: str) -> attempt_module.Attempt | None:
         """Returns the assigned attempt of a job, or None."""
         return self._attempts.get(job)
 
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -84,7 +84,7 @@
             self._count("eviction-budget-spent")
             return
         for job in jobs:
-            attempt = scheduling.attempts.attempt(job)
+            attempt = scheduling.attempts.find_attempt(job)
             if attempt is not None:
                 scheduling.cost_model.avoid(
                     worker, attempt.state.spec.job_class
