--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -1,4 +1,4 @@
-"""Submits the jobs of a trace, cancels them, and waits for their ends."""
+"""Submits and cancels the jobs of a trace and polls their state."""
 
 from __future__ import annotations
 
@@ -23,22 +23,23 @@
 
 CALL_TIMEOUT_MS = 10_000
 POLL_INTERVAL_S = 0.5
-THREADS = 8
-END_PHASES = ("finished", "cancelled", "parked", "ended")
+CALL_THREADS = 8
+FINAL_PHASES = ("finished", "cancelled", "parked", "ended")
 
 
 @attrs.define
 class JobSample:
-    """One job of a replay, filled in as it goes.
+    """State of one job, updated during the replay.
 
     Attributes:
-        due_ms: When it was due, from the start of the replay.
-        submitted: `accepted`, `unknown`, or the reason of its refusal.
-        phase: Last phase seen.
-        started_ms: When a first attempt was first seen, from the start; 0
-            when none. Jobs are looked at every `POLL_INTERVAL_S`.
-        ended_ms: When an end was first seen, from the start; 0 when none.
-        cancelled: Whether the trace cancelled it.
+        due_ms: When the job was due, from the start of the replay.
+        submitted: `accepted`, `unknown`, `unreachable` or the reason of the
+            refusal.
+        phase: Last observed phase.
+        started_ms: When an attempt was first observed, from the start of the
+            replay; 0 if never. Jobs are polled every `POLL_INTERVAL_S`.
+        ended_ms: When a final phase was first observed; 0 if never.
+        cancelled: Whether the trace cancelled the job.
     """
 
     id: str
@@ -58,14 +59,15 @@
 
 @final
 class JobReplay:
-    """Plays the jobs of a trace against operator addresses.
+    """Replays the jobs of a trace against operator addresses.
 
     Args:
-        trace: What to submit; requests in it are left to others.
-        hosts: Operator addresses; each zone's jobs go to the first that
-            takes jobs of the zone.
-        run: Prefix of job ids, new for each replay.
-        speed: Trace time per real time; job run times are left as they are.
+        trace: The trace; its requests are ignored.
+        hosts: Operator addresses; jobs of a zone are submitted to the first
+            host that accepts them.
+        run: Prefix of job ids, unique per replay.
+        speed: Ratio of trace time to real time; run times of jobs are not
+            scaled.
     """
 
     def __init__(
@@ -82,8 +84,8 @@
         ]
         self._stack = contextlib.ExitStack()
         self._clients = [
-            self._stack.enter_context(clients.Client([one], CALL_TIMEOUT_MS))
-            for one in hosts
+            self._stack.enter_context(clients.Client([host], CALL_TIMEOUT_MS))
+            for host in hosts
         ]
         self._run = run
         self._speed = speed
@@ -101,19 +103,19 @@
         self._stack.close()
 
     def play(self, started_s: float, settle_ms: int) -> list[JobSample]:
-        """Plays everything; waits up to `settle_ms` for ends afterwards."""
+        """Replays all jobs, then waits up to `settle_ms` for them to end."""
         self._started_s = started_s
         poller = threading.Thread(target=self._poll, daemon=True)
         poller.start()
-        with futures.ThreadPoolExecutor(THREADS) as pool:
+        with futures.ThreadPoolExecutor(CALL_THREADS) as pool:
             for line in self._lines:
-                left_ms = line.at_ms / self._speed - self._now_ms()
-                time.sleep(max(left_ms, 0.0) / 1_000)
+                remaining_ms = line.at_ms / self._speed - self._now_ms()
+                time.sleep(max(remaining_ms, 0.0) / 1_000)
                 if isinstance(line, traces.TracedJob):
                     pool.submit(self._submit, self._add(line), line)
                 else:
                     pool.submit(self._cancel, line)
-        self._wait_for_ends(settle_ms)
+        self._wait_until_settled(settle_ms)
         self._closing.set()
         poller.join()
         return list(self._samples.values())
@@ -122,14 +124,14 @@
         return (time.monotonic() - self._started_s) * 1_000
 
     def _poll(self) -> None:
-        """Looks at every job that has not ended, again and again."""
-        with futures.ThreadPoolExecutor(THREADS) as pool:
+        """Polls the state of every job that has not ended."""
+        with futures.ThreadPoolExecutor(CALL_THREADS) as pool:
             while not self._closing.wait(POLL_INTERVAL_S):
                 with self._lock:
                     pending = sorted(self._pending)
-                list(pool.map(self._look, pending))
+                list(pool.map(self._refresh, pending))
 
-    def _wait_for_ends(self, settle_ms: int) -> None:
+    def _wait_until_settled(self, settle_ms: int) -> None:
         until_ms = self._now_ms() + settle_ms
         while self._pending and self._now_ms() < until_ms:
             time.sleep(POLL_INTERVAL_S)
@@ -146,20 +148,23 @@
         self._samples[line.job.id] = sample
         return sample
 
-    def _ordered(self, zone: str) -> list[clients.Client]:
-        """All clients, the one that last took a job of the zone first."""
-        known = self._client_by_zone.get(zone)
-        if known is None:
+    def _order_clients(self, zone: str) -> list[clients.Client]:
+        """All clients, first the last one that accepted a job of the zone."""
+        preferred = self._client_by_zone.get(zone)
+        if preferred is None:
             return self._clients
-        return [known, *(one for one in self._clients if one is not known)]
+        return [
+            preferred,
+            *(client for client in self._clients if client is not preferred),
+        ]
 
     def _submit(self, sample: JobSample, line: traces.TracedJob) -> None:
         document = attrs.evolve(line.job, id=sample.id)
         body = msgspec.json.encode(document)
         answered: Any = None
-        for client in self._ordered(document.zone):
+        for client in self._order_clients(document.zone):
             answered = client.change("POST", "/jobs", body)
-            if not _is_other_zone(answered):
+            if not _should_try_next_host(answered):
                 self._client_by_zone[document.zone] = client
                 break
         match answered:
@@ -182,36 +187,38 @@
             return
         sample.cancelled = True
         path = "/jobs/" + parse.quote(sample.id, safe="")
-        for client in self._ordered(sample.zone):
+        for client in self._order_clients(sample.zone):
             answer = client.change("DELETE", path)
             if answer.is_ok() and answer.ok_value.status == 200:
                 return
 
-    def _look(self, name: str) -> None:
+    def _refresh(self, name: str) -> None:
         sample = self._samples[name]
         path = "/jobs/" + parse.quote(sample.id, safe="")
-        for client in self._ordered(sample.zone):
+        for client in self._order_clients(sample.zone):
             answer = client.read(path)
             if answer.is_ok() and answer.ok_value.status == 200:
-                self._take(name, sample, answer.ok_value.value)
+                self._update_sample(name, sample, answer.ok_value.value)
                 return
 
-    def _take(self, name: str, sample: JobSample, page: dict[str, Any]) -> None:
+    def _update_sample(
+        self, name: str, sample: JobSample, page: dict[str, Any]
+    ) -> None:
         sample.phase = str(page.get("phase", ""))
         sample.evictions = int(page.get("evictions", sample.evictions))
         sample.losses = int(page.get("losses", sample.losses))
         if int(page.get("attempt", 0)) > 0 and not sample.started_ms:
             sample.started_ms = self._now_ms()
-        if sample.phase in END_PHASES:
+        if sample.phase in FINAL_PHASES:
             sample.ended_ms = self._now_ms()
             with self._lock:
                 self._pending.discard(name)
 
 
-def _is_other_zone(
+def _should_try_next_host(
     answer: result.Result[clients.Reply, clients.CallError],
 ) -> bool:
-    """Whether a job should be offered to another host."""
+    """Whether to submit the job to the next host."""
     match answer:
         case result.Ok(reply):
             reason = reply.headers.get("x-reason", "")
--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -1,9 +1,9 @@
-"""Watches connections whose answer nobody waits for any more.
+"""Detects when abandoned requests have ended at their endpoints.
 
-An endpoint goes on running a request after its caller has given up. Its slot
-is free again when the answer arrives. While the connection stays open without
-one, the request is taken to be running still, however long ago it should have
-ended. Only once the connection is gone does the time bound tell.
+An endpoint keeps running a request after its caller has given up, so its slot
+is freed only when the answer arrives. A request counts as running while its
+connection is open and no answer has arrived, even past the time by which it
+should have ended. That time decides only once the connection is closed.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from comfreylatch._ports import clock as clock_port
 
 MAX_WAIT_S = 1.0
-RECHECK_MS = 1_000
+RECHECK_INTERVAL_MS = 1_000
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
@@ -34,23 +34,23 @@
 
 
 @attrs.define(eq=False)
-class _Watched:
-    """One abandoned request; `connection` is None once it is closed."""
+class _AbandonedRequest:
+    """An abandoned request; `connection` is None once it is closed."""
 
     connection: socket.socket | None
-    ended: Callable[[], None]
+    on_ended: Callable[[], None]
     done: bool = False
 
 
 @final
-class LateAnswers:
-    """One thread that waits for the ends of abandoned requests."""
+class LateAnswerWatcher:
+    """Runs a thread that waits for abandoned requests to end."""
 
     def __init__(self, clock: clock_port.Clock) -> None:
         self._clock = clock
         self._lock = threading.Lock()
         self._selector = selectors.DefaultSelector()
-        self._due: list[tuple[int, int, _Watched]] = []
+        self._queue: list[tuple[int, int, _AbandonedRequest]] = []
         self._sequence = itertools.count()
         self._wake_read, self._wake_write = os.pipe()
         os.set_blocking(self._wake_read, False)
@@ -85,18 +85,19 @@
         self,
         connection: socket.socket | None,
         hold_until_ms: int,
-        ended: Callable[[], None],
+        on_ended: Callable[[], None],
     ) -> None:
-        """Calls `ended` once, when the request has or must have ended.
+        """Calls `on_ended` once the request has or must have ended.
 
-        Owns `connection` from now on and closes it; None means that it is
-        closed already and only `hold_until_ms`, a monotonic time, tells.
+        Takes ownership of `connection` and closes it. None means that it is
+        closed already; the request then counts as ended at `hold_until_ms`, a
+        monotonic time.
         """
-        watched = _Watched(connection, ended)
+        watched = _AbandonedRequest(connection, on_ended)
         with self._lock:
             self._push(hold_until_ms, watched)
             if connection is not None:
-                _keep_alive(connection)
+                _enable_keepalive(connection)
                 self._selector.register(
                     connection, selectors.EVENT_READ, watched
                 )
@@ -104,12 +105,12 @@
 
     @property
     def watched_count(self) -> int:
-        """Abandoned requests that may still be running."""
+        """Number of abandoned requests that may still be running."""
         with self._lock:
-            return sum(not watched.done for _, _, watched in self._due)
+            return sum(not watched.done for _, _, watched in self._queue)
 
-    def _push(self, due_ms: int, watched: _Watched) -> None:
-        heapq.heappush(self._due, (due_ms, next(self._sequence), watched))
+    def _push(self, due_ms: int, watched: _AbandonedRequest) -> None:
+        heapq.heappush(self._queue, (due_ms, next(self._sequence), watched))
 
     def _wake(self) -> None:
         try:
@@ -124,15 +125,15 @@
                     self._drain_wakes()
                 else:
                     self._on_readable(key.data)
-            self._end_due()
+            self._process_due()
 
     def _next_wait_s(self) -> float:
         with self._lock:
-            while self._due and self._due[0][2].done:
-                heapq.heappop(self._due)
-            if not self._due:
+            while self._queue and self._queue[0][2].done:
+                heapq.heappop(self._queue)
+            if not self._queue:
                 return MAX_WAIT_S
-            wait_ms = self._due[0][0] - self._clock.monotonic_ms()
+            wait_ms = self._queue[0][0] - self._clock.monotonic_ms()
         return min(max(wait_ms, 1) / 1_000, MAX_WAIT_S)
 
     def _drain_wakes(self) -> None:
@@ -142,12 +143,12 @@
         except BlockingIOError:
             pass
 
-    def _on_readable(self, watched: _Watched) -> None:
+    def _on_readable(self, watched: _AbandonedRequest) -> None:
         answered = self._has_answer(watched.connection)
         self._close(watched)
-        # A closed connection doesn't tell that the request has ended.
+        # The endpoint may still run a request whose connection is closed.
         if answered:
-            self._end(watched)
+            self._notify_ended(watched)
 
     @staticmethod
     def _has_answer(connection: socket.socket | None) -> bool:
@@ -159,20 +160,20 @@
         except OSError:
             return False
 
-    def _end_due(self) -> None:
+    def _process_due(self) -> None:
         now_ms = self._clock.monotonic_ms()
-        over: list[_Watched] = []
+        expired: list[_AbandonedRequest] = []
         with self._lock:
-            while self._due and self._due[0][0] <= now_ms:
-                watched = heapq.heappop(self._due)[2]
+            while self._queue and self._queue[0][0] <= now_ms:
+                watched = heapq.heappop(self._queue)[2]
                 if watched.connection is None:
-                    over.append(watched)
+                    expired.append(watched)
                 else:
-                    self._push(now_ms + RECHECK_MS, watched)
-        for watched in over:
-            self._end(watched)
+                    self._push(now_ms + RECHECK_INTERVAL_MS, watched)
+        for watched in expired:
+            self._notify_ended(watched)
 
-    def _close(self, watched: _Watched) -> None:
+    def _close(self, watched: _AbandonedRequest) -> None:
         connection = watched.connection
         if connection is None:
             return
@@ -181,18 +182,18 @@
             self._selector.unregister(connection)
         connection.close()
 
-    def _end(self, watched: _Watched) -> None:
+    def _notify_ended(self, watched: _AbandonedRequest) -> None:
         if watched.done:
             return
         watched.done = True
         try:
-            watched.ended()
+            watched.on_ended()
         except Exception:
             _log.exception("end-of-request-failed")
 
 
-def _keep_alive(connection: socket.socket) -> None:
-    """Has the kernel find out when the endpoint's host is gone."""
+def _enable_keepalive(connection: socket.socket) -> None:
+    """Enables TCP keepalive, which detects that the remote host is gone."""
     tcp = socket.IPPROTO_TCP
     try:
         connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/comfreylatch/_process/batch/attempt_stopper.py
+++ b/src/comfreylatch/_process/batch/attempt_stopper.py
@@ -8,7 +8,8 @@
 from comfreylatch._process.batch import pending_records
 
 RESEND_INTERVAL_MS = 2_000
-# Until its checkpoint is recorded; then the attempt simply goes on.
+# Time for an eviction to record its checkpoint; after it the eviction is
+# abandoned and the attempt continues.
 EVICTION_TIMEOUT_MS = 10_000
 
 
@@ -34,29 +35,29 @@
             return
         worker = attempt.state.worker
         command = attempt.stop_command()
-        if queued_ms >= 0 and self._sink.withdraw(worker, command):
+        if queued_ms >= 0 and self._sink.withdraw_command(worker, command):
             # The stop was never sent; the attempt has progressed since.
             attempt.retry_stop()
             return
         attempt.stop_queued_ms = now_ms
-        self._sink.request(worker, command)
+        self._sink.queue_command(worker, command)
 
     def _checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         """Queues the checkpoint of an eviction, or abandons the eviction."""
         worker = attempt.state.worker
         command = attempt.checkpoint_command()
         if now_ms - attempt.evicted_ms >= EVICTION_TIMEOUT_MS:
-            self._sink.withdraw(worker, command)
+            self._sink.withdraw_command(worker, command)
             attempt.stop_reason = None
             return
         if attempt.checkpointed:
-            # Its record is not folded yet.
-            self._pending.checkpoint(attempt, now_ms)
+            # The checkpoint record is not folded yet.
+            self._pending.add_checkpoint(attempt, now_ms)
             return
         queued_ms = attempt.checkpoint_queued_ms
         if queued_ms < 0 or now_ms - queued_ms >= RESEND_INTERVAL_MS:
             attempt.checkpoint_queued_ms = now_ms
-            self._sink.request(worker, command)
+            self._sink.queue_command(worker, command)
 
     def on_checkpoint_taken(
         self, attempt: attempt_module.Attempt, now_ms: int
@@ -67,4 +68,4 @@
         ):
             return
         attempt.checkpointed = True
-        self._pending.checkpoint(attempt, now_ms)
+        self._pending.add_checkpoint(attempt, now_ms)
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -58,11 +58,11 @@
         self._jobs_needing_command.clear()
         self._pending.reset(term)
 
-    def attempt(self, job: str) -> attempt_module.Attempt | None:
+    def find_attempt(self, job: str) -> attempt_module.Attempt | None:
         """Returns the assigned attempt of a job, or None."""
         return self._attempts.get(job)
 
-    def on_worker(self, worker: str) -> tuple[attempt_module.Attempt, ...]:
+    def attempts_on(self, worker: str) -> tuple[attempt_module.Attempt, ...]:
         """Attempts assigned to a worker."""
         return tuple(self._by_worker.get(worker, {}).values())
 
@@ -111,9 +111,9 @@
         if attempt.confirmed:
             # Makes the worker forget the ended attempt.
             command = attempt.stop_command()
-            self._sink.request(worker, command, at_once=False)
+            self._sink.queue_command(worker, command, at_once=False)
         elif attempt.start_queued_ms >= 0:
-            self._sink.withdraw(worker, attempt.start_command())
+            self._sink.withdraw_command(worker, attempt.start_command())
 
     def on_reported(
         self,
@@ -139,7 +139,7 @@
         tasks_by_attempt = {
             (task.job, task.attempt): task for task in event.report.tasks
         }
-        for attempt in self.on_worker(event.worker):
+        for attempt in self.attempts_on(event.worker):
             task = tasks_by_attempt.pop(
                 (attempt.job, attempt.state.attempt), None
             )
@@ -159,7 +159,7 @@
         remaining_ms = min(
             (
                 attempt.remaining_ms()
-                for attempt in self.on_worker(worker)
+                for attempt in self.attempts_on(worker)
                 if attempt.confirmed and not self._pending.has_end(attempt.job)
             ),
             default=MAX_POLL_DELAY_MS,
@@ -217,18 +217,20 @@
         attempt.share_milli = task.share_milli
         match task.state:
             case workers.TaskState.RUNNING:
-                self._pending.checkpoint(attempt, now_ms)
+                self._pending.add_checkpoint(attempt, now_ms)
                 self._request_checkpoint(attempt, now_ms)
             case workers.TaskState.FINISHED:
-                self._pending.end(attempt, job_records.AttemptEnd.FINISHED)
+                self._pending.add_end(attempt, job_records.AttemptEnd.FINISHED)
             case workers.TaskState.FAILED:
-                self._pending.end(attempt, job_records.AttemptEnd.FAILED)
+                self._pending.add_end(attempt, job_records.AttemptEnd.FAILED)
             case workers.TaskState.STOPPED:
                 evicted = (
                     attempt.stop_reason is attempt_module.StopReason.EVICTED
                 )
                 end = job_records.AttemptEnd
-                self._pending.end(attempt, end.EVICTED if evicted else end.LOST)
+                self._pending.add_end(
+                    attempt, end.EVICTED if evicted else end.LOST
+                )
 
     def _request_checkpoint(
         self, attempt: attempt_module.Attempt, now_ms: int
@@ -238,7 +240,7 @@
             return
         attempt.checkpoint_requested_ms = now_ms
         command = attempt.checkpoint_command()
-        self._sink.request(attempt.state.worker, command, at_once=False)
+        self._sink.queue_command(attempt.state.worker, command, at_once=False)
 
     def _process_command_status(
         self,
@@ -289,10 +291,10 @@
             )
         running = task.state is workers.TaskState.RUNNING
         command = workers.StopTask(task.job, task.attempt)
-        self._sink.request(worker, command, at_once=running)
+        self._sink.queue_command(worker, command, at_once=running)
 
     def _record_lost(self, attempt: attempt_module.Attempt) -> None:
-        self._pending.end(attempt, job_records.AttemptEnd.LOST)
+        self._pending.add_end(attempt, job_records.AttemptEnd.LOST)
 
     def record_lost_attempts(
         self,
@@ -315,7 +317,7 @@
             bounds.lease_ms + bounds.command_ttl_ms + bounds.drift_margin_ms
         )
         lease_end_ms = sent_ms + lease_span_ms if sent_ms >= 0 else 0
-        for attempt in self.on_worker(worker):
+        for attempt in self.attempts_on(worker):
             inherited = attempt.state.term < self._term
             may_run_until_ms = (
                 max(lease_end_ms, predecessor_tasks_until_ms)
@@ -345,7 +347,7 @@
         if attempt.start_queued_ms < 0:
             return True
         command = attempt.start_command()
-        if not self._sink.withdraw(attempt.state.worker, command):
+        if not self._sink.withdraw_command(attempt.state.worker, command):
             return False
         attempt.start_queued_ms = -1
         return True
@@ -380,10 +382,12 @@
             return
         attempt.start_queued_ms = now_ms
         worker = attempt.state.worker
-        self._sink.request(worker, attempt.start_command())
+        self._sink.queue_command(worker, attempt.start_command())
         share_milli = self._share_for(attempt.job)
         if share_milli < FULL_SHARE_MILLI:
-            self._sink.request(worker, attempt.throttle_command(share_milli))
+            self._sink.queue_command(
+                worker, attempt.throttle_command(share_milli)
+            )
 
     def _stop(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
         own = attempt.state.term == self._term
@@ -401,15 +405,15 @@
         # an end that isn't recorded yet would be lost.
         if attempt and attempt.confirmed and not self._pending.has_end(job):
             command = attempt.throttle_command(share_milli)
-            self._sink.request(attempt.state.worker, command)
+            self._sink.queue_command(attempt.state.worker, command)
 
     def evict(
         self, job: str, now_ms: int, checkpoint_first: bool = True
     ) -> bool:
-        """Starts an eviction: a checkpoint if wanted, then a stop.
+        """Starts an eviction; first a checkpoint if `checkpoint_first`.
 
         Returns:
-            False if the job has no attempt or that is ending already.
+            False if the job has no attempt, or it is already ending.
         """
         attempt = self._attempts.get(job)
         if attempt is None or attempt.stop_reason is not None:
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -17,16 +17,19 @@
 NEGLIGIBLE_ADDED_SLOWDOWN = 0.004
 MIN_SHARE_MILLI = 100
 AVOID_COST_MILLI = 5_000
-AVOID_MS = 60_000
+AVOID_DURATION_MS = 60_000
 
 
 @final
 class InterferenceCostModel:
-    """Implements `placement.CostModel`. Not thread-safe.
+    """Predicts slowdowns; implements `placement.CostModel`.
+
+    Not thread-safe.
 
     Attributes:
         now_ms: Monotonic time, set by the owner's loop.
-        allowed_slowdown: How much slower a service may get, as a fraction.
+        allowed_slowdown: Allowed extra slowdown of a service, as a fraction of
+            its time when running alone.
     """
 
     def __init__(
@@ -73,8 +76,10 @@
             del self._load_milli[worker]
 
     def avoid(self, worker: str, job_class: str) -> None:
-        """Raises the cost of a class on a worker for `AVOID_MS`."""
-        self._avoid_until_ms[worker, job_class] = self.now_ms + AVOID_MS
+        """Raises the cost of a class on a worker for `AVOID_DURATION_MS`."""
+        self._avoid_until_ms[worker, job_class] = (
+            self.now_ms + AVOID_DURATION_MS
+        )
         expired = [
             key
             for key, until_ms in self._avoid_until_ms.items()
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -22,7 +22,7 @@
 
 @final
 class SchedulingState:
-    """Built from the fold at the start of each term. Not thread-safe.
+    """Scheduling state, rebuilt from the fold in each term. Not thread-safe.
 
     Attributes:
         ledger: Free capacity of each worker.
@@ -64,7 +64,7 @@
         )
         self.attempts.reset(term)
         self.planner = eviction_planner.EvictionPlanner(
-            self.ledger, self.attempts.on_worker
+            self.ledger, self.attempts.attempts_on
         )
 
     def sync_job(self, state: job_state.JobState, now_ms: int) -> None:
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -32,12 +32,12 @@
     zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
-    """Makes one exchange if permitted; checked right before it is sent."""
+    """Makes one exchange if permitted; checks right before sending it."""
     now_ms = clock.monotonic_ms()
     exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
         return None
-    before_ms = session.mark_sent(exchange, now_ms)
+    previous_sent_ms = session.mark_sent(exchange, now_ms)
     answer = port.exchange(session.address, exchange, EXCHANGE_TIMEOUT_MS)
     match answer:
         case result.Ok(report):
@@ -47,7 +47,9 @@
                 exchange, report, now_ms, clock.monotonic_ms()
             )
         case result.Err(error):
-            return session.on_no_answer(exchange, error, now_ms, before_ms)
+            return session.on_no_answer(
+                exchange, error, now_ms, previous_sent_ms
+            )
 
 
 @final
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -101,7 +101,9 @@
         """Number of unanswered exchanges since the last answer."""
         return self._failures
 
-    def request(self, command: workers.Command, at_once: bool = True) -> None:
+    def queue_command(
+        self, command: workers.Command, at_once: bool = True
+    ) -> None:
         """Queues a command; unless `at_once`, for the next renewal."""
         with self._lock:
             queue = self._commands if at_once else self._deferred_commands
@@ -112,7 +114,7 @@
         """Requests an exchange by `due_ms`, as when an attempt should end."""
         self._poll_due_ms = min(self._poll_due_ms, due_ms)
 
-    def withdraw(self, command: workers.Command) -> bool:
+    def withdraw_command(self, command: workers.Command) -> bool:
         """Removes a queued command; False if it may have been sent."""
         with self._lock:
             if command not in self._commands:
@@ -120,7 +122,7 @@
             self._commands.remove(command)
             return True
 
-    def clear(self) -> None:
+    def clear_commands(self) -> None:
         """Drops all queued commands, as when the claim is lost."""
         with self._lock:
             self._commands.clear()
@@ -164,18 +166,18 @@
             )
 
     def mark_sent(self, exchange: workers.Exchange, now_ms: int) -> int:
-        """Notes that an exchange is about to be sent.
+        """Records that an exchange is about to be sent.
 
         Returns:
             The previous `last_sent_ms`, to be passed to `on_no_answer`.
         """
         with self._lock:
-            before_ms = self._last_sent_ms
+            previous_sent_ms = self._last_sent_ms
             # An exchange without a lease can't keep a task running.
             if exchange.lease_ms > 0:
                 self._last_sent_ms = now_ms
                 self._lease_sent_ms = now_ms
-            return before_ms
+            return previous_sent_ms
 
     def on_answer(
         self,
@@ -213,7 +215,7 @@
         exchange: workers.Exchange,
         error: workers.WorkerError,
         sent_ms: int,
-        before_ms: int,
+        previous_sent_ms: int,
     ) -> Unanswered:
         """Handles an exchange without an answer."""
         was_sent = isinstance(error, workers.WorkerAnswerLost)
@@ -222,7 +224,7 @@
             self._last_report = 0
             self._lease_sent_ms = -1
             if not was_sent:
-                self._last_sent_ms = before_ms
+                self._last_sent_ms = previous_sent_ms
         return Unanswered(
             worker=self.worker,
             term=exchange.term,
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -135,17 +135,17 @@
     def status(self) -> owner_status.OwnerStatus:
         """Returns what the `status` command shows. Thread-safe."""
         now_ms = self._clock.monotonic_ms()
-        holds = self._ownership.permissions().may_start(now_ms)
+        may_start = self._ownership.permissions().may_start(now_ms)
         quarantined = self._health.quarantined()
-        return owner_status.from_fold(self._fold, holds, quarantined)
+        return owner_status.from_fold(self._fold, may_start, quarantined)
 
     def evict(self, job: str, reason: str) -> bool:
-        """Starts to evict a job's attempt: a checkpoint, then a stop.
+        """Starts the eviction of a job's attempt: a checkpoint, then a stop.
 
         Must be called from the thread that calls `step`.
 
         Returns:
-            False if no attempt runs here or it is ending already.
+            False if the job has no attempt here, or it is already ending.
         """
         now_ms = self._clock.monotonic_ms()
         if not self._scheduling.attempts.evict(job, now_ms):
@@ -161,7 +161,7 @@
         self._scheduling.attempts.throttle(job, share_milli)
 
     def step(self) -> int:
-        """Does all work that is due.
+        """Runs one pass of the control loop.
 
         Returns:
             Milliseconds until the next step.
@@ -236,7 +236,7 @@
             case worker_health.HealthState.GOOD:
                 return True
             case worker_health.HealthState.PROBED:
-                return not self._scheduling.attempts.on_worker(host.name)
+                return not self._scheduling.attempts.attempts_on(host.name)
             case worker_health.HealthState.QUARANTINED:
                 return False
 
@@ -258,7 +258,7 @@
     def _process_link_events(
         self, bounds: job_records.ClaimBounds, now_ms: int
     ) -> None:
-        for event in self._pool.take_events():
+        for event in self._pool.drain_events():
             if event.term != self._term:
                 continue
             match event:
@@ -274,7 +274,7 @@
     def _process_usage(self, report: workers.WorkerReport, now_ms: int) -> None:
         if self._policy is placement_module.Policy.FIRST_FIT:
             return
-        attempts = self._scheduling.attempts.on_worker(report.worker)
+        attempts = self._scheduling.attempts.attempts_on(report.worker)
         action = self._usage.process(report, self._fold.job, attempts, now_ms)
         if self._usage.control.needs_frequent_reports(report.worker):
             self._pool.poll_by(
--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -62,8 +62,8 @@
     Attributes:
         caller: Name of the caller.
         deadline_ms: Monotonic time by which the answer must arrive.
-        take_slot: Takes a slot and returns its endpoint, or None. Called
-            under the queue's lock, so it must not block.
+        acquire_slot: Acquires a slot and returns its endpoint, or None.
+            Called under the queue's lock, so it must not block.
         is_retry: Whether the request was tried before; a retry precedes its
             caller's other requests.
         may_wait: Whether it may wait if no slot is free now.
@@ -71,7 +71,7 @@
 
     caller: str
     deadline_ms: int
-    take_slot: Callable[[], str | None]
+    acquire_slot: Callable[[], str | None]
     is_retry: bool = False
     may_wait: bool = True
 
@@ -123,7 +123,7 @@
         """Waits for a slot and returns the name of its endpoint."""
         with self._lock:
             if self._waiting_count == 0 or request.is_retry:
-                endpoint = request.take_slot()
+                endpoint = request.acquire_slot()
                 if endpoint is not None:
                     self._in_flight += 1
                     return result.Ok(endpoint)
@@ -134,12 +134,12 @@
             self._shed_longest_backlog()
         return self._wait(waiter)
 
-    def try_acquire(self, take_slot: Callable[[], str | None]) -> str | None:
-        """Takes a free slot without waiting, unless requests are queued."""
+    def try_acquire(self, acquire_slot: Callable[[], str | None]) -> str | None:
+        """Acquires a free slot without waiting; None if requests are queued."""
         with self._lock:
             if self._waiting_count:
                 return None
-            endpoint = take_slot()
+            endpoint = acquire_slot()
             self._in_flight += endpoint is not None
             return endpoint
 
@@ -161,7 +161,7 @@
                 waiter = self._next_waiter()
                 if self._shed_if_late(waiter):
                     continue
-                endpoint = waiter.request.take_slot()
+                endpoint = waiter.request.acquire_slot()
                 if endpoint is None:
                     return
                 self._remove(waiter)
@@ -187,7 +187,7 @@
 
     @property
     def _answer_ms(self) -> float:
-        """Time within which most requests are answered after taking a slot."""
+        """Time from acquiring a slot to the answer, for most requests."""
         return max(self._answer_quantile.estimate_ms, self._mean_hold_ms)
 
     def _wait(self, waiter: _Waiter) -> result.Result[str, Refusal]:
@@ -379,7 +379,7 @@
         self._used_count = 0
 
     def try_acquire(self, service: str, weight_share: float) -> bool:
-        """Takes a thread for a service.
+        """Acquires a thread for a service.
 
         Args:
             service: Name of the service.
@@ -400,7 +400,7 @@
             return True
 
     def release(self, service: str) -> None:
-        """Returns a thread of a service."""
+        """Releases a thread of a service."""
         with self._lock:
             self._used_by_service[service] -= 1
             self._used_count -= 1
--- a/src/comfreylatch/_process/shares.py
+++ b/src/comfreylatch/_process/shares.py
@@ -23,7 +23,7 @@
 from comfreylatch._version import objects
 
 INCREASE_CHECK_INTERVAL_MS = 100
-# Maximum time between taking a slot and sending the request.
+# Maximum time between acquiring a slot and sending the request.
 MAX_SEND_DELAY_MS = 500
 
 
@@ -149,8 +149,8 @@
         source.on_change(self._apply)
         self._apply(source.current())
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """See `SlotLedger.try_take`; fixed slots don't expire."""
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
+        """See `SlotLedger.try_acquire_slot`; fixed slots don't expire."""
         del duration_ms
         self._apply_due_increases()
         with self._lock:
@@ -162,8 +162,8 @@
             usage.in_use += 1
             return True
 
-    def give_back(self, endpoint: str) -> None:
-        """See `SlotLedger.give_back`."""
+    def release_slot(self, endpoint: str) -> None:
+        """See `SlotLedger.release_slot`."""
         with self._lock:
             usage = self._endpoints[endpoint]
             usage.in_use -= 1
@@ -173,11 +173,11 @@
         if is_free:
             self._notify_listeners(endpoint)
 
-    def want(self, endpoint: str) -> None:
-        """See `SlotLedger.want`; does nothing, as the share is fixed."""
+    def report_demand(self, endpoint: str) -> None:
+        """See `SlotLedger.report_demand`; no effect, as the share is fixed."""
 
-    def free(self, endpoint: str) -> int:
-        """See `SlotLedger.free`."""
+    def count_free(self, endpoint: str) -> int:
+        """See `SlotLedger.count_free`."""
         self._apply_due_increases()
         usage = self._endpoints.get(endpoint)
         if (
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -113,7 +113,7 @@
                 stream=self._stream,
                 offset=self._offset,
                 digest=self._fold.digest(),
-                writers=self._writers.lines(),
+                writers=self._writers.positions(),
                 fold=self._fold.snapshot(),
             )
 
@@ -170,7 +170,9 @@
             self._recent.clear()
             self._recent_bytes = 0
             self._changed.notify_all()
-        last_records = {line.writer: line for line in snapshot.writers}
+        last_records = {
+            position.writer: position for position in snapshot.writers
+        }
         self._notify(Applied(self._stream, source, (), last_records))
         return True
 
@@ -215,7 +217,7 @@
         last_records: dict[str, writers.WriterPosition],
     ) -> None:
         writer = envelope.writer
-        if not self._writers.take(writer, envelope.sequence, offset):
+        if not self._writers.record(writer, envelope.sequence, offset):
             return
         last_records[writer] = writers.WriterPosition(
             writer, envelope.sequence, offset
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -85,13 +85,13 @@
         self._claim: outcomes.Claim | None = None
         self._last_loss: exchange.LostAfterSend | None = None
         self._tries = 0
-        self._slot_taken_ms = 0
+        self._slot_acquired_ms = 0
         self._answered_by = ""
 
     def run(self) -> outcomes.RequestOutcome:
         """Tries endpoints until one answers or no further try is allowed."""
         self._state.budget.earn()
-        endpoint = self._state.queue.try_acquire(self._take_slot)
+        endpoint = self._state.queue.try_acquire(self._acquire_slot)
         if endpoint is None and self._spill_handler is not None:
             spilled_outcome = self._spill_handler(self._call)
             if spilled_outcome is not None:
@@ -99,7 +99,7 @@
         return self._run_tries(endpoint)
 
     def _run_tries(self, endpoint: str | None) -> outcomes.RequestOutcome:
-        """Tries an endpoint whose slot is taken, then others one by one."""
+        """Tries an endpoint with an acquired slot, then others one by one."""
         while True:
             if endpoint is None:
                 match self._wait_for_slot():
@@ -137,35 +137,37 @@
         slot_request = admission.SlotRequest(
             caller=self._call.caller,
             deadline_ms=self._call.deadline_ms,
-            take_slot=self._take_slot,
+            acquire_slot=self._acquire_slot,
             is_retry=self._tries > 0,
             may_wait=self._may_wait,
         )
         return self._state.queue.acquire(slot_request)
 
-    def _take_slot(self) -> str | None:
-        """Takes a slot of the best endpoint; None if no slot is free."""
+    def _acquire_slot(self) -> str | None:
+        """Acquires a slot of the best endpoint; None if no slot is free."""
         state = self._state
         slots = self._deps.slots
         endpoint = state.picker.pick(
             load_balancing.PickArgs(
                 endpoints=state.usable_endpoints,
-                free_slots=slots.free,
+                free_slots=slots.count_free,
                 idempotent=self._call.idempotent,
                 excluded_endpoints=self._tried_endpoints,
             )
         )
         if endpoint is None:
             if state.usable_endpoints:
-                slots.want(self._deps.rng.choice(state.usable_endpoints))
+                slots.report_demand(
+                    self._deps.rng.choice(state.usable_endpoints)
+                )
             return None
         hold_ms = shares.MAX_SEND_DELAY_MS + self._deps.table.max_request_ms
-        # The clock is read before the slot is taken. Otherwise, after a pause
-        # in between, the slot would seem younger than in its ledger.
+        # The clock is read before the slot is acquired. Otherwise, after a
+        # pause in between, the slot would seem younger than in its ledger.
         now_ms = self._deps.clock.monotonic_ms()
-        if not slots.try_take(endpoint, hold_ms):
+        if not slots.try_acquire_slot(endpoint, hold_ms):
             return None
-        self._slot_taken_ms = now_ms
+        self._slot_acquired_ms = now_ms
         state.stats.record_start(endpoint, now_ms)
         return endpoint
 
@@ -191,16 +193,16 @@
                 return refusal
 
     def _make_slot_release(self, endpoint: str) -> Callable[[], None]:
-        """Returns a callback that frees the slot when its request has ended."""
+        """Returns a callback that releases the slot of an ended request."""
         state = self._state
         slots = self._deps.slots
         clock = self._deps.clock
-        slot_taken_ms = self._slot_taken_ms
+        slot_acquired_ms = self._slot_acquired_ms
 
         def release_slot() -> None:
-            state.stats.record_end(endpoint, slot_taken_ms)
-            state.queue.record_release(clock.monotonic_ms() - slot_taken_ms)
-            slots.give_back(endpoint)
+            state.stats.record_end(endpoint, slot_acquired_ms)
+            state.queue.record_release(clock.monotonic_ms() - slot_acquired_ms)
+            slots.release_slot(endpoint)
 
         return release_slot
 
@@ -223,7 +225,7 @@
     ) -> result.Result[sent_try.SentTry, exchange.EndpointError]:
         self._tries += 1
         deps = self._deps
-        send_by_ms = self._slot_taken_ms + shares.MAX_SEND_DELAY_MS
+        send_by_ms = self._slot_acquired_ms + shares.MAX_SEND_DELAY_MS
         started_s = time.monotonic()
         limits = exchange.TryLimits(
             deadline_ms=self._call.deadline_ms,
@@ -272,7 +274,7 @@
             self._count_retry(reasons.RetryReason.BUDGET_SPENT)
             return None
         self._tried_endpoints |= {sent.endpoint}
-        endpoint = self._state.queue.try_acquire(self._take_slot)
+        endpoint = self._state.queue.try_acquire(self._acquire_slot)
         if endpoint is None:
             self._state.budget.refund()
             return None
--- a/src/comfreylatch/_version/writers.py
+++ b/src/comfreylatch/_version/writers.py
@@ -1,4 +1,4 @@
-"""Which records of which writers a stream's fold has seen."""
+"""Detects repeated records by their writers' sequence numbers."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 import attrs
 
-# A writer is forgotten when its last record lies this many offsets back. A
-# host is replaced long before, and none waits so long with an open append.
-WRITER_KEPT_OFFSETS = 200_000
-SWEEP_OFFSETS = 4_096
+# A writer is dropped this many offsets after its last record. Its host has
+# been replaced long before, and no append stays pending for that long.
+WRITER_RETENTION_OFFSETS = 200_000
+SWEEP_INTERVAL_OFFSETS = 4_096
 
 
 @attrs.frozen
 class WriterPosition:
-    """The last record folded of one writer.
+    """The last folded record of a writer.
 
     Attributes:
         writer: Writer id.
-        sequence: Its highest sequence folded.
+        sequence: Its highest folded sequence number.
         offset: Offset of that record.
     """
 
@@ -30,38 +30,38 @@
 
 @final
 class WriterTable:
-    """Tells records from repetitions, by writer and sequence.
+    """Detects repeated records by writer and sequence number.
 
-    Its content depends on the records and their offsets alone, so that it is
-    equal on every host at the same offset.
+    Its content depends only on the records and their offsets, so it is equal
+    on every host at the same offset.
     """
 
-    def __init__(self, lines: Iterable[WriterPosition] = ()) -> None:
-        self._lines = {line.writer: line for line in lines}
+    def __init__(self, positions: Iterable[WriterPosition] = ()) -> None:
+        self._positions = {position.writer: position for position in positions}
 
-    def take(self, writer: str, sequence: int, offset: int) -> bool:
-        """Notes a record; False when it is a repetition."""
-        known = self._lines.get(writer)
+    def record(self, writer: str, sequence: int, offset: int) -> bool:
+        """Records a sequence number; returns False if it was seen before."""
+        known = self._positions.get(writer)
         if known is not None and sequence <= known.sequence:
             return False
-        self._lines[writer] = WriterPosition(writer, sequence, offset)
+        self._positions[writer] = WriterPosition(writer, sequence, offset)
         return True
 
     def sweep(self, offset: int) -> None:
-        """To be called at each offset; forgets writers of long ago."""
-        if offset % SWEEP_OFFSETS:
+        """Drops expired writers; must be called for every offset."""
+        if offset % SWEEP_INTERVAL_OFFSETS:
             return
-        oldest = offset - WRITER_KEPT_OFFSETS
-        self._lines = {
-            writer: line
-            for writer, line in self._lines.items()
-            if line.offset >= oldest
+        oldest = offset - WRITER_RETENTION_OFFSETS
+        self._positions = {
+            writer: position
+            for writer, position in self._positions.items()
+            if position.offset >= oldest
         }
 
-    def line(self, writer: str) -> WriterPosition | None:
-        """The last record of a writer; None when it is not known."""
-        return self._lines.get(writer)
+    def position(self, writer: str) -> WriterPosition | None:
+        """Returns a writer's last record; None if the writer is unknown."""
+        return self._positions.get(writer)
 
-    def lines(self) -> tuple[WriterPosition, ...]:
-        """All writers known."""
-        return tuple(self._lines.values())
+    def positions(self) -> tuple[WriterPosition, ...]:
+        """Returns the positions of all known writers."""
+        return tuple(self._positions.values())
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -161,7 +161,7 @@
         "config",
         10_000 + ticket_count,
         fold.digest(),
-        writers.WriterTable().lines(),
+        writers.WriterTable().positions(),
         fold.snapshot(),
     )
     chunks = snapshots.split(taken)
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -165,12 +165,14 @@
 class NullCommandSink:
     """A command sink that discards commands; every worker is reachable."""
 
-    def request(self, worker: str, command: Any, at_once: bool = True) -> None:
-        """See `attempt.CommandSink.request`."""
+    def queue_command(
+        self, worker: str, command: Any, at_once: bool = True
+    ) -> None:
+        """See `attempt.CommandSink.queue_command`."""
         del worker, command, at_once
 
-    def withdraw(self, worker: str, command: Any) -> bool:
-        """See `attempt.CommandSink.withdraw`."""
+    def withdraw_command(self, worker: str, command: Any) -> bool:
+        """See `attempt.CommandSink.withdraw_command`."""
         del worker, command
         return True
 
--- a/testing/fakes/peers.py
+++ b/testing/fakes/peers.py
@@ -1,4 +1,4 @@
-"""Peers that only show views and remember pushes."""
+"""Peers that return preset views and pass pushes to their followers."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @final
 class FakePeers:
-    """Implements what the control half uses of `Peers`.
+    """Implements the methods of `Peers` that the control plane uses.
 
     Attributes:
-        followers: Followers of other seats, by seat; they answer catch-ups
-            and take pushes at once.
-        shown: What `views` returns.
+        followers: Followers of other seats, by seat; they serve catch-up
+            requests and apply pushes immediately.
+        peer_views: Result of `views`.
     """
 
     def __init__(self) -> None:
         self.followers: dict[str, follower_module.StreamFollower] = {}
-        self.shown: tuple[peers_port.PeerView, ...] = ()
+        self.peer_views: tuple[peers_port.PeerView, ...] = ()
 
     def views(self) -> tuple[peers_port.PeerView, ...]:
         """See `Peers.views`."""
-        return self.shown
+        return self.peer_views
 
     def catch_up(
         self, seat: str, request: ttypes.CatchUpRequest, timeout_ms: int
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -1,4 +1,4 @@
-"""Named faults that are injected into a fleet during an experiment."""
+"""Injects named faults into a fleet during an experiment."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from testing import fleet
 
-INJECT_AT_FRACTION = 1 / 3
-CLEAR_AT_FRACTION = 2 / 3
-SLOWDOWN_FACTOR = 5.0
+FAULT_START_FRACTION = 1 / 3
+FAULT_END_FRACTION = 2 / 3
+SLOW_FACTOR = 5.0
 
 
 class Fault(enum.StrEnum):
-    """Fault to inject; it is cleared at two thirds of the trace."""
+    """Faults that can be injected."""
 
     NONE = "none"
     KILL_HOST = "kill-host"
@@ -30,9 +30,10 @@
 
 
 class FaultInjector:
-    """Injects a fault once and clears it once, on a thread of its own.
+    """Injects one fault and clears it again, on a thread of its own.
 
-    A fault of one zone, host, endpoint or worker affects the first one.
+    The fault lasts from one third to two thirds of the trace. It affects the
+    first zone's first seat, endpoint or worker.
     """
 
     def __init__(
@@ -58,11 +59,11 @@
         self._thread.join()
 
     def _run(self) -> None:
-        if self._closing.wait(self._duration_s * INJECT_AT_FRACTION):
+        if self._closing.wait(self._duration_s * FAULT_START_FRACTION):
             return
         self._inject()
         self._closing.wait(
-            self._duration_s * (CLEAR_AT_FRACTION - INJECT_AT_FRACTION)
+            self._duration_s * (FAULT_END_FRACTION - FAULT_START_FRACTION)
         )
         self._clear()
 
@@ -88,7 +89,7 @@
                 running.log.control(lose_after=5, lose_before=5)
             case Fault.SLOW_ENDPOINTS:
                 running.endpoints.control(
-                    endpoint=self._endpoint, slow=SLOWDOWN_FACTOR
+                    endpoint=self._endpoint, slow=SLOW_FACTOR
                 )
             case Fault.RESET_ENDPOINTS:
                 running.endpoints.control(
--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -1,4 +1,4 @@
-"""Checks of how jobs ended, from the workers' records and the log's state."""
+"""Checks how jobs ended, from the workers' journal and the hosts' pages."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from testing import fleet_plan
 from testing import job_load
 
-ENDED = frozenset({"finished", "cancelled", "parked"})
-SETTLE_S = 25.0
+ENDED_PHASES = frozenset({"finished", "cancelled", "parked"})
+JOBS_END_TIMEOUT_S = 25.0
 
 Violation = checker.Violation
 
@@ -25,17 +25,17 @@
     fleet: fleet_module.Fleet,
     submitter: job_load.JobSubmitter,
     seat: str,
-    timeout_s: float = SETTLE_S,
+    timeout_s: float = JOBS_END_TIMEOUT_S,
 ) -> None:
-    """Waits until every accepted job has ended, as one host says."""
-    doubtful = submitter.settle_doubtful(timeout_s)
-    if doubtful:
-        raise fleet_plan.FleetError(f"in doubt: {doubtful}")
+    """Waits until one host reports that every accepted job has ended."""
+    unconfirmed = submitter.confirm_submissions(timeout_s)
+    if unconfirmed:
+        raise fleet_plan.FleetError(f"submissions not confirmed: {unconfirmed}")
 
     def ended() -> bool:
         found = pages(fleet, seat)
         return all(
-            name in found and found[name]["phase"] in ENDED
+            name in found and found[name]["phase"] in ENDED_PHASES
             for name in submitter.accepted
         )
 
@@ -46,7 +46,7 @@
         left = [
             found.get(name, name)
             for name in submitter.accepted
-            if name not in found or found[name]["phase"] not in ENDED
+            if name not in found or found[name]["phase"] not in ENDED_PHASES
         ]
         raise fleet_plan.FleetError(
             f"{error}; {len(left)} of {len(submitter.accepted)}: {left[:3]}; "
@@ -55,7 +55,7 @@
 
 
 def pages(fleet: fleet_module.Fleet, seat: str) -> dict[str, dict[str, Any]]:
-    """All jobs as one host shows them, by id."""
+    """Returns all jobs as one host reports them, by id."""
     answer = fleet.client.get(fleet.hosts[seat].operator_address, "/jobs")
     if answer.status != job_load.OK:
         return {}
@@ -63,20 +63,20 @@
 
 
 @attrs.frozen
-class Ends:
-    """How jobs ended, as submitters and hosts say.
+class JobOutcomes:
+    """How jobs ended, as reported to submitters and by hosts.
 
     Attributes:
         accepted: Jobs that were accepted.
         refused: Jobs that were refused.
-        cancel_asked: Jobs whose cancellation was asked for.
+        cancel_asked: Jobs whose cancellation was requested.
         cancelled: Jobs whose cancellation was confirmed.
-        pages: Page by job.
+        pages: Page of each job, by id.
     """
 
     accepted: Collection[str]
     refused: Collection[str]
-    cancel_asked: Collection[str]
+    cancel_requested: Collection[str]
     cancelled: Collection[str]
     pages: Mapping[str, Mapping[str, Any]]
 
@@ -87,20 +87,20 @@
     seat: str,
     faulty: Collection[str] = (),
 ) -> list[Violation]:
-    """Everything found broken, once all accepted jobs have ended.
+    """Runs all checks of jobs, once all accepted ones have ended.
 
     Args:
-        fleet: With its stand-ins' records.
-        submitter: What was submitted.
-        seat: Host whose pages of the jobs are taken.
-        faulty: Workers that died or could not be reached; what ended there
-            may not have been heard of in time.
+        fleet: Fleet whose stand-ins' journals are checked.
+        submitter: Submitter of the jobs.
+        seat: Seat of the host whose job pages are read.
+        faulty: Workers that died or were unreachable; the end of an attempt
+            there may not have been reported in time.
     """
     events = fleet.worker_events()
-    ends = Ends(
+    outcomes = JobOutcomes(
         submitter.accepted,
         submitter.refused,
-        submitter.cancel_asked,
+        submitter.cancel_requested,
         submitter.cancelled,
         pages(fleet, seat),
     )
@@ -110,21 +110,21 @@
         *checker.attempts_start_once(events),
         *checker.resumed_from_checkpoint(events),
         *resumed_at_checkpoint(events, faulty),
-        *ended_as_said(events, ends, faulty),
+        *ended_as_said(events, outcomes, faulty),
     ]
 
 
 def resumed_at_checkpoint(
     events: Sequence[checker.WorkerEvent], faulty: Collection[str]
 ) -> list[Violation]:
-    """An attempt after a kept checkpoint starts exactly there."""
-    kept_ms: dict[str, int] = {}
+    """Checks that attempts do not resume before the last checkpoint."""
+    checkpoint_ms: dict[str, int] = {}
     found = []
     for event in events:
         if event.kind == "checkpoint" and event.worker not in faulty:
-            kept_ms[event.job] = event.progress_ms
+            checkpoint_ms[event.job] = event.progress_ms
         elif event.kind == "start":
-            last_ms = kept_ms.get(event.job, 0)
+            last_ms = checkpoint_ms.get(event.job, 0)
             if event.progress_ms < last_ms:
                 detail = f"at {event.progress_ms} ms, not {last_ms} ms"
                 found.append(
@@ -135,49 +135,62 @@
 
 def ended_as_said(
     events: Sequence[checker.WorkerEvent],
-    ends: Ends,
+    outcomes: JobOutcomes,
     faulty: Collection[str],
 ) -> list[Violation]:
-    """Jobs ended once, as their pages say, and refused ones never ran."""
+    """Checks that jobs ended once, as reported, and refused ones never ran."""
     started = {event.job for event in events if event.kind == "start"}
     finished: dict[str, list[str]] = collections.defaultdict(list)
     for event in events:
         if event.kind == "end" and event.detail == "finished":
             finished[event.job].append(event.worker)
     found = [
-        Violation("refused-never-ran", job, "ran or is kept")
-        for job in ends.refused
-        if job in started or job in ends.pages
+        Violation(
+            "refused-never-ran", job, "was refused, but ran or has a page"
+        )
+        for job in outcomes.refused
+        if job in started or job in outcomes.pages
     ]
     found += [
         Violation("ran-unasked", job, "ran without being accepted")
-        for job in started - set(ends.accepted)
+        for job in started - set(outcomes.accepted)
     ]
-    for job in ends.accepted:
-        detail = _wrong_end(job, finished[job], ends, faulty)
+    for job in outcomes.accepted:
+        detail = _wrong_end(job, finished[job], outcomes, faulty)
         if detail:
             found.append(Violation("ended-as-said", job, detail))
     return found
 
 
 def _wrong_end(
-    job: str, finished: list[str], ends: Ends, faulty: Collection[str]
+    job: str,
+    finished: list[str],
+    outcomes: JobOutcomes,
+    faulty: Collection[str],
 ) -> str:
-    page = ends.pages.get(job)
+    page = outcomes.pages.get(job)
     if page is None:
-        return "is lost"
-    # An end that was not heard of leaves the job to another attempt.
-    heard = [name for name in finished[:-1] if name not in faulty]
-    if heard:
-        return f"finished on {finished}"
+        return "is accepted, but has no page"
+    # If the end of an attempt was not reported, another attempt may follow.
+    reported = [name for name in finished[:-1] if name not in faulty]
+    if reported:
+        return f"finished more than once, on {finished}"
     match page["phase"]:
         case "finished":
-            if job in ends.cancelled:
+            if job in outcomes.cancelled:
                 return "finished after its cancellation was confirmed"
-            return "" if finished else "is called finished and is not"
+            return (
+                ""
+                if finished
+                else "is reported as finished, but did not finish"
+            )
         case "cancelled":
-            return "" if job in ends.cancel_asked else "cancelled unasked"
+            return (
+                ""
+                if job in outcomes.cancel_requested
+                else "was cancelled without a request"
+            )
         case "parked":
-            return "" if page["detail"] else "parked without a reason"
+            return "" if page["detail"] else "was parked without a reason"
         case phase:
-            return f"is still {phase}"
+            return f"has not ended; its phase is {phase}"
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -1,4 +1,4 @@
-"""Submits jobs steadily and cancels some in bursts."""
+"""Submits jobs at a constant rate and cancels some in bursts."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from testing.standins import worker_model
 
 OK = 200
-REFUSED = frozenset({422, 503})
-REPEAT_PAUSE_S = 0.1
-# A host that answers later is taken for frozen.
+REFUSED_STATUSES = frozenset({422, 503})
+RESUBMIT_INTERVAL_S = 0.1
+# A host that does not answer in this time is considered frozen.
 ANSWER_TIMEOUT_S = 2.0
 THREADS = 4
 ACCELERATOR_SHARE = 0.15
@@ -28,19 +28,20 @@
 
 @attrs.frozen
 class JobLoad:
-    """What is submitted.
+    """The jobs to submit and cancel.
 
     Attributes:
-        seats: Hosts asked, in turn.
-        pause_ms: Time between two submissions.
+        seats: Seats of the hosts that receive requests, in turn.
+        pause_ms: Interval between two submissions.
         shortest_ms: Shortest declared run time.
         longest_ms: Longest declared run time.
-        urgent_share: Part of the jobs that are urgent.
-        never_works_share: Part of the jobs that fail wherever they run.
-        burst_every: Submissions between two bursts of cancellations; 0 for
-            no bursts.
-        burst: Cancellations of a burst, among the jobs accepted last.
-        seed: For sizes, run times and choices.
+        urgent_share: Fraction of urgent jobs.
+        failing_share: Fraction of jobs that fail on every worker.
+        burst_every: Number of submissions between two bursts of
+            cancellations; 0 for no bursts.
+        burst: Number of cancellations in a burst, among the jobs accepted
+            last.
+        seed: Seed for sizes, run times and choices.
     """
 
     seats: tuple[str, ...]
@@ -48,20 +49,21 @@
     shortest_ms: int = 200
     longest_ms: int = 1_400
     urgent_share: float = 0.05
-    never_works_share: float = 0.02
+    failing_share: float = 0.02
     burst_every: int = 25
     burst: int = 5
     seed: int = 1
 
 
 class JobSubmitter:
-    """Submits while it is entered; a job in doubt is sent until it isn't.
+    """A context manager that submits jobs and retries unconfirmed ones.
 
     Attributes:
-        accepted: Ids that a host said were accepted.
-        refused: Ids that were refused and not sent again, with the reason.
-        cancel_asked: Ids whose cancellation was asked for.
-        cancelled: Ids whose cancellation a host confirmed.
+        accepted: Ids of jobs that a host accepted.
+        refused: Ids of jobs that were refused and not retried, with the
+            reason.
+        cancel_asked: Ids of jobs whose cancellation was requested.
+        cancelled: Ids of jobs whose cancellation a host confirmed.
     """
 
     def __init__(
@@ -69,21 +71,25 @@
     ) -> None:
         self.accepted: dict[str, None] = {}
         self.refused: dict[str, str] = {}
-        self.cancel_asked: dict[str, None] = {}
+        self.cancel_requested: dict[str, None] = {}
         self.cancelled: dict[str, None] = {}
         self._fleet = fleet
         self._load = load
         self._name = name
-        self._chance = random.Random(f"{load.seed}/{name}")
+        self._rng = random.Random(f"{load.seed}/{name}")
         self._turn = itertools.count()
-        self._doubtful: collections.deque[dict[str, Any]] = collections.deque()
+        self._unconfirmed: collections.deque[dict[str, Any]] = (
+            collections.deque()
+        )
         self._stop = threading.Event()
         self._count = itertools.count(1)
         self._lock = threading.Lock()
         self._threads = [
             threading.Thread(target=self._run) for _ in range(THREADS)
         ]
-        self._threads.append(threading.Thread(target=self._run_doubtful))
+        self._threads.append(
+            threading.Thread(target=self._resubmit_unconfirmed)
+        )
 
     def __enter__(self) -> Self:
         print(f"seed {self._load.seed}")
@@ -96,47 +102,47 @@
         for thread in self._threads:
             thread.join()
 
-    def settle_doubtful(self, timeout_s: float) -> tuple[str, ...]:
-        """After the exit: sends jobs in doubt; returns those still in doubt."""
-        until = time.monotonic() + timeout_s
-        while self._doubtful and time.monotonic() < until:
-            self._submit(self._doubtful.popleft(), sent_before=True)
-            time.sleep(REPEAT_PAUSE_S)
-        return tuple(job["id"] for job in self._doubtful)
+    def confirm_submissions(self, timeout_s: float) -> tuple[str, ...]:
+        """Retries unconfirmed jobs after the exit; returns those remaining."""
+        deadline_s = time.monotonic() + timeout_s
+        while self._unconfirmed and time.monotonic() < deadline_s:
+            self._submit(self._unconfirmed.popleft(), sent_before=True)
+            time.sleep(RESUBMIT_INTERVAL_S)
+        return tuple(job["id"] for job in self._unconfirmed)
 
     def _run(self) -> None:
         pause_s = self._load.pause_ms / 1_000 * THREADS
         while not self._stop.wait(pause_s):
             with self._lock:
                 count = next(self._count)
-                job = self._job(count)
+                job = self._make_job(count)
             self._submit(job, sent_before=False)
             every = self._load.burst_every
             if every and count % every == 0:
                 self._cancel_some()
 
-    def _run_doubtful(self) -> None:
-        while not self._stop.wait(REPEAT_PAUSE_S):
-            if self._doubtful:
-                self._submit(self._doubtful.popleft(), sent_before=True)
+    def _resubmit_unconfirmed(self) -> None:
+        while not self._stop.wait(RESUBMIT_INTERVAL_S):
+            if self._unconfirmed:
+                self._submit(self._unconfirmed.popleft(), sent_before=True)
 
-    def _job(self, count: int) -> dict[str, Any]:
-        chance = self._chance
-        urgent = chance.random() < self._load.urgent_share
-        never_works = chance.random() < self._load.never_works_share
+    def _make_job(self, count: int) -> dict[str, Any]:
+        rng = self._rng
+        urgent = rng.random() < self._load.urgent_share
+        always_fails = rng.random() < self._load.failing_share
         teams = self._fleet.deployment.teams
         return {
             "id": f"{self._name}-{count}",
-            "team": teams[0] if urgent else chance.choice(teams),
+            "team": teams[0] if urgent else rng.choice(teams),
             "job_class": worker_model.FAILING_JOB_MARKER
-            if never_works
+            if always_fails
             else "stack",
             "resources": {
-                "processors_milli": chance.randrange(500, 3_001, 250),
-                "memory_mib": chance.randrange(512, 8_193, 512),
-                "accelerators": int(chance.random() < ACCELERATOR_SHARE),
+                "processors_milli": rng.randrange(500, 3_001, 250),
+                "memory_mib": rng.randrange(512, 8_193, 512),
+                "accelerators": int(rng.random() < ACCELERATOR_SHARE),
             },
-            "run_time_ms": chance.randrange(
+            "run_time_ms": rng.randrange(
                 self._load.shortest_ms, self._load.longest_ms
             ),
             "urgent": urgent,
@@ -158,14 +164,16 @@
         not_sent = answer.outcome == "unreachable"
         if answer.status == OK:
             self.accepted[name] = None
-        elif not sent_before and (answer.status in REFUSED or not_sent):
+        elif not sent_before and (
+            answer.status in REFUSED_STATUSES or not_sent
+        ):
             self.refused[name] = answer.reason
         else:
-            self._doubtful.append(job)
+            self._unconfirmed.append(job)
 
     def _cancel_some(self) -> None:
         for name in list(self.accepted)[-2 * self._load.burst :: 2]:
-            self.cancel_asked[name] = None
+            self.cancel_requested[name] = None
             answer = self._call("DELETE", f"/jobs/{name}")
             if answer.status == OK and answer.json().get("cancelled"):
                 self.cancelled[name] = None
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -74,7 +74,7 @@
     Returns:
         Seconds until the first start under a higher term.
     """
-    owner = batch_fleet.owner(running)
+    owner = batch_fleet.find_owner(running)
     term = max(event.term for event in running.worker_events())
     died_ms = time.monotonic() * 1_000
     running.kill_host(owner)
--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -26,16 +26,17 @@
 
 @attrs.define
 class LogFaults:
-    """Faults and limits in force; all can be set while it runs.
+    """Active faults and limits, all of which can change at run time.
 
     Attributes:
-        down: Every call is answered 503.
-        slow_ms: Added to every call.
-        lose_after: Appends still to be kept without an answer.
-        lose_before: Appends still to be dropped without an answer.
-        keep_records: Records a stream keeps.
-        keep_ms: How long a stream keeps a record.
-        appends_per_second: Appends above it are answered 503.
+        down: Every call is answered with status 503.
+        slow_ms: Delay added to every call.
+        lose_after: Number of next appends stored without an answer.
+        lose_before: Number of next appends dropped without an answer.
+        keep_records: Maximum number of records in a stream.
+        keep_ms: Maximum age of a record in a stream.
+        appends_per_second: Appends beyond this rate are answered with
+            status 503.
     """
 
     down: bool = False
@@ -48,8 +49,8 @@
 
 
 @attrs.frozen
-class Kept:
-    """One record of a stream."""
+class StoredRecord:
+    """One record of a stream and the time of its append."""
 
     offset: int
     payload: str
@@ -58,11 +59,11 @@
 
 @attrs.frozen
 class LogEvent:
-    """An append as the log saw it.
+    """One append that reached the log.
 
     Attributes:
         kind: `append`, `refused-rate`, `lost-after` or `lost-before`.
-        offset: Offset of the first record; -1 when none was kept.
+        offset: Offset of the first record; -1 when none was stored.
     """
 
     at_ms: float
@@ -75,14 +76,16 @@
 
 @attrs.define
 class Stream:
-    """Records of one stream and its next offset."""
+    """The records of one stream and its next offset."""
 
     next_offset: int = 0
-    records: collections.deque[Kept] = attrs.field(factory=collections.deque)
+    records: collections.deque[StoredRecord] = attrs.field(
+        factory=collections.deque
+    )
 
     @property
     def first_offset(self) -> int:
-        """Lowest offset still kept; the next one when none is."""
+        """Lowest retained offset; the next offset when the stream is empty."""
         return self.records[0].offset if self.records else self.next_offset
 
 
@@ -97,14 +100,14 @@
         self._recent: collections.deque[float] = collections.deque()
 
     def control(self, change: dict[str, Any]) -> dict[str, Any]:
-        """Sets faults by name; unknown names are refused."""
+        """Sets faults by name; raises TypeError for unknown names."""
         with self._changed:
             self.faults = attrs.evolve(self.faults, **change)
             self._changed.notify_all()
         return attrs.asdict(self.faults)
 
     def handle(self, call: serving.Call) -> serving.Answer:
-        """Serves one call of the log's own interface."""
+        """Serves one append or read call."""
         if self.faults.slow_ms:
             time.sleep(self.faults.slow_ms / 1_000)
         if self.faults.down:
@@ -129,30 +132,32 @@
     def _append(
         self, name: str, payloads: list[str], size: int
     ) -> serving.Answer:
-        now = serving.now_ms()
+        now_ms = serving.now_ms()
         count = len(payloads)
         if self.faults.lose_before > 0:
             self.faults.lose_before -= 1
-            self._note(now, "lost-before", name, -1, count, size)
+            self._record_event(now_ms, "lost-before", name, -1, count, size)
             return serving.Drop()
-        if not self._within_rate(now):
-            self._note(now, "refused-rate", name, -1, count, size)
+        if not self._within_rate(now_ms):
+            self._record_event(now_ms, "refused-rate", name, -1, count, size)
             return serving.json_reply(503, {"detail": "too many appends"})
         stream = self._streams[name]
         offset = stream.next_offset
         for payload in payloads:
-            stream.records.append(Kept(stream.next_offset, payload, now))
+            stream.records.append(
+                StoredRecord(stream.next_offset, payload, now_ms)
+            )
             stream.next_offset += 1
-        self._expire(stream, now)
+        self._expire(stream, now_ms)
         self._changed.notify_all()
         if self.faults.lose_after > 0:
             self.faults.lose_after -= 1
-            self._note(now, "lost-after", name, offset, count, size)
+            self._record_event(now_ms, "lost-after", name, offset, count, size)
             return serving.Drop()
-        self._note(now, "append", name, offset, count, size)
+        self._record_event(now_ms, "append", name, offset, count, size)
         return serving.json_reply(200, {"offset": offset})
 
-    def _note(
+    def _record_event(
         self,
         at_ms: float,
         kind: str,
@@ -163,16 +168,16 @@
     ) -> None:
         self.journal.add(LogEvent(at_ms, kind, stream, offset, count, size))
 
-    def _within_rate(self, now: float) -> bool:
-        while self._recent and self._recent[0] <= now - 1_000:
+    def _within_rate(self, now_ms: float) -> bool:
+        while self._recent and self._recent[0] <= now_ms - 1_000:
             self._recent.popleft()
         if len(self._recent) >= self.faults.appends_per_second:
             return False
-        self._recent.append(now)
+        self._recent.append(now_ms)
         return True
 
-    def _expire(self, stream: Stream, now: float) -> None:
-        oldest_ms = now - self.faults.keep_ms
+    def _expire(self, stream: Stream, now_ms: float) -> None:
+        oldest_ms = now_ms - self.faults.keep_ms
         while len(stream.records) > self.faults.keep_records:
             stream.records.popleft()
         while stream.records and stream.records[0].at_ms < oldest_ms:
@@ -181,7 +186,7 @@
     def _read_call(self, name: str, call: serving.Call) -> serving.Answer:
         try:
             first = int(call.query.get("from", "0"))
-            most = int(call.query.get("max", str(DEFAULT_READ_RECORDS)))
+            max_records = int(call.query.get("max", str(DEFAULT_READ_RECORDS)))
             wait_ms = int(call.query.get("wait_ms", "0"))
         except ValueError as error:
             return serving.json_reply(400, {"detail": str(error)})
@@ -191,23 +196,23 @@
             if self.faults.down:
                 return serving.json_reply(503, {"detail": "the log is down"})
             self._expire(stream, serving.now_ms())
-            return _read(stream, first, most)
+            return _read(stream, first, max_records)
 
     def _wait(self, stream: Stream, first: int, wait_ms: int) -> None:
-        until = serving.now_ms() + wait_ms
+        deadline_ms = serving.now_ms() + wait_ms
         while stream.next_offset <= first and not self.faults.down:
-            left_ms = until - serving.now_ms()
+            left_ms = deadline_ms - serving.now_ms()
             if left_ms <= 0:
                 return
             self._changed.wait(left_ms / 1_000)
 
 
-def _read(stream: Stream, first: int, most: int) -> serving.Reply:
+def _read(stream: Stream, first: int, max_records: int) -> serving.Reply:
     lowest = stream.first_offset
     if first < lowest:
         return serving.json_reply(410, {"first": lowest})
     start = first - lowest
-    stop = min(start + most, len(stream.records))
+    stop = min(start + max_records, len(stream.records))
     found = [stream.records[index] for index in range(start, stop)]
     return serving.json_reply(
         200,
@@ -215,25 +220,25 @@
             "first": lowest,
             "next": found[-1].offset + 1 if found else stream.next_offset,
             "records": [
-                {"offset": kept.offset, "payload": kept.payload}
-                for kept in found
+                {"offset": record.offset, "payload": record.payload}
+                for record in found
             ],
         },
     )
 
 
 def main() -> None:
-    """Runs the log until SIGTERM."""
+    """Serves the log until SIGTERM."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, default=0)
     parser.add_argument("--control-port", type=int, default=0)
     parser.add_argument("--keep-records", type=int, default=None)
     parser.add_argument("--keep-ms", type=int, default=None)
     parser.add_argument("--appends-per-second", type=int, default=None)
-    given = vars(parser.parse_args())
-    port = given.pop("port")
-    control_port = given.pop("control_port")
-    faults = LogFaults(**{k: v for k, v in given.items() if v is not None})
+    args = vars(parser.parse_args())
+    port = args.pop("port")
+    control_port = args.pop("control_port")
+    faults = LogFaults(**{k: v for k, v in args.items() if v is not None})
     log = LogStandIn(faults)
     listener = serving.Listener(log.handle, port)
     listener.start()
--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the users' platform: its store and its executors."""
+"""Stand-ins for the users' platform: its record store and executors."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
 @final
 class StoreStandIn:
-    """The store over HTTP, on a store in memory.
+    """Serves an in-memory record store over HTTP.
 
     Attributes:
         kept: The records.
-        page_size: Most items of a page of newest records.
+        page_size: Maximum number of items on a page of newest records.
     """
 
     def __init__(self) -> None:
-        self.kept = record_store.MemoryStore()
+        self.memory_store = record_store.MemoryStore()
         self.page_size = 500
 
     def serve(self) -> http_server.HttpServer:
-        """A server for it, on a free port."""
+        """Returns an HTTP server for it on a free port."""
         return http_server.HttpServer(
             "127.0.0.1:0", self.handle, THREADS, MAX_BODY_BYTES
         )
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers one call."""
+        """Handles one HTTP request."""
         topic = request.query.get("Topic", "")
         part = int(request.query.get("part", "0"))
         match request.path:
@@ -67,7 +67,7 @@
                 query["Producer"], int(query["epoch"]), int(query["Sequence"])
             )
         at_offset = int(query["At"]) if "At" in query else None
-        match self.kept.append(
+        match self.memory_store.append(
             topic,
             part,
             _records(request.body),
@@ -90,7 +90,9 @@
         self, request: http.HttpRequest, topic: str, part: int
     ) -> http.HttpReply:
         wait_ms = int(request.query.get("WaitMs", "0"))
-        match self.kept.read(topic, part, int(request.query["From"]), wait_ms):
+        match self.memory_store.read(
+            topic, part, int(request.query["From"]), wait_ms
+        ):
             case result.Ok(batch):
                 body = struct.pack(">QQ", batch.end_offset, 0)
                 for record in batch.records:
@@ -105,7 +107,7 @@
     def _newest(
         self, request: http.HttpRequest, topic: str, part: int
     ) -> http.HttpReply:
-        match self.kept.newest(topic, part):
+        match self.memory_store.newest(topic, part):
             case result.Ok(batch):
                 pass
             case result.Err(_):
@@ -147,19 +149,19 @@
 
 @final
 class ExecutorStandIn:
-    """An executor over HTTP, on a worker in memory."""
+    """Serves an in-memory worker over HTTP as an executor."""
 
     def __init__(self, worker: fake_workers.FakeWorker) -> None:
         self.worker = worker
 
     def serve(self) -> http_server.HttpServer:
-        """A server for it, on a free port."""
+        """Returns an HTTP server for it on a free port."""
         return http_server.HttpServer(
             "127.0.0.1:0", self.handle, THREADS, MAX_BODY_BYTES
         )
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Answers one call."""
+        """Handles one HTTP request."""
         expected = request.headers.get("x-expected-instance")
         if expected not in (None, self.worker.entry.worker_id):
             return http.HttpReply(421)
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -60,14 +60,14 @@
     """Peers that answer what tests set."""
 
     def __init__(self) -> None:
-        self.shown: tuple[peers_port.PeerView, ...] = ()
+        self.peer_views: tuple[peers_port.PeerView, ...] = ()
         self.forwarded: list[ttypes.ForwardRequest] = []
         self.forward_result: result.Result[
             ttypes.ForwardReply, peers_port.PeerError
         ] = result.Err(peers_port.PeerUnreachable("no such peer"))
 
     def views(self) -> tuple[peers_port.PeerView, ...]:
-        return self.shown
+        return self.peer_views
 
     def forward(
         self, seat: str, request: ttypes.ForwardRequest, timeout_ms: int
@@ -85,12 +85,12 @@
         self._listeners: list[Callable[[str], None]] = []
         self.taken: dict[str, int] = {}
         self.highest = 0
-        self.wanted: set[str] = set()
+        self.reported_demand: set[str] = set()
 
-    def want(self, endpoint: str) -> None:
-        self.wanted.add(endpoint)
+    def report_demand(self, endpoint: str) -> None:
+        self.reported_demand.add(endpoint)
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
         with self._lock:
             taken = self.taken.get(endpoint, 0)
             if taken >= self._slots:
@@ -99,13 +99,13 @@
             self.highest = max(self.highest, taken + 1)
             return True
 
-    def give_back(self, endpoint: str) -> None:
+    def release_slot(self, endpoint: str) -> None:
         with self._lock:
             self.taken[endpoint] -= 1
         for listener in self._listeners:
             listener(endpoint)
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         return self._slots - self.taken.get(endpoint, 0)
 
     def on_free(self, callback: Callable[[str], None]) -> None:
--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -48,7 +48,7 @@
 
 
 @attrs.define
-class _RecordedOrders:
+class _RecordingSession:
     """Implements a worker session that records orders."""
 
     starts: list[Any] = attrs.field(factory=list)
@@ -57,7 +57,7 @@
     latest_deadline_ms: int = 0
     acknowledged: int = 0
 
-    def __enter__(self) -> _RecordedOrders:
+    def __enter__(self) -> _RecordingSession:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -91,7 +91,7 @@
     def __init__(self, workers: int = 2, cpu_millicores: int = 8_000) -> None:
         self.clock = fake_clock.FakeClock(START_MS)
         self.jobs = job_table.JobTable(1, self.clock)
-        self.sent: dict[str, _RecordedOrders] = {}
+        self.sessions: dict[str, _RecordingSession] = {}
         self.workers = worker_table.WorkerTable(
             self._session, self.clock, release_after_ms=0
         )
@@ -118,11 +118,11 @@
         }
         self.workers.apply_listing(entries)
         for worker_id in entries:
-            self.hold(worker_id)
+            self.answer_hold(worker_id)
         self.workers.allow_starts(self.workers.incarnations())
 
     def _session(self, entry: cell_workers.WorkerEntry) -> Any:
-        return self.sent.setdefault(entry.worker_id, _RecordedOrders())
+        return self.sessions.setdefault(entry.worker_id, _RecordingSession())
 
     def submit(self, spec: specs.JobSpec) -> Any:
         """Adds a job."""
@@ -144,13 +144,13 @@
             )
         return [placement.run for placement in placed]
 
-    def hold(
+    def answer_hold(
         self,
         worker_id: str,
         running: tuple[cell_workers.RunningTask, ...] = (),
         ended: tuple[cell_workers.EndedRun, ...] = (),
     ) -> None:
-        """Processes a worker's lists of running tasks and ends."""
+        """Answers a hold call with running tasks and ended runs."""
         now_ms = self.clock.monotonic_ms()
         answer = cell_workers.HoldAnswer(now_ms, running, ended)
         event = events.HoldReturned(
@@ -160,9 +160,9 @@
         self.reconciler.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
-        """Processes a hold call without an answer."""
+        """Has a hold call end without an answer."""
         now_ms = self.clock.monotonic_ms()
-        error = cell_workers.OrderUnanswered("dark")
+        error = cell_workers.OrderUnanswered("no answer")
         self.workers.handle_hold(
             events.HoldReturned(
                 worker_id, 1, now_ms, now_ms, 0, result.Err(error)
@@ -170,14 +170,14 @@
         )
 
 
-def listed(run: Any, percent: float = 50.0, reading: int = 0) -> Any:
+def running_task(run: Any, percent: float = 50.0, reading: int = 0) -> Any:
     """A worker's report of a run in progress."""
     return cell_workers.RunningTask(
         run.task.name, run.number, "", percent, reading
     )
 
 
-def ended(
+def ended_run(
     run: Any, how: cell_workers.RunEnd, number: int = 1, checkpoint: str = ""
 ) -> cell_workers.EndedRun:
     """A worker's report of a run that has ended."""
--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -26,7 +26,7 @@
 
 
 class LogStandInTest(testtools.TestCase):
-    """Offsets, retention, rate limit and faults of the log."""
+    """Offsets, retention, rate and faults of the log."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -40,14 +40,12 @@
         self.assertEqual([0, 1, 2], [one["offset"] for one in page["records"]])
         self.assertEqual(3, page["next"])
 
-    def test_read_of_an_expired_offset_is_refused(self) -> None:
+    def test_read_of_expired_offset_fails(self) -> None:
         self.log.control({"keep_records": 2})
         append(self.log, "a", "b", "c")
         self.assertEqual((410, {"first": 1}), read(self.log, 0))
 
-    def test_answer_is_lost_before_or_after_the_append_as_configured(
-        self,
-    ) -> None:
+    def test_lose_before_drops_and_lose_after_stores_record(self) -> None:
         self.log.control({"lose_before": 1})
         self.assertEqual(serving.Drop(), append(self.log, "a"))
         self.assertEqual([], read(self.log, 0)[1]["records"])
@@ -60,7 +58,7 @@
         statuses = [append(self.log, "a").status for _ in range(3)]
         self.assertEqual([200, 200, 503], statuses)
 
-    def test_unavailable_log_appends_nothing(self) -> None:
+    def test_unavailable_log_stores_nothing(self) -> None:
         self.log.control({"down": True})
         self.assertEqual(503, append(self.log, "a").status)
         self.log.control({"down": False})
--- a/tests/system/test_worker_stand_in.py
+++ b/tests/system/test_worker_stand_in.py
@@ -1,4 +1,4 @@
-"""Tests that stand-in workers follow the rules of docs/PLATFORM.md."""
+"""Tests that stand-in workers follow docs/PLATFORM.md."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class WorkerStandInTest(testtools.TestCase):
-    """Leases, terms, stale quoted reports and capacity."""
+    """Leases, terms, stale reports and capacity."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -73,13 +73,13 @@
         report = self.exchange(self.first_report(), start("a"), lease_ms=0)
         self.assertEqual(("refused-lease",), report.statuses)
 
-    def test_lower_term_is_refused(self) -> None:
+    def test_lower_term_has_no_effect(self) -> None:
         quoted = self.exchange(self.first_report(), term=2, lease_ms=0).report
         report = self.exchange(quoted, start("a"), term=1)
         self.assertEqual(("refused-term",), report.statuses)
         self.assertEqual(0, report.lease_left_ms)
 
-    def test_unknown_quoted_report_is_refused(self) -> None:
+    def test_unknown_report_has_no_effect(self) -> None:
         report = self.exchange(99, start("a"))
         self.assertEqual(("refused-stale",), report.statuses)
         self.assertEqual(0, report.lease_left_ms)
@@ -100,10 +100,10 @@
         quoted = self.exchange(quoted, checkpoint, lease_ms=20).report
         time.sleep(0.05)
         report = self.exchange(quoted, lease_ms=0)
-        (line,) = report.tasks
-        self.assertEqual(workers.TaskState.STOPPED, line.state)
-        self.assertGreater(line.checkpoint_ms, 0)
-        self.assertLessEqual(line.progress_ms, 60)
+        (status,) = report.tasks
+        self.assertEqual(workers.TaskState.STOPPED, status.state)
+        self.assertGreater(status.checkpoint_ms, 0)
+        self.assertLessEqual(status.progress_ms, 60)
 
     def test_ended_task_is_reported_until_a_command_names_it(self) -> None:
         quoted = self.exchange(
@@ -117,7 +117,7 @@
         self.assertEqual(1, len(report.tasks))
         self.assertEqual((), self.exchange(report.report).tasks)
 
-    def test_kill_discards_all_state(self) -> None:
+    def test_kill_clears_all_state(self) -> None:
         before = self.exchange(self.first_report(), start("a"))
         self.worker.change({"kill": True})
         kinds = [event.kind for event in self.journal.page(0)["events"]]
