--- a/src/comfreylatch/_ports/slots.py
+++ b/src/comfreylatch/_ports/slots.py
@@ -9,30 +9,30 @@
 class SlotLedger(Protocol):
     """Slots and connections of endpoints that this host may use."""
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """Reserves a slot for a request of at most `duration_ms`.
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
+        """Acquires a slot for a request of at most `duration_ms`.
 
         Returns False if no slot is available.
         """
         ...
 
-    def want(self, endpoint: str) -> None:
+    def report_demand(self, endpoint: str) -> None:
         """Reports that a request is waiting for a slot; never blocks."""
         ...
 
-    def give_back(self, endpoint: str) -> None:
-        """Releases a reserved slot once its request has ended."""
+    def release_slot(self, endpoint: str) -> None:
+        """Releases a slot once its request has ended."""
         ...
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         """Returns the number of available slots; never below 0."""
         ...
 
     def on_free(self, callback: Callable[[str], None]) -> None:
         """Registers a callback for endpoints that have a slot again.
 
-        It is never called from `try_take` or `free`, as their callers hold
-        locks.
+        It is never called from `try_acquire_slot` or `count_free`, as their
+        callers hold locks.
         """
         ...
 
--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -58,7 +58,7 @@
         self._jobs_needing_command.clear()
         self._pending.reset(term)
 
-    def attempt(self, job: str) -> attempt_module.Attempt | None:
+    def find_attempt(self, job: str) -> attempt_module.Attempt | None:
         """Returns the assigned attempt of a job, or None."""
         return self._attempts.get(job)
 
@@ -217,18 +217,20 @@
         attempt.share_milli = task.share_milli
         match task.state:
             case workers.TaskState.RUNNING:
-                self._pending.checkpoint(attempt, now_ms)
+                self._pending.add_checkpoint(attempt, now_ms)
                 self._request_checkpoint(attempt, now_ms)
             case workers.TaskState.FINISHED:
-                self._pending.end(attempt, job_records.AttemptEnd.FINISHED)
+                self._pending.add_end(attempt, job_records.AttemptEnd.FINISHED)
             case workers.TaskState.FAILED:
-                self._pending.end(attempt, job_records.AttemptEnd.FAILED)
+                self._pending.add_end(attempt, job_records.AttemptEnd.FAILED)
             case workers.TaskState.STOPPED:
                 evicted = (
                     attempt.stop_reason is attempt_module.StopReason.EVICTED
                 )
                 end = job_records.AttemptEnd
-                self._pending.end(attempt, end.EVICTED if evicted else end.LOST)
+                self._pending.add_end(
+                    attempt, end.EVICTED if evicted else end.LOST
+                )
 
     def _request_checkpoint(
         self, attempt: attempt_module.Attempt, now_ms: int
@@ -292,7 +294,7 @@
         self._sink.queue_command(worker, command, at_once=running)
 
     def _record_lost(self, attempt: attempt_module.Attempt) -> None:
-        self._pending.end(attempt, job_records.AttemptEnd.LOST)
+        self._pending.add_end(attempt, job_records.AttemptEnd.LOST)
 
     def record_lost_attempts(
         self,
@@ -408,10 +410,10 @@
     def evict(
         self, job: str, now_ms: int, checkpoint_first: bool = True
     ) -> bool:
-        """Starts an eviction: a checkpoint if wanted, then a stop.
+        """Starts an eviction; first a checkpoint if `checkpoint_first`.
 
         Returns:
-            False if the job has no attempt or that is ending already.
+            False if the job has no attempt, or it is already ending.
         """
         attempt = self._attempts.get(job)
         if attempt is None or attempt.stop_reason is not None:
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -91,11 +91,11 @@
     def clear_commands(self) -> None:
         """Drops queued commands and events, as when the claim is lost."""
         for session in self._sessions.values():
-            session.clear()
+            session.clear_commands()
         self._events.clear()
 
     def drain_events(self) -> list[worker_session.LinkEvent]:
-        """Returns events since the last call, in order for each worker."""
+        """Removes and returns the queued events, in order for each worker."""
         taken: list[worker_session.LinkEvent] = []
         while self._events:
             taken.append(self._events.popleft())
--- a/src/comfreylatch/_process/batch/pending_records.py
+++ b/src/comfreylatch/_process/batch/pending_records.py
@@ -46,7 +46,7 @@
         if pending is not None and pending.checkpoint_ms <= checkpoint_ms:
             del self._checkpoints[job]
 
-    def end(
+    def add_end(
         self, attempt: attempt_module.Attempt, end: job_records.AttemptEnd
     ) -> None:
         """Adds the end of an attempt; later ends of it are ignored."""
@@ -61,7 +61,9 @@
             checkpoint_ms=attempt.checkpoint_ms,
         )
 
-    def checkpoint(self, attempt: attempt_module.Attempt, now_ms: int) -> None:
+    def add_checkpoint(
+        self, attempt: attempt_module.Attempt, now_ms: int
+    ) -> None:
         """Adds a newer checkpoint if due; that of an eviction always is."""
         due = (
             now_ms - attempt.checkpoint_recorded_ms
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -1,4 +1,4 @@
-"""Clearing of a worker's lasting tasks for filling tasks that interfere.
+"""Clears workers of lasting tasks for filling tasks that interfere.
 
 Some images interfere so much that they can share a worker with no lasting
 task, while nearly every worker runs some. Clearing one worker for a few
@@ -40,8 +40,8 @@
 ) -> int:
     """Sums the processors that waiting tasks of harmful images request.
 
-    Harmless images are left out: they can use idle processors, and stopping a
-    lasting task frees processors worth hardly more than the task itself.
+    Harmless images are left out: they can use idle processors, so that stopping
+    a lasting task gains hardly more than the task is worth.
     """
     return sum(
         len(step.pending_tasks) * step.spec.cpu_millicores
@@ -62,28 +62,36 @@
 def reopen_unused(
     workers: Iterable[worker_view.WorkerView], now_ms: int
 ) -> None:
-    """Reopens little-used cleared workers; called when no task waits."""
+    """Reopens cleared workers with little use; called when no task waits."""
     for worker in workers:
         if now_ms >= worker.cleared_until_ms:
             continue
-        used = worker.fill_millicores
-        if used < MIN_USE_SHARE * worker.entry.capacity.cpu_millicores:
+        used_millicores = worker.fill_millicores
+        if (
+            used_millicores
+            < MIN_USE_SHARE * worker.entry.capacity.cpu_millicores
+        ):
             worker.cleared_until_ms = now_ms
 
 
 def choose_worker(
-    workers: list[worker_view.WorkerView], demand: int, now_ms: int
+    workers: list[worker_view.WorkerView], demand_millicores: int, now_ms: int
 ) -> worker_view.WorkerView | None:
     """Returns the worker to clear next; None if clearing isn't justified."""
     cleared = [worker for worker in workers if now_ms < worker.cleared_until_ms]
     if len(cleared) >= max(MAX_CLEARED_SHARE * len(workers), 1):
         return None
-    demand -= sum(max(worker.idle_millicores, 0) for worker in cleared)
+    demand_millicores -= sum(
+        max(worker.idle_millicores, 0) for worker in cleared
+    )
     candidates = [worker for worker in workers if _may_clear(worker, now_ms)]
     if not candidates:
         return None
     best = max(candidates, key=_benefit_ratio)
-    if demand < MIN_DEMAND_SHARE * best.entry.capacity.cpu_millicores:
+    if (
+        demand_millicores
+        < MIN_DEMAND_SHARE * best.entry.capacity.cpu_millicores
+    ):
         return None
     return best
 
--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -23,10 +23,10 @@
 COMPARISON_SD = 0.06
 # Weight of the prior: variance of a reading over variance of coefficients.
 PRIOR_WEIGHT = (COMPARISON_SD / 0.5) ** 2
-# The same for the excess of a pair of images over its filling image.
+# The same for a pair's excess over the coefficient of its filling image.
 PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
 # Maximum weight of a coefficient that was learned by a previous owner.
-MAX_INHERITED_WEIGHT = 0.2
+MAX_RESTORED_WEIGHT = 0.2
 MAX_COEFFICIENT = 6.0
 # Readings of a step within this time are compared with each other; workers
 # report averages over half a second.
@@ -92,22 +92,22 @@
         self._products: dict[str, float] = {}
         self._pairs: dict[tuple[str, str], _PairSums] = {}
         self._priors: dict[str, _Prior] = {}
-        self._by_image: dict[str, float] = {}
-        self._by_pair: dict[tuple[str, str], float] = {}
+        self._coefficients: dict[str, float] = {}
+        self._pair_excesses: dict[tuple[str, str], float] = {}
         self._fitted_ms = 0
 
     def restore(self, learned: records.LearnedRecord) -> None:
         """Uses what a previous owner learned as priors."""
         for pressure in learned.pressures:
-            weight = min(pressure.weight, MAX_INHERITED_WEIGHT)
+            weight = min(pressure.weight, MAX_RESTORED_WEIGHT)
             self._priors[pressure.filling] = _Prior(
                 pressure.coefficient, weight
             )
         for pair in learned.pairs:
-            weight = min(pair.weight, MAX_INHERITED_WEIGHT)
+            weight = min(pair.weight, MAX_RESTORED_WEIGHT)
             key = pair.serving, pair.filling
             self._pairs[key] = _PairSums(weight, weight * pair.excess)
-            self._by_pair[key] = pair.excess
+            self._pair_excesses[key] = pair.excess
 
     def export(self) -> tuple[records.LearnedPressure, ...]:
         """Returns the coefficients of all images, for the next owner."""
@@ -117,7 +117,7 @@
                 round(self.common_coefficient(name), 3),
                 round(self._coefficient_weight(name), 4),
             )
-            for name in sorted(self._priors.keys() | self._by_image.keys())
+            for name in sorted(self._priors.keys() | self._coefficients.keys())
         )
 
     def export_pairs(self) -> tuple[records.LearnedPair, ...]:
@@ -126,7 +126,7 @@
             records.LearnedPair(
                 serving,
                 filling,
-                round(self._by_pair.get((serving, filling), 0.0), 3),
+                round(self._pair_excesses.get((serving, filling), 0.0), 3),
                 round(sums.squares, 4),
             )
             for (serving, filling), sums in self._pairs.items()
@@ -137,9 +137,9 @@
         return self._priors.get(filling, _Prior())
 
     def _coefficient_weight(self, filling: str) -> float:
-        """Weight of an image's readings and prior."""
-        own = self._squares.get(filling, {}).get(filling, 0.0)
-        return own + self._prior(filling).weight
+        """Weight of an image's coefficient: of its readings and its prior."""
+        squares = self._squares.get(filling, {}).get(filling, 0.0)
+        return squares + self._prior(filling).weight
 
     def uncertainty(self, filling: str) -> float:
         """Returns the standard deviation of an image's coefficient."""
@@ -147,14 +147,15 @@
 
     def common_coefficient(self, filling: str) -> float:
         """Returns the coefficient of a filling image on any serving image."""
-        learned = self._by_image.get(filling)
+        learned = self._coefficients.get(filling)
         return self._prior(filling).coefficient if learned is None else learned
 
     def coefficient(self, serving: str, filling: str) -> float:
         """Returns the coefficient of a filling image on a serving image."""
-        own = self._by_pair.get((serving, filling), 0.0)
+        excess = self._pair_excesses.get((serving, filling), 0.0)
         return min(
-            max(self.common_coefficient(filling) + own, 0.0), MAX_COEFFICIENT
+            max(self.common_coefficient(filling) + excess, 0.0),
+            MAX_COEFFICIENT,
         )
 
     def discard_step(self, step: object) -> None:
@@ -176,8 +177,9 @@
             step: The task's step.
             serving: The task's image.
             worker_id: The worker it runs on.
-            load: Sum of load and pressures that the tail implies.
-            uses: Shares of the worker that filling images use, by image.
+            load: Sum of load and pressures that the tail latency implies.
+            uses: Shares of the worker's processors that filling tasks use, by
+                image.
             now_ms: Monotonic time of the reading.
         """
         comparison = self._open_comparisons.get(step)
@@ -216,7 +218,7 @@
     def _add_differences(
         self, serving: str, load: float, differences: Mapping[str, float]
     ) -> None:
-        """Adds a load difference and the use differences that explain it."""
+        """Adds the load and use differences of one reading to the sums."""
         unexplained = load - sum(
             self.coefficient(serving, name) * use
             for name, use in differences.items()
@@ -226,10 +228,10 @@
             for other, other_use in differences.items():
                 row[other] = row.get(other, 0.0) + use * other_use
             self._products[name] = self._products.get(name, 0.0) + use * load
-            own = self._by_pair.get((serving, name), 0.0)
+            excess = self._pair_excesses.get((serving, name), 0.0)
             sums = self._pairs.setdefault((serving, name), _PairSums())
             sums.squares += use * use
-            sums.products += use * (unexplained + own * use)
+            sums.products += use * (unexplained + excess * use)
 
     def _fit_coefficients(self, now_ms: int) -> None:
         """Decays the sums and solves them for the coefficients."""
@@ -249,11 +251,11 @@
                 self._products[name] + prior.weight * prior.coefficient
             )
         solution = solve(matrix, values)
-        self._by_image = {
+        self._coefficients = {
             name: min(max(value, 0.0), MAX_COEFFICIENT)
             for name, value in zip(names, solution, strict=True)
         }
-        self._by_pair = {
+        self._pair_excesses = {
             pair: sums.products / (sums.squares + PAIR_PRIOR_WEIGHT)
             for pair, sums in self._pairs.items()
         }
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -22,9 +22,8 @@
 from comfreylatch._process.cell import worker_table as worker_table_module
 from comfreylatch._process.cell import worker_view
 
-# Consecutive failed runs, of tasks of different jobs, after which a worker is
-# considered faulty and avoided for a while. By chance, this happens once in ten
-# thousand.
+# Consecutive failed runs, of any jobs, after which a worker is considered
+# faulty and avoided for a while. By chance, this happens once in ten thousand.
 FAILURES_BEFORE_AVOIDANCE = 3
 FAILING_WORKER_AVOIDANCE_MS = 5_000
 # Time without progress after which a run is considered stalled while its worker
@@ -32,10 +31,10 @@
 STALL_TIMEOUT_MS = 2_500
 # Time at a low pace after which a run with checkpoints is moved.
 SLOW_TIMEOUT_MS = 1_200
-# Weight of a new run in the moving average of a worker's slowness.
+# Weight of the newest run in the exponential average of a worker's slowness.
 SLOWNESS_SMOOTHING = 0.3
-# Most ends in one hold answer. A run missing from an answer with so many may
-# have ended without being listed.
+# Most ends in one hold answer. A run missing from an answer with this many may
+# have ended although its end isn't listed.
 MAX_LISTED_ENDS = 500
 
 _logger = logbook.Logger(__name__)
@@ -70,7 +69,7 @@
     def handle_hold(
         self, event: events.HoldReturned, answer: cell_workers.HoldAnswer
     ) -> bool:
-        """Processes a worker's lists of running tasks and ends.
+        """Applies a hold answer, which lists running tasks and ended runs.
 
         Returns:
             Whether there are new ends to record.
@@ -80,12 +79,14 @@
         ended = self._workers.new_ends(event.worker_id, answer)
         for end in ended:
             self._handle_end(worker, end)
-        listed = set()
-        for task in answer.running:
-            listed.add(worker_view.run_key(task.task, task.run))
-            self._handle_running(worker, task, event.received_ms)
+        listed_keys = set()
+        for running_task in answer.running:
+            listed_keys.add(
+                worker_view.run_key(running_task.task, running_task.run)
+            )
+            self._handle_running(worker, running_task, event.received_ms)
         if len(answer.ended) < MAX_LISTED_ENDS:
-            self._handle_missing(worker, listed, event.sent_ms)
+            self._handle_missing(worker, listed_keys, event.sent_ms)
         self._interference.learn(worker, event.received_ms)
         worker.revision += 1
         self._dispatcher.update_paces(worker)
@@ -147,9 +148,10 @@
     def _observe_duration(
         self, worker: worker_view.WorkerView, run: runs_module.Run
     ) -> None:
-        """Updates the duration model and the slowness of the worker.
+        """Adds a completed run to the duration model and the worker's slowness.
 
-        The run must not have been interrupted. Skips filling tasks and gangs.
+        Only for tasks without a checkpoint, as others may have been resumed.
+        Skips filling tasks and gangs.
         """
         step = run.task.step
         if step.spec.fills_idle or step.spec.is_gang or not run.confirmed_ms:
@@ -192,22 +194,22 @@
     def _handle_running(
         self,
         worker: worker_view.WorkerView,
-        listed: cell_workers.RunningTask,
+        running_task: cell_workers.RunningTask,
         now_ms: int,
     ) -> None:
-        key = worker_view.run_key(listed.task, listed.run)
+        key = worker_view.run_key(running_task.task, running_task.run)
         run = worker.runs.get(key)
         if run is None:
-            self._handle_unknown(worker, listed, now_ms)
+            self._handle_unknown(worker, running_task, now_ms)
             return
         if run.phase is runs_module.RunPhase.STARTING:
             self._dispatcher.confirm(run, now_ms)
-        if listed.percent > run.percent or run.progressed_ms == 0:
-            run.percent = listed.percent
+        if running_task.percent > run.percent or run.progressed_ms == 0:
+            run.percent = running_task.percent
             run.progressed_ms = now_ms
-        run.reading = listed.reading
-        if listed.checkpoint and run.number == run.task.last_run:
-            run.task.checkpoint = listed.checkpoint
+        run.reading = running_task.reading
+        if running_task.checkpoint and run.number == run.task.last_run:
+            run.task.checkpoint = running_task.checkpoint
         if run.phase is runs_module.RunPhase.STOPPING and run.is_in_doubt:
             run.is_in_doubt = False
             self._dispatcher.send_stop(run)
@@ -215,11 +217,11 @@
     def _handle_unknown(
         self,
         worker: worker_view.WorkerView,
-        listed: cell_workers.RunningTask,
+        running_task: cell_workers.RunningTask,
         now_ms: int,
     ) -> None:
-        """Adopts a run that a previous owner started, or stops it."""
-        task = self._jobs.find_task(listed.task)
+        """Adopts a previous owner's run if its task needs it, else stops it."""
+        task = self._jobs.find_task(running_task.task)
         should_adopt = (
             task is not None
             and not task.is_done
@@ -228,15 +230,15 @@
         if task is not None and should_adopt:
             run = runs_module.Run(
                 task,
-                listed.run,
+                running_task.run,
                 worker.worker_id,
                 runs_module.RunPhase.RUNNING,
                 now_ms,
                 confirmed_ms=now_ms,
                 progressed_ms=now_ms,
-                percent=listed.percent,
+                percent=running_task.percent,
             )
-            task.last_run = max(task.last_run, listed.run)
+            task.last_run = max(task.last_run, running_task.run)
             task.step.add_run(run)
             worker.add(run)
             self._jobs.mark_started(task.step.job)
@@ -244,23 +246,23 @@
         logs.event(
             _logger,
             "stray-stopped",
-            task=listed.task,
-            run=listed.run,
+            task=running_task.task,
+            run=running_task.run,
             worker=worker.worker_id,
         )
         session = self._workers.session(worker.worker_id)
         if session is not None:
-            session.stop(None, listed.task, listed.run)
+            session.stop(None, running_task.task, running_task.run)
 
     def _handle_missing(
         self,
         worker: worker_view.WorkerView,
-        listed: set[str],
+        listed_keys: set[str],
         sent_ms: int,
     ) -> None:
         """Handles runs that the worker lists neither as running nor ended."""
         for key, run in list(worker.runs.items()):
-            if key in listed:
+            if key in listed_keys:
                 continue
             if run.confirmed_ms and run.confirmed_ms < sent_ms:
                 logs.event(
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -36,7 +36,7 @@
 class ShareSource(Protocol):
     """Provides this host's own slots and connections of each endpoint."""
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         """Returns the slots of this host's own share that may be used now."""
         ...
 
@@ -125,26 +125,26 @@
         self._thread.join()
         self._return_idle(0)
 
-    def try_take(self, endpoint: str, duration_ms: int) -> bool:
-        """See `SlotLedger.try_take`."""
+    def try_acquire_slot(self, endpoint: str, duration_ms: int) -> bool:
+        """See `SlotLedger.try_acquire_slot`."""
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             account = self._account(endpoint)
             taken = account.acquire(now_ms, duration_ms)
         if not taken:
-            self.want(endpoint)
+            self.report_demand(endpoint)
         return taken
 
-    def give_back(self, endpoint: str) -> None:
-        """See `SlotLedger.give_back`."""
+    def release_slot(self, endpoint: str) -> None:
+        """See `SlotLedger.release_slot`."""
         with self._lock:
             self._account(endpoint).release(self._clock.monotonic_ms())
         self._notify_listeners(endpoint)
 
-    def free(self, endpoint: str) -> int:
-        """See `SlotLedger.free`."""
+    def count_free(self, endpoint: str) -> int:
+        """See `SlotLedger.count_free`."""
         with self._lock:
-            return self._account(endpoint).free(
+            return self._account(endpoint).count_free(
                 self._clock.monotonic_ms(), self._max_hold_ms()
             )
 
@@ -156,8 +156,8 @@
         """See `SlotLedger.connection_share`."""
         return self._shares.connection_share(endpoint)
 
-    def want(self, endpoint: str) -> None:
-        """Requests a loan of slots of an endpoint; never blocks."""
+    def report_demand(self, endpoint: str) -> None:
+        """See `SlotLedger.report_demand`; queues a loan request."""
         if endpoint not in self._requested_endpoints:
             self._requested_endpoints.add(endpoint)
             self._wake.set()
@@ -200,7 +200,7 @@
             return tuple(
                 LoanStatus(
                     endpoint,
-                    self._shares.free(endpoint),
+                    self._shares.count_free(endpoint),
                     account.used,
                     account.lent_slots,
                     account.borrowed_slots,
@@ -213,7 +213,7 @@
         if account is None:
             account = slot_account.SlotAccount(endpoint)
             self._accounts[endpoint] = account
-        account.set_own_slots(self._shares.free(endpoint))
+        account.set_own_slots(self._shares.count_free(endpoint))
         return account
 
     def _notify_listeners(self, endpoint: str) -> None:
--- a/src/comfreylatch/_process/routing/endpoint_stats.py
+++ b/src/comfreylatch/_process/routing/endpoint_stats.py
@@ -135,13 +135,13 @@
 
         New endpoints begin in slow start.
         """
-        wanted = frozenset(endpoints)
+        configured = frozenset(endpoints)
         with self._lock:
-            for name in self._stats.keys() - wanted:
+            for name in self._stats.keys() - configured:
                 if self._stats[name].in_flight == 0:
                     self._ejected_count -= self._stats[name].is_ejected
                     del self._stats[name]
-            for name in wanted - self._stats.keys():
+            for name in configured - self._stats.keys():
                 now_ms = self._clock.monotonic_ms()
                 self._stats[name] = EndpointStats(readmitted_ms=now_ms)
 
@@ -167,12 +167,12 @@
             if stats.is_ejected:
                 stats.is_probing = True
 
-    def record_end(self, endpoint: str, begun_ms: int) -> None:
+    def record_end(self, endpoint: str, started_ms: int) -> None:
         """Records that the endpoint no longer runs a request."""
         stats = self.get(endpoint)
         with self._lock:
             stats.in_flight -= 1
-            stats.start_sum_ms -= begun_ms
+            stats.start_sum_ms -= started_ms
 
     def record_inconclusive(self, endpoint: str) -> None:
         """Records a try whose result says nothing about the endpoint."""
--- a/testing/bench_load.py
+++ b/testing/bench_load.py
@@ -1,4 +1,4 @@
-"""One process of callers for `testing.bench`: closed loop, fixed time."""
+"""Closed-loop load generator process for `testing.bench`, of fixed duration."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from hdrh import histogram
 import urllib3
 
-LOWEST_US = 1
-HIGHEST_US = 60_000_000
+MIN_LATENCY_US = 1
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 
 
 class Callers:
-    """Some callers, each sending its next request after an answer."""
+    """Concurrent callers; each sends a request after the previous answer."""
 
     def __init__(self, address: str, path: str, method: str, run: str) -> None:
         ip, _, port = address.rpartition(":")
@@ -28,11 +28,11 @@
         self.failed = 0
         self.sent = 0
         self.latency = histogram.HdrHistogram(
-            LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
+            MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
         )
 
     def run(self, callers: int, warm_s: float, measured_s: float) -> None:
-        """Runs all callers; only answers after the warm-up are counted."""
+        """Runs all callers; counts only requests sent after the warm-up."""
         start_s = time.monotonic() + warm_s
         threads = [
             threading.Thread(
@@ -55,12 +55,12 @@
             headers = {"X-Request-Id": name, "X-Idempotent": idempotent}
             answer = pool.request(self._method, self._path, headers=headers)
             elapsed_us = int((time.monotonic() - sent_s) * 1_000_000)
-            whole = answer.headers.get("X-Request-Id") == name
+            is_matching = answer.headers.get("X-Request-Id") == name
             with self._lock:
                 self.sent += 1
                 if sent_s < start_s:
                     continue
-                if answer.status == 200 and whole:
+                if answer.status == 200 and is_matching:
                     self.latency.record_value(elapsed_us)
                 else:
                     self.failed += 1
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Prints one JSON line with the answers, failures and latencies."""
+    """Prints one JSON line with answers, failures and latencies."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("address")
     parser.add_argument("--path", default="/")
@@ -77,9 +77,9 @@
     parser.add_argument("--callers", type=int, default=1)
     parser.add_argument("--warm-s", type=float, default=1.0)
     parser.add_argument("--measured-s", type=float, default=4.0)
-    given = parser.parse_args()
-    callers = Callers(given.address, given.path, given.method, given.run)
-    callers.run(given.callers, given.warm_s, given.measured_s)
+    args = parser.parse_args()
+    callers = Callers(args.address, args.path, args.method, args.run)
+    callers.run(args.callers, args.warm_s, args.measured_s)
     line = {
         "answered": callers.latency.get_total_count(),
         "failed": callers.failed,
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -1,7 +1,7 @@
-"""Measures tickets on one host with an in-memory log: `--help` for options.
+"""Measures tickets on one host with an in-memory log; see `--help`.
 
-Prints JSON lines: latency of submitting, records an append, cost of folding
-and of snapshots at the size of the design.
+Prints JSON lines: submission latency, records per append, and the cost of
+folds and snapshots at the design size.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 from testing.fakes import peers as fake_peers
 from testing.fakes import tickets as samples
 
-CHANGES_AT_ONCE = 500
+CHANGES_PER_TICKET = 500
 ENVELOPE = records.Envelope("writer", 1, "ticket", msgspec.Raw(b"{}"))
 
 
 @attrs.frozen
 class SubmitLine:
-    """Latency of submitted tickets, in microseconds, and their batching."""
+    """Latency of ticket submissions, in microseconds, and their batching."""
 
     callers: int
     append_ms: float
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class FoldLine:
-    """Cost of the fold at a number of endpoints."""
+    """Cost of folds and snapshots at a number of endpoints."""
 
     endpoints: int
     fold_us: int
@@ -66,41 +66,44 @@
 
 
 def measure_submit(
-    callers: int, each: int, append_ms: float, min_append_interval_ms: int
+    callers: int,
+    tickets_per_caller: int,
+    append_ms: float,
+    min_append_interval_ms: int,
 ) -> SubmitLine:
-    """Submits tickets from several threads, each on a zone of its own."""
+    """Submits tickets from several threads, each for its own zone."""
     log = fake_log.FakeLog()
     log.append_s = append_ms / 1_000
-    machine = clock.SystemClock()
-    counted = metrics.Metrics()
+    system_clock = clock.SystemClock()
+    counters = metrics.Metrics()
     fold = configuration_fold.ConfigurationFold()
     writer = appender.StreamAppender(
         log,
         "config",
         "host",
-        counted,
-        machine,
+        counters,
+        system_clock,
         min_append_interval_ms=min_append_interval_ms,
     )
     reader = follower.StreamFollower(
-        log, "config", fold, counted, machine, after_apply=writer.observe
+        log, "config", fold, counters, system_clock, after_apply=writer.observe
     )
     handler = ticket_handler.TicketHandler(
         writer,
         fold,
         reader,
         fake_peers.FakePeers(),
-        journal.Journal("host", machine),
-        counted,
-        machine,
+        journal.Journal("host", system_clock),
+        counters,
+        system_clock,
         "seat",
     )
     elapsed_us: list[int] = []
     statuses: list[int] = []
 
     def submit(caller: int) -> None:
-        for index in range(each):
-            number = caller * each + index + 1
+        for index in range(tickets_per_caller):
+            number = caller * tickets_per_caller + index + 1
             change = samples.zone(f"zone-{caller}", index)
             body = msgspec.json.encode(samples.ticket(number, change))
             request = http.HttpRequest("POST", "/tickets", {}, {}, body)
@@ -111,7 +114,7 @@
     with contextlib.ExitStack() as running:
         running.enter_context(writer)
         running.enter_context(reader)
-        # The first read of an empty log is held back for its whole wait.
+        # The first read of an empty log blocks for its full wait time.
         while not reader.ready:
             time.sleep(0.01)
         threads = [
@@ -137,26 +140,26 @@
     )
 
 
-def measure_fold(endpoints: int, folded: int, seed: int) -> FoldLine:
-    """Folds tickets of one change onto many endpoints."""
+def measure_fold(endpoints: int, ticket_count: int, seed: int) -> FoldLine:
+    """Folds tickets of one change into a configuration of many endpoints."""
     fold = configuration_fold.ConfigurationFold()
-    _fill(fold, endpoints)
-    source = random.Random(seed)
+    _add_endpoints(fold, endpoints)
+    rng = random.Random(seed)
     versions = [1] * endpoints
     values: list[dict[str, Any]] = []
-    for number in range(folded):
-        chosen = source.randrange(endpoints)
+    for number in range(ticket_count):
+        chosen = rng.randrange(endpoints)
         change = _endpoint(chosen, versions[chosen])
         versions[chosen] += 1
         values.append(samples.ticket(10_000 + number, change))
     started_ns = time.perf_counter_ns()
     for index, value in enumerate(values):
         fold.apply(10_000 + index, ENVELOPE, tickets.TicketRecord(value))
-    fold_us = (time.perf_counter_ns() - started_ns) // 1_000 // folded
+    fold_us = (time.perf_counter_ns() - started_ns) // 1_000 // ticket_count
     started_ns = time.perf_counter_ns()
     taken = snapshots.StreamSnapshot(
         "config",
-        10_000 + folded,
+        10_000 + ticket_count,
         fold.digest(),
         writers.WriterTable().positions(),
         fold.snapshot(),
@@ -180,7 +183,7 @@
 
 @attrs.frozen
 class MemoryLine:
-    """Memory that the fold's state takes, in KiB, as Python counts it."""
+    """Memory of the fold's state in KiB, as `tracemalloc` counts it."""
 
     endpoints: int
     tickets: int
@@ -188,13 +191,13 @@
     tickets_kib: int
 
 
-def measure_memory(endpoints: int, folded: int) -> MemoryLine:
-    """Folds endpoints, then tickets of one change up to the number kept."""
+def measure_memory(endpoints: int, ticket_count: int) -> MemoryLine:
+    """Folds endpoints, then `ticket_count` tickets of one change each."""
     tracemalloc.start()
     fold = configuration_fold.ConfigurationFold()
-    _fill(fold, endpoints)
+    _add_endpoints(fold, endpoints)
     with_objects = tracemalloc.get_traced_memory()[0]
-    for number in range(folded):
+    for number in range(ticket_count):
         index = number % endpoints
         change = _endpoint(index, 1 + number // endpoints)
         value = samples.ticket(10_000 + number, change)
@@ -216,11 +219,13 @@
     return samples.endpoint(f"ex-{index}", "skyproc", "bole", replaces)
 
 
-def _fill(fold: configuration_fold.ConfigurationFold, endpoints: int) -> None:
+def _add_endpoints(
+    fold: configuration_fold.ConfigurationFold, endpoints: int
+) -> None:
     first = samples.ticket(1, samples.service("skyproc"), samples.zone("bole"))
     fold.apply(0, ENVELOPE, tickets.TicketRecord(first))
-    for start in range(0, endpoints, CHANGES_AT_ONCE):
-        end = min(start + CHANGES_AT_ONCE, endpoints)
+    for start in range(0, endpoints, CHANGES_PER_TICKET):
+        end = min(start + CHANGES_PER_TICKET, endpoints)
         changes = [_endpoint(index, 0) for index in range(start, end)]
         value = samples.ticket(2 + start, *changes)
         fold.apply(1 + start, ENVELOPE, tickets.TicketRecord(value))
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of batch work: a zone's fold, and the owner's decisions."""
+"""Slopes of batch work: a zone's fold and the owner's decisions."""
 
 from __future__ import annotations
 
@@ -29,22 +29,22 @@
 TEAMS = 240
 TERM = 1
 WRITER = "zone-0-1-0a1b2c3d"
-HOST = workers.Resources(32_000, 128_000, 0)
-SIZE = workers.Resources(1_000, 2_048, 0)
+WORKER_CAPACITY = workers.Resources(32_000, 128_000, 0)
+JOB_RESOURCES = workers.Resources(1_000, 2_048, 0)
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
-CLASSES = 20
-# Placed on each worker before starts are measured.
+JOB_CLASSES = 20
+# Tasks on each worker before starts are measured.
 TASKS_PER_WORKER = 24
 
 
 @attrs.frozen
 class BatchSlopes:
-    """Of a host that follows, or owns, one zone's stream."""
+    """Slopes of a host that follows or owns one zone's stream."""
 
     queued_bytes: slope.Slope
     running_bytes: slope.Slope
     ended_bytes: slope.Slope
-    books_bytes: slope.Slope
+    scheduling_state_bytes: slope.Slope
     record_us: slope.Slope
     start_us: slope.Slope
     admit_record_bytes: int
@@ -54,13 +54,13 @@
 
 
 def measure() -> BatchSlopes:
-    """Takes all of them."""
+    """Measures all slopes of batch work."""
     name = "jobs kept by the zone's fold"
     return BatchSlopes(
         queued_bytes=_memory(f"{name}, queued", _queued),
         running_bytes=_memory(f"{name}, running", _running),
         ended_bytes=_memory(f"{name}, ended", _ended),
-        books_bytes=_memory(
+        scheduling_state_bytes=_memory(
             "owner's queue and ledgers", _populated_scheduling_state
         ),
         record_us=slope.fit(
@@ -96,7 +96,7 @@
 
 
 class Zone:
-    """The fold of one zone's stream, fed with encoded records."""
+    """Fold of one zone's stream that applies encoded records."""
 
     def __init__(self) -> None:
         self.fold = zone_fold.ZoneFold()
@@ -105,22 +105,22 @@
         )
         self._sequence = itertools.count(1)
         claim = job_records.OwnerClaimed(TERM, 0, WRITER, BOUNDS)
-        self.take(self.payload(claim))
+        self.apply_payload(self.payload(claim))
 
     def payload(self, body: object) -> bytes:
-        """A record as on the log."""
+        """Encodes a record as on the log."""
         return _encode(next(self._sequence), body)
 
-    def take(self, payload: bytes) -> None:
-        """Folds one payload."""
+    def apply_payload(self, payload: bytes) -> None:
+        """Decodes and folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
         taken = self.state.apply([entry], stream_state.EntrySource.LOG)
         assert taken
 
     def fold_all(self, bodies: Iterator[object]) -> None:
-        """Folds records."""
+        """Encodes and folds records."""
         for body in bodies:
-            self.take(self.payload(body))
+            self.apply_payload(self.payload(body))
 
 
 def _queued(count: int) -> Zone:
@@ -129,10 +129,10 @@
     return zone
 
 
-def running_zone(count: int, workers_known: int) -> Zone:
-    """A zone whose jobs all run, spread over its workers."""
+def running_zone(count: int, worker_count: int) -> Zone:
+    """A zone whose jobs all run, distributed over its workers."""
     zone = _queued(count)
-    zone.fold_all(_assign(index, workers_known) for index in range(count))
+    zone.fold_all(_assign(index, worker_count) for index in range(count))
     return zone
 
 
@@ -147,7 +147,10 @@
 
 
 def _record_us(running: int) -> float:
-    """A quarter each of admissions, assignments, checkpoints and ends."""
+    """Processor time per record, in microseconds.
+
+    A quarter each are admissions, assignments, checkpoints and ends.
+    """
     zone = _running(running)
     jobs = 100
     payloads = [
@@ -156,11 +159,11 @@
         for make in (_admit, _assign, _checkpoint, _end)
     ]
     remaining = iter(payloads)
-    return slope.cpu_us(lambda: zone.take(next(remaining)), 4 * jobs)
+    return slope.cpu_us(lambda: zone.apply_payload(next(remaining)), 4 * jobs)
 
 
-class Sink:
-    """Workers that all answered a moment ago and are told nothing."""
+class NullCommandSink:
+    """A command sink that discards commands; every worker is reachable."""
 
     def queue_command(
         self, worker: str, command: Any, at_once: bool = True
@@ -184,8 +187,8 @@
 
 
 @attrs.frozen
-class Session:
-    """What the owner reads of a worker's session."""
+class StaticSession:
+    """The fields of a worker's session that the owner reads."""
 
     fenced_term: int = TERM
     failures: int = 0
@@ -193,18 +196,18 @@
     answered_ms: int = 0
 
 
-SESSION = Session()
+SESSION = StaticSession()
 
 
 def make_scheduling_state(
-    workers_known: int, fold: zone_fold.ZoneFold | None = None
+    worker_count: int, fold: zone_fold.ZoneFold | None = None
 ) -> scheduling_state.SchedulingState:
-    """An owner's books with workers and teams, and no job."""
+    """A zone owner's scheduling state with workers and teams but no jobs."""
     scheduling = scheduling_state.SchedulingState(
         "zone-0",
         TERM,
         fold or zone_fold.ZoneFold(),
-        Sink(),
+        NullCommandSink(),
         usage_analyzer.UsageAnalyzer(),
         placement.Policy.PREDICTED_COST,
         metrics_module.Metrics(),
@@ -213,19 +216,19 @@
     scheduling.queue.set_teams(
         {f"team-{index}": quota for index in range(TEAMS)}
     )
-    for index in range(workers_known):
+    for index in range(worker_count):
         rack = f"rack-{index // 8}"
         name = f"worker-{index}"
         scheduling.ledger.set_worker(
-            name, rack, HOST, capacity.NO_RESOURCES, True
+            name, rack, WORKER_CAPACITY, capacity.NO_RESOURCES, True
         )
-        scheduling.cost_model.set_worker(name, HOST.processors_milli)
+        scheduling.cost_model.set_worker(name, WORKER_CAPACITY.processors_milli)
     return scheduling
 
 
 def _populated_scheduling_state(count: int) -> scheduling_state.SchedulingState:
     scheduling = make_scheduling_state(
-        workers_known=count // TASKS_PER_WORKER + 1
+        worker_count=count // TASKS_PER_WORKER + 1
     )
     for index in range(count):
         worker = f"worker-{index // TASKS_PER_WORKER}"
@@ -233,11 +236,11 @@
     return scheduling
 
 
-def _start_us(workers_known: int) -> float:
-    scheduling = make_scheduling_state(workers_known)
-    first = workers_known * TASKS_PER_WORKER
+def _start_us(worker_count: int) -> float:
+    scheduling = make_scheduling_state(worker_count)
+    first = worker_count * TASKS_PER_WORKER
     for index in range(first):
-        scheduling.sync_job(job_of(index, f"worker-{index % workers_known}"), 0)
+        scheduling.sync_job(job_of(index, f"worker-{index % worker_count}"), 0)
     starts = job_scheduler.MAX_STARTS_PER_ROUND
     fresh = itertools.count(first)
 
@@ -251,7 +254,7 @@
 
 
 def job_of(index: int, worker: str) -> job_state.JobState:
-    """A job, running on a worker or queued when that is empty."""
+    """A job that runs on a worker, or is queued if `worker` is empty."""
     phase = job_state.JobPhase.ASSIGNED if worker else job_state.JobPhase.QUEUED
     return job_state.JobState(
         spec=_spec(index),
@@ -267,8 +270,8 @@
         id=f"stack-{index:07d}",
         team=f"team-{index % TEAMS}",
         zone="zone-0",
-        job_class=f"class-{index % CLASSES}",
-        resources=SIZE,
+        job_class=f"class-{index % JOB_CLASSES}",
+        resources=JOB_RESOURCES,
         run_time_ms=170_000,
     )
 
@@ -278,9 +281,9 @@
 
 
 def _assign(
-    index: int, workers_known: int = WORKER_SIZES[0]
+    index: int, worker_count: int = WORKER_SIZES[0]
 ) -> job_records.AttemptAssigned:
-    worker = f"worker-{index % workers_known}"
+    worker = f"worker-{index % worker_count}"
     return job_records.AttemptAssigned(TERM, f"stack-{index:07d}", 1, worker, 0)
 
 
--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the configuration: state, and the work of one change."""
+"""Slopes of the configuration: its state and the cost of one change."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 TICKET_SIZES = (500, 1_000, 2_000)
 CHANGES_PER_TICKET = 500
 ZONES = 10
-RESOURCES = {"processors_milli": 4_000, "memory_mib": 8_192}
+RESOURCE_FIELDS = {"processors_milli": 4_000, "memory_mib": 8_192}
 
 
 @attrs.frozen
 class ConfigurationSlopes:
-    """Of a host that follows the configuration and routes requests."""
+    """Slopes of a host that follows the configuration and routes requests."""
 
     endpoint_bytes: slope.Slope
     team_bytes: slope.Slope
@@ -42,21 +42,25 @@
 
 
 def measure() -> ConfigurationSlopes:
-    """Takes all of them."""
+    """Measures all slopes of the configuration."""
     return ConfigurationSlopes(
         endpoint_bytes=slope.fit(
             "configuration kept in memory",
             "endpoints",
             "B",
             ENDPOINT_SIZES,
-            lambda count: slope.memory_bytes(lambda: Host(count)),
+            lambda count: slope.memory_bytes(
+                lambda: ConfigurationReplica(count)
+            ),
         ),
         team_bytes=slope.fit(
             "configuration kept in memory",
             "teams",
             "B",
             SMALL_SIZES,
-            lambda count: slope.memory_bytes(lambda: Host(10, teams=count)),
+            lambda count: slope.memory_bytes(
+                lambda: ConfigurationReplica(10, teams=count)
+            ),
         ),
         ticket_bytes=slope.fit(
             "tickets remembered",
@@ -84,19 +88,19 @@
             "endpoints",
             "B",
             ENDPOINT_SIZES,
-            lambda count: len(Host(count).fold.snapshot()),
+            lambda count: len(ConfigurationReplica(count).fold.snapshot()),
         ),
         change_record_bytes=len(_payload(1, [_endpoint(1, ZONES)])),
     )
 
 
-class Host:
-    """The configuration half of a host, fed with tickets.
+class ConfigurationReplica:
+    """A host's replica of the configuration, to which tickets are applied.
 
     Args:
-        endpoints: How many are in force.
-        teams: How many are in force.
-        zones: Over how many zones the endpoints are spread.
+        endpoints: Number of endpoints in force.
+        teams: Number of teams in force.
+        zones: Number of zones over which endpoints are distributed.
         routes: Whether shares and service states follow the configuration.
     """
 
@@ -112,33 +116,39 @@
             "config", self.fold, metrics_module.Metrics(), None
         )
         self._number = 0
-        self._kept = _follow(self.fold) if routes else None
-        self.put([_zone(index) for index in range(zones)])
-        self.put([_change("service", "service-1", {})])
-        self.put([_team(index) for index in range(teams)])
+        self._routing_state = (
+            _build_routing_state(self.fold) if routes else None
+        )
+        self.apply_ticket([_zone(index) for index in range(zones)])
+        self.apply_ticket([_change("service", "service-1", {})])
+        self.apply_ticket([_team(index) for index in range(teams)])
         for first in range(0, endpoints, CHANGES_PER_TICKET):
             last = min(first + CHANGES_PER_TICKET, endpoints)
-            self.put([_endpoint(index, zones) for index in range(first, last)])
+            self.apply_ticket(
+                [_endpoint(index, zones) for index in range(first, last)]
+            )
 
-    def put(self, changes: list[dict[str, Any]]) -> None:
-        """Folds one ticket; it must be accepted."""
-        self.take(self.payload(changes))
+    def apply_ticket(self, changes: list[dict[str, Any]]) -> None:
+        """Folds one ticket and asserts that it is accepted."""
+        self.apply_payload(self.payload(changes))
         line = self.fold.ticket(self._number)
         assert line is not None and line.accepted, line
 
     def payload(self, changes: list[dict[str, Any]]) -> bytes:
-        """The next ticket as on the log."""
+        """Encodes the next ticket as on the log."""
         self._number += 1
         return _payload(self._number, changes)
 
-    def take(self, payload: bytes) -> None:
-        """Folds one payload."""
+    def apply_payload(self, payload: bytes) -> None:
+        """Decodes and folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
         taken = self.state.apply([entry], stream_state.EntrySource.LOG)
         assert taken
 
 
-def _follow(fold: configuration_fold.ConfigurationFold) -> list[Any]:
+def _build_routing_state(
+    fold: configuration_fold.ConfigurationFold,
+) -> list[Any]:
     clock = clock_fake.FakeClock()
     held = shares.FixedShares(fold, "zone-0", "zone-0-1", clock, 0)
     table = service_state.ServiceTable(
@@ -152,27 +162,31 @@
     return [held, table]
 
 
-def _with_tickets(count: int) -> Host:
-    host = Host(10)
+def _with_tickets(count: int) -> ConfigurationReplica:
+    host = ConfigurationReplica(10)
     for version in range(count):
-        host.put([_endpoint(0, ZONES, replaces=version + 1)])
+        host.apply_ticket([_endpoint(0, ZONES, replaces=version + 1)])
     return host
 
 
 def _routing_bytes(count: int) -> float:
-    routed = slope.memory_bytes(lambda: Host(count, zones=1, routes=True))
-    return routed - slope.memory_bytes(lambda: Host(count, zones=1))
+    routed = slope.memory_bytes(
+        lambda: ConfigurationReplica(count, zones=1, routes=True)
+    )
+    return routed - slope.memory_bytes(
+        lambda: ConfigurationReplica(count, zones=1)
+    )
 
 
 def _change_us(count: int) -> float:
-    host = Host(count, routes=True)
+    host = ConfigurationReplica(count, routes=True)
     changes = 20
     payloads = [
         host.payload([_endpoint(0, ZONES, replaces=version + 1)])
         for version in range(changes * slope.REPEATS)
     ]
     remaining = iter(payloads)
-    return slope.cpu_us(lambda: host.take(next(remaining)), changes)
+    return slope.cpu_us(lambda: host.apply_payload(next(remaining)), changes)
 
 
 def _payload(number: int, changes: list[dict[str, Any]]) -> bytes:
@@ -201,7 +215,7 @@
         "slots": 8 + replaces % 2,
         "connections": 64,
         "worker": f"worker-{zone}-{index % 110}",
-        "resources": RESOURCES,
+        "resources": RESOURCE_FIELDS,
     }
     return _change("endpoint", f"endpoint-{index}", state, replaces)
 
@@ -212,9 +226,9 @@
 
 
 def _team(index: int) -> dict[str, Any]:
-    return _change("team", f"team-{index}", {"quota": RESOURCES})
+    return _change("team", f"team-{index}", {"quota": RESOURCE_FIELDS})
 
 
 def json_bytes(value: Any) -> int:
-    """Length of a value as JSON."""
+    """Length of a value encoded as JSON."""
     return len(msgspec.json.encode(value))
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of the owner's loop: idle steps, and reports taken in."""
+"""Slopes of the owner's loop: idle steps and processing of reports."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 from testing.capacity import wire_slopes
 from testing.fakes import clock as clock_fake
 
-STEPS = 30
-FAR_MS = 10**9
-REPORT_EVERY_MS = 2_000
+MEASURED_RUNS = 30
+NEVER_EXPIRES_MS = 10**9
+REPORT_INTERVAL_MS = 2_000
 
 
 @attrs.frozen
 class OwnerSlopes:
-    """Of the owner of one zone's workers."""
+    """Slopes of the owner of one zone's workers."""
 
     step_us: slope.Slope
     report_us: slope.Slope
 
 
 def measure() -> OwnerSlopes:
-    """Takes both."""
+    """Measures both slopes."""
     return OwnerSlopes(
         slope.fit(
             "one idle step of the owner's loop",
@@ -53,8 +53,8 @@
     )
 
 
-class _Pool(batch_slopes.Sink):
-    """What the owner's loop needs of its links besides."""
+class _NullLinkPool(batch_slopes.NullCommandSink):
+    """A pool without links that discards commands and has no events."""
 
     def __init__(self) -> None:
         self.woken = threading.Event()
@@ -71,21 +71,24 @@
         """See `LinkPool.clear_commands`."""
 
 
-class _Holder:
-    """An ownership that is held for good."""
+class _PermanentOwnership:
+    """An ownership that never ends."""
 
     host_id = batch_slopes.WRITER
 
     def permissions(self) -> ownership.OwnerPermissions:
         return ownership.OwnerPermissions(
-            batch_slopes.TERM, batch_slopes.BOUNDS, FAR_MS, FAR_MS
+            batch_slopes.TERM,
+            batch_slopes.BOUNDS,
+            NEVER_EXPIRES_MS,
+            NEVER_EXPIRES_MS,
         )
 
     def predecessor_tasks_until_ms(self) -> int:
         return 0
 
 
-class _Source:
+class _StaticConfigurationSource:
     """A configuration that never changes."""
 
     def current(self) -> configuration.Configuration:
@@ -95,20 +98,20 @@
 _CONFIGURATION = configuration.Configuration(offset=1)
 
 
-def _step_us(workers_known: int) -> float:
+def _step_us(worker_count: int) -> float:
     zone = batch_slopes.running_zone(
-        workers_known * batch_slopes.TASKS_PER_WORKER, workers_known
+        worker_count * batch_slopes.TASKS_PER_WORKER, worker_count
     )
     clock = clock_fake.FakeClock()
-    anything: Any = None
-    holder: Any = _Holder()
-    pool: Any = _Pool()
-    source: Any = _Source()
+    unused: Any = None
+    permanent_ownership: Any = _PermanentOwnership()
+    pool: Any = _NullLinkPool()
+    source: Any = _StaticConfigurationSource()
     owner = zone_owner.ZoneOwner(
         "zone-0",
-        holder,
-        anything,
-        anything,
+        permanent_ownership,
+        unused,
+        unused,
         zone.fold,
         source,
         pool,
@@ -116,16 +119,17 @@
         metrics_module.Metrics(),
         clock,
     )
-    owner.update_host_list(_host_list(workers_known))
+    owner.update_host_list(_host_list(worker_count))
     owner.step()
 
     def step() -> None:
         clock.advance(zone_owner.STEP_INTERVAL_MS)
         owner.step()
 
-    # The attempts' starts are asked for once, in the first steps.
+    # The first steps request the start of every attempt once, so they aren't
+    # measured.
     step()
-    return slope.cpu_us(step, STEPS)
+    return slope.cpu_us(step, MEASURED_RUNS)
 
 
 def _report_us(tasks: int) -> float:
@@ -136,9 +140,9 @@
         scheduling.sync_job(state, 0)
     now_ms = 0
 
-    def take() -> None:
+    def process_report() -> None:
         nonlocal now_ms
-        now_ms += REPORT_EVERY_MS
+        now_ms += REPORT_INTERVAL_MS
         report = attrs.evolve(wire_slopes.report(tasks), worker="worker-0")
         event = worker_session.Reported(
             "worker-0", batch_slopes.TERM, report, (), now_ms, False
@@ -147,11 +151,11 @@
         attempts = scheduling.attempts.attempts_on("worker-0")
         usage.process(report, zone.fold.job, attempts, now_ms)
 
-    made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), STEPS)
-    return max(slope.cpu_us(take, STEPS) - made_us, 0.0)
+    made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), MEASURED_RUNS)
+    return max(slope.cpu_us(process_report, MEASURED_RUNS) - made_us, 0.0)
 
 
-def _host_list(workers_known: int) -> hosts.HostList:
+def _host_list(worker_count: int) -> hosts.HostList:
     return hosts.HostList(
         tuple(
             hosts.ListedHost(
@@ -163,6 +167,6 @@
                 f"10.0.0.{index % 250}:7000",
                 "large",
             )
-            for index in range(workers_known)
+            for index in range(worker_count)
         )
     )
--- a/testing/capacity/process_slopes.py
+++ b/testing/capacity/process_slopes.py
@@ -1,4 +1,4 @@
-"""Slopes of what every host keeps, and its memory before any state."""
+"""Slopes of the state that every host keeps, and its memory without state."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 MARK_KEEP_MS = 60_000
 PROBE_TIMEOUT_S = 60
 
-# Run apart, so that what this process holds is not counted.
-_IMPORTS = """
+# Run in a process of its own, so that this process's memory isn't counted.
+_IMPORT_PROBE = """
 import re
 from comfreylatch._process import resident
 before_kib = resident.resident_kib()
@@ -34,7 +34,7 @@
 private_kib = re.search(r"RssAnon:\\s+(\\d+)", status).group(1)
 print(before_kib, loaded_kib, private_kib)
 """
-_THREADS = """
+_THREAD_PROBE = """
 import sys, threading
 from comfreylatch._process import resident
 from comfreylatch._process.batch import link_pool
@@ -49,12 +49,12 @@
 
 @attrs.frozen
 class ProcessSlopes:
-    """Of every host.
+    """Slopes of every host.
 
     Attributes:
-        interpreter_kib: Resident before any import.
-        libraries_kib: Added by importing all that `serve` needs.
-        private_kib: What of both no other process can share.
+        interpreter_kib: Resident memory before any import.
+        libraries_kib: Resident memory added by the imports of `serve`.
+        private_kib: Part of both that can't be shared with other processes.
     """
 
     interpreter_kib: int
@@ -67,10 +67,12 @@
 
 
 def measure() -> ProcessSlopes:
-    """Takes all of them."""
-    # The first run leaves compiled modules behind, as on a host.
-    _run(_IMPORTS)
-    interpreter_kib, loaded_kib, private_kib = map(int, _run(_IMPORTS).split())
+    """Measures all slopes of a process."""
+    # The first run writes compiled modules, which exist on a host, too.
+    _run_probe(_IMPORT_PROBE)
+    interpreter_kib, loaded_kib, private_kib = map(
+        int, _run_probe(_IMPORT_PROBE).split()
+    )
     return ProcessSlopes(
         interpreter_kib=interpreter_kib,
         libraries_kib=loaded_kib - interpreter_kib,
@@ -94,7 +96,7 @@
             "threads",
             "KiB",
             THREAD_SIZES,
-            lambda count: float(_run(_THREADS.format(count=count))),
+            lambda count: float(_run_probe(_THREAD_PROBE.format(count=count))),
         ),
         mark_bytes=slope.fit(
             "marks of non-idempotent requests",
@@ -106,7 +108,7 @@
     )
 
 
-def _run(program: str) -> str:
+def _run_probe(program: str) -> str:
     environment = dict(os.environ)
     environment.pop("PYTHONDONTWRITEBYTECODE", None)
     finished = subprocess.run(
--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -1,4 +1,4 @@
-"""The page docs/CAPACITY.md, from measured slopes."""
+"""Renders docs/CAPACITY.md from measured slopes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 US_PER_PERCENT = 10_000
 KB = 1_000
 
-# What would mend the mechanisms that cost most, by how their names start.
+# Possible improvements of the most expensive mechanisms, by prefix of their
+# names.
 _REMEDIES = {
     "interpreter and libraries": (
         "fewer and lighter libraries in `serve`: logbook and urllib3 load TLS "
@@ -58,13 +59,13 @@
 
 
 def page(model: model_module.Model) -> str:
-    """The whole page as Markdown."""
+    """Renders the page as Markdown."""
     roles = model.roles()
     parts = [
-        _head(),
-        _size(model.size),
+        _introduction(),
+        _describe_size(model.size),
         _summary(roles),
-        _missed(roles),
+        _missed_budgets(roles),
         _log(model),
         *[_role(role) for role in roles],
         _slopes(model.slopes),
@@ -72,7 +73,7 @@
     return "\n\n".join(parts) + "\n"
 
 
-def _head() -> str:
+def _introduction() -> str:
     commit = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
@@ -97,9 +98,9 @@
     )
 
 
-def _size(size: costs.Size) -> str:
+def _describe_size(size: costs.DesignSize) -> str:
     fields = attrs.asdict(size)
-    asked = (
+    stated_fields = (
         "zones",
         "workers",
         "endpoints",
@@ -108,14 +109,14 @@
         "teams",
         "changes_per_day",
     )
-    given = ", ".join(f"{name} {fields[name]:,}" for name in asked)
+    stated = ", ".join(f"{name} {fields[name]:,}" for name in stated_fields)
     assumed = ", ".join(
         f"{name} {value:,}"
         for name, value in fields.items()
-        if name not in asked
+        if name not in stated_fields
     )
     return (
-        f"Size: {given}. Assumed besides: {assumed}. A batch task is one job "
+        f"Size: {stated}. Assumed besides: {assumed}. A batch task is one job "
         "record here. Every figure is at the peak."
     )
 
@@ -125,14 +126,14 @@
         (
             role.role.value,
             role.built,
-            _judged(_bytes(role) / MB, BUDGET_BYTES / MB, "MB"),
+            _compare_with_budget(_bytes(role) / MB, BUDGET_BYTES / MB, "MB"),
             f"{role.total('messages_per_s'):.0f}",
-            _judged(
+            _compare_with_budget(
                 role.total("cpu_us_per_s") / US_PER_PERCENT,
                 BUDGET_CPU_US_PER_S / US_PER_PERCENT,
                 "%",
             ),
-            _judged(
+            _compare_with_budget(
                 role.total("bytes_per_s") / KB, BUDGET_BYTES_PER_S / KB, "KB/s"
             ),
         )
@@ -153,14 +154,14 @@
     return role.total("state_kib") * KIB
 
 
-def _judged(value: float, budget: float, unit: str) -> str:
+def _compare_with_budget(value: float, budget: float, unit: str) -> str:
     verdict = "within" if value <= budget else "**missed**"
     return f"{value:.1f} {unit}, {verdict}"
 
 
-def _missed(roles: Iterable[costs.RoleCost]) -> str:
+def _missed_budgets(roles: Iterable[costs.RoleCost]) -> str:
     lines = ["## Budgets missed today, and what would mend them", ""]
-    needed: dict[str, None] = {}
+    needed_remedies: dict[str, None] = {}
     for role in roles:
         for name, budget, what in (
             ("state_kib", BUDGET_BYTES / KIB, "memory"),
@@ -182,19 +183,21 @@
                 f"- {role.role.value}, {what}: {total / budget:.1f} times "
                 f"the budget; most of it {shares}."
             )
-            needed.update(dict.fromkeys(remedy_of(c) for c in largest))
+            needed_remedies.update(
+                dict.fromkeys(find_remedy(c) for c in largest)
+            )
     lines.append("")
-    for name in needed:
+    for name in needed_remedies:
         if name:
             lines.append(f"- *{name}*: {_REMEDIES[name]}.")
     return "\n".join(lines)
 
 
-def remedy_of(cost: costs.Cost) -> str:
-    """Key of what would mend a mechanism; empty when nothing is known."""
-    for start in _REMEDIES:
-        if cost.mechanism.startswith(start):
-            return start
+def find_remedy(cost: costs.MechanismCost) -> str:
+    """Key of a mechanism's remedy in `_REMEDIES`; empty if there is none."""
+    for prefix in _REMEDIES:
+        if cost.mechanism.startswith(prefix):
+            return prefix
     return ""
 
 
@@ -213,7 +216,8 @@
         f"Records a second of one zone: {rates}; of all zones {records:.0f}, "
         f"in at most {total:.0f} appends a second ({zone:.1f} a zone), "
         f"against several hundred that the log takes, counted here as "
-        f"{LOG_APPENDS_PER_S} ({_judged(total, LOG_APPENDS_PER_S, '/s')}). "
+        f"{LOG_APPENDS_PER_S} "
+        f"({_compare_with_budget(total, LOG_APPENDS_PER_S, '/s')}). "
         "The owner appends at most twice a step, and every append of one "
         "stream keeps a distance from the one before, so that more records "
         "make longer appends and not more of them; admissions come one by "
--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -1,6 +1,6 @@
-"""Slopes of calls over loopback: log, workers and peers.
+"""Slopes of calls to the log, workers and peers over loopback.
 
-The other side of each call runs on another thread, whose time isn't counted.
+The remote side of each call runs on another thread, whose time isn't counted.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 BATCH_SIZES = (1, 16, 64)
 TASK_SIZES = (8, 24, 72)
 SERVICE_SIZES = (5, 20, 60)
-CALLS = 150
+CALLS_PER_REPEAT = 150
 TIMEOUT_MS = 5_000
 LOOPBACK = "127.0.0.1"
 PAYLOAD = "x" * 150
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class WireSlopes:
-    """Of calls that an entry host makes or answers."""
+    """Slopes of calls that an entry host makes or answers."""
 
     log_read_us: slope.Slope
     log_append_us: slope.Slope
@@ -52,7 +52,7 @@
 
 
 def measure() -> WireSlopes:
-    """Takes all of them."""
+    """Measures all slopes of calls."""
     return WireSlopes(
         log_read_us=slope.fit(
             "one read of the log", "records", "us", BATCH_SIZES, _read_us
@@ -68,7 +68,11 @@
             _exchange_us,
         ),
         exchange_bytes=slope.fit(
-            "bodies of one exchange", "tasks on it", "B", TASK_SIZES, _exchange
+            "bodies of one exchange",
+            "tasks on it",
+            "B",
+            TASK_SIZES,
+            _exchange_bytes,
         ),
         heartbeat_sent_us=slope.fit(
             "one heartbeat sent, its answer read",
@@ -95,13 +99,13 @@
 
 
 @contextlib.contextmanager
-def _http_host(answer: Callable[[str], bytes]) -> Iterator[str]:
+def _http_server(answer: Callable[[str], bytes]) -> Iterator[str]:
     """An HTTP server that answers every call with `answer(path)`."""
 
     class Handler(http_server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
-        # Head and body in one packet, or the client waits for its own
-        # delayed acknowledgement.
+        # Sends head and body in one packet; otherwise the client waits for
+        # its own delayed acknowledgement.
         wbufsize = 262_144
 
         def reply(self) -> None:
@@ -132,23 +136,23 @@
         {"offset": offset, "payload": PAYLOAD} for offset in range(records)
     ]
     body = msgspec.json.encode({"first": 0, "next": records, "records": lines})
-    with _http_host(lambda _: body) as host:
+    with _http_server(lambda _: body) as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
-                lambda: log.read("zone", 0, 256, 0).unwrap(), CALLS
+                lambda: log.read("zone", 0, 256, 0).unwrap(), CALLS_PER_REPEAT
             )
 
 
 def _append_us(records: int) -> float:
     payloads = [PAYLOAD.encode()] * records
-    with _http_host(lambda _: b'{"offset": 7}') as host:
+    with _http_server(lambda _: b'{"offset": 7}') as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
-                lambda: log.append("zone", payloads).unwrap(), CALLS
+                lambda: log.append("zone", payloads).unwrap(), CALLS_PER_REPEAT
             )
 
 
-def _exchange(tasks: int) -> float:
+def _exchange_bytes(tasks: int) -> float:
     request = worker_client.encode_exchange(_renewal())
     return len(request) + len(msgspec.json.encode(report(tasks)))
 
@@ -156,10 +160,10 @@
 def _exchange_us(tasks: int) -> float:
     body = msgspec.json.encode(report(tasks))
     client = worker_client.WorkerClient()
-    with _http_host(lambda _: body) as host:
+    with _http_server(lambda _: body) as host:
         return slope.cpu_us(
             lambda: client.exchange(host, _renewal(), TIMEOUT_MS).unwrap(),
-            CALLS,
+            CALLS_PER_REPEAT,
         )
 
 
@@ -168,7 +172,7 @@
 
 
 def report(tasks: int) -> workers.WorkerReport:
-    """A worker's report with its tasks and one measurement of each."""
+    """A worker's report with tasks and one usage measurement of each."""
     lines = tuple(
         workers.TaskStatus(
             f"stack-{index:07d}",
@@ -199,13 +203,13 @@
 
 @attrs.frozen
 class HeartbeatCost:
-    """Processor time of one heartbeat on either side."""
+    """Processor time of one heartbeat on each side, in microseconds."""
 
     sent_us: float
     answered_us: float
 
 
-class _Answering:
+class _HeartbeatHandler:
     """The part of `PeerHandler` that heartbeats use."""
 
     def __init__(self, services: int) -> None:
@@ -213,35 +217,37 @@
 
     def heartbeat(self, beat: ttypes.Heartbeat) -> ttypes.HeartbeatReply:
         del beat
-        return _reply(self._services)
+        return _make_heartbeat_reply(self._services)
 
 
 def _heartbeat_us(services: int) -> HeartbeatCost:
     listen = address.Address(LOOPBACK, 0)
-    handler: Any = _Answering(services)
+    handler: Any = _HeartbeatHandler(services)
     metrics = metrics_module.Metrics()
     with peer_server.PeerServer(listen, handler, metrics) as server:
         with peer_link.PeerLink(server.address, TIMEOUT_MS) as link:
 
             def call() -> None:
-                beat = _beat(services)
-                told = link.call(lambda c: c.heartbeat(beat), TIMEOUT_MS)
-                assert isinstance(told, result.Ok), told
+                beat = _make_heartbeat(services)
+                answer = link.call(lambda c: c.heartbeat(beat), TIMEOUT_MS)
+                assert isinstance(answer, result.Ok), answer
 
             call()
             whole_ns = time.process_time_ns()
-            sent_us = slope.cpu_us(call, CALLS)
+            sent_us = slope.cpu_us(call, CALLS_PER_REPEAT)
             whole_ns = time.process_time_ns() - whole_ns
-    calls = CALLS * slope.REPEATS
+    calls = CALLS_PER_REPEAT * slope.REPEATS
     whole_us = whole_ns / calls / slope.NS_PER_US
     return HeartbeatCost(sent_us, max(whole_us - sent_us, 0.0))
 
 
 def _heartbeat_bytes(services: int) -> float:
-    return _encoded(_beat(services)) + _encoded(_reply(services))
+    return _encoded_bytes(_make_heartbeat(services)) + _encoded_bytes(
+        _make_heartbeat_reply(services)
+    )
 
 
-def _encoded(message: Any) -> int:
+def _encoded_bytes(message: Any) -> int:
     buffer = TTransport.TMemoryBuffer()
     protocol = peer_transport.make_protocol(buffer)
     message.write(protocol)
@@ -249,11 +255,11 @@
     return len(buffer.getvalue())
 
 
-def _spare(services: int) -> dict[str, int]:
+def _make_spare_slots(services: int) -> dict[str, int]:
     return {f"service-{index}": index for index in range(services)}
 
 
-def _beat(services: int) -> ttypes.Heartbeat:
+def _make_heartbeat(services: int) -> ttypes.Heartbeat:
     return ttypes.Heartbeat(
         protocol=1,
         seat="zone-0-1",
@@ -265,11 +271,11 @@
         leaving_endpoints=["endpoint-17"],
         zone_offset=9_812_345,
         zone_digest="0123456789abcdef",
-        spare_slots=_spare(services),
+        spare_slots=_make_spare_slots(services),
     )
 
 
-def _reply(services: int) -> ttypes.HeartbeatReply:
+def _make_heartbeat_reply(services: int) -> ttypes.HeartbeatReply:
     return ttypes.HeartbeatReply(
         protocol=1,
         host_id="zone-0-2-0a1b2c3d",
@@ -279,5 +285,5 @@
         leaving_endpoints=["endpoint-17"],
         zone_offset=9_812_345,
         zone_digest="0123456789abcdef",
-        spare_slots=_spare(services),
+        spare_slots=_make_spare_slots(services),
     )
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -1,4 +1,4 @@
-"""`make demo`: a whole fleet for a minute, told plainly."""
+"""The demo of `make demo`: runs a complete fleet for about a minute."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 class DemoError(Exception):
-    """Something did not go as it should."""
+    """A step of the demo failed."""
 
 
 def main() -> None:
-    """Runs the demo and exits 0 when all went well."""
+    """Runs the demo; exits with status 0, or 1 when a step fails."""
     try:
         _run()
     except (
@@ -51,7 +51,7 @@
     options = fleet_plan.FleetOptions(
         links=frozenset({fleet_plan.Link.PEERS}), delays=True
     )
-    _say(
+    _print_line(
         f"Starting stand-ins, {deployment.endpoints} endpoints, "
         f"{deployment.workers} workers and two entry hosts in each of "
         f"{', '.join(deployment.zones)}."
@@ -59,7 +59,7 @@
     with contextlib.ExitStack() as stack:
         running = stack.enter_context(fleet.Fleet(deployment, options))
         demo = Demo(running)
-        demo.put_configuration_in_force()
+        demo.apply_configuration()
         demo.answer_requests()
         demo.run_job()
         demo.stop_host_under_load()
@@ -67,18 +67,18 @@
 
 
 class Demo:
-    """The steps of the demo, on a running fleet."""
+    """The steps of the demo, run on a fleet."""
 
     def __init__(self, running: fleet.Fleet) -> None:
         self._fleet = running
         self._sent: list[checker.SentRequest] = []
 
-    def put_configuration_in_force(self) -> None:
+    def apply_configuration(self) -> None:
         """Submits the first ticket."""
         started = time.monotonic()
         self._fleet.apply_first_ticket()
         elapsed_ms = (time.monotonic() - started) * 1_000
-        _say(
+        _print_line(
             f"Ticket 1 is in force on {len(self._fleet.hosts)} hosts "
             f"{elapsed_ms:.0f} ms after it was submitted."
         )
@@ -91,22 +91,24 @@
                 self._request(seat, f"calibrate-{seat}-{number}")
         answered = [one for one in self._sent if _is_answered(one)]
         slowest_ms = max(one.answer.elapsed_ms for one in self._sent)
-        _say(
+        _print_line(
             f"{len(answered)} of {len(self._sent)} requests answered, "
             f"the slowest in {slowest_ms:.0f} ms."
         )
         if len(answered) < len(self._sent):
-            raise DemoError(f"not answered: {_failures(self._sent)}")
+            raise DemoError(
+                f"requests were not answered: {_failures(self._sent)}"
+            )
         self._refuse_request()
 
     def _refuse_request(self) -> None:
-        """Sends a request to a service that no ticket has set up."""
+        """Sends a request to a service that is not configured."""
         host = next(iter(self._fleet.hosts.values()))
         name = "calibrate-nowhere"
         answer = self._fleet.client.request(
             host.caller_address, "no-such-service", name
         )
-        _say(
+        _print_line(
             f"A request to an unknown service: {answer.outcome}, "
             f"{answer.reason}."
         )
@@ -115,7 +117,7 @@
         self._explain("request", name)
 
     def run_job(self) -> None:
-        """Submits a batch job and waits for its end."""
+        """Submits a batch job and waits until it finishes."""
         zone = self._fleet.deployment.zones[0]
         answer = self._fleet.submit_job(
             {
@@ -139,7 +141,7 @@
             self._job_finished, f"end of job {JOB}", JOB_TIMEOUT_S
         )
         elapsed_s = time.monotonic() - started
-        _say(
+        _print_line(
             f"Job {JOB}, {JOB_RUN_TIME_MS} ms of work, finished "
             f"{elapsed_s:.1f} s after it was accepted."
         )
@@ -152,12 +154,12 @@
         return bool(answer.json()["phase"] == "finished")
 
     def stop_host_under_load(self) -> None:
-        """Stops one host by SIGTERM while callers use it."""
+        """Stops one host with SIGTERM while it serves callers."""
         seat = next(iter(self._fleet.hosts))
         with futures.ThreadPoolExecutor(CALLERS) as pool:
-            until = time.monotonic() + LOAD_S
+            deadline_s = time.monotonic() + LOAD_S
             loads = [
-                pool.submit(self._load, seat, caller, until)
+                pool.submit(self._load, seat, caller, deadline_s)
                 for caller in range(CALLERS)
             ]
             time.sleep(LOAD_S / 2)
@@ -167,7 +169,7 @@
         self._sent += sent
         cut = [one for one in sent if one.answer.outcome in ("lost", "unknown")]
         answered = sum(_is_answered(one) for one in sent)
-        _say(
+        _print_line(
             f"SIGTERM to {seat} under load: {answered} requests answered, "
             f"{len(sent) - answered - len(cut)} sent elsewhere, "
             f"{len(cut)} cut off, exit code {code}."
@@ -178,11 +180,11 @@
             )
 
     def _load(
-        self, seat: str, caller: int, until: float
+        self, seat: str, caller: int, deadline_s: float
     ) -> list[checker.SentRequest]:
-        """Sends until the host says that it stops, as a balancer would."""
+        """Sends until the host reports that it stops, like a load balancer."""
         sent = []
-        while time.monotonic() < until:
+        while time.monotonic() < deadline_s:
             name = f"load-{caller}-{len(sent)}"
             sent.append(self._send(seat, name))
             if sent[-1].answer.reason == reasons.RefusalReason.STOPPING:
@@ -190,14 +192,14 @@
         return sent
 
     def check_records(self) -> None:
-        """Checks the promises against the stand-ins' records."""
+        """Checks the invariants against the stand-ins' journals."""
         violations = checker.check_requests(
             self._sent, self._fleet.endpoint_events()
         )
         violations += checker.check_jobs(self._fleet.worker_events(), {JOB})
-        _say(
-            f"Records of endpoints and workers: {len(violations)} promises "
-            "broken."
+        _print_line(
+            f"Journals of endpoints and workers: {len(violations)} rule "
+            "violations."
         )
         if violations:
             raise DemoError(str(violations[:3]))
@@ -241,7 +243,7 @@
     )[:500]
 
 
-def _say(text: str) -> None:
+def _print_line(text: str) -> None:
     print(text, flush=True)
 
 
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -1,4 +1,4 @@
-"""Replays a trace against a whole deployment and checks the records.
+"""Replays a trace against a whole deployment and checks its records.
 
 `python -m testing.experiment utility-night burst --duration-ms 30000`
 """
@@ -22,24 +22,24 @@
 from testing.standins import worker_records
 
 SETTLE_MS = 60_000
-SHOWN_BREACHES = 10
-# More than all slots, so that the tool itself never holds a request up.
-OPEN_REQUESTS = 1_000
+MAX_SHOWN_VIOLATIONS = 10
+# More than all slots, so that the replay tool never delays a request.
+REPLAY_THREADS = 1_000
 
 
 @attrs.frozen
 class Experiment:
-    """What is replayed, and against what.
+    """Parameters of one experiment.
 
     Attributes:
         workload: Name of the workload, as in `traces.WORKLOADS`.
         duration_ms: Length of the trace.
-        scale: Part of the workload's rates.
+        scale: Factor on the workload's request and job rates.
         delays: Whether links between zones and to callers carry the
             deployment's delays.
-        speed: Task time per real time, on the workers.
-        label: Name of the policy, for the report.
-        fault: What strikes from a third to two thirds of the trace.
+        speed: Task time per real time on the workers.
+        label: Name of the policy in the report.
+        fault: Fault that is active from a third to two thirds of the trace.
     """
 
     workload: str
@@ -56,7 +56,11 @@
 
 
 def run(experiment: Experiment) -> int:
-    """Runs it; 0 when outcomes were kept and no promise was broken."""
+    """Runs an experiment.
+
+    Returns:
+        0 if the stated outcomes were met and no guarantee was violated, else 1.
+    """
     workload = traces.WORKLOADS[experiment.workload]()
     links: set[fleet_plan.Link] = set()
     if experiment.delays:
@@ -77,7 +81,7 @@
         experiment.duration_ms,
         experiment.scale,
     )
-    trace = maker.make(experiment.with_jobs)
+    trace = maker.generate(experiment.with_jobs)
     with fleet.Fleet(workload.deployment, options) as running:
         running.apply_first_ticket()
         faults = fault_injection.FaultInjector(
@@ -85,11 +89,14 @@
         )
         with faults:
             code = _replay(running, trace, experiment)
-        print(f"workers: {_worker_words(running.worker_events())}")
-        print(f"tasks: {_stretch_words(running.worker_events())}")
-        violations = _breaches(running)
-        for breach in violations[:SHOWN_BREACHES]:
-            print(f"BROKEN {breach.rule}: {breach.subject}: {breach.detail}")
+        print(f"workers: {_summarize_worker_events(running.worker_events())}")
+        print(f"tasks: {_summarize_slowdowns(running.worker_events())}")
+        violations = _find_violations(running)
+        for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+            print(
+                f"BROKEN {violation.rule}: {violation.subject}: "
+                f"{violation.detail}"
+            )
         print(f"promises broken, by the stand-ins' records: {len(violations)}")
     return 1 if code or violations else 0
 
@@ -103,7 +110,7 @@
     path.write_bytes(trace_module.encode(trace))
     arguments = ["replay", str(path), "--settle-ms", str(SETTLE_MS)]
     arguments += ["--label", experiment.label]
-    arguments += ["--threads", str(OPEN_REQUESTS)]
+    arguments += ["--threads", str(REPLAY_THREADS)]
     if experiment.as_json:
         arguments.append("--json")
     for host in running.hosts.values():
@@ -114,8 +121,8 @@
     ).returncode
 
 
-def _worker_words(events: list[worker_records.WorkerEvent]) -> str:
-    """Counts of what happened on workers."""
+def _summarize_worker_events(events: list[worker_records.WorkerEvent]) -> str:
+    """Number of worker events of each kind."""
     counts = collections.Counter(
         f"{event.kind} {event.detail}" if event.kind == "end" else event.kind
         for event in events
@@ -125,28 +132,28 @@
     )
 
 
-def _stretch_words(events: list[worker_records.WorkerEvent]) -> str:
-    """How much longer finished attempts ran than undisturbed."""
+def _summarize_slowdowns(events: list[worker_records.WorkerEvent]) -> str:
+    """Slowdown of finished attempts compared with their work."""
     starts = {
         (event.job, event.attempt): event
         for event in events
         if event.kind == "start"
     }
-    stretches = []
+    slowdowns = []
     for event in events:
         if event.kind == "end" and event.detail == "finished":
             start = starts[event.job, event.attempt]
             work_ms = max(event.progress_ms - start.progress_ms, 1)
-            stretches.append((event.at_ms - start.at_ms) / work_ms)
-    if not stretches:
+            slowdowns.append((event.at_ms - start.at_ms) / work_ms)
+    if not slowdowns:
         return "none finished"
-    stretches.sort()
-    median = stretches[len(stretches) // 2]
-    p99 = stretches[min(int(len(stretches) * 0.99), len(stretches) - 1)]
+    slowdowns.sort()
+    median = slowdowns[len(slowdowns) // 2]
+    p99 = slowdowns[min(int(len(slowdowns) * 0.99), len(slowdowns) - 1)]
     return f"ran {median:.2f} times their work at p50, {p99:.2f} at p99"
 
 
-def _breaches(running: fleet.Fleet) -> list[checker.Violation]:
+def _find_violations(running: fleet.Fleet) -> list[checker.Violation]:
     workers = running.worker_events()
     return [
         *checker.limits_kept(running.endpoint_events()),
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -1,4 +1,4 @@
-"""Workers and the network to them, in memory, on a clock that tests move."""
+"""In-memory workers and their network, driven by a fake clock."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from comfreylatch._process.batch import capacity
 from testing.fakes import clock as fake_clock
 
-STALE_REPORT_MS = 2_000
+MAX_REPORT_AGE_MS = 2_000
 
 
 class ExchangeFault(enum.Enum):
-    """What happens to one exchange."""
+    """Fault injected into one exchange."""
 
     LOSE_REQUEST = enum.auto()
     LOSE_ANSWER = enum.auto()
@@ -26,7 +26,7 @@
 
 @attrs.define
 class FakeTask:
-    """One attempt on a worker."""
+    """One attempt of a job on a worker."""
 
     start: workers.StartTask
     started_ms: int
@@ -36,8 +36,8 @@
     share_milli: int = 1_000
     fails: bool = False
 
-    def line(self) -> workers.TaskStatus:
-        """As reported."""
+    def to_status(self) -> workers.TaskStatus:
+        """Returns the status as the worker reports it."""
         return workers.TaskStatus(
             self.start.job,
             self.start.attempt,
@@ -50,14 +50,15 @@
 
 @final
 class FakeWorker:
-    """Keeps the rules of docs/PLATFORM.md, guards of capacity switched off.
+    """Follows docs/PLATFORM.md, but accepts tasks beyond its capacity.
 
     Attributes:
-        checks_term: Whether it refuses lower terms.
-        checks_staleness: Whether it refuses what quotes an old report.
+        checks_term: Whether it refuses exchanges with a lower term.
+        checks_staleness: Whether it refuses exchanges that quote a stale
+            report.
         fail_all: Whether every task it starts fails.
-        started: Every start it carried out.
-        kept: Every checkpoint it wrote, by job.
+        started: Every start command executed.
+        checkpoints: Job and progress of every checkpoint written.
     """
 
     def __init__(
@@ -77,35 +78,35 @@
         self._report = 0
         self.tasks: dict[tuple[str, int], FakeTask] = {}
         self.started: list[workers.StartTask] = []
-        self.kept: set[tuple[str, int]] = set()
+        self.checkpoints: set[tuple[str, int]] = set()
         self.reboot()
 
     def reboot(self) -> None:
-        """Forgets everything; running tasks are gone."""
+        """Clears all state, including running tasks."""
         self._boots += 1
         self._report = 1_000_000 * self._boots
         self._report_times: dict[int, int] = {}
         self._term = 0
         self._lease_until_ms = 0
         self.tasks.clear()
-        self._known: set[tuple[str, int]] = set()
-        self._worked_ms = self._clock.now_ms
+        self._started_keys: set[tuple[str, int]] = set()
+        self._advanced_ms = self._clock.now_ms
 
     def running(self) -> list[FakeTask]:
-        """Tasks that run now."""
-        self.work()
+        """Returns the running tasks."""
+        self.advance()
         return [
             task
             for task in self.tasks.values()
             if task.state is workers.TaskState.RUNNING
         ]
 
-    def work(self) -> None:
-        """Lets the time since the last call pass."""
+    def advance(self) -> None:
+        """Advances all tasks by the time since the last call."""
         now_ms = self._clock.now_ms
-        until_ms = min(now_ms, max(self._lease_until_ms, self._worked_ms))
-        elapsed_ms = until_ms - self._worked_ms
-        self._worked_ms = now_ms
+        until_ms = min(now_ms, max(self._lease_until_ms, self._advanced_ms))
+        elapsed_ms = until_ms - self._advanced_ms
+        self._advanced_ms = now_ms
         for task in self.tasks.values():
             if task.state is not workers.TaskState.RUNNING:
                 continue
@@ -118,8 +119,8 @@
                 task.state = workers.TaskState.STOPPED
 
     def exchange(self, exchange: workers.Exchange) -> workers.WorkerReport:
-        """Carries out one exchange."""
-        self.work()
+        """Processes one exchange and returns the report."""
+        self.advance()
         now_ms = self._clock.now_ms
         refusal = self._refusal(exchange, now_ms)
         statuses = tuple(refusal for _ in exchange.commands if refusal)
@@ -128,7 +129,7 @@
             if exchange.lease_ms:
                 self._lease_until_ms = now_ms + exchange.lease_ms
             statuses = tuple(
-                self._carry_out(command) for command in exchange.commands
+                self._execute(command) for command in exchange.commands
             )
         self._report += 1
         self._report_times[self._report] = now_ms
@@ -139,7 +140,7 @@
             highest_term=self._term,
             lease_left_ms=max(0, self._lease_until_ms - now_ms),
             capacity=self.worker_capacity,
-            tasks=tuple(task.line() for task in self.tasks.values()),
+            tasks=tuple(task.to_status() for task in self.tasks.values()),
             usage=self.usage,
             statuses=statuses,
         )
@@ -149,7 +150,7 @@
         return report
 
     def used(self) -> workers.Resources:
-        """What running tasks hold."""
+        """Returns the resources of all running tasks."""
         total = capacity.NO_RESOURCES
         for task in self.running():
             total = capacity.add(total, task.start.resources)
@@ -165,7 +166,7 @@
         made_ms = self._report_times.get(exchange.quoted_report)
         if not self.checks_staleness:
             return None
-        if made_ms is None or now_ms - made_ms > STALE_REPORT_MS:
+        if made_ms is None or now_ms - made_ms > MAX_REPORT_AGE_MS:
             return workers.CommandStatus.REFUSED_STALE
         return None
 
@@ -174,14 +175,14 @@
         if task and task.state is not workers.TaskState.RUNNING:
             del self.tasks[command.job, command.attempt]
 
-    def _carry_out(self, command: workers.Command) -> workers.CommandStatus:
+    def _execute(self, command: workers.Command) -> workers.CommandStatus:
         key = (command.job, command.attempt)
         if isinstance(command, workers.StartTask):
             if not self._lease_until_ms > self._clock.now_ms:
                 return workers.CommandStatus.REFUSED_LEASE
-            if key in self._known:
+            if key in self._started_keys:
                 return workers.CommandStatus.REFUSED_DUPLICATE
-            self._known.add(key)
+            self._started_keys.add(key)
             self.started.append(command)
             self.tasks[key] = FakeTask(
                 start=command,
@@ -201,7 +202,7 @@
                 task.state = workers.TaskState.STOPPED
             case workers.CheckpointTask():
                 task.checkpoint_ms = task.progress_ms
-                self.kept.add((command.job, task.checkpoint_ms))
+                self.checkpoints.add((command.job, task.checkpoint_ms))
             case workers.ThrottleTask(share_milli=share_milli):
                 task.share_milli = share_milli
         return workers.CommandStatus.DONE
@@ -209,7 +210,7 @@
 
 @final
 class FakeNetwork:
-    """Links between hosts and workers that cut, lose, delay and repeat."""
+    """Links between hosts and workers, with fault injection."""
 
     def __init__(self, fleet: dict[str, FakeWorker]) -> None:
         self._fleet = fleet
@@ -219,20 +220,20 @@
         self.delayed: list[tuple[str, workers.Exchange]] = []
 
     def port(self, host: str) -> FakeWorkerPort:
-        """The worker port of one host."""
+        """Returns the worker port of one host."""
         return FakeWorkerPort(self, host)
 
     def deliver_delayed(self) -> None:
-        """Lets everything that lay in buffers arrive."""
+        """Delivers all delayed and duplicated exchanges."""
         arrived = self.delayed
         self.delayed = []
         for worker, exchange in arrived:
             self._fleet[worker].exchange(exchange)
 
-    def carry(
+    def deliver(
         self, host: str, worker: str, exchange: workers.Exchange
     ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
-        """Carries one exchange, or not."""
+        """Delivers one exchange, unless a fault prevents it."""
         if (host, worker) in self.cut:
             return result.Err(workers.WorkerUnreachable("cut"))
         target = self._fleet[worker]
@@ -274,4 +275,4 @@
         timeout_ms: int,  # noqa: ARG002
     ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
         """See `WorkerPort.exchange`."""
-        return self._network.carry(self._host, address, exchange)
+        return self._network.deliver(self._host, address, exchange)
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -1,4 +1,4 @@
-"""Named faults that strike a fleet in the middle of an experiment."""
+"""Injects named faults into a fleet during an experiment."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from testing import fleet
 
-STRIKE_AT = 1 / 3
-HEAL_AT = 2 / 3
+FAULT_START_FRACTION = 1 / 3
+FAULT_END_FRACTION = 2 / 3
 SLOW_FACTOR = 5.0
 
 
 class Fault(enum.StrEnum):
-    """What strikes; it is healed at two thirds of the trace."""
+    """Faults that can be injected."""
 
     NONE = "none"
     KILL_HOST = "kill-host"
@@ -30,9 +30,10 @@
 
 
 class FaultInjector:
-    """Strikes once and heals once, on a thread of its own.
+    """Injects one fault and clears it again, on a thread of its own.
 
-    The first zone's first seat, endpoint or worker is the victim.
+    The fault lasts from one third to two thirds of the trace. It affects the
+    first zone's first seat, endpoint or worker.
     """
 
     def __init__(
@@ -58,13 +59,15 @@
         self._thread.join()
 
     def _run(self) -> None:
-        if self._closing.wait(self._duration_s * STRIKE_AT):
+        if self._closing.wait(self._duration_s * FAULT_START_FRACTION):
             return
-        self._strike()
-        self._closing.wait(self._duration_s * (HEAL_AT - STRIKE_AT))
-        self._heal()
+        self._inject()
+        self._closing.wait(
+            self._duration_s * (FAULT_END_FRACTION - FAULT_START_FRACTION)
+        )
+        self._clear()
 
-    def _strike(self) -> None:
+    def _inject(self) -> None:
         match self._fault:
             case Fault.KILL_HOST:
                 self._fleet.kill_host(self._seat)
@@ -75,9 +78,9 @@
             case Fault.CUT_ZONE:
                 self._fleet.network.isolate_zone(self._zone)
             case _:
-                self._strike_stand_in()
+                self._inject_into_stand_in()
 
-    def _strike_stand_in(self) -> None:
+    def _inject_into_stand_in(self) -> None:
         running = self._fleet
         match self._fault:
             case Fault.LOG_DOWN:
@@ -100,7 +103,7 @@
             case _:
                 pass
 
-    def _heal(self) -> None:
+    def _clear(self) -> None:
         running = self._fleet
         match self._fault:
             case Fault.KILL_HOST | Fault.STOP_HOST:
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -1,8 +1,8 @@
-"""Batch work beside a service: our policy against first fit, in one run.
+"""Compares placement policies for batch work beside a service in one run.
 
-Starts two equal fleets of stand-in workers with the same hidden model of
-interference and wrong sizes, runs the same jobs on both at the same time, and
-prints what each policy finished. Run it with
+Starts an equal fleet of stand-in workers for each policy, with the same hidden
+model of interference and wrong sizes. Runs the same jobs on all fleets at the
+same time and prints what each policy finished. Run it with
 
     python -m testing.measure_batch [--seconds 120] [--seed 1]
 """
@@ -43,25 +43,25 @@
 
 ZONE = "bole"
 WORKERS = 24
-PER_RACK = 8
-AMOUNT = workers.Resources(32_000, 125_000)
+WORKERS_PER_RACK = 8
+WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 SERVICE = "skyproc"
-SERVICE_SIZE = workers.Resources(8_000, 16_000)
-CLASSES = 10
-LAGS_MS = (2_000, 4_000, 6_000, 8_000)
-CLASS_NAMES = tuple(f"class-{index}" for index in range(CLASSES))
+SERVICE_RESOURCES = workers.Resources(8_000, 16_000)
+JOB_CLASSES = 10
+USAGE_LAGS_MS = (2_000, 4_000, 6_000, 8_000)
+CLASS_NAMES = tuple(f"class-{index}" for index in range(JOB_CLASSES))
 TIME_FACTORS = (0.5, 0.7, 1.0, 1.0, 1.0, 1.3, 1.6, 2.0, 0.8, 1.0)
 SIZE_FACTORS = (0.25, 0.5, 0.7, 1.0, 1.0, 1.0, 1.3, 1.6, 2.5, 4.0)
 
 
 class RecordingPort:
-    """A worker port that keeps what reports say of services."""
+    """A worker port that records the slowdowns of services in reports."""
 
     def __init__(self) -> None:
         self._client = worker_client.WorkerClient()
         self._lock = threading.Lock()
         self.slowdowns: list[int] = []
-        self.warm_from = 0
+        self.warm_start_index = 0
         self.exchanges = 0
 
     def exchange(
@@ -82,19 +82,19 @@
 
 
 @attrs.frozen
-class Outcome:
-    """What one policy achieved.
+class PolicyOutcome:
+    """Results of one policy.
 
     Attributes:
-        finished: Jobs finished.
+        finished: Number of finished jobs.
         useful_core_s: Work of finished jobs, in core seconds.
-        kept_core_s: The same plus what running attempts have done.
+        kept_core_s: The same plus the checkpointed work of unfinished jobs.
         evictions: Attempts evicted.
-        lost_core_s: Work that was done and not kept.
-        failures: Attempts that failed, mostly for memory.
-        p50_milli: Median slowdown of the service, 1000 when alone.
-        p99_milli: 99th percentile of it.
-        warm_p99_milli: The same without the first third of the run.
+        lost_core_s: Work of attempts that later attempts had to repeat.
+        failures: Attempts that failed, mostly for lack of memory.
+        p50_milli: Median slowdown of the service; 1000 without batch work.
+        p99_milli: 99th percentile of the same slowdown.
+        warm_p99_milli: p99_milli without the first third of the run.
     """
 
     policy: str
@@ -109,19 +109,19 @@
     warm_p99_milli: int
 
 
-class Fleet:
-    """One process of stand-in workers."""
+class WorkerFleet:
+    """A process of stand-in workers."""
 
     def __init__(
         self, seed: int, count: int = WORKERS, services: bool = True
     ) -> None:
-        service = worker_model.ServiceSpec(SERVICE, SERVICE_SIZE, 0.5)
+        service = worker_model.ServiceSpec(SERVICE, SERVICE_RESOURCES, 0.5)
         specs = [
             worker_records.WorkerSpec(
                 f"w{index}",
-                AMOUNT,
+                WORKER_CAPACITY,
                 services=(service,) if services else (),
-                usage_lag_ms=LAGS_MS[index % len(LAGS_MS)],
+                usage_lag_ms=USAGE_LAGS_MS[index % len(USAGE_LAGS_MS)],
             )
             for index in range(count)
         ]
@@ -146,14 +146,14 @@
         assert self._process.stdout is not None
         self._process.stdin.write(msgspec.json.encode(specs))
         self._process.stdin.close()
-        said: dict[str, Any] = msgspec.json.decode(
+        ready: dict[str, Any] = msgspec.json.decode(
             self._process.stdout.readline()
         )
-        self.addresses: dict[str, str] = said["addresses"]
-        self.control: str = said["control"]
+        self.addresses: dict[str, str] = ready["addresses"]
+        self.control: str = ready["control"]
 
     def journal(self) -> list[worker_records.WorkerEvent]:
-        """What the workers did."""
+        """Events that the workers recorded."""
         import urllib3
 
         reply = urllib3.request("GET", f"http://{self.control}/journal")
@@ -161,7 +161,7 @@
         return msgspec.convert(page["events"], list[worker_records.WorkerEvent])
 
     def stop(self) -> None:
-        """Ends the process."""
+        """Terminates the process."""
         self._process.terminate()
         self._process.wait()
 
@@ -169,14 +169,14 @@
 def configuration(
     endpoint_count: int, limits: objects.Limits | None
 ) -> configuration_module.Configuration:
-    """Teams, classes and the service's endpoints on the workers."""
+    """Configuration of teams, worker classes and endpoints on the workers."""
     endpoints = {
         f"ex-{index}": objects.Endpoint(
             SERVICE,
             ZONE,
             "127.0.0.1:1",
             worker=f"w{index}",
-            resources=SERVICE_SIZE,
+            resources=SERVICE_RESOURCES,
         )
         for index in range(endpoint_count)
     }
@@ -188,7 +188,7 @@
         offset=1,
         endpoints=endpoints,
         teams=teams,
-        worker_classes={"standard": objects.WorkerClass(AMOUNT)},
+        worker_classes={"standard": objects.WorkerClass(WORKER_CAPACITY)},
         zones={ZONE: objects.Zone(("seat",))},
         limits=limits or objects.Limits(),
     )
@@ -196,24 +196,24 @@
 
 def jobs(seed: int, count: int) -> list[dict[str, Any]]:
     """Jobs of random class, size and run time."""
-    source = random.Random(seed)
+    rng = random.Random(seed)
     return [
         {
             "id": f"job-{number}",
-            "team": f"team-{source.randrange(4)}",
-            "job_class": source.choice(CLASS_NAMES),
+            "team": f"team-{rng.randrange(4)}",
+            "job_class": rng.choice(CLASS_NAMES),
             "resources": {
-                "processors_milli": source.choice([1_000, 2_000, 4_000]),
-                "memory_mib": source.choice([2_000, 4_000, 8_000]),
+                "processors_milli": rng.choice([1_000, 2_000, 4_000]),
+                "memory_mib": rng.choice([2_000, 4_000, 8_000]),
             },
-            "run_time_ms": source.randrange(5_000, 20_000),
+            "run_time_ms": rng.randrange(5_000, 20_000),
         }
         for number in range(count)
     ]
 
 
-class Side:
-    """One policy with its fleet."""
+class PolicyRun:
+    """One policy and the fleet it runs on."""
 
     def __init__(
         self,
@@ -224,7 +224,7 @@
         limits: objects.Limits | None = None,
     ) -> None:
         self.policy = policy
-        self.fleet = Fleet(seed, count, services)
+        self.fleet = WorkerFleet(seed, count, services)
         self.port = RecordingPort()
         clock = clock_port.SystemClock()
         platform = settings_module.PlatformSettings("", "")
@@ -243,28 +243,28 @@
         )
 
     def start(self) -> None:
-        """Lists the workers and waits for the claim."""
-        listed = tuple(
+        """Lists the workers and waits until the owner has claimed the zone."""
+        listed_hosts = tuple(
             hosts.ListedHost(
                 name,
                 hosts.HostKind.WORKER,
                 hosts.HostState.LIVE,
                 ZONE,
-                f"rack-{int(name[1:]) // PER_RACK}",
+                f"rack-{int(name[1:]) // WORKERS_PER_RACK}",
                 address,
                 "standard",
             )
             for name, address in self.fleet.addresses.items()
         )
-        self.service.update_host_list(hosts.HostList(listed))
+        self.service.update_host_list(hosts.HostList(listed_hosts))
         while not self.service.status().owner.holds:
             time.sleep(0.05)
 
-    def submit(self, given: list[dict[str, Any]]) -> None:
-        """Hands all jobs in, many at a time."""
-        chunks = [given[index::16] for index in range(16)]
+    def submit(self, documents: list[dict[str, Any]]) -> None:
+        """Submits all jobs from 16 threads."""
+        chunks = [documents[index::16] for index in range(16)]
 
-        def hand_in(chunk: list[dict[str, Any]]) -> None:
+        def submit_chunk(chunk: list[dict[str, Any]]) -> None:
             for job in chunk:
                 body = msgspec.json.encode(job)
                 request = http.HttpRequest("POST", "/jobs", {}, {}, body)
@@ -272,15 +272,16 @@
                 assert reply.status == 200, reply
 
         threads = [
-            threading.Thread(target=hand_in, args=(chunk,)) for chunk in chunks
+            threading.Thread(target=submit_chunk, args=(chunk,))
+            for chunk in chunks
         ]
         for thread in threads:
             thread.start()
         for thread in threads:
             thread.join()
 
-    def outcome(self) -> Outcome:
-        """Adds up what the workers and the fold tell."""
+    def outcome(self) -> PolicyOutcome:
+        """Computes the results from worker events and the fold."""
         events = self.fleet.journal()
         states = self.service.fold.jobs()
         finished = [
@@ -297,8 +298,8 @@
             if state.phase is not job_state.JobPhase.FINISHED
         )
         quantiles = statistics.quantiles(self.port.slowdowns, n=100)
-        warm = self.port.slowdowns[self.port.warm_from :]
-        return Outcome(
+        warm = self.port.slowdowns[self.port.warm_start_index :]
+        return PolicyOutcome(
             policy=self.policy.value,
             finished=len(finished),
             useful_core_s=int(useful),
@@ -338,36 +339,38 @@
 
 
 def main() -> None:
-    """Runs both policies side by side and prints a line for each."""
+    """Runs all policies at the same time and prints a line for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=int, default=120)
     parser.add_argument("--jobs", type=int, default=4_000)
     parser.add_argument("--slowdown-percent", type=int, default=10)
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    limits = objects.Limits(service_slowdown_percent=given.slowdown_percent)
-    sides = [
-        Side(policy, given.seed, limits=limits) for policy in placement.Policy
+    args = parser.parse_args()
+    limits = objects.Limits(service_slowdown_percent=args.slowdown_percent)
+    policy_runs = [
+        PolicyRun(policy, args.seed, limits=limits)
+        for policy in placement.Policy
     ]
     with contextlib.ExitStack() as stack:
-        for side in sides:
-            stack.callback(side.fleet.stop)
-            stack.enter_context(side.service)
-            side.start()
-        work = jobs(given.seed, given.jobs)
+        for policy_run in policy_runs:
+            stack.callback(policy_run.fleet.stop)
+            stack.enter_context(policy_run.service)
+            policy_run.start()
+        submitted_jobs = jobs(args.seed, args.jobs)
         threads = [
-            threading.Thread(target=side.submit, args=(work,)) for side in sides
+            threading.Thread(target=policy_run.submit, args=(submitted_jobs,))
+            for policy_run in policy_runs
         ]
         for thread in threads:
             thread.start()
-        time.sleep(given.seconds / 3)
-        for side in sides:
-            side.port.warm_from = len(side.port.slowdowns)
-        time.sleep(given.seconds * 2 / 3)
+        time.sleep(args.seconds / 3)
+        for policy_run in policy_runs:
+            policy_run.port.warm_start_index = len(policy_run.port.slowdowns)
+        time.sleep(args.seconds * 2 / 3)
         for thread in threads:
             thread.join()
-        for side in sides:
-            print(msgspec.json.encode(side.outcome()).decode())
+        for policy_run in policy_runs:
+            print(msgspec.json.encode(policy_run.outcome()).decode())
 
 
 if __name__ == "__main__":
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -1,8 +1,8 @@
-"""What an owner host spends on its workers: processor time and memory.
+"""Measures the processor time and memory that an owner needs for its workers.
 
-Runs one owner over a process of stand-in workers, first idle, then with jobs
-coming in at a steady rate, and prints processor time a second of the owner's
-process and its resident memory. Run it with
+Runs one owner with a process of stand-in workers, first idle, then with jobs
+submitted at a steady rate. Prints the owner process's processor time per
+second and its resident memory. Run it with
 
     python -m testing.measure_owner [--workers 110] [--starts-per-s 15]
 """
@@ -24,13 +24,15 @@
     return pages * resource.getpagesize() / 2**20
 
 
-def _report(side: measure_batch.Side, phase: str, seconds: int) -> None:
+def _measure_phase(
+    policy_run: measure_batch.PolicyRun, phase: str, seconds: int
+) -> None:
     started_s = time.process_time()
-    exchanges = side.port.exchanges
+    exchanges = policy_run.port.exchanges
     time.sleep(seconds)
     spent_ms = (time.process_time() - started_s) * 1_000 / seconds
-    rate = (side.port.exchanges - exchanges) / seconds
-    status = side.service.status().owner
+    rate = (policy_run.port.exchanges - exchanges) / seconds
+    status = policy_run.service.status().owner
     print(
         f"phase={phase} cpu_ms_per_s={spent_ms:.1f} "
         f"exchanges_per_s={rate:.1f} running={status.running} "
@@ -45,27 +47,31 @@
     parser.add_argument("--starts-per-s", type=int, default=15)
     parser.add_argument("--seconds", type=int, default=20)
     given = parser.parse_args()
-    side = measure_batch.Side(
+    policy_run = measure_batch.PolicyRun(
         placement.Policy.PREDICTED_COST, 1, given.workers, services=False
     )
     with contextlib.ExitStack() as stack:
-        stack.callback(side.fleet.stop)
-        stack.enter_context(side.service)
-        side.start()
+        stack.callback(policy_run.fleet.stop)
+        stack.enter_context(policy_run.service)
+        policy_run.start()
         time.sleep(5)
-        _report(side, "idle", given.seconds)
+        _measure_phase(policy_run, "idle", given.seconds)
         count = given.starts_per_s * given.seconds * 2
-        work = measure_batch.jobs(1, count)
-        began = time.monotonic()
+        submitted_jobs = measure_batch.jobs(1, count)
+        steady_started_s = time.monotonic()
         for second in range(given.seconds * 2):
             first = second * given.starts_per_s
-            side.submit(work[first : first + given.starts_per_s])
+            policy_run.submit(
+                submitted_jobs[first : first + given.starts_per_s]
+            )
             if second == given.seconds:
-                _mark = time.process_time(), side.port.exchanges
-            time.sleep(max(0.0, began + second + 1 - time.monotonic()))
-        spent_s = time.process_time() - _mark[0]
-        exchanges = side.port.exchanges - _mark[1]
-        status = side.service.status().owner
+                steady_start = time.process_time(), policy_run.port.exchanges
+            time.sleep(
+                max(0.0, steady_started_s + second + 1 - time.monotonic())
+            )
+        spent_s = time.process_time() - steady_start[0]
+        exchanges = policy_run.port.exchanges - steady_start[1]
+        status = policy_run.service.status().owner
         print(
             f"phase=steady cpu_ms_per_s="
             f"{spent_s * 1_000 / (given.seconds - 1):.1f} "
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -1,8 +1,8 @@
-"""Cost of the owner's decisions per start and end, by size of the zone.
+"""Measures the cost of the owner's decisions per start, by size of the zone.
 
-Fills a zone's books to a load, then ends attempts and starts others in their
-place, as the owner does: end folded, queue and ledgers updated, the next job
-chosen and placed, its assignment and end records encoded, decoded and folded.
+Fills a zone with running attempts, then ends attempts and starts others in
+their place as the owner does: it folds the end, updates queue and ledgers,
+chooses and places the next job, and encodes, decodes and folds the records.
 Workers, the network and the log are left out. Run it with
 
     python -m testing.measure_placement [--starts 3000]
@@ -31,23 +31,23 @@
 from testing.fakes import zone as fake_zone
 
 WORKER_COUNTS = (24, 110, 1_100)
-AMOUNT = workers.Resources(32_000, 125_000)
+WORKER_CAPACITY = workers.Resources(32_000, 125_000)
 WORKERS_PER_RACK = 8
 TEAMS = 240
-CLASSES = 20
-QUEUED = 200
+JOB_CLASSES = 20
+QUEUED_JOBS = 200
 BOUNDS = job_records.ClaimBounds(6_000, 6_000, 60_000, 2_000, 500)
 
 
 @attrs.frozen
 class Cost:
-    """What one size of the zone cost.
+    """Cost at one size of the zone.
 
     Attributes:
         starts: Starts and ends measured.
-        mean_us: Mean time of a start and its end, in microseconds.
-        p99_us: 99th percentile of rounds, in microseconds a start.
-        running: Attempts that ran meanwhile.
+        mean_us: Mean processor time of a start and its end, in microseconds.
+        p99_us: 99th percentile over rounds, in microseconds per start.
+        running: Attempts running at the end of the measurement.
     """
 
     workers: int
@@ -57,11 +57,11 @@
     running: int
 
 
-class Bench:
-    """One zone's fold and books, without workers and log."""
+class ZoneBench:
+    """Fold and scheduling state of one zone, without workers and log."""
 
     def __init__(self, count: int, policy: placement.Policy) -> None:
-        self._source = random.Random(count)
+        self._rng = random.Random(count)
         self.fold = zone_fold.ZoneFold()
         self._offset = 0
         self._jobs = 0
@@ -78,7 +78,7 @@
         self.append(job_records.OwnerClaimed(1, 0, "bench", BOUNDS))
 
     def _set_up(self, count: int) -> None:
-        listed = tuple(
+        listed_hosts = tuple(
             hosts.ListedHost(
                 f"w{index}",
                 hosts.HostKind.WORKER,
@@ -91,22 +91,25 @@
             for index in range(count)
         )
         teams = {
-            f"team-{index}": objects.Team(AMOUNT) for index in range(TEAMS)
+            f"team-{index}": objects.Team(WORKER_CAPACITY)
+            for index in range(TEAMS)
         }
-        self.scheduling.workers.set_list(hosts.HostList(listed))
+        self.scheduling.workers.set_list(hosts.HostList(listed_hosts))
         self.scheduling.workers.set_configuration(
             configuration_module.Configuration(
-                worker_classes={"standard": objects.WorkerClass(AMOUNT)},
+                worker_classes={
+                    "standard": objects.WorkerClass(WORKER_CAPACITY)
+                },
                 teams=teams,
             )
         )
         self.scheduling.queue.set_teams(teams)
         self.scheduling.refresh_workers()
-        for host in listed:
+        for host in listed_hosts:
             self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
-        """Encodes, decodes and folds one record, as the log would carry it."""
+        """Encodes, decodes and folds one record, without the log between."""
         payload = records.encode("bench", self._offset, body)
         envelope, decoded = records.decode(payload).unwrap()
         self.fold.apply(self._offset, envelope, decoded)
@@ -117,19 +120,19 @@
         self._jobs += 1
         spec = job_records.JobSpec(
             id=f"job-{self._jobs}",
-            team=f"team-{self._source.randrange(TEAMS)}",
+            team=f"team-{self._rng.randrange(TEAMS)}",
             zone=fake_zone.ZONE,
-            job_class=f"class-{self._source.randrange(CLASSES)}",
+            job_class=f"class-{self._rng.randrange(JOB_CLASSES)}",
             resources=workers.Resources(
-                self._source.choice([500, 1_000, 2_000, 4_000]),
-                self._source.choice([1_000, 2_000, 4_000, 8_000]),
+                self._rng.choice([500, 1_000, 2_000, 4_000]),
+                self._rng.choice([1_000, 2_000, 4_000, 8_000]),
             ),
             run_time_ms=60_000,
         )
         self.append(job_records.JobAdmitted(spec))
 
     def sync(self) -> None:
-        """Brings the books up to the fold."""
+        """Updates the scheduling state from the fold."""
         changed = self.fold.drain_changes()
         if changed is None:
             changed = tuple(state.spec.id for state in self.fold.jobs())
@@ -139,12 +142,12 @@
                 self.scheduling.sync_job(state, 0)
 
     def place(self) -> list[str]:
-        """One round: chooses, appends and folds; returns the jobs placed."""
-        made = self.scheduling.scheduler.run_round(1, 4)
-        for body in made.assigned:
+        """Runs one scheduling round and returns the ids of the jobs placed."""
+        decided = self.scheduling.scheduler.run_round(1, 4)
+        for body in decided.assigned:
             self.append(body)
         self.sync()
-        return [body.job for body in made.assigned]
+        return [body.job for body in decided.assigned]
 
     def end(self, job: str) -> None:
         """Folds the end of a job's attempt."""
@@ -163,31 +166,31 @@
 
 def measure(count: int, starts: int, policy: placement.Policy) -> Cost:
     """Fills a zone, then measures rounds of ends and starts."""
-    bench = Bench(count, policy)
+    bench = ZoneBench(count, policy)
     running: list[str] = []
     while True:
-        for _ in range(QUEUED):
+        for _ in range(QUEUED_JOBS):
             bench.submit()
         bench.sync()
         placed = bench.place()
         running.extend(placed)
         if len(placed) < 8:
             break
-    source = random.Random(1)
+    rng = random.Random(1)
     rounds: list[float] = []
     done = 0
     while done < starts:
-        source.shuffle(running)
+        rng.shuffle(running)
         ending = [running.pop() for _ in range(8)]
-        while bench.scheduling.scheduler.queued < QUEUED:
+        while bench.scheduling.scheduler.queued < QUEUED_JOBS:
             bench.submit()
             bench.sync()
-        began = time.process_time()
+        started_s = time.process_time()
         for job in ending:
             bench.end(job)
         bench.sync()
         placed = bench.place()
-        spent_us = (time.process_time() - began) * 1e6
+        spent_us = (time.process_time() - started_s) * 1e6
         running.extend(placed)
         rounds.append(spent_us / len(ending))
         done += len(ending)
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -1,7 +1,7 @@
-"""Measures how soon batch work goes on after an owner's death or an outage.
+"""Measures how soon batch work resumes after an owner's crash or a log outage.
 
-Runs a fleet of real processes with the timing of the tests, or with the
-product's defaults, and prints a table in Markdown.
+Runs a fleet with the timing of the tests or with the default timing, and
+prints a Markdown table.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from testing import fleet_plan
 
 OUTAGE_S = 20.0
-WAIT_S = 60.0
-STEADY_STARTS = 20
+START_TIMEOUT_S = 60.0
+WARMUP_STARTS = 20
 
 
 def main() -> None:
@@ -29,8 +29,8 @@
         "--timing", choices=("tests", "default"), default="tests"
     )
     given = parser.parse_args()
-    deaths: list[float] = []
-    outages: list[float] = []
+    death_recoveries_s: list[float] = []
+    outage_recoveries_s: list[float] = []
     for run in range(given.runs):
         deployment = batch_fleet.deployment()
         if given.timing == "default":
@@ -45,15 +45,19 @@
             batch_fleet.wait_limits_applied(running)
             seed = given.seed + run
             with batch_fleet.submitter(running, seed=seed):
-                batch_fleet.wait_started(running, STEADY_STARTS)
-                deaths.append(after_death(running))
-                batch_fleet.wait_started(running, STEADY_STARTS)
-                outages.append(after_outage(running))
+                batch_fleet.wait_started(running, WARMUP_STARTS)
+                death_recoveries_s.append(measure_owner_death(running))
+                batch_fleet.wait_started(running, WARMUP_STARTS)
+                outage_recoveries_s.append(measure_log_outage(running))
     print("| from | to | runs | least s | median s | most s |")
     print("|---|---|---|---|---|---|")
-    _print_row("death of the owner", "first start by its successor", deaths)
     _print_row(
-        f"end of a log outage of {OUTAGE_S:.0f} s", "first start", outages
+        "death of the owner", "first start by its successor", death_recoveries_s
+    )
+    _print_row(
+        f"end of a log outage of {OUTAGE_S:.0f} s",
+        "first start",
+        outage_recoveries_s,
     )
 
 
@@ -64,8 +68,12 @@
     )
 
 
-def after_death(running: fleet_module.Fleet) -> float:
-    """Kills the owner; seconds to the first start under a higher term."""
+def measure_owner_death(running: fleet_module.Fleet) -> float:
+    """Kills the owner.
+
+    Returns:
+        Seconds until the first start under a higher term.
+    """
     owner = batch_fleet.find_owner(running)
     term = max(event.term for event in running.worker_events())
     died_ms = time.monotonic() * 1_000
@@ -76,8 +84,12 @@
     return seconds
 
 
-def after_outage(running: fleet_module.Fleet) -> float:
-    """Takes the log down; seconds from its return to the first start."""
+def measure_log_outage(running: fleet_module.Fleet) -> float:
+    """Makes the log unavailable for `OUTAGE_S`.
+
+    Returns:
+        Seconds from its return to the first start.
+    """
     running.log.control(down=True)
     time.sleep(OUTAGE_S)
     back_ms = time.monotonic() * 1_000
@@ -97,7 +109,7 @@
             and event.term > above_term
         ]
 
-    running.wait_until(lambda: found() != [], "a start", WAIT_S)
+    running.wait_until(lambda: found() != [], "a start", START_TIMEOUT_S)
     return (min(found()) - since_ms) / 1_000
 
 
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -1,9 +1,9 @@
-"""Routing policies side by side, on real hosts and endpoints, in one run.
+"""Compares routing policies on a fleet of processes in one run.
 
 `python -m testing.measure_routing --rounds 2 --seed 1` starts a small fleet
-for each policy in turn and offers each the same requests, open loop: calm,
-with slow endpoints, with endpoints that reset connections, and with a host
-killed. The time of a request counts from when it was due.
+for each policy in turn and sends each the same requests in an open loop:
+without faults, with slow endpoints, with endpoints that reset connections,
+and with a host killed. The time of a request counts from when it was due.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 WORK_MS = 60.0
 TIMEOUT_MS = 1_500
 LOAD_THREADS = 96
-SLOW_FACTOR = 8.0
+SLOWDOWN_FACTOR = 8.0
 RESETS_PER_S = 4
 
 
 @attrs.frozen
 class Reply:
-    """What became of one request, and when, counted from when it was due."""
+    """A request, its answer, and the time since the request was due."""
 
     sent: checker.SentRequest
     elapsed_ms: float
@@ -45,12 +45,12 @@
 
 @attrs.frozen
 class Phase:
-    """A part of a run.
+    """A phase of a run with one fault.
 
     Attributes:
-        name: What happens in it.
-        begin: Brings the fault about.
-        end: Ends it.
+        name: Name of the phase in the output.
+        begin: Injects the fault.
+        end: Clears the fault.
     """
 
     name: str
@@ -58,48 +58,48 @@
     end: Callable[[fleet_module.Fleet], None]
 
 
-def _nothing(running: fleet_module.Fleet) -> None:
+def _no_change(running: fleet_module.Fleet) -> None:
     del running
 
 
-def _slow(running: fleet_module.Fleet) -> None:
+def _slow_endpoints(running: fleet_module.Fleet) -> None:
     for endpoint in ("ex-1", "ex-2"):
-        running.endpoints.control(endpoint=endpoint, slow=SLOW_FACTOR)
+        running.endpoints.control(endpoint=endpoint, slow=SLOWDOWN_FACTOR)
 
 
-def _usual(running: fleet_module.Fleet) -> None:
+def _restore_endpoints(running: fleet_module.Fleet) -> None:
     running.endpoints.control(endpoint="*", slow=1.0, reset=0)
 
 
-def _lossy(running: fleet_module.Fleet) -> None:
+def _reset_connections(running: fleet_module.Fleet) -> None:
     for endpoint in ("ex-1", "ex-2"):
         running.endpoints.control(endpoint=endpoint, reset=1_000_000)
 
 
-def _kill(running: fleet_module.Fleet) -> None:
+def _kill_host(running: fleet_module.Fleet) -> None:
     running.kill_host(running.deployment.all_seats()[-1])
 
 
 PHASES = (
-    Phase("calm", _nothing, _nothing),
-    Phase("slow", _slow, _usual),
-    Phase("lossy", _lossy, _usual),
-    Phase("host-killed", _kill, _nothing),
+    Phase("calm", _no_change, _no_change),
+    Phase("slow", _slow_endpoints, _restore_endpoints),
+    Phase("lossy", _reset_connections, _restore_endpoints),
+    Phase("host-killed", _kill_host, _no_change),
 )
 
 
-class Offer:
-    """Sends a steady stream of requests to the hosts in turn."""
+class LoadGenerator:
+    """Sends an open-loop stream of requests to the running hosts in turn."""
 
     def __init__(
         self, running: fleet_module.Fleet, per_s: float, seed: int
     ) -> None:
         self._running = running
         self._per_s = per_s
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
 
     def run(self, name: str, seconds: float) -> list[Reply]:
-        """Replies to the requests of one phase."""
+        """Sends the requests of one phase and returns the replies."""
         started_s = time.monotonic()
         due_s = 0.0
         pending: list[concurrent.futures.Future[Reply]] = []
@@ -107,7 +107,7 @@
             while due_s < seconds:
                 time.sleep(max(started_s + due_s - time.monotonic(), 0.0))
                 number = len(pending)
-                idempotent = self._chance.random() < 0.5
+                idempotent = self._rng.random() < 0.5
                 pending.append(
                     pool.submit(
                         self._send,
@@ -117,7 +117,7 @@
                         started_s + due_s,
                     )
                 )
-                due_s += self._chance.expovariate(self._per_s)
+                due_s += self._rng.expovariate(self._per_s)
             return [one.result() for one in pending]
 
     def _send(
@@ -139,7 +139,9 @@
         return Reply(sent, (time.monotonic() - due_s) * 1_000)
 
 
-def _line(policy: str, phase: str, replies: list[Reply], tries: int) -> str:
+def _format_line(
+    policy: str, phase: str, replies: list[Reply], tries: int
+) -> str:
     outcomes = collections.Counter(one.sent.answer.outcome for one in replies)
     elapsed = sorted(
         one.elapsed_ms
@@ -148,8 +150,8 @@
     )
 
     def quantile(share: float) -> float:
-        place = min(int(len(elapsed) * share), len(elapsed) - 1)
-        return elapsed[place] if elapsed else 0.0
+        index = min(int(len(elapsed) * share), len(elapsed) - 1)
+        return elapsed[index] if elapsed else 0.0
 
     return (
         f"policy={policy} phase={phase} offered={len(replies)} "
@@ -161,7 +163,7 @@
 
 
 def measure(policy: load_balancing.Policy, given: argparse.Namespace) -> None:
-    """One policy with its fleet; prints a line for each phase."""
+    """Measures one policy on a fleet and prints a line for each phase."""
     deployment = attrs.evolve(
         deployments.small(1),
         endpoints=ENDPOINTS,
@@ -177,7 +179,7 @@
     sent: list[checker.SentRequest] = []
     with fleet_module.Fleet(deployment, options) as running:
         running.apply_first_ticket()
-        offer = Offer(running, given.per_s, given.seed)
+        offer = LoadGenerator(running, given.per_s, given.seed)
         offer.run("warm", given.seconds / 2)
         for phase in PHASES:
             before = len(running.endpoint_events())
@@ -186,14 +188,19 @@
             phase.end(running)
             tries = len(running.endpoint_events()) - before
             sent.extend(one.sent for one in replies)
-            print(_line(policy.value, phase.name, replies, tries), flush=True)
+            print(
+                _format_line(policy.value, phase.name, replies, tries),
+                flush=True,
+            )
             time.sleep(1.0)
-        broken = callers.find_violations(running, sent)
-    print(f"policy={policy.value} promises_broken={len(broken)}", flush=True)
+        violations = callers.find_violations(running, sent)
+    print(
+        f"policy={policy.value} promises_broken={len(violations)}", flush=True
+    )
 
 
 def main() -> None:
-    """Measures every policy, in turn, as often as asked."""
+    """Measures every policy in each round."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=2)
     parser.add_argument("--seconds", type=float, default=6.0)
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -1,4 +1,4 @@
-"""The tasks of one stand-in worker: their work, ends and measured usage."""
+"""The tasks of one stand-in worker: progress, ends and measured usage."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from testing.standins import worker_model as models
 from testing.standins import worker_records as records
 
-USAGE_EVERY_MS = 1_000
-USAGE_HORIZON_MS = 10_000
-KEEP_ENDED_MS = 600_000
-FAIL_AFTER_MS = 50.0
-# Told of an attempt's end: when, which, and how it ended.
+USAGE_INTERVAL_MS = 1_000
+USAGE_RETENTION_MS = 10_000
+ENDED_TASK_RETENTION_MS = 600_000
+TIME_TO_FAILURE_MS = 50.0
+# Called when an attempt ends, with the time, the task and how it ended.
 EndListener = Callable[[float, records.Task, str], None]
 
 
 @attrs.frozen
-class Measured:
-    """One measurement of usage with the time it was made."""
+class UsageSample:
+    """One sample of resource usage and the time it was taken."""
 
     at_ms: float
     usage: workers.Usage
 
 
 class TaskTable:
-    """Attempts on one worker. Its owner holds the lock."""
+    """Attempts on one worker. Not thread-safe: the caller holds the lock."""
 
     def __init__(
         self,
@@ -42,53 +42,53 @@
         self._speed = speed
         self._on_end = on_end
         self._by_key: dict[records.TaskKey, records.Task] = {}
-        self._known: set[records.TaskKey] = set()
-        self._measured: collections.deque[Measured] = collections.deque()
+        self._started_keys: set[records.TaskKey] = set()
+        self._samples: collections.deque[UsageSample] = collections.deque()
         self._reported_ms = 0.0
         self.fail_all = False
         self.service_load = {one.service: one.load for one in spec.services}
 
     def get(self, key: records.TaskKey) -> records.Task | None:
-        """The attempt, running or lately ended."""
+        """Returns the attempt if it runs or ended recently."""
         return self._by_key.get(key)
 
-    def knows(self, key: records.TaskKey) -> bool:
-        """Whether the attempt was ever started since the last boot."""
-        return key in self._known
+    def was_started(self, key: records.TaskKey) -> bool:
+        """Returns whether the attempt was started since the last boot."""
+        return key in self._started_keys
 
     def add(self, task: records.Task) -> None:
-        """Starts an attempt."""
-        self._known.add(task.key)
+        """Adds an attempt that starts now."""
+        self._started_keys.add(task.key)
         self._by_key[task.key] = task
 
     def drop_ended(self, key: records.TaskKey) -> None:
-        """Forgets the line of an ended attempt."""
+        """Drops the status of an ended attempt."""
         task = self._by_key.get(key)
         if task is not None and not task.running:
             del self._by_key[key]
 
     def running(self) -> list[records.Task]:
-        """Attempts that run."""
+        """Returns the running attempts."""
         return [task for task in self._by_key.values() if task.running]
 
-    def lines(self) -> tuple[workers.TaskStatus, ...]:
-        """All attempts as reported."""
-        return tuple(task.line() for task in self._by_key.values())
+    def statuses(self) -> tuple[workers.TaskStatus, ...]:
+        """Returns the status of every attempt."""
+        return tuple(task.to_status() for task in self._by_key.values())
 
     def end(
         self,
         task: records.Task,
         state: workers.TaskState,
         detail: str,
-        now: float,
+        now_ms: float,
     ) -> None:
-        """Ends a running attempt."""
+        """Ends a running attempt and notifies the listener."""
         task.state = state
-        task.ended_ms = now
-        self._on_end(now, task, detail)
+        task.ended_ms = now_ms
+        self._on_end(now_ms, task, detail)
 
     def used(self) -> workers.Resources:
-        """Declared sizes of services and running attempts."""
+        """Returns the sum of the declared sizes of services and attempts."""
         total = workers.Resources(0, 0, 0)
         for one in self._spec.services:
             total = models.add(total, one.resources)
@@ -96,44 +96,49 @@
             total = models.add(total, task.start.resources)
         return total
 
-    def work(self, elapsed_ms: float, now: float) -> None:
-        """Lets running attempts work for a time."""
+    def advance(self, elapsed_ms: float, now_ms: float) -> None:
+        """Advances the running attempts and drops old ended ones."""
         running = self.running()
         if running:
-            slowed = self._slowdowns()
+            slowdowns = self._slowdowns()
             for task in running:
-                self._work_one(task, elapsed_ms, slowed[task.name], now)
+                self._advance_task(
+                    task, elapsed_ms, slowdowns[task.name], now_ms
+                )
         for key, task in tuple(self._by_key.items()):
-            if not task.running and task.ended_ms < now - KEEP_ENDED_MS:
+            if (
+                not task.running
+                and task.ended_ms < now_ms - ENDED_TASK_RETENTION_MS
+            ):
                 del self._by_key[key]
 
-    def _work_one(
+    def _advance_task(
         self,
         task: records.Task,
         elapsed_ms: float,
         slowdown: float,
-        now: float,
+        now_ms: float,
     ) -> None:
         share = task.share_milli / models.FULL_SHARE_MILLI
         slowness = slowdown * self._model.time_factor(task.start.job_class)
         task.ran_ms += elapsed_ms
         task.progress_ms += elapsed_ms * self._speed * share / slowness
-        if self.fail_all or models.never_works(task.start):
-            if task.ran_ms >= FAIL_AFTER_MS:
-                self.end(task, workers.TaskState.FAILED, "failed", now)
+        if self.fail_all or models.always_fails(task.start):
+            if task.ran_ms >= TIME_TO_FAILURE_MS:
+                self.end(task, workers.TaskState.FAILED, "failed", now_ms)
         elif task.progress_ms >= task.start.run_time_ms:
             task.progress_ms = task.start.run_time_ms
-            self.end(task, workers.TaskState.FINISHED, "finished", now)
+            self.end(task, workers.TaskState.FINISHED, "finished", now_ms)
 
-    def guard_memory(self, now: float) -> None:
-        """Fails the attempt furthest above its size when memory runs out."""
+    def enforce_memory_limit(self, now_ms: float) -> None:
+        """Fails attempts furthest above their size until memory suffices."""
         while self._spec.guards:
             running = self.running()
             used_mib = self._memory_mib(running)
             if not running or used_mib <= self._spec.capacity.memory_mib:
                 return
             worst = max(running, key=self._memory_excess)
-            self.end(worst, workers.TaskState.FAILED, "memory", now)
+            self.end(worst, workers.TaskState.FAILED, "memory", now_ms)
 
     def _memory_excess(self, task: records.Task) -> float:
         declared_mib = max(task.start.resources.memory_mib, 1)
@@ -154,9 +159,9 @@
         factor = self._model.size_factor(task.start.job_class)
         return task.start.resources.processors_milli * share * factor
 
-    def _present(self) -> list[models.Presence]:
+    def _workloads(self) -> list[models.Workload]:
         services = [
-            models.Presence(
+            models.Workload(
                 one.service,
                 one.service,
                 one.resources.processors_milli
@@ -165,7 +170,7 @@
             for one in self._spec.services
         ]
         tasks = [
-            models.Presence(
+            models.Workload(
                 task.name, task.start.job_class, self._real_processors(task)
             )
             for task in self.running()
@@ -174,19 +179,22 @@
 
     def _slowdowns(self) -> dict[str, float]:
         capacity_milli = self._spec.capacity.processors_milli
-        return models.slowdowns(self._model, self._present(), capacity_milli)
-
-    def measure(self, now: float) -> None:
-        """Takes a measurement when one is due."""
-        if self._measured and now - self._measured[-1].at_ms < USAGE_EVERY_MS:
+        return models.slowdowns(self._model, self._workloads(), capacity_milli)
+
+    def measure(self, now_ms: float) -> None:
+        """Takes a usage sample when one is due."""
+        if (
+            self._samples
+            and now_ms - self._samples[-1].at_ms < USAGE_INTERVAL_MS
+        ):
             return
-        self._measured.append(Measured(now, self._usage()))
-        while self._measured[0].at_ms < now - USAGE_HORIZON_MS:
-            self._measured.popleft()
+        self._samples.append(UsageSample(now_ms, self._usage()))
+        while self._samples[0].at_ms < now_ms - USAGE_RETENTION_MS:
+            self._samples.popleft()
 
     def _usage(self) -> workers.Usage:
-        slowed = self._slowdowns()
-        used_milli = sum(one.processors_milli for one in self._present())
+        slowdowns = self._slowdowns()
+        used_milli = sum(one.processors_milli for one in self._workloads())
         running = self.running()
         return workers.Usage(
             age_ms=0,
@@ -196,12 +204,12 @@
             memory_mib=int(self._memory_mib(running)),
             services=tuple(
                 workers.ServiceSlowdown(
-                    one.service, int(slowed[one.service] * 1_000)
+                    one.service, int(slowdowns[one.service] * 1_000)
                 )
                 for one in self._spec.services
             ),
             tasks=tuple(
-                self._task_usage(task, slowed[task.name]) for task in running
+                self._task_usage(task, slowdowns[task.name]) for task in running
             ),
         )
 
@@ -216,16 +224,17 @@
             memory_mib=int(self._real_memory_mib(task)),
         )
 
-    def late_usage(self, now: float) -> tuple[workers.Usage, ...]:
-        """Measurements old enough to be reported, and not reported yet."""
-        ripe = [
+    def take_due_usage(self, now_ms: float) -> tuple[workers.Usage, ...]:
+        """Returns the unreported samples that are old enough to report."""
+        due = [
             one
-            for one in self._measured
+            for one in self._samples
             if one.at_ms > self._reported_ms
-            and one.at_ms <= now - self._spec.usage_lag_ms
+            and one.at_ms <= now_ms - self._spec.usage_lag_ms
         ]
-        if ripe:
-            self._reported_ms = ripe[-1].at_ms
+        if due:
+            self._reported_ms = due[-1].at_ms
         return tuple(
-            attrs.evolve(one.usage, age_ms=int(now - one.at_ms)) for one in ripe
+            attrs.evolve(one.usage, age_ms=int(now_ms - one.at_ms))
+            for one in due
         )
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -1,7 +1,7 @@
-"""Drives hosts that share one stream through faults, and checks the outcome.
+"""Runs hosts that share one stream through faults and checks invariants.
 
 No thread runs: every step of an appender or a follower is an action, so that
-a history of actions can be repeated exactly.
+a history of actions is reproducible.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 HOSTS = 2
 # Longer than every backoff and append interval.
 STEP_MS = 3_000
-MAX_HEAL_ROUNDS = 200
+MAX_RECOVERY_ROUNDS = 200
 
 
 @attrs.frozen
@@ -46,7 +46,7 @@
 
 @final
 class NoteFold:
-    """Keeps every note in the order in which it was folded."""
+    """Keeps the notes in the order in which they were folded."""
 
     def __init__(self) -> None:
         self.notes: list[int] = []
@@ -72,12 +72,12 @@
 
 
 class ActionKind(enum.Enum):
-    """What can happen to a host or to the log."""
+    """Kinds of actions on a host or on the log."""
 
     SUBMIT = enum.auto()
     APPEND = enum.auto()
     FOLLOW = enum.auto()
-    GIVE_UP = enum.auto()
+    ABANDON = enum.auto()
     RESTART = enum.auto()
     PUSH = enum.auto()
     SNAPSHOT = enum.auto()
@@ -88,7 +88,7 @@
 
 @attrs.frozen
 class Action:
-    """One action; `choice` picks the fault or the range it works on."""
+    """One action; `choice` selects its fault or its range of entries."""
 
     kind: ActionKind
     host: int
@@ -96,7 +96,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """A promise was broken."""
+    """An invariant doesn't hold."""
 
 
 @attrs.define
@@ -109,7 +109,7 @@
 
 @final
 class HistoryRunner:
-    """A few hosts and a log, driven by actions."""
+    """Executes a history of actions on a few hosts and a log."""
 
     def __init__(self) -> None:
         self.log = fake_log.FakeLog()
@@ -121,19 +121,19 @@
         self._hosts = [self._start() for _ in range(HOSTS)]
 
     def run(self, actions: list[Action]) -> None:
-        """Carries out the actions, heals everything, and checks.
+        """Executes the actions, clears all faults and checks the invariants.
 
         Raises:
-            PromiseBrokenError: A promise was broken.
+            InvariantViolationError: An invariant doesn't hold.
         """
         for action in actions:
             host = self._hosts[action.host % HOSTS]
             before = host.follower.offset()
-            self._act(action, host)
+            self._execute(action, host)
             self._clock.advance(STEP_MS)
             if host.follower.offset() < before:
-                raise InvariantViolationError("an offset fell")
-        self._heal()
+                raise InvariantViolationError("a follower's offset decreased")
+        self._recover()
         self._check()
 
     def _start(self) -> _Host:
@@ -158,7 +158,7 @@
         )
         return _Host(writer, reader, fold, {})
 
-    def _act(self, action: Action, host: _Host) -> None:
+    def _execute(self, action: Action, host: _Host) -> None:
         match action.kind:
             case ActionKind.SUBMIT:
                 self._submit(host)
@@ -166,7 +166,7 @@
                 self._append(host, action.choice)
             case ActionKind.FOLLOW:
                 host.follower.step()
-            case ActionKind.GIVE_UP:
+            case ActionKind.ABANDON:
                 for pending in host.pending.values():
                     host.appender.abandon(pending)
             case ActionKind.RESTART:
@@ -177,9 +177,9 @@
             case ActionKind.SNAPSHOT:
                 self._snapshot(host)
             case _:
-                self._act_on_log(action.kind)
+                self._execute_on_log(action.kind)
 
-    def _act_on_log(self, kind: ActionKind) -> None:
+    def _execute_on_log(self, kind: ActionKind) -> None:
         match kind:
             case ActionKind.DELIVER_LATE:
                 self.log.deliver_late()
@@ -189,7 +189,7 @@
                 self.log.put(STREAM, [b"{"])
 
     def _append(self, host: _Host, choice: int) -> None:
-        """One step of an appender; every other append goes well."""
+        """Runs one step of an appender, with a fault if `choice` is odd."""
         faults = list(fake_log.AppendFault)
         if choice % 2:
             self.log.faults.append(faults[choice % len(faults)])
@@ -201,7 +201,7 @@
         host.pending[self._notes] = host.appender.submit([Note(self._notes)])
 
     def _push(self, host: _Host, start: int) -> None:
-        """A peer offers all that it has read from some offset on."""
+        """Applies all entries from some offset on, as if pushed by a peer."""
         payloads = self.log.payloads(STREAM)
         entries = [
             log_port.LogEntry(offset, payload)
@@ -210,7 +210,7 @@
         host.follower.apply_from_peer(entries[start % (len(entries) + 1) :])
 
     def _snapshot(self, host: _Host) -> None:
-        """Publishes a snapshot and lets the records in it expire."""
+        """Publishes a snapshot and expires the records that it covers."""
         taken = host.follower.snapshot()
         if taken.offset < 0:
             return
@@ -221,20 +221,20 @@
         self.log.put(snapshot_stream.name_of(STREAM), chunks)
         self.log.expire_below(STREAM, taken.offset + 1)
 
-    def _heal(self) -> None:
+    def _recover(self) -> None:
         self.log.down = False
         self.log.deliver_late()
-        for _ in range(MAX_HEAL_ROUNDS):
+        for _ in range(MAX_RECOVERY_ROUNDS):
             self._clock.advance(STEP_MS)
             for host in self._hosts:
                 host.appender.step()
                 host.follower.step()
-            if self._is_quiet():
+            if self._has_converged():
                 return
-        raise InvariantViolationError("the hosts do not come to rest")
+        raise InvariantViolationError("the hosts do not converge")
 
-    def _is_quiet(self) -> bool:
-        """Whether all records are settled and folded everywhere."""
+    def _has_converged(self) -> bool:
+        """Whether every append has an outcome and all hosts are at the head."""
         head = len(self.log.payloads(STREAM)) - 1
         return all(
             host.follower.offset() == head
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -1,8 +1,8 @@
-"""Makes traces of both deployments from a seed.
+"""Generates traces for both deployments from a seed.
 
-`python -m testing.traces FOLDER` writes one file for each deployment and
-shape of load. Rates follow from the deployment's slots and the work of a
-request, so that a load of 1 fills every slot.
+`python -m testing.traces FOLDER` writes one file for each deployment and load
+shape. Rates follow from the deployment's slots and the work of a request, so
+that a load of 1 fills every slot.
 """
 
 from __future__ import annotations
@@ -24,26 +24,26 @@
 from testing.standins import worker_model
 
 DEFAULT_DURATION_MS = 60_000
-SLOTS = 8
-CALLERS = 40
+SLOTS_PER_ENDPOINT = 8
+CALLER_COUNT = 40
 CALM_LOAD = 0.35
 SHIFTED_LOAD = 0.75
 BURST_LOAD = 1.3
-BURST_EVERY_MS = 20_000
-BURST_MS = 2_000
-# Normal deviate of the 99th percentile.
-P99_DEVIATE = 2.326
-JOB_LOAD = 0.6
-NEVER_WORKS_CHANCE = 0.02
-NEVER_FITS_CHANCE = 0.01
-URGENT_CHANCE = 0.05
-CANCELLED_CHANCE = 0.05
-CANCEL_AT = 0.6
-URGENT_START_MS = 6_000.0
+BURST_INTERVAL_MS = 20_000
+BURST_DURATION_MS = 2_000
+# 99th percentile of the standard normal distribution.
+P99_Z_SCORE = 2.326
+JOB_LOAD_FRACTION = 0.6
+FAILING_JOB_PROBABILITY = 0.02
+OVERSIZED_JOB_PROBABILITY = 0.01
+URGENT_JOB_PROBABILITY = 0.05
+JOB_CANCELLATION_PROBABILITY = 0.05
+CANCELLATION_AT_FRACTION = 0.6
+MAX_URGENT_START_P99_MS = 6_000.0
 
 
 class LoadShape(enum.StrEnum):
-    """How the load moves over a trace."""
+    """How the load changes over a trace."""
 
     CALM = "calm"
     SHIFT = "shift"
@@ -52,43 +52,43 @@
 
 @attrs.frozen
 class Workload:
-    """What one user sends.
+    """Requests and jobs that one user of the scheduler sends.
 
     Attributes:
-        deployment: Where it is sent.
-        work_ms: Median work of a request.
-        spread: Standard deviation of the logarithm of the work.
-        timeout_ms: What callers wait.
-        idempotent_chance: Part of the requests that may run twice.
+        deployment: Deployment that receives them.
+        work_ms: Median work of a request, in milliseconds.
+        work_log_stddev: Standard deviation of the logarithm of the work.
+        timeout_ms: Timeout of callers.
+        idempotent_probability: Probability that a request is idempotent.
         body_bytes: Size of a request's body.
         job_run_time_ms: Median declared run time of a job.
-        job_processors_milli: Sizes that jobs declare.
+        job_processors_milli: Processors that jobs declare.
     """
 
     deployment: deployments.Deployment
     work_ms: float
-    spread: float
+    work_log_stddev: float
     timeout_ms: int
-    idempotent_chance: float
+    idempotent_probability: float
     body_bytes: int
     job_run_time_ms: float
     job_processors_milli: tuple[int, ...]
 
     @property
     def full_rate_per_s(self) -> float:
-        """Requests a second that fill every slot."""
-        mean_s = self.work_ms / 1_000 * math.exp(self.spread**2 / 2)
-        return self.deployment.endpoints * SLOTS / mean_s
+        """Requests per second that fill every slot."""
+        mean_s = self.work_ms / 1_000 * math.exp(self.work_log_stddev**2 / 2)
+        return self.deployment.endpoints * SLOTS_PER_ENDPOINT / mean_s
 
 
 def utility_night() -> Workload:
-    """Calibrations by night, stacks beside them."""
+    """Calibration requests at night, beside stacking jobs."""
     return Workload(
         deployment=deployments.utility(),
         work_ms=400.0,
-        spread=0.4,
+        work_log_stddev=0.4,
         timeout_ms=3_000,
-        idempotent_chance=0.8,
+        idempotent_probability=0.8,
         body_bytes=2_048,
         job_run_time_ms=8_000.0,
         job_processors_milli=(2_000, 4_000, 8_000),
@@ -96,13 +96,13 @@
 
 
 def workshop_day() -> Workload:
-    """Quotes and orders by day, mandrel plans beside them."""
+    """Quotes and orders by day, beside mandrel planning jobs."""
     return Workload(
         deployment=deployments.workshop(),
         work_ms=300.0,
-        spread=0.4,
+        work_log_stddev=0.4,
         timeout_ms=1_500,
-        idempotent_chance=0.6,
+        idempotent_probability=0.6,
         body_bytes=512,
         job_run_time_ms=4_000.0,
         job_processors_milli=(1_000, 2_000, 4_000),
@@ -116,7 +116,7 @@
 
 
 class TraceGenerator:
-    """Draws one trace from a seed."""
+    """Generates one trace from a seed."""
 
     def __init__(
         self,
@@ -135,8 +135,8 @@
         self._scale = scale
         self._random = random.Random(f"{seed}/{self._name}")
 
-    def make(self, with_jobs: bool = True) -> traces.Trace:
-        """The whole trace."""
+    def generate(self, with_jobs: bool = True) -> traces.Trace:
+        """Generates the trace, with or without jobs."""
         lines: list[traces.TraceLine] = list(self._requests())
         if with_jobs:
             jobs = list(self._jobs())
@@ -160,7 +160,10 @@
                 shifted = at_ms >= self._duration_ms / 3
                 return SHIFTED_LOAD if shifted else CALM_LOAD
             case LoadShape.BURST:
-                in_burst = at_ms % BURST_EVERY_MS >= BURST_EVERY_MS - BURST_MS
+                in_burst = (
+                    at_ms % BURST_INTERVAL_MS
+                    >= BURST_INTERVAL_MS - BURST_DURATION_MS
+                )
                 return BURST_LOAD if in_burst else CALM_LOAD
 
     def _requests(self) -> Iterator[traces.TracedRequest]:
@@ -177,17 +180,17 @@
 
     def _request(self, at_ms: float) -> traces.TracedRequest:
         workload = self._workload
-        # Few callers send most; the first ones are the busiest.
-        caller = int(CALLERS * self._random.random() ** 2)
+        # The load is skewed: callers with low numbers send most requests.
+        caller = int(CALLER_COUNT * self._random.random() ** 2)
         work_ms = workload.work_ms * self._random.lognormvariate(
-            0.0, workload.spread
+            0.0, workload.work_log_stddev
         )
         return traces.TracedRequest(
             at_ms=round(at_ms, 3),
             service=workload.deployment.service,
             caller=f"caller-{caller}",
             zone=self._zone(at_ms),
-            idempotent=self._random.random() < workload.idempotent_chance,
+            idempotent=self._random.random() < workload.idempotent_probability,
             timeout_ms=workload.timeout_ms,
             body_bytes=workload.body_bytes,
             work_ms=round(work_ms, 3),
@@ -210,7 +213,7 @@
         sizes = workload.job_processors_milli
         mean_milli = sum(sizes) / len(sizes)
         job_work = mean_milli * workload.job_run_time_ms / 1_000
-        rate = JOB_LOAD * free_milli / job_work * self._scale
+        rate = JOB_LOAD_FRACTION * free_milli / job_work * self._scale
         at_ms = 0.0
         number = 0
         while True:
@@ -225,10 +228,10 @@
         deployment = workload.deployment
         processors_milli = self._random.choice(workload.job_processors_milli)
         job_class = self._random.choice(deployment.job_classes)
-        drawn = self._random.random()
-        if drawn < NEVER_WORKS_CHANCE:
+        draw = self._random.random()
+        if draw < FAILING_JOB_PROBABILITY:
             job_class = worker_model.FAILING_JOB_MARKER
-        elif drawn < NEVER_WORKS_CHANCE + NEVER_FITS_CHANCE:
+        elif draw < FAILING_JOB_PROBABILITY + OVERSIZED_JOB_PROBABILITY:
             processors_milli = deployment.worker_capacity.processors_milli * 2
         run_time_ms = workload.job_run_time_ms * self._random.lognormvariate(
             0.0, 0.5
@@ -242,22 +245,25 @@
             resources=workers.Resources(processors_milli, processors_milli, 0),
             run_time_ms=int(run_time_ms),
             zone=self._random.choice(deployment.zones),
-            urgent=may_be_urgent and self._random.random() < URGENT_CHANCE,
+            urgent=may_be_urgent
+            and self._random.random() < URGENT_JOB_PROBABILITY,
         )
 
     def _cancellations(
         self, jobs: list[traces.TracedJob]
     ) -> Iterator[traces.TracedCancellation]:
-        """One burst, of jobs submitted before it."""
-        at_ms = self._duration_ms * CANCEL_AT
+        """One burst of cancellations, for jobs submitted before it."""
+        at_ms = self._duration_ms * CANCELLATION_AT_FRACTION
         for one in jobs:
-            chosen = self._random.random() < CANCELLED_CHANCE
+            chosen = self._random.random() < JOB_CANCELLATION_PROBABILITY
             if one.at_ms < at_ms and chosen:
                 yield traces.TracedCancellation(at_ms, one.job.id)
 
     def _outcomes(self, lines: list[traces.TraceLine]) -> traces.StatedOutcomes:
         workload = self._workload
-        work_p99_ms = workload.work_ms * math.exp(P99_DEVIATE * workload.spread)
+        work_p99_ms = workload.work_ms * math.exp(
+            P99_Z_SCORE * workload.work_log_stddev
+        )
         calm = self._shape is LoadShape.CALM
         finished_percent = self._finished_percent(lines)
         has_jobs = finished_percent is not None
@@ -267,11 +273,13 @@
             unknown_percent_max=0.5,
             tries_per_request_max=1.1,
             jobs_finished_percent_min=finished_percent,
-            urgent_start_p99_ms_max=URGENT_START_MS if has_jobs else None,
+            urgent_start_p99_ms_max=MAX_URGENT_START_P99_MS
+            if has_jobs
+            else None,
         )
 
     def _finished_percent(self, lines: list[traces.TraceLine]) -> float | None:
-        """Part of the accepted, uncancelled jobs that can finish at all."""
+        """Percentage of accepted, uncancelled jobs that can finish."""
         cancelled = {
             line.job
             for line in lines
@@ -294,7 +302,7 @@
 
 
 def main() -> None:
-    """Writes all traces."""
+    """Writes the traces of all workloads and load shapes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("folder", type=pathlib.Path)
     parser.add_argument("--seed", type=int, default=1)
@@ -313,7 +321,7 @@
                 given.scale,
             )
             path = given.folder / f"{name}-{shape}.jsonl"
-            path.write_bytes(traces.encode(maker.make()))
+            path.write_bytes(traces.encode(maker.generate()))
             print(path)
 
 
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -24,7 +24,7 @@
             )
             for shape in (maker.LoadShape.CALM, maker.LoadShape.CALM)
         ]
-        first, second = (generator.make() for generator in generators)
+        first, second = (generator.generate() for generator in generators)
         self.assertEqual(first, second)
         lines = traces.encode(first).splitlines()
         self.assertEqual(first, traces.decode(lines).ok_value)
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -22,85 +22,89 @@
         worker.entry = attrs.evolve(worker.entry, is_draining=True)
         cell.reconciler.move_runs(cell.clock.now_ms)
 
-    def stops(self, step: object, percent: float = 10.0) -> int:
+    def count_stops(self, step: object, percent: float = 10.0) -> int:
         """Returns how many runs of a step stop when their worker drains."""
         cell = harness.Cell(workers=1)
         cell.submit(harness.job(step))  # type: ignore[arg-type]
         (run,) = cell.place()
-        cell.hold("w1", running=(harness.listed(run, percent),))
+        cell.answer_hold("w1", running=(harness.running_task(run, percent),))
         self.drain(cell, "w1")
-        return len(cell.sent["w1"].stops)
+        return len(cell.sessions["w1"].stops)
 
     def test_lasting_task_moves(self) -> None:
-        self.assertEqual(1, self.stops(harness.step(is_lasting=True)))
+        self.assertEqual(1, self.count_stops(harness.step(is_lasting=True)))
 
     def test_long_task_with_checkpoints_moves(self) -> None:
         step = harness.step(estimated_ms=9_000, has_checkpoints=True)
-        self.assertEqual(1, self.stops(step))
+        self.assertEqual(1, self.count_stops(step))
 
     def test_task_that_will_end_in_time_stays(self) -> None:
         step = harness.step(estimated_ms=9_000, has_checkpoints=True)
-        self.assertEqual(0, self.stops(step, percent=90.0))
+        self.assertEqual(0, self.count_stops(step, percent=90.0))
 
     def test_task_without_checkpoints_stays(self) -> None:
-        self.assertEqual(0, self.stops(harness.step(estimated_ms=9_000)))
+        self.assertEqual(0, self.count_stops(harness.step(estimated_ms=9_000)))
 
 
 class EmptiedWorkerTest(testtools.TestCase):
     """A worker that is emptied for its machine's maintenance."""
 
-    def stops(self, **fields: object) -> int:
-        """Returns how many of its three lasting tasks are stopped at once."""
+    def count_stops(self, **fields: object) -> int:
+        """Returns how many of the three lasting tasks are stopped at once."""
         cell = harness.Cell(workers=1)
         step = harness.step(3, is_lasting=True, **fields)
         cell.submit(harness.job(step))
         runs = cell.place()
-        cell.hold("w1", running=tuple(harness.listed(r, 100.0) for r in runs))
+        cell.answer_hold(
+            "w1", running=tuple(harness.running_task(r, 100.0) for r in runs)
+        )
         worker = cell.workers.find("w1")
         assert worker is not None
         worker.is_being_emptied = True
         cell.reconciler.move_runs(cell.clock.now_ms)
         cell.reconciler.move_runs(cell.clock.now_ms)
-        return len(cell.sent["w1"].stops)
+        return len(cell.sessions["w1"].stops)
 
     def test_lasting_tasks_move_at_once(self) -> None:
-        self.assertEqual(3, self.stops())
+        self.assertEqual(3, self.count_stops())
 
     def test_limit_on_unavailable_tasks_is_kept(self) -> None:
-        self.assertEqual(1, self.stops(max_unavailable=1))
+        self.assertEqual(1, self.count_stops(max_unavailable=1))
 
 
 class StragglerTest(testtools.TestCase):
     """One task of a step takes much longer than its siblings."""
 
-    def straggle(self, is_speculative: bool) -> harness.Cell:
-        """Finishes two of three tasks in half a second."""
+    def cell_with_straggler(self, is_speculative: bool) -> harness.Cell:
+        """Returns a cell in which two of three tasks have ended early."""
         cell = harness.Cell(workers=3, cpu_millicores=1_000)
         cell.submit(harness.job(harness.step(3, is_speculative=is_speculative)))
         first, second, _ = cell.place()
         cell.clock.advance(500)
         for run in (first, second):
-            cell.hold(run.worker_id, ended=(harness.ended(run, DONE),))
+            cell.answer_hold(
+                run.worker_id, ended=(harness.ended_run(run, DONE),)
+            )
         cell.clock.advance(1_000)
         return cell
 
     def test_second_run_is_on_another_worker_and_the_first_end_counts(
         self,
     ) -> None:
-        cell = self.straggle(True)
+        cell = self.cell_with_straggler(True)
         jobs = list(cell.jobs)
         (second,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
         (slow,) = [run for run in second.run.task.runs if run is not second.run]
         self.assertNotEqual(slow.worker_id, second.run.worker_id)
-        end = harness.ended(second.run, DONE, 2)
-        cell.hold(second.run.worker_id, ended=(end,))
+        end = harness.ended_run(second.run, DONE, 2)
+        cell.answer_hold(second.run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, jobs[0].state)
         self.assertEqual(
-            [(slow.task.name, slow.number)], cell.sent[slow.worker_id].stops
+            [(slow.task.name, slow.number)], cell.sessions[slow.worker_id].stops
         )
 
     def test_step_without_speculation_gets_no_second_run(self) -> None:
-        cell = self.straggle(False)
+        cell = self.cell_with_straggler(False)
         self.assertEqual(
             [], cell.planner.place_speculative_runs(list(cell.jobs), 10**9)
         )
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -37,9 +37,9 @@
         self, writer: fenced_writer_module.FencedWriter, key: str
     ) -> bool:
         """Writes a record; returns whether it was reported as stored."""
-        kept = threading.Event()
-        writer.write({key: b"{}"}, {}, [kept.set])
-        return kept.wait(WAIT_S)
+        stored = threading.Event()
+        writer.write({key: b"{}"}, {}, [stored.set])
+        return stored.wait(WAIT_S)
 
     def test_lost_answer_writes_once(self) -> None:
         with self.make_writer(1) as writer:
@@ -67,7 +67,7 @@
             ).start()
             self.assertTrue(self.write(writer, "state/a"))
 
-    def test_higher_epoch_fences_the_writer(self) -> None:
+    def test_higher_token_fences_the_writer(self) -> None:
         with self.make_writer(1) as old:
             old.fence()
             with self.make_writer(2) as new:
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -20,8 +20,8 @@
         cell = harness.Cell()
         job = cell.submit(harness.job(harness.step(2)))
         for number, run in enumerate(cell.place(), 1):
-            end = harness.ended(run, cell_workers.RunEnd.DONE, number)
-            cell.hold(run.worker_id, ended=(end,))
+            end = harness.ended_run(run, cell_workers.RunEnd.DONE, number)
+            cell.answer_hold(run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, job.state)
 
     def test_dependent_step_waits_for_all_tasks(self) -> None:
@@ -31,9 +31,13 @@
         )
         first, second = cell.place()
         done = cell_workers.RunEnd.DONE
-        cell.hold(first.worker_id, ended=(harness.ended(first, done),))
+        cell.answer_hold(
+            first.worker_id, ended=(harness.ended_run(first, done),)
+        )
         self.assertEqual([], cell.place())
-        cell.hold(second.worker_id, ended=(harness.ended(second, done, 2),))
+        cell.answer_hold(
+            second.worker_id, ended=(harness.ended_run(second, done, 2),)
+        )
         (run,) = cell.place()
         self.assertEqual(1, run.task.step.number)
 
@@ -42,8 +46,8 @@
         job = cell.submit(harness.job())
         for number in range(1, 4):
             (run,) = cell.place()
-            end = harness.ended(run, cell_workers.RunEnd.FAILED, number)
-            cell.hold(run.worker_id, ended=(end,))
+            end = harness.ended_run(run, cell_workers.RunEnd.FAILED, number)
+            cell.answer_hold(run.worker_id, ended=(end,))
         self.assertIs(records.JobState.FAILED, job.state)
 
     def test_failure_counts_once_over_two_owners(self) -> None:
@@ -52,17 +56,17 @@
         before = harness.Cell()
         job = before.submit(harness.job())
         (run,) = before.place()
-        end = harness.ended(run, cell_workers.RunEnd.FAILED)
-        before.hold(run.worker_id, ended=(end,))
+        end = harness.ended_run(run, cell_workers.RunEnd.FAILED)
+        before.answer_hold(run.worker_id, ended=(end,))
         progress = records.decode(
             records.ProgressRecord, records.encode(job.progress())
         )
 
         after = harness.Cell()
-        inherited = after.jobs.add(job.spec, 1_000, progress)
-        assert inherited is not None
-        after.hold(run.worker_id, ended=(end,))
-        (task,) = inherited.steps[0][0].tasks
+        recovered = after.jobs.add(job.spec, 1_000, progress)
+        assert recovered is not None
+        after.answer_hold(run.worker_id, ended=(end,))
+        (task,) = recovered.steps[0][0].tasks
         self.assertEqual(1, task.failures)
 
     def test_lasting_task_runs_again_however_it_ends(self) -> None:
@@ -70,8 +74,8 @@
         job = cell.submit(harness.job(harness.step(1, is_lasting=True)))
         for number in range(1, 6):
             (run,) = cell.place()
-            end = harness.ended(run, cell_workers.RunEnd.FAILED, number)
-            cell.hold(run.worker_id, ended=(end,))
+            end = harness.ended_run(run, cell_workers.RunEnd.FAILED, number)
+            cell.answer_hold(run.worker_id, ended=(end,))
             cell.clock.advance(1_000)
         self.assertIs(records.JobState.RUNNING, job.state)
 
@@ -81,8 +85,8 @@
         (run,) = cell.place()
         cell.dispatcher.stop(run, reasons.StopReason.STALLED)
         stopped = cell_workers.RunEnd.STOPPED
-        end = harness.ended(run, stopped, checkpoint="half")
-        cell.hold(run.worker_id, ended=(end,))
+        end = harness.ended_run(run, stopped, checkpoint="half")
+        cell.answer_hold(run.worker_id, ended=(end,))
         (again,) = cell.place()
         self.assertEqual("half", again.task.checkpoint)
         self.assertGreater(again.number, run.number)
@@ -92,8 +96,8 @@
         job = cell.submit(harness.job(harness.step(3, is_gang=True)))
         placed = cell.place()
         self.assertEqual({1}, {run.number for run in placed})
-        end = harness.ended(placed[0], cell_workers.RunEnd.DONE)
-        cell.hold(placed[0].worker_id, ended=(end,))
+        end = harness.ended_run(placed[0], cell_workers.RunEnd.DONE)
+        cell.answer_hold(placed[0].worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, job.state)
 
 
@@ -110,16 +114,18 @@
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
         cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
         self.assertEqual([], cell.place())
-        cell.hold(run.worker_id)
+        cell.answer_hold(run.worker_id)
         self.assertIs(runs_module.RunPhase.STOPPING, run.phase)
-        self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
+        self.assertEqual(
+            [(run.task.name, 1)], cell.sessions[run.worker_id].stops
+        )
         cell.clock.advance(10)
         cell.dispatcher.handle_stop(
             events.StopReturned(run.worker_id, run, result.Ok(0))
         )
         self.assertEqual([], cell.place())
         cell.clock.advance(10)
-        cell.hold(run.worker_id)
+        cell.answer_hold(run.worker_id)
         (again,) = cell.place()
         self.assertEqual(2, again.number)
 
@@ -131,14 +137,14 @@
         run = placed.run
         lost = result.Err(cell_workers.OrderUnanswered("lost"))
         cell.dispatcher.handle_start(events.StartReturned(run, now_ms, 2, lost))
-        cell.hold(run.worker_id, running=(harness.listed(run),))
+        cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         self.assertIs(runs_module.RunPhase.RUNNING, run.phase)
 
     def test_unreachable_worker_keeps_its_runs_for_the_lease(self) -> None:
         cell = harness.Cell(workers=1)
         cell.submit(harness.job())
         (run,) = cell.place()
-        cell.sent["w1"].latest_deadline_ms = cell.clock.now_ms + 4_500
+        cell.sessions["w1"].latest_deadline_ms = cell.clock.now_ms + 4_500
         cell.fail_hold("w1")
         cell.clock.advance(4_500)
         self.assertEqual([], cell.workers.expire())
@@ -150,7 +156,7 @@
         cell = harness.Cell()
         job = cell.submit(harness.job())
         (task,) = job.steps[0][0].tasks
-        cell.hold(
+        cell.answer_hold(
             "w2",
             running=(cell_workers.RunningTask(task.name, 7, "", 10.0, 0),),
         )
@@ -160,17 +166,19 @@
     def test_run_of_an_unknown_job_is_stopped(self) -> None:
         cell = harness.Cell()
         name = "f" * 16 + ".0.0.0"
-        cell.hold(
+        cell.answer_hold(
             "w1", running=(cell_workers.RunningTask(name, 1, "", 1.0, 0),)
         )
-        self.assertEqual([(name, 1)], cell.sent["w1"].stops)
+        self.assertEqual([(name, 1)], cell.sessions["w1"].stops)
 
     def test_stalled_run_is_moved(self) -> None:
         cell = harness.Cell()
         cell.submit(harness.job())
         (run,) = cell.place()
-        cell.hold(run.worker_id, running=(harness.listed(run),))
+        cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         cell.clock.advance(5_000)
-        cell.hold(run.worker_id, running=(harness.listed(run),))
+        cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         cell.reconciler.move_runs(cell.clock.now_ms)
-        self.assertEqual([(run.task.name, 1)], cell.sent[run.worker_id].stops)
+        self.assertEqual(
+            [(run.task.name, 1)], cell.sessions[run.worker_id].stops
+        )
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -37,7 +37,7 @@
 LEASE_MS = 1_000
 KEEP_ENDED_MS = 200
 ID = "0" * 16
-ALLOWED = "w2"
+ALLOWED_WORKER = "w2"
 
 
 class HostStore:
@@ -61,14 +61,16 @@
     def __init__(self, host: Host, worker: fake_workers.FakeWorker) -> None:
         self._host = host
         self._worker = worker
-        self._dark = fake_workers.FakeWorker(
+        self._unreachable_worker = fake_workers.FakeWorker(
             worker.entry, clock_port.SystemClock()
         )
-        self._dark.is_unreachable = True
+        self._unreachable_worker.is_unreachable = True
 
     def __getattr__(self, name: str) -> Any:
         is_unreachable = self._host.is_unreachable
-        return getattr(self._dark if is_unreachable else self._worker, name)
+        return getattr(
+            self._unreachable_worker if is_unreachable else self._worker, name
+        )
 
 
 class FixedWorkerList:
@@ -98,7 +100,7 @@
     ) -> result.Result[advice_port.Advice, advice_port.AdviceUnavailable]:
         """See `AdviceService.advise`."""
         del timeout_ms
-        tickets = {ALLOWED: f"{step}/{ALLOWED}"}
+        tickets = {ALLOWED_WORKER: f"{step}/{ALLOWED_WORKER}"}
         allowed = {
             name: tickets[name] for name in worker_ids if name in tickets
         }
@@ -131,7 +133,7 @@
         self.job_api = job_api_module.JobApi(
             self.replica, self.reader, appender, metrics_registry, clock
         )
-        entries = {name: one.entry for name, one in workers.items()}
+        entries = {name: worker.entry for name, worker in workers.items()}
         self.deps = owner_dependencies.OwnerDependencies(
             cell=0,
             store=self.store,
@@ -247,9 +249,9 @@
         self.first.job_api.submit(job, 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
         starts = [one for w in self.workers.values() for one in w.starts]
-        self.assertEqual({ALLOWED}, {one.worker_id for one in starts})
+        self.assertEqual({ALLOWED_WORKER}, {one.worker_id for one in starts})
         self.assertEqual(
-            {f"{ID}.0.0/{ALLOWED}"}, {one.ticket for one in starts}
+            {f"{ID}.0.0/{ALLOWED_WORKER}"}, {one.ticket for one in starts}
         )
 
     def test_new_owner_restores_learned_models(self) -> None:
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -23,7 +23,7 @@
 class _FakeShares:
     """A fixed share of one endpoint."""
 
-    def free(self, endpoint: str) -> int:
+    def count_free(self, endpoint: str) -> int:
         return SHARE
 
     def connection_share(self, endpoint: str) -> int:
@@ -91,7 +91,7 @@
         """Acquires every available slot; returns their number."""
         ledger = self.ledgers[seat]
         acquired = 0
-        while ledger.try_take(ENDPOINT, RUN_MS):
+        while ledger.try_acquire_slot(ENDPOINT, RUN_MS):
             acquired += 1
         return acquired
 
@@ -130,7 +130,7 @@
         self._acquire_all("a")
         self.ledgers["a"].run_once()
         for _ in range(SHARE):
-            self.ledgers["b"].give_back(ENDPOINT)
+            self.ledgers["b"].release_slot(ENDPOINT)
         self._acquire_all("a")
         self.ledgers["a"].run_once()
         self.assertEqual(0, self._acquire_all("a"))
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -73,51 +73,55 @@
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a", "b")), self.clock
         )
-        taken = [fixed_shares.try_take("ex-1", 1_000) for _ in range(8)]
+        taken = [fixed_shares.try_acquire_slot("ex-1", 1_000) for _ in range(8)]
         self.assertEqual(4, sum(taken))
-        fixed_shares.give_back("ex-1")
-        self.assertEqual(1, fixed_shares.free("ex-1"))
+        fixed_shares.release_slot("ex-1")
+        self.assertEqual(1, fixed_shares.count_free("ex-1"))
 
     def test_no_slot_before_predecessors_requests_have_ended(self) -> None:
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a")), self.clock, MAX_REQUEST_MS
         )
-        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
+        self.assertFalse(fixed_shares.try_acquire_slot("ex-1", 1_000))
         self.clock.now_ms += MAX_REQUEST_MS
-        self.assertTrue(fixed_shares.try_take("ex-1", 1_000))
+        self.assertTrue(fixed_shares.try_acquire_slot("ex-1", 1_000))
 
     def test_decrease_takes_effect_at_once(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
         fixed_shares = make_shares(source, self.clock)
         for _ in range(5):
-            fixed_shares.try_take("ex-1", 1_000)
+            fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(with_seats("a", "b", offset=2))
-        fixed_shares.give_back("ex-1")
-        self.assertFalse(fixed_shares.try_take("ex-1", 1_000))
+        fixed_shares.release_slot("ex-1")
+        self.assertFalse(fixed_shares.try_acquire_slot("ex-1", 1_000))
 
     def test_increase_waits_for_longest_request(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b"))
         fixed_shares = make_shares(source, self.clock)
         source.replace(with_seats("a", offset=2))
-        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.assertEqual(4, fixed_shares.count_free("ex-1"))
         self.clock.now_ms += MAX_REQUEST_MS - 1
-        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.assertEqual(4, fixed_shares.count_free("ex-1"))
         self.clock.now_ms += 1 + shares.INCREASE_CHECK_INTERVAL_MS
-        self.assertEqual(8, fixed_shares.free("ex-1"))
+        self.assertEqual(8, fixed_shares.count_free("ex-1"))
 
     def test_increase_waits_until_other_seats_have_applied_it(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c"))
         peers = fakes.FakePeers()
         fixed_shares = make_shares(source, self.clock, peers=peers)
-        peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=1),)
+        peers.peer_views = (
+            peers_port.PeerView("b", fakes.ZONE, config_offset=1),
+        )
         source.replace(with_seats("a", "b", offset=2))
         self.clock.now_ms += MAX_REQUEST_MS * 10
-        self.assertLess(fixed_shares.free("ex-1"), 4)
-        peers.shown = (peers_port.PeerView("b", fakes.ZONE, config_offset=2),)
+        self.assertLess(fixed_shares.count_free("ex-1"), 4)
+        peers.peer_views = (
+            peers_port.PeerView("b", fakes.ZONE, config_offset=2),
+        )
         self.clock.now_ms += shares.INCREASE_CHECK_INTERVAL_MS
-        fixed_shares.free("ex-1")
+        fixed_shares.count_free("ex-1")
         self.clock.now_ms += MAX_REQUEST_MS + shares.INCREASE_CHECK_INTERVAL_MS
-        self.assertEqual(4, fixed_shares.free("ex-1"))
+        self.assertEqual(4, fixed_shares.count_free("ex-1"))
 
     def test_changed_increase_restarts_its_wait(self) -> None:
         source = fakes.FakeSource(with_seats("a", "b", "c", "d"))
@@ -126,15 +130,15 @@
         self.clock.now_ms += MAX_REQUEST_MS - 1
         source.replace(with_seats("a", offset=3))
         self.clock.now_ms += MAX_REQUEST_MS - 1
-        self.assertEqual(2, fixed_shares.free("ex-1"))
+        self.assertEqual(2, fixed_shares.count_free("ex-1"))
 
     def test_slot_is_given_back_after_endpoint_is_removed(self) -> None:
         source = fakes.FakeSource(with_seats("a"))
         fixed_shares = make_shares(source, self.clock)
-        fixed_shares.try_take("ex-1", 1_000)
+        fixed_shares.try_acquire_slot("ex-1", 1_000)
         source.replace(fakes.make_configuration({}, offset=2))
-        fixed_shares.give_back("ex-1")
-        self.assertEqual(0, fixed_shares.free("ex-1"))
+        fixed_shares.release_slot("ex-1")
+        self.assertEqual(0, fixed_shares.count_free("ex-1"))
 
     def test_freed_slot_notifies_listeners(self) -> None:
         fixed_shares = make_shares(
@@ -142,6 +146,6 @@
         )
         notified: list[str] = []
         fixed_shares.on_free(notified.append)
-        fixed_shares.try_take("ex-1", 1_000)
-        fixed_shares.give_back("ex-1")
+        fixed_shares.try_acquire_slot("ex-1", 1_000)
+        fixed_shares.release_slot("ex-1")
         self.assertEqual(["ex-1"], notified)
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -192,16 +192,16 @@
     def test_request_without_slot_registers_demand(self) -> None:
         fixture = self.make_fixture(echo, slots=0)
         fixture.send_request("r1")
-        self.assertEqual({"ex-0"}, fixture.slots.wanted)
+        self.assertEqual({"ex-0"}, fixture.slots.reported_demand)
 
     def test_slot_stays_taken_while_lost_request_may_run(self) -> None:
         fixture = self.make_fixture(slow(0.5), slots=1)
         self.assert_outcome(
             fixture.send_request("r1", timeout_ms=100), 504, "unknown"
         )
-        self.assertEqual(0, fixture.slots.free("ex-0"))
+        self.assertEqual(0, fixture.slots.count_free("ex-0"))
         time.sleep(0.6)
-        self.assertEqual(1, fixture.slots.free("ex-0"))
+        self.assertEqual(1, fixture.slots.count_free("ex-0"))
 
     def test_late_idempotent_request_is_hedged(self) -> None:
         fixture = self.make_fixture(
--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -1,4 +1,7 @@
-"""Evicted work resumes once, at its checkpoint, whatever its owner does."""
+"""Tests that an evicted job resumes once, at its checkpoint.
+
+This holds also when the zone's owner dies or the log loses answers.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,13 @@
 from testing import fleet as fleet_module
 from testing.standins import worker_records
 
-RESIDENTS = 8
-URGENT = 3
-EVICTION_S = 15.0
+RUNNING_JOBS = 8
+URGENT_JOBS = 3
+EVICTION_TIMEOUT_S = 15.0
 
 
 def job(name: str, urgent: bool) -> dict[str, Any]:
-    """A quarter of a worker for seconds, or half of one for a moment."""
+    """A long job for a quarter of a worker, or a short urgent one for half."""
     return {
         "id": name,
         "team": "faculty",
@@ -35,30 +38,30 @@
 def events(
     running: fleet_module.Fleet, kind: str
 ) -> list[worker_records.WorkerEvent]:
-    """What happened on workers, of one kind."""
+    """Events of one kind that the workers recorded."""
     return [event for event in running.worker_events() if event.kind == kind]
 
 
 @pytest.mark.xdist_group("fleet-3")
 class EvictionTest(testtools.TestCase):
-    """Two full workers; urgent jobs make room for themselves."""
+    """Urgent jobs evict others when both workers are full."""
 
     def setUp(self) -> None:
         super().setUp()
         self.fleet = batch_fleet.start(self, workers=2, endpoints=0)
         self.submitted = batch_fleet.submitter(self.fleet)
         owner = batch_fleet.find_owner(self.fleet)
-        self.submit("resident", RESIDENTS, False, owner)
+        self.submit("resident", RUNNING_JOBS, False, owner)
         self.fleet.wait_until(
-            lambda: batch_fleet.count_starts(self.fleet) >= RESIDENTS,
+            lambda: batch_fleet.count_starts(self.fleet) >= RUNNING_JOBS,
             "the workers are full",
-            EVICTION_S,
+            EVICTION_TIMEOUT_S,
         )
-        self.submit("urgent", URGENT, True, owner)
+        self.submit("urgent", URGENT_JOBS, True, owner)
         self.fleet.wait_until(
             lambda: events(self.fleet, "checkpoint") != [],
             "a checkpoint",
-            EVICTION_S,
+            EVICTION_TIMEOUT_S,
         )
         self.owner = owner
 
@@ -69,11 +72,11 @@
             self.assertEqual(200, answer.status)
             self.submitted.accepted[one["id"]] = None
 
-    def check_resumed(self) -> None:
-        """Each attempt with a checkpoint and cut short resumed just there.
+    def assert_resumed(self) -> None:
+        """Checks that each evicted attempt resumed at its checkpoint.
 
-        One that finished before its stop was not evicted; `check` finds it
-        if it was run again.
+        An attempt that finished before it was stopped doesn't count as
+        evicted; `batch_fleet.check` reports it if it ran again.
         """
         batch_fleet.check(self, self.fleet, self.submitted)
         finished = {
@@ -95,15 +98,15 @@
         self.assertGreater(min(kept.values()), 0)
 
     def test_resumed_at_the_checkpoint(self) -> None:
-        self.check_resumed()
+        self.assert_resumed()
 
     def test_resumed_at_the_checkpoint_by_a_successor(self) -> None:
         self.fleet.kill_host(self.owner)
         batch_fleet.wait_owner(self.fleet, self.owner)
         self.fleet.start_host(self.owner)
         self.fleet.wait_ready(self.owner)
-        self.check_resumed()
+        self.assert_resumed()
 
     def test_resumed_at_the_checkpoint_when_answers_are_lost(self) -> None:
         self.fleet.log.control(lose_after=5)
-        self.check_resumed()
+        self.assert_resumed()
--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -1,4 +1,4 @@
-"""Promises about batch work while the log fails and hosts are replaced."""
+"""Tests of batch guarantees under log faults and host replacements."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from testing import batch_fleet
 from testing import fleet as fleet_module
 
-SNAPSHOTS = "zone.bole.snapshots"
-SNAPSHOT_S = 30.0
-KEPT_RECORDS = 40
+SNAPSHOT_STREAM = "zone.bole.snapshots"
+SNAPSHOT_TIMEOUT_S = 30.0
+RETAINED_RECORDS = 40
 
 
-class LosingLog:
-    """Keeps the log losing answers, about every second one, while entered."""
+class AnswerLoss:
+    """Makes the log lose about every second answer while entered."""
 
     def __init__(self, running: fleet_module.Fleet) -> None:
         self._fleet = running
@@ -45,7 +45,7 @@
 
     def test_answers_lost_after_taking_effect(self) -> None:
         running = batch_fleet.start(self)
-        with batch_fleet.submitter(running) as submitted, LosingLog(running):
+        with batch_fleet.submitter(running) as submitted, AnswerLoss(running):
             batch_fleet.wait_started(running, 40, 20.0)
         lost = [one for one in running.log_events() if one.kind == "lost-after"]
         self.assertGreater(len(lost), 10)
@@ -75,32 +75,34 @@
 
     def test_owner_replaced_after_records_have_expired(self) -> None:
         running = batch_fleet.start(self)
-        running.log.control(keep_records=KEPT_RECORDS)
+        running.log.control(keep_records=RETAINED_RECORDS)
         with batch_fleet.submitter(running) as submitted:
-            batch_fleet.wait_started(running, KEPT_RECORDS)
+            batch_fleet.wait_started(running, RETAINED_RECORDS)
             running.replace_host(batch_fleet.find_owner(running))
             batch_fleet.wait_started(running, 15, 20.0)
         batch_fleet.check(self, running, submitted)
 
     def test_all_hosts_replaced_after_records_have_expired(self) -> None:
         running = batch_fleet.start(self)
-        running.log.control(keep_records=KEPT_RECORDS)
+        running.log.control(keep_records=RETAINED_RECORDS)
         with batch_fleet.submitter(running) as submitted:
-            batch_fleet.wait_started(running, KEPT_RECORDS)
+            batch_fleet.wait_started(running, RETAINED_RECORDS)
         batch_fleet.check(self, running, submitted)
-        before = snapshots(running)
+        before = count_snapshots(running)
         running.wait_until(
-            lambda: snapshots(running) > before, "a snapshot", SNAPSHOT_S
+            lambda: count_snapshots(running) > before,
+            "a snapshot",
+            SNAPSHOT_TIMEOUT_S,
         )
         starts = batch_fleet.count_starts(running)
-        replace_all(running)
+        replace_all_hosts(running)
         batch_fleet.wait_owner(running)
         batch_fleet.check(self, running, submitted)
         self.assertEqual(starts, batch_fleet.count_starts(running))
 
 
-def replace_all(running: fleet_module.Fleet) -> None:
-    """Kills every host, then starts another in every seat."""
+def replace_all_hosts(running: fleet_module.Fleet) -> None:
+    """Kills every host, then starts a new one in every seat."""
     for seat in running.hosts:
         running.kill_host(seat)
     for seat in running.hosts:
@@ -108,10 +110,10 @@
     running.wait_ready()
 
 
-def snapshots(running: fleet_module.Fleet) -> int:
-    """Appends of snapshots of the zone that stand on the log."""
+def count_snapshots(running: fleet_module.Fleet) -> int:
+    """Number of appends of zone snapshots that the log has stored."""
     return sum(
-        event.stream == SNAPSHOTS and event.offset >= 0
+        event.stream == SNAPSHOT_STREAM and event.offset >= 0
         for event in running.log_events()
     )
 
@@ -133,6 +135,6 @@
         running = batch_fleet.start(self)
         with batch_fleet.submitter(running) as submitted:
             batch_fleet.wait_started(running, 20)
-            replace_all(running)
+            replace_all_hosts(running)
             batch_fleet.wait_started(running, 20, 20.0)
         batch_fleet.check(self, running, submitted)
--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -1,4 +1,4 @@
-"""Promises about batch work while workers die, pause and are cut off."""
+"""Tests of batch guarantees while workers die, pause or are cut off."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from testing import fleet as fleet_module
 from testing.standins import worker_records
 
-SPAN_S = 20.0
-HOLD_S = 0.6
-# An exchange under way and the longest pause after it.
-LONGEST_RETRY_S = 3.3
-HOLD_TRIES = 6
+WAIT_TIMEOUT_S = 20.0
+START_WAIT_S = 0.6
+# Duration of one exchange in progress plus the maximum backoff after it.
+MAX_RETRY_DELAY_S = 3.3
+MAX_DELAY_ATTEMPTS = 6
 
 
 @pytest.mark.xdist_group("fleet-4")
@@ -92,7 +92,7 @@
 
 
 def job(name: str, run_time_ms: int, **changes: Any) -> dict[str, Any]:
-    """A job that leaves no room for a second one on its worker."""
+    """A job so large that no second one fits on its worker."""
     return {
         "id": name,
         "team": "faculty",
@@ -107,10 +107,10 @@
     }
 
 
-def started(
+def find_start(
     running: fleet_module.Fleet, name: str, attempt: int
 ) -> worker_records.WorkerEvent | None:
-    """The start of an attempt, if workers have started it."""
+    """The start event of an attempt; None if no worker has started it."""
     for event in running.worker_events():
         key = (event.kind, event.job, event.attempt)
         if key == ("start", name, attempt):
@@ -123,17 +123,17 @@
 ) -> worker_records.WorkerEvent:
     """Waits for the start of an attempt."""
     running.wait_until(
-        lambda: started(running, name, attempt) is not None,
+        lambda: find_start(running, name, attempt) is not None,
         f"attempt {attempt} of {name} has started",
-        SPAN_S,
+        WAIT_TIMEOUT_S,
     )
-    found = started(running, name, attempt)
+    found = find_start(running, name, attempt)
     assert found is not None
     return found
 
 
-def finishes(running: fleet_module.Fleet, name: str) -> list[int]:
-    """Attempts of a job that ran to their ends."""
+def finished_attempts(running: fleet_module.Fleet, name: str) -> list[int]:
+    """Numbers of a job's attempts that finished."""
     return [
         event.attempt
         for event in running.worker_events()
@@ -142,11 +142,12 @@
 
 
 @pytest.mark.xdist_group("fleet-4")
-class LateAndStaleTest(testtools.TestCase):
-    """What comes late from an old attempt or an old owner does nothing."""
+class StaleMessageTest(testtools.TestCase):
+    """Late messages of an old attempt or an old owner have no effect."""
 
     def test_late_completion_changes_nothing(self) -> None:
-        # Long enough for an attempt to end unheard within its lease.
+        # The lease is long enough for an attempt to end within it while its
+        # worker is cut off.
         limits = attrs.evolve(batch_fleet.LIMITS, lease_ms=5_000)
         running = batch_fleet.start(self, workers=2, endpoints=0, limits=limits)
         seat = batch_fleet.find_owner(running)
@@ -154,26 +155,26 @@
         first = wait_started(running, "late", 1)
         running.network.set(f"worker/*/{first.worker}", cut=True)
         second = wait_started(running, "late", 2)
-        self.assertEqual([1], finishes(running, "late"))
+        self.assertEqual([1], finished_attempts(running, "late"))
         running.network.set(f"worker/*/{first.worker}", cut=False)
         self.assertNotEqual(first.worker, second.worker)
-        time.sleep(LONGEST_RETRY_S)
+        time.sleep(MAX_RETRY_DELAY_S)
         page = running.job("late", seat).json()
         self.assertEqual(("assigned", 2), (page["phase"], page["attempt"]))
         running.wait_until(
             lambda: running.job("late", seat).json()["phase"] == "finished",
             "the job has finished",
-            SPAN_S,
+            WAIT_TIMEOUT_S,
         )
         page = running.job("late", seat).json()
         self.assertEqual((2, 1), (page["attempt"], page["losses"]))
-        self.assertEqual([1, 2], finishes(running, "late"))
+        self.assertEqual([1, 2], finished_attempts(running, "late"))
 
-    def test_start_in_a_buffer_is_refused_by_the_worker(self) -> None:
+    def test_start_delayed_in_transit_is_refused_by_the_worker(self) -> None:
         running = batch_fleet.start(self, workers=2)
         owner = batch_fleet.find_owner(running)
         host_id = running.status(owner)["host"]["host_id"]
-        name, worker = self.hold_start(running, owner)
+        name, worker = self.delay_start(running, owner)
         running.signal_host(owner, signal.SIGSTOP)
         other = "wk-2" if worker == "wk-1" else "wk-1"
         running.network.set(f"worker/*/{other}", block_to_target=False)
@@ -183,38 +184,40 @@
         running.wait_until(
             lambda: self.refusals(running, worker, host_id) != [],
             "the old owner's start has been refused",
-            SPAN_S,
+            WAIT_TIMEOUT_S,
         )
         running.signal_host(owner, signal.SIGCONT)
-        self.assertIsNone(started(running, name, 1))
+        self.assertIsNone(find_start(running, name, 1))
         running.wait_until(
-            lambda: finishes(running, name) == [2],
+            lambda: finished_attempts(running, name) == [2],
             "the second attempt has finished",
-            SPAN_S,
+            WAIT_TIMEOUT_S,
         )
         self.assertEqual(
             [], checker.never_in_two_places(running.worker_events())
         )
 
-    def hold_start(
+    def delay_start(
         self, running: fleet_module.Fleet, owner: str
     ) -> tuple[str, str]:
-        """Gets a start stuck on its way; returns its job and its worker."""
-        for turn in range(HOLD_TRIES):
+        """Holds a start command in the relay; returns its job and worker."""
+        for turn in range(MAX_DELAY_ATTEMPTS):
             name = f"held-{turn}"
             running.network.set("worker/*", block_to_target=True)
             running.submit_job(job(name, 3_000), owner)
-            until = time.monotonic() + HOLD_S
+            until = time.monotonic() + START_WAIT_S
             while time.monotonic() < until:
                 for chunk in running.network.held():
                     if "start" in chunk.text and name in chunk.text:
                         return name, chunk.relay.rpartition("/")[2]
                 time.sleep(0.02)
-            # A renewal was under way, so that the start had to wait.
+            # A renewal was in progress, so the start hasn't been sent yet.
             running.network.set("worker/*", block_to_target=False)
             running.cancel_job(name, owner)
             time.sleep(1.0)
-        raise AssertionError("no start could be held")
+        raise AssertionError(
+            "no start command reached a blocked relay in any attempt"
+        )
 
     def refusals(
         self, running: fleet_module.Fleet, worker: str, host_id: str
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -1,4 +1,4 @@
-"""Promises about requests, under faults, from the endpoints' own records."""
+"""Tests of request guarantees under faults, by the endpoints' records."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from testing import fleet as fleet_module
 from testing import fleet_plan
 
-ANSWERED_SHARE = 0.95
+MIN_ANSWERED_FRACTION = 0.95
 
 
 def start(
@@ -23,7 +23,7 @@
     links: frozenset[fleet_plan.Link] = frozenset(),
     **changes: object,
 ) -> fleet_module.Fleet:
-    """A fleet with its first configuration in force."""
+    """Starts a fleet and applies its first configuration."""
     deployment = deployments.small(zones, **changes)
     options = fleet_plan.FleetOptions(links=links)
     running = test.enterContext(fleet_module.Fleet(deployment, options))
@@ -31,27 +31,30 @@
     return running
 
 
-def assert_nothing_cut_off(
+def assert_no_answer_lost(
     test: testtools.TestCase,
     running: fleet_module.Fleet,
     sending: callers.Callers,
 ) -> None:
-    """Every caller has its own whole answer or a plain refusal."""
-    cut_off = [
+    """Checks that every request was answered completely or refused."""
+    lost = [
         one.answer
         for one in sending.sent
         if one.answer.outcome in ("lost", "unknown")
     ]
-    test.assertEqual([], cut_off)
+    test.assertEqual([], lost)
     test.assertEqual([], callers.find_violations(running, sending.sent))
 
 
 def assert_mostly_answered(
     test: testtools.TestCase, sending: callers.Callers
 ) -> None:
-    """A busy machine may make a few answers too late to be worth starting."""
-    least = ANSWERED_SHARE * len(sending.sent)
-    test.assertGreater(sending.count("answered"), least)
+    """Checks that most requests were answered.
+
+    On a busy machine a few have too little time left to be started.
+    """
+    minimum = MIN_ANSWERED_FRACTION * len(sending.sent)
+    test.assertGreater(sending.count("answered"), minimum)
 
 
 @pytest.mark.xdist_group("fleet-1")
@@ -104,7 +107,7 @@
 
 @pytest.mark.xdist_group("fleet-2")
 class AnswersTest(testtools.TestCase):
-    """Each caller gets the whole answer to its own request."""
+    """Each caller gets the complete answer to its own request."""
 
     def test_ten_thousand_requests_with_faulty_answers(self) -> None:
         running = start(self, zones=2)
@@ -112,16 +115,16 @@
             running.deployment.all_seats(), callers=32, work_ms=3.0
         )
         with callers.Callers(running, load) as sending:
-            for hundreds in range(5, 101, 5):
+            for answered_hundreds in range(5, 101, 5):
                 running.endpoints.control(endpoint="*", truncate=1, reset=1)
-                sending.wait_answered(hundreds * 100, 30.0)
+                sending.wait_answered(answered_hundreds * 100, 30.0)
         self.assertGreaterEqual(sending.count("answered"), 10_000)
         self.assertEqual([], callers.find_violations(running, sending.sent))
 
 
 @pytest.mark.xdist_group("fleet-2")
 class AtMostOnceTest(testtools.TestCase):
-    """A non-idempotent request runs at most once, however it is repeated."""
+    """A non-idempotent request runs at most once, even if callers retry it."""
 
     def test_repeats_through_other_hosts_while_hosts_die(self) -> None:
         running = start(self, zones=3)
@@ -146,7 +149,7 @@
 
 
 @pytest.mark.xdist_group("fleet-1")
-class LeavingTest(testtools.TestCase):
+class LeavingEndpointTest(testtools.TestCase):
     """A leaving endpoint gets no new request after 3 s."""
 
     def test_endpoint_listed_as_leaving(self) -> None:
@@ -169,10 +172,10 @@
             if event.endpoint == "ex-1" and event.received_ms > left_ms + 3_000
         ]
         self.assertEqual([], late)
-        assert_nothing_cut_off(self, running, sending)
+        assert_no_answer_lost(self, running, sending)
         assert_mostly_answered(self, sending)
 
-    def test_endpoint_that_closes_before_the_list_tells(self) -> None:
+    def test_endpoint_that_closes_before_it_is_listed_as_leaving(self) -> None:
         running = start(self)
         load = callers.Load(
             running.deployment.all_seats(), callers=8, work_ms=20.0
@@ -181,13 +184,13 @@
             time.sleep(1.0)
             running.endpoints.control(endpoint="ex-1", leave_ms=1_000)
             time.sleep(3.0)
-        assert_nothing_cut_off(self, running, sending)
+        assert_no_answer_lost(self, running, sending)
         assert_mostly_answered(self, sending)
 
 
 @pytest.mark.xdist_group("fleet-1")
-class StopTest(testtools.TestCase):
-    """A planned stop of any host cuts no request off."""
+class GracefulStopTest(testtools.TestCase):
+    """A graceful stop of a host interrupts no request."""
 
     def test_every_host_is_stopped_and_replaced_under_load(self) -> None:
         running = start(self, zones=2)
@@ -199,12 +202,12 @@
                 self.assertEqual(0, running.wait_host(seat))
                 running.start_host(seat)
                 running.wait_ready(seat)
-        assert_nothing_cut_off(self, running, sending)
+        assert_no_answer_lost(self, running, sending)
 
 
 @pytest.mark.xdist_group("fleet-2")
-class CutTest(testtools.TestCase):
-    """A zone cut off from all others and the platform goes on serving."""
+class ZoneIsolationTest(testtools.TestCase):
+    """A zone cut off from the other zones and the platform keeps serving."""
 
     def test_zone_isolated_beyond_all_leases(self) -> None:
         links = frozenset({fleet_plan.Link.PEERS, fleet_plan.Link.PLATFORM})
@@ -219,5 +222,5 @@
         with callers.Callers(running, load, "bole:healed") as healed:
             time.sleep(2.0)
         for sending in (cut, healed):
-            assert_nothing_cut_off(self, running, sending)
+            assert_no_answer_lost(self, running, sending)
             assert_mostly_answered(self, sending)
