--- a/tests/process/cell/test_reasons_documented.py
+++ b/tests/process/cell/test_reasons_documented.py
@@ -31,4 +31,4 @@
         self.assert_rows("Refused maintenance", machines.Refusal)
         self.assert_rows("Losses", reasons.LossReason)
         self.assert_rows("Claims", reasons.ClaimReason)
-        self.assert_rows("Ends of a tenure", reasons.OwnershipEnd)
+        self.assert_rows("Ends of an ownership", reasons.OwnershipEnd)
