--- a/src/comfreylatch/_version/schema.py
+++ b/src/comfreylatch/_version/schema.py
@@ -106,7 +106,7 @@
     {
         int: "a whole number",
         float: "a number",
-        str: "a string",
+        str: "a text",
         bool: "true or false",
     }
 )
--- a/src/comfreylatch/_version/tickets.py
+++ b/src/comfreylatch/_version/tickets.py
@@ -152,7 +152,7 @@
     state = value["state"]
     if state is None:
         if value.get("replaces") == 0:
-            expected = "an object, because a new one can't be removed"
+            expected = "an object, as a new one can't be removed"
             return [schema.Problem(field_path, expected, "null")]
         return []
     if not isinstance(state, Mapping):
@@ -200,7 +200,7 @@
     usable = isinstance(text, str) and text.strip() and text.isprintable()
     if usable and len(text) <= max_length:
         return []
-    expected = f"a string of 1 to {max_length} printable characters"
+    expected = f"a text of 1 to {max_length} printable characters"
     field_path = schema.join_path(path, key)
     return [schema.Problem(field_path, expected, schema.describe_value(text))]
 
--- a/src/comfreylatch/_version/verdicts.py
+++ b/src/comfreylatch/_version/verdicts.py
@@ -43,13 +43,13 @@
         if self.current == 0:
             return (
                 f"{label} does not exist, but the ticket replaces version"
-                f" {self.replaces}: use 0 to create it"
+                f" {self.replaces}: name 0 to make it"
             )
         action = "removed it as" if self.removed else "set"
         return (
             f"ticket {self.winner} {action} version {self.current} of {label},"
-            f" but the ticket replaces version {self.replaces}: read the"
-            f" object and submit a new ticket that replaces {self.current}"
+            f" but the ticket replaces version {self.replaces}: look at the"
+            f" object and submit a new number that replaces {self.current}"
         )
 
 
@@ -64,7 +64,9 @@
         reason: Author's reason for the change.
         offset: Offset of its first record.
         verdict: Whether it was accepted.
-        detail: Explanation for operators; empty if accepted.
+        detail: Explanation for operators; empty if accepted. It is hashed into
+            the fold's digest, so a reworded text makes hosts of two versions
+            take each other for diverged.
         conflicts: The conflicting changes, for `CONFLICT`.
         objects: Objects it changes, as `kind/name`.
     """
