--- a/tests/connection/test_http_server.py
+++ b/tests/connection/test_http_server.py
@@ -8,6 +8,7 @@
 import time
 import unittest.mock
 
+from cheroot import connections
 import logbook
 import testtools
 
@@ -238,6 +239,38 @@
         ]
         self.assertEqual([], errors)
 
+    def test_request_sent_while_its_connection_expires_is_answered(
+        self,
+    ) -> None:
+        # The server's loop polls its idle connections and then closes them.
+        # A request that arrives in between is closed without a reply.
+        idle = self.connect()
+        get = b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+        idle.sendall(get)
+        self.assertIn(b" 200 ", idle.recv(65_536))
+        expire = connections.ConnectionManager._expire
+        sent = threading.Event()
+
+        def send_and_expire(
+            manager: connections.ConnectionManager, threshold: float
+        ) -> None:
+            is_immediate = time.time() - threshold < 0.5
+            if is_immediate and not sent.is_set():
+                sent.set()
+                idle.sendall(get)
+            expire(manager, threshold)
+
+        late_request = unittest.mock.patch.object(
+            connections.ConnectionManager, "_expire", send_and_expire
+        )
+        drain_to_expiry = unittest.mock.patch.object(
+            http_server.HttpServer, "_wait_until_no_arrivals"
+        )
+        with drain_to_expiry, late_request:
+            self.server.drain(1_000)
+        self.assertTrue(sent.is_set())
+        self.assertIn(b" 503 ", self.read_all(idle))
+
     def test_taken_port_is_a_clear_error(self) -> None:
         second = http_server.HttpServer(
             self.server.address, self.handle, 1, MAX_BODY_BYTES
