--- a/src/comfreylatch/platform/host.py
+++ b/src/comfreylatch/platform/host.py
@@ -68,7 +68,7 @@
 # query them, because their end is seen with a delay and clocks differ.
 RETENTION_FACTOR = 1.5
 THREAD_STACK_BYTES = 256 * 1024
-FAULTY_SETTINGS_EXIT_CODE = 2
+INVALID_SETTINGS_EXIT_CODE = 2
 
 _logger = logbook.Logger(__name__)
 
@@ -85,7 +85,7 @@
             f"{SETTINGS_VARIABLE}: {error}",
             file=sys.stderr,
         )
-        return FAULTY_SETTINGS_EXIT_CODE
+        return INVALID_SETTINGS_EXIT_CODE
     threading.stack_size(THREAD_STACK_BYTES)
     with json_logs.JsonLogOutput("info"):
         _serve(settings)
--- a/tests/platform/test_host.py
+++ b/tests/platform/test_host.py
@@ -194,5 +194,5 @@
             check=False,
             timeout=WAIT_S,
         )
-        self.assertEqual(host.FAULTY_SETTINGS_EXIT_CODE, completed.returncode)
+        self.assertEqual(host.INVALID_SETTINGS_EXIT_CODE, completed.returncode)
         self.assertIn(b"no-such-file", completed.stderr)
