--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -31,7 +31,7 @@
 UNKNOWN_AGE_MS = 2**53
 DIGEST_MODULUS = 2**64
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 Key = tuple[objects.ObjectKind, str]
 Listener = Callable[[configuration.Configuration], None]
@@ -148,7 +148,7 @@
         del offset
         decoded = msgspec.json.decode(snapshot, type=_Snapshot)
         self._objects = {
-            (entry.kind, entry.name): _versioned(entry)
+            (entry.kind, entry.name): _to_versioned(entry)
             for entry in decoded.objects
         }
         self._tickets = {entry.number: entry for entry in decoded.tickets}
@@ -158,7 +158,10 @@
         )
         self._hash_sum += sum(map(_ticket_hash, self._tickets.values()))
         self._current = configuration.Configuration(
-            **{field: self._states_by_name(kind) for kind, field in _FIELDS},
+            **{
+                field: self._states_by_name(kind)
+                for kind, field in _KINDS_AND_FIELDS
+            },
             limits=self._limits(),
         )
         self._publish(decoded.offset)
@@ -195,13 +198,15 @@
     ) -> verdicts.TicketEntry:
         """Returns the decision on a ticket if it were folded at `offset`."""
         conflicts = self._conflicts(ticket)
-        broken: list[str] = []
+        reference_errors: list[str] = []
         verdict = verdicts.Verdict.ACCEPTED
         if conflicts:
             verdict = verdicts.Verdict.CONFLICT
         else:
-            broken = reference_rules.broken_references(ticket, self._current)
-            if broken:
+            reference_errors = reference_rules.broken_references(
+                ticket, self._current
+            )
+            if reference_errors:
                 verdict = verdicts.Verdict.BROKEN_REFERENCE
         return verdicts.TicketEntry(
             number=ticket.number,
@@ -210,7 +215,7 @@
             reason=ticket.reason,
             offset=offset,
             verdict=verdict,
-            detail="; ".join([*map(str, conflicts), *broken]),
+            detail="; ".join([*map(str, conflicts), *reference_errors]),
             conflicts=conflicts,
             objects=tuple(
                 f"{change.kind}/{change.name}" for change in ticket.changes
@@ -294,14 +299,14 @@
 
     def _rebuild(self, kinds: set[objects.ObjectKind]) -> None:
         """Rebuilds the parts of the configuration that hold these kinds."""
-        members: dict[str, Any] = {
+        updated_fields: dict[str, Any] = {
             field: self._states_by_name(kind)
-            for kind, field in _FIELDS
+            for kind, field in _KINDS_AND_FIELDS
             if kind in kinds
         }
         if objects.ObjectKind.LIMITS in kinds:
-            members["limits"] = self._limits()
-        self._current = attrs.evolve(self._current, **members)
+            updated_fields["limits"] = self._limits()
+        self._current = attrs.evolve(self._current, **updated_fields)
 
     def _states_by_name(self, kind: objects.ObjectKind) -> Mapping[str, Any]:
         return types.MappingProxyType(
@@ -344,13 +349,13 @@
         except Exception:
             # The state is already updated; a failing listener must not
             # prevent the others from being called.
-            logs.exception(_events, "listener-failed")
+            logs.exception(_logger, "listener-failed")
 
 
-_FIELDS = tuple(_FIELD_BY_KIND.items())
+_KINDS_AND_FIELDS = tuple(_FIELD_BY_KIND.items())
 
 
-def _versioned(entry: _ObjectEntry) -> configuration.Versioned:
+def _to_versioned(entry: _ObjectEntry) -> configuration.Versioned:
     state = entry.state
     if state is not None:
         state = msgspec.convert(state, type=objects.CLASS_BY_KIND[entry.kind])
--- a/src/comfreylatch/_version/job_records.py
+++ b/src/comfreylatch/_version/job_records.py
@@ -66,8 +66,8 @@
         claim_ms: Time after its last renewal at which the claim expires.
         lease_ms: Maximum lease it grants to a worker.
         autonomy_ms: How long it renews leases while the log is unreachable.
-        command_ttl_ms: Age of the quoted report at which workers refuse
-            commands.
+        command_ttl_ms: Maximum age of the worker's report that a command is
+            based on; a worker refuses commands based on an older one.
         drift_margin_ms: Added to each wait to cover clock drift.
     """
 
--- a/src/comfreylatch/_version/objects.py
+++ b/src/comfreylatch/_version/objects.py
@@ -101,8 +101,9 @@
     """An availability zone.
 
     Attributes:
-        seats: Names of the entry host positions; an endpoint's slots and
-            connections are divided among the seats of its zone.
+        seats: Names of the seats, each the place of one entry host; an
+            endpoint's slots and connections are divided among the seats of
+            its zone.
         autonomy_ms: How long the owner of the zone's workers continues to
             renew leases while the log is unreachable.
     """
@@ -117,12 +118,12 @@
 
     Attributes:
         lease_ms: Lease of a worker, renewed after a third of it. If it is
-            more than twice the claim, running work survives the death of the
+            more than twice `claim_ms`, running work survives the death of the
             owner.
         claim_ms: Time after its last renewal at which a claim on a zone's
             workers expires.
-        command_ttl_ms: Age of a quoted report above which a worker refuses
-            it as stale.
+        command_ttl_ms: Maximum age of the worker's report that a command is
+            based on; a worker refuses commands based on an older one.
         drift_margin_ms: Added to every wait that relies on clocks, to cover
             their drift.
         evictions_per_hour: Evictions allowed per zone, not counting those
--- a/src/comfreylatch/_version/zone_fold.py
+++ b/src/comfreylatch/_version/zone_fold.py
@@ -1,8 +1,9 @@
 """Folds a zone's stream, in order of offset, into the state of the zone.
 
-Conflicts are resolved by position alone: the first claim that replaces the
-current term wins, records of an owner are ignored unless they carry the
-current term, and a cancellation invalidates a later assignment.
+Conflicts are resolved only by the order of the records in the stream: the
+first claim that replaces the current term wins, records of an owner are ignored
+unless they carry the current term, and a cancellation invalidates a later
+assignment.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
     def _clear(self) -> None:
         self._offset = -1
         self._jobs: dict[str, job_state.JobState] = {}
-        self._by_worker: dict[str, dict[str, None]] = {}
+        self._job_ids_by_worker: dict[str, dict[str, None]] = {}
         self._phase_counts: collections.Counter[job_state.JobPhase] = (
             collections.Counter()
         )
@@ -164,13 +165,13 @@
     def jobs_on_worker(self, worker: str) -> tuple[job_state.JobState, ...]:
         """Returns the jobs whose current attempt is assigned to a worker."""
         with self._lock:
-            names = self._by_worker.get(worker, {})
-            return tuple(self._jobs[name] for name in names)
+            job_ids = self._job_ids_by_worker.get(worker, {})
+            return tuple(self._jobs[job_id] for job_id in job_ids)
 
     def assigned_workers(self) -> tuple[str, ...]:
         """Returns the workers that have an assigned attempt."""
         with self._lock:
-            return tuple(self._by_worker)
+            return tuple(self._job_ids_by_worker)
 
     def count_in_phase(self, phase: job_state.JobPhase) -> int:
         """Returns the number of jobs in a phase."""
@@ -183,7 +184,7 @@
             return dict(self._ignored_counts)
 
     def drain_changes(self) -> tuple[str, ...] | None:
-        """Returns the job ids changed since the last call.
+        """Returns the ids of the jobs that changed since the last call.
 
         None after a restore: every job may have changed.
         """
@@ -296,8 +297,8 @@
         self._phase_counts[state.phase] += 1
         self._changed[state.spec.id] = None
         if state.phase is job_state.JobPhase.ASSIGNED:
-            names = self._by_worker.setdefault(state.worker, {})
-            names[state.spec.id] = None
+            job_ids = self._job_ids_by_worker.setdefault(state.worker, {})
+            job_ids[state.spec.id] = None
 
     def _unindex_job(self, job: str) -> None:
         old = self._jobs.get(job)
@@ -306,22 +307,22 @@
         self._jobs_hash ^= job_state.state_hash(old)
         self._phase_counts[old.phase] -= 1
         if old.phase is job_state.JobPhase.ASSIGNED:
-            names = self._by_worker[old.worker]
-            del names[job]
-            if not names:
-                del self._by_worker[old.worker]
+            job_ids = self._job_ids_by_worker[old.worker]
+            del job_ids[job]
+            if not job_ids:
+                del self._job_ids_by_worker[old.worker]
 
     def _retire_ended_jobs(self, offset: int) -> None:
         due = offset - self._retire_after_records
         while self._ended and self._ended[0][0] <= due:
-            ended_offset, name = self._ended.popleft()
-            state = self._jobs.get(name)
+            ended_offset, job_id = self._ended.popleft()
+            state = self._jobs.get(job_id)
             if state is None or state.changed_offset != ended_offset:
                 continue
-            self._unindex_job(name)
-            del self._jobs[name]
-            self._changed.pop(name, None)
-            content = job_state.spec_hash(state.spec)
-            self._retired[job_state.id_hash(name)] = content
+            self._unindex_job(job_id)
+            del self._jobs[job_id]
+            self._changed.pop(job_id, None)
+            spec_hash = job_state.spec_hash(state.spec)
+            self._retired[job_state.id_hash(job_id)] = spec_hash
         while len(self._retired) > self._max_retired_ids:
             del self._retired[next(iter(self._retired))]
