--- a/src/comfreylatch/_ports/streams.py
+++ b/src/comfreylatch/_ports/streams.py
@@ -47,7 +47,7 @@
     offset: int
 
 
-AppendRefusal = NotAccepted | AppendUnknown
+AppendError = NotAccepted | AppendUnknown
 
 
 class RecordAppender(Protocol):
@@ -55,7 +55,7 @@
 
     def append(
         self, bodies: Sequence[Any], timeout_ms: int
-    ) -> result.Result[Appended, AppendRefusal]:
+    ) -> result.Result[Appended, AppendError]:
         """Appends bodies of registered classes in order and waits."""
         ...
 
--- a/src/comfreylatch/_process/append_batch.py
+++ b/src/comfreylatch/_process/append_batch.py
@@ -9,7 +9,7 @@
 
 from comfreylatch._ports import streams
 
-AppendOutcome = result.Result[streams.Appended, streams.AppendRefusal]
+AppendOutcome = result.Result[streams.Appended, streams.AppendError]
 
 
 @attrs.define(eq=False)
@@ -64,7 +64,7 @@
             offset += len(pending.payloads)
         self.settled = True
 
-    def settle_refused(self, refusal: streams.AppendRefusal) -> None:
+    def settle_refused(self, refusal: streams.AppendError) -> None:
         """Settles every append with the same refusal."""
         for pending in self.appends:
             pending.settle(result.Err(refusal))
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -87,7 +87,7 @@
         self,
         bodies: Sequence[Any],
         timeout_ms: int,  # noqa: ARG002
-    ) -> result.Result[streams.Appended, streams.AppendRefusal]:
+    ) -> result.Result[streams.Appended, streams.AppendError]:
         """See `RecordAppender.append`."""
         if self._host in self._stream.cut:
             return result.Err(streams.NotAccepted("cut", 100))
