--- a/src/comfreylatch/_ports/advice.py
+++ b/src/comfreylatch/_ports/advice.py
@@ -1,4 +1,4 @@
-"""A service that returns the workers a queue's policy allows for a step."""
+"""Interface to the service that tells which workers may run a step."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class AdviceService(Protocol):
-    """Access to the service, which accepts one call per host at a time."""
+    """Access to the advice service, which applies the policy of the queue.
+
+    It accepts one call per host at a time.
+    """
 
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
--- a/src/comfreylatch/_ports/cell_workers.py
+++ b/src/comfreylatch/_ports/cell_workers.py
@@ -82,7 +82,15 @@
 
 @attrs.frozen
 class EndedRun:
-    """An ended run, reported until its number is acknowledged."""
+    """An ended run, reported until `number` is acknowledged.
+
+    Attributes:
+        number: Number of this end; a worker numbers its ends in order.
+        task: Task id.
+        run: Run number.
+        how: How the run ended.
+        checkpoint: Last checkpoint; empty for none.
+    """
 
     number: int
     task: str
@@ -122,7 +130,17 @@
 
 @attrs.frozen
 class StartOrder:
-    """Starts one run of a task."""
+    """Starts one run of a task.
+
+    Attributes:
+        task: Task id.
+        run: Run number.
+        payload: Text passed to the task.
+        deadline_ms: New end of the lease on the worker's clock.
+        token: Fencing token.
+        checkpoint: Checkpoint to resume from; empty to start anew.
+        ticket: Ticket of the advice service; empty if none is required.
+    """
 
     task: str
     run: int
@@ -144,7 +162,7 @@
 
 @attrs.frozen
 class PaceOrder:
-    """Throttles a task to a percentage of its usage; 100 for no limit."""
+    """Limits a run to a percentage of its normal usage; 100 for no limit."""
 
     task: str
     run: int
--- a/src/comfreylatch/_ports/hosts.py
+++ b/src/comfreylatch/_ports/hosts.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving hosts, which lags behind."""
+"""Interface to the platform's list of hosts, which may be out of date."""
 
 from __future__ import annotations
 
--- a/src/comfreylatch/_ports/machines.py
+++ b/src/comfreylatch/_ports/machines.py
@@ -1,4 +1,4 @@
-"""The machines that run the workers, and their maintenance in waves."""
+"""Interface to the machines that run the workers, and their maintenance."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 @attrs.frozen
 class MachinesUnavailable:
-    """The machines could not be listed, or a report not be written."""
+    """The machines can't be listed, or a report can't be written."""
 
     detail: str
 
@@ -113,7 +113,7 @@
     def maintain(
         self, order: MaintenanceOrder, timeout_ms: int
     ) -> result.Result[None, MaintenanceError]:
-        """Starts a maintenance; Ok as well if the wave had started it."""
+        """Starts the maintenance; also Ok if the wave has started it before."""
         ...
 
     def report(
--- a/src/comfreylatch/_ports/peers.py
+++ b/src/comfreylatch/_ports/peers.py
@@ -82,7 +82,10 @@
     def mark(
         self, seat: str, request: ttypes.MarkRequest, timeout_ms: int
     ) -> result.Result[ttypes.MarkReply, PeerError]:
-        """Marks a request id as dispatched, on a host that holds its marks."""
+        """Marks a request id as dispatched, on a host that holds marks.
+
+        With a `keep_ms` of 0 it removes the mark instead.
+        """
         ...
 
     def borrow(
@@ -144,7 +147,10 @@
         ...
 
     def mark(self, request: ttypes.MarkRequest) -> ttypes.MarkReply:
-        """Marks a request id as dispatched, at most once."""
+        """Marks a request id as dispatched, for at most one claimant.
+
+        With a `keep_ms` of 0 the claimant removes its mark.
+        """
         ...
 
     def explain(self, subject: str, name: str) -> bytes:
--- a/src/comfreylatch/_ports/streams.py
+++ b/src/comfreylatch/_ports/streams.py
@@ -1,4 +1,4 @@
-"""Interfaces for appending to a stream of records and folding it."""
+"""Interfaces for appending to a stream of records and for folding it."""
 
 from __future__ import annotations
 
