--- a/src/comfreylatch/platform/caller_handler.py
+++ b/src/comfreylatch/platform/caller_handler.py
@@ -1,4 +1,4 @@
-"""HTTP handler for callers: maps requests and outcomes of the job API."""
+"""HTTP handler for callers: calls the job API and encodes its outcomes."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
             return self._refuse(
                 404,
                 reasons.Refusal.UNKNOWN_QUEUE,
-                f"no queue at {host}{request.path}; configuration version "
+                f"no queue for {host}{request.path} in configuration version "
                 f"{current.version}",
             )
         job_id = request.path[len(queue.prefix) :]
@@ -160,7 +160,7 @@
         return self._refuse(
             410,
             reasons.Refusal.UNKNOWN_JOB,
-            f"job {job_id} was never accepted",
+            f"job {job_id} is unknown: never accepted, or ended long ago",
         )
 
     def _stale_view_reply(self, age_ms: int) -> http.HttpReply:
--- a/src/comfreylatch/platform/machines.py
+++ b/src/comfreylatch/platform/machines.py
@@ -158,7 +158,7 @@
 
 
 def _decode_machine(entry: wire.MachineEntry) -> machines_port.Machine:
-    # No maintenance can be ordered in an unknown state, as in state DOWN.
+    # An unknown state counts as DOWN, in which no maintenance is ordered.
     state = _STATES.get(entry.state, machines_port.MachineState.DOWN)
     return machines_port.Machine(entry.machine_id, state, entry.worker_id or "")
 
--- a/src/comfreylatch/platform/store.py
+++ b/src/comfreylatch/platform/store.py
@@ -142,8 +142,8 @@
                 )
             if not page.has_more or not page.items:
                 break
-            # This parameter shares its name with a step's dependencies; here
-            # it holds the last key of the previous page.
+            # The store gives this parameter the name of a step's dependencies;
+            # here it is the last key of the previous page.
             query["DependsOn"] = page.items[-1].key
         ordered = sorted(found.values(), key=lambda record: record.offset)
         return result.Ok(
--- a/src/comfreylatch/platform/views.py
+++ b/src/comfreylatch/platform/views.py
@@ -33,7 +33,7 @@
         self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
         """Applies records of the operators' topic."""
-        del is_complete  # An expired version was replaced by a higher one.
+        del is_complete  # A version expires only after a higher one is set.
         for record in batch:
             if record.key != configuration.CONFIGURATION_KEY:
                 continue
@@ -77,7 +77,7 @@
         self, batch: tuple[store_port.StoredRecord, ...], is_complete: bool
     ) -> None:
         """Applies records of the operators' topic."""
-        del is_complete  # Expired waves were deleted after completion.
+        del is_complete  # A wave is deleted only after its completion.
         for record in batch:
             if not record.key.startswith(machines.WAVE_PREFIX):
                 continue
--- a/src/comfreylatch/platform/wire.py
+++ b/src/comfreylatch/platform/wire.py
@@ -27,7 +27,7 @@
         "gpus": "Gpus",
     },
 ):
-    """Capacity of an executor, whose memory is not a request here."""
+    """Capacity of an executor; `RequestedMemoryMb` is all its memory here."""
 
     cpu_millicores: float = 0
     memory_mb: float = 0
@@ -134,7 +134,11 @@
         "advice": "Recommendation",
     },
 ):
-    """A queue; `TargetCompletionMs` is added to the slack and no total."""
+    """A queue.
+
+    A job should complete within `SlackFactor` times its duration plus
+    `TargetCompletionMs`, which is not the total by itself.
+    """
 
     name: str
     host: str
@@ -409,7 +413,7 @@
         "machine_api": "CloudApi",
     },
 ):
-    """The used part of a process's settings file."""
+    """The fields of a process's settings file that this program uses."""
 
     name: str
     address: str
--- a/src/comfreylatch/platform/workers.py
+++ b/src/comfreylatch/platform/workers.py
@@ -50,7 +50,9 @@
         raise wire.BadMessageError(f"unknown service {record.service!r}")
     host, _, port = record.address.rpartition(":")
     if not host or not port.isdigit():
-        raise wire.BadMessageError(f"address {record.address!r} has no port")
+        raise wire.BadMessageError(
+            f"address {record.address!r} is not of the form host:port"
+        )
     return cell_workers.WorkerEntry(
         worker_id=worker_id,
         address=record.address,
@@ -69,7 +71,10 @@
 
 @final
 class WorkerClient:
-    """Implements `WorkerOrders` for an executor's incarnation. Thread-safe."""
+    """Implements `WorkerOrders` for one incarnation of an executor.
+
+    Thread-safe.
+    """
 
     def __init__(self, entry: cell_workers.WorkerEntry) -> None:
         self._entry = entry
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -32,13 +32,13 @@
         value = json.dumps({**ENTRY, **changes}).encode()
         return workers.decode_worker("i-1", value, None)
 
-    def test_entry_of_an_executor(self) -> None:
+    def test_entry_is_decoded(self) -> None:
         entry = self.decode()
         self.assertEqual(32_000, entry.capacity.cpu_millicores)
         self.assertEqual(1_781_570_625_127, entry.born_ms)
         self.assertFalse(entry.is_draining)
 
-    def test_draining_executor(self) -> None:
+    def test_state_draining_is_decoded(self) -> None:
         self.assertTrue(self.decode(State="draining").is_draining)
 
     def test_unusable_entries_are_rejected(self) -> None:
--- a/tests/version/test_configuration_fold.py
+++ b/tests/version/test_configuration_fold.py
@@ -37,7 +37,7 @@
         return entry
 
     def apply_fleet(self) -> None:
-        """Ticket 1: a service, a zone and an endpoint."""
+        """Applies ticket 1, with a service, a zone and an endpoint."""
         self.apply_ticket(
             samples.ticket(
                 1,
--- a/tests/version/test_zone_fold.py
+++ b/tests/version/test_zone_fold.py
@@ -53,7 +53,7 @@
 
 
 def stream_with_running_job() -> ZoneStream:
-    """Host `h` owns the zone, and attempt 1 of `a` is assigned."""
+    """Returns a zone that host `h` owns, with attempt 1 of `a` assigned."""
     stream = ZoneStream()
     stream.add(
         job_records.OwnerClaimed(1, 0, "h", BOUNDS),
@@ -64,7 +64,7 @@
 
 
 class ClaimTest(testtools.TestCase):
-    """Competing claims are resolved by position."""
+    """Competing claims are resolved by their order in the stream."""
 
     def test_first_of_two_claims_wins(self) -> None:
         """Both claim the same term; the second is ignored."""
