--- a/src/comfreylatch/_version/configuration_fold.py
+++ b/src/comfreylatch/_version/configuration_fold.py
@@ -33,7 +33,7 @@
 
 _logger = logbook.Logger(__name__)
 
-Key = tuple[objects.ObjectKind, str]
+ObjectKey = tuple[objects.ObjectKind, str]
 Listener = Callable[[configuration.Configuration], None]
 TicketListener = Callable[[verdicts.TicketEntry], None]
 
@@ -76,7 +76,7 @@
     """
 
     def __init__(self) -> None:
-        self._objects: dict[Key, configuration.Versioned] = {}
+        self._objects: dict[ObjectKey, configuration.Versioned] = {}
         self._tickets: dict[int, verdicts.TicketEntry] = {}
         self._hash_sum = 0
         self._current = configuration.Configuration(digest=_format_digest(0))
@@ -189,7 +189,7 @@
         """Returns the retained tickets in order of their offsets."""
         return tuple(self._tickets.copy().values())
 
-    def objects(self) -> Mapping[Key, configuration.Versioned]:
+    def objects(self) -> Mapping[ObjectKey, configuration.Versioned]:
         """Returns a copy of all objects, including recent tombstones."""
         return self._objects.copy()
 
@@ -261,7 +261,7 @@
         """Stores a malformed ticket under its number, if that is valid."""
         self._ignored_count += 1
         number = value.get("number")
-        if not tickets.is_number(number) or number in self._tickets:
+        if not tickets.is_ticket_number(number) or number in self._tickets:
             return None
         entry = verdicts.TicketEntry(
             number=number,
@@ -364,7 +364,7 @@
     )
 
 
-def _object_hash(key: Key, versioned: configuration.Versioned) -> int:
+def _object_hash(key: ObjectKey, versioned: configuration.Versioned) -> int:
     return xxhash.xxh3_64_intdigest(msgspec.json.encode((key, versioned)))
 
 
--- a/src/comfreylatch/_version/tickets.py
+++ b/src/comfreylatch/_version/tickets.py
@@ -70,7 +70,7 @@
     problems = _ticket_problems(value)
     if problems:
         return result.Err(tuple(problems))
-    changes = tuple(_change(change) for change in value["changes"])
+    changes = tuple(_to_change(change) for change in value["changes"])
     return result.Ok(
         Ticket(value["number"], value["author"], value["reason"], changes)
     )
@@ -81,7 +81,7 @@
     return msgspec.json.decode(msgspec.json.encode(ticket))
 
 
-def is_number(value: Any) -> bool:
+def is_ticket_number(value: Any) -> bool:
     """Whether a JSON value is a valid ticket number."""
     return type(value) is int and 1 <= value <= MAX_INTEGER
 
@@ -92,7 +92,7 @@
     return xxhash.xxh3_128_hexdigest(encoded)
 
 
-def _change(value: Mapping[str, Any]) -> Change:
+def _to_change(value: Mapping[str, Any]) -> Change:
     kind = objects.ObjectKind(value["kind"])
     state = value["state"]
     if state is not None:
@@ -107,7 +107,7 @@
         ]
     known = [field.name for field in attrs.fields(Ticket)]
     problems = schema.unknown_keys(value, known, "")
-    problems += _missing(value, known, "")
+    problems += _missing_keys(value, known, "")
     problems += _number_problems(value, "number", "", minimum=1)
     for key in ("author", "reason"):
         problems += _text_problems(value, key, "", MAX_TEXT_CHARACTERS)
@@ -134,7 +134,7 @@
         return [schema.Problem(path, "an object", schema.describe_value(value))]
     known = [field.name for field in attrs.fields(Change)]
     problems = schema.unknown_keys(value, known, path)
-    problems += _missing(value, known, path)
+    problems += _missing_keys(value, known, path)
     problems += _text_problems(value, "name", path, MAX_NAME_CHARACTERS)
     problems += _number_problems(value, "replaces", path, minimum=0)
     if "kind" not in value:
@@ -169,7 +169,7 @@
     return object_rules.problems(value.get("name"), found, path)
 
 
-def _missing(
+def _missing_keys(
     value: Mapping[str, Any], known: list[str], path: str
 ) -> schema.Problems:
     return [
--- a/src/comfreylatch/platform/store.py
+++ b/src/comfreylatch/platform/store.py
@@ -114,7 +114,7 @@
         self, topic: str, partition: int
     ) -> result.Result[store_port.StoreBatch, store_port.StoreUnavailable]:
         """See `RecordStore.newest`."""
-        found: dict[str, store_port.StoredRecord] = {}
+        newest_by_key: dict[str, store_port.StoredRecord] = {}
         end_offset = -1
         query: dict[str, object] = {
             "Topic": KEYED_PREFIX + topic,
@@ -137,7 +137,7 @@
                 # first page are read again from its end offset.
                 end_offset = page.end_offset
             for item in page.items:
-                found[item.key] = store_port.StoredRecord(
+                newest_by_key[item.key] = store_port.StoredRecord(
                     item.offset, item.key, item.value
                 )
             if not page.has_more or not page.items:
@@ -145,7 +145,9 @@
             # The store gives this parameter the name of a step's dependencies;
             # here it is the last key of the previous page.
             query["DependsOn"] = page.items[-1].key
-        ordered = sorted(found.values(), key=lambda record: record.offset)
+        ordered = sorted(
+            newest_by_key.values(), key=lambda record: record.offset
+        )
         return result.Ok(
             store_port.StoreBatch(tuple(ordered), end_offset, end_offset)
         )
