--- a/src/comfreylatch/_connection/json_call.py
+++ b/src/comfreylatch/_connection/json_call.py
@@ -80,13 +80,13 @@
     body: bytes | None,
     timeout_ms: int,
     headers: Mapping[str, str] = JSON_HEADERS,
-    silence_ms: int | None = None,
+    read_timeout_ms: int | None = None,
 ) -> result.Result[Answer, CallError]:
     """Makes a call and reads its complete answer within `timeout_ms`.
 
-    `silence_ms` is the timeout of a single read. It lets `timeout_ms` be long
-    enough for a large answer over a slow link, while an unresponsive peer is
-    detected sooner.
+    `read_timeout_ms` is the timeout of a single read; None leaves only
+    `timeout_ms`. It lets `timeout_ms` be long enough for a large answer over a
+    slow link, while an unresponsive peer is detected sooner.
 
     Only a failure to connect is `NotSent`. A broken pooled connection is
     `AnswerLost`, because the peer may have read the call.
@@ -101,7 +101,9 @@
             timeout=urllib3.Timeout(
                 total=timeout_ms / 1_000,
                 connect=min(timeout_ms, CONNECT_TIMEOUT_MS) / 1_000,
-                read=None if silence_ms is None else silence_ms / 1_000,
+                read=None
+                if read_timeout_ms is None
+                else read_timeout_ms / 1_000,
             ),
             preload_content=False,
             redirect=False,
--- a/src/comfreylatch/platform/store.py
+++ b/src/comfreylatch/platform/store.py
@@ -155,7 +155,7 @@
         path: str,
         query: dict[str, object],
         timeout_ms: int,
-        silence_ms: int = CALL_TIMEOUT_MS,
+        read_timeout_ms: int = CALL_TIMEOUT_MS,
     ) -> result.Result[json_call.Answer, json_call.CallError]:
         target = f"{path}?{urllib.parse.urlencode(query)}"
         return json_call.call(
@@ -164,7 +164,7 @@
             target,
             None,
             timeout_ms,
-            silence_ms=silence_ms,
+            read_timeout_ms=read_timeout_ms,
         )
 
 
--- a/tests/connection/test_json_call.py
+++ b/tests/connection/test_json_call.py
@@ -41,7 +41,7 @@
                 "/",
                 None,
                 LONG_TIMEOUT_MS,
-                silence_ms=READ_TIMEOUT_MS,
+                read_timeout_ms=READ_TIMEOUT_MS,
             )
 
     def test_slow_answer_is_read_completely(self) -> None:
