--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -197,7 +197,7 @@
         if self._stopping.is_set():
             return outcomes.NotRun(
                 reasons.RefusalReason.STOPPING,
-                "this host is stopping; retry through another one",
+                "this host is stopping; retry on another host",
                 RETRY_AFTER_STOP_MS,
             )
         name = call.state.name
