--- a/src/comfreylatch/_connection/connection_pool.py
+++ b/src/comfreylatch/_connection/connection_pool.py
@@ -61,7 +61,12 @@
 
 @attrs.define(eq=False)
 class _Pool:
-    """The pool of connections to one address."""
+    """The pool of connections to one address.
+
+    Attributes:
+        open_count: Number of connections, idle or in use.
+        idle: Idle connections, the one that has been idle longest first.
+    """
 
     open_count: int = 0
     idle: collections.deque[_IdleConnection] = attrs.field(
@@ -71,7 +76,7 @@
     def pop_usable(
         self, oldest_s: float, to_close: list[urllib3_connection.HTTPConnection]
     ) -> urllib3_connection.HTTPConnection | None:
-        """Pops the last used connection if it is recent and still open."""
+        """Pops the last used connection that is recent and still open."""
         while self.idle and self.idle[-1].since_s >= oldest_s:
             connection = self.idle.pop().connection
             # An idle socket that is readable was closed by the endpoint or
@@ -159,9 +164,9 @@
     def detach_socket(self) -> socket.socket:
         """Returns the socket without closing it; it stays counted as open."""
         deadline_socket = self.deadline_socket
-        handed = socket.socket(fileno=deadline_socket.detach())
+        detached = socket.socket(fileno=deadline_socket.detach())
         self.connection.sock = None
-        return handed
+        return detached
 
     def mark_closed(self) -> None:
         """Counts the connection as closed, without closing it."""
@@ -230,7 +235,7 @@
     def trim(self, limits: Mapping[str, int]) -> None:
         """Closes idle connections that are expired or exceed a limit.
 
-        An address without a limit is out of use; its limit is 0.
+        An address that is not in `limits` is no longer used; its limit is 0.
         """
         oldest_s = time.monotonic() - MAX_IDLE_MS / 1_000
         to_close: list[urllib3_connection.HTTPConnection] = []
--- a/src/comfreylatch/_connection/endpoint_client.py
+++ b/src/comfreylatch/_connection/endpoint_client.py
@@ -195,7 +195,9 @@
         )
     except (urllib3_exceptions.HTTPError, OSError) as error:
         lease.close()
-        return result.Err(exchange.NotSent(_connect_failure(error), str(error)))
+        return result.Err(
+            exchange.NotSent(_classify_connect_error(error), str(error))
+        )
     lease.attach(connection)
     return result.Ok(lease)
 
@@ -218,7 +220,7 @@
     return None
 
 
-def _connect_failure(error: Exception) -> exchange.SendFailure:
+def _classify_connect_error(error: Exception) -> exchange.SendFailure:
     if isinstance(error.__cause__, ConnectionRefusedError):
         return exchange.SendFailure.CONNECT_REFUSED
     # NewConnectionError is a subclass of ConnectTimeoutError.
--- a/src/comfreylatch/_connection/exchange.py
+++ b/src/comfreylatch/_connection/exchange.py
@@ -65,7 +65,7 @@
         deadline_ms: Monotonic time by which the complete answer must have
             arrived; nothing is sent after it.
         send_by_ms: Monotonic time after which nothing is sent, because other
-            hosts may count the slot as free.
+            hosts may count the slot as free from then on.
         hold_until_ms: Monotonic time by which the endpoint must have ended
             the request, even if its answer is lost.
         max_connections: Limit of open connections from this host to the
--- a/src/comfreylatch/_connection/host_list_client.py
+++ b/src/comfreylatch/_connection/host_list_client.py
@@ -16,7 +16,7 @@
 from comfreylatch._ports import hosts as hosts_port
 from comfreylatch._process import logs
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @attrs.frozen
@@ -68,15 +68,15 @@
     body: bytes,
 ) -> result.Result[hosts_port.HostList, hosts_port.HostListUnavailable]:
     try:
-        lines = msgspec.json.decode(body, type=_ListAnswer).hosts
+        entries = msgspec.json.decode(body, type=_ListAnswer).hosts
     except msgspec.MsgspecError as error:
         return result.Err(
             hosts_port.HostListUnavailable(f"malformed answer: {error}")
         )
     hosts: list[hosts_port.ListedHost] = []
-    for line in lines:
+    for entry in entries:
         try:
-            hosts.append(msgspec.convert(line, type=hosts_port.ListedHost))
+            hosts.append(msgspec.convert(entry, type=hosts_port.ListedHost))
         except msgspec.ValidationError as error:
-            logs.warning(_events, "bad-host-list-line", error=error)
+            logs.warning(_logger, "bad-host-list-line", error=error)
     return result.Ok(hosts_port.HostList(tuple(hosts)))
--- a/src/comfreylatch/_connection/http_gateway.py
+++ b/src/comfreylatch/_connection/http_gateway.py
@@ -25,7 +25,7 @@
 _PHRASES = {status.value: status.phrase for status in http_statuses.HTTPStatus}
 _BODILESS_STATUSES = frozenset({204, 304})
 
-_log = logbook.Logger("comfreylatch.http-server")
+_logger = logbook.Logger("comfreylatch.http-server")
 
 
 @attrs.frozen
@@ -39,7 +39,18 @@
 
 @final
 class ServerState:
-    """State shared by the server and its gateways."""
+    """State shared by the server and its gateways.
+
+    Entered as a context manager around each request, to count it as open.
+
+    Attributes:
+        draining: Whether new requests are refused with status 503.
+        closing: Whether connections are closed after their next reply.
+        open_requests: Number of requests in progress, from reading the body
+            to sending the reply.
+        last_arrival_ms: Monotonic time at which a request last arrived while
+            draining; reset when a wait for arrivals begins.
+    """
 
     def __init__(self, handler: http.Handler, clock: clock_port.Clock) -> None:
         self.handler = handler
@@ -62,6 +73,7 @@
                 self._changed.notify_all()
 
     def wait_until_idle(self, timeout_ms: int) -> bool:
+        """Waits for open requests; returns whether all of them completed."""
         with self._changed:
             return self._changed.wait_for(
                 lambda: self.open_requests == 0, timeout_ms / 1_000
@@ -72,7 +84,7 @@
     """Calls the handler with a converted request and sends its reply."""
 
     def respond(self) -> None:
-        """Answers one request; an exception in the handler is a 500."""
+        """Answers one request, with status 500 if the handler raises."""
         state = self.req.server.state
         if state.draining:
             state.last_arrival_ms = state.clock.monotonic_ms()
@@ -185,7 +197,7 @@
         try:
             return state.handler(request)
         except Exception:
-            _log.exception(
+            _logger.exception(
                 "handler-failed method={} path={}", request.method, request.path
             )
             return http.error_reply(
@@ -222,7 +234,7 @@
 
     `body_bytes` is None for a reply without a body; a Content-Length among
     its headers is then kept. `Set-Cookie` values can't be joined by commas,
-    so several of them arrive as one text with a line for each.
+    so several values are passed as one text with one value per line.
     """
     lines = [f"{protocol} {status} {_PHRASES.get(status, 'Status')}"]
     for key, value in headers.items():
--- a/src/comfreylatch/_connection/http_server.py
+++ b/src/comfreylatch/_connection/http_server.py
@@ -26,11 +26,12 @@
 MAX_ARRIVAL_WAIT_MS = 2_000
 POLL_INTERVAL_S = 0.05
 EXPIRATION_INTERVAL_S = 0.2
-# Must not be negative: connections accepted meanwhile use it as timeout.
+# Must not be negative: connections accepted while it is set use it as their
+# socket timeout.
 IMMEDIATE_EXPIRY_S = 0.001
 
 
-_log = logbook.Logger("comfreylatch.http-server")
+_logger = logbook.Logger("comfreylatch.http-server")
 
 
 class ServerStartError(Exception):
@@ -118,19 +119,19 @@
 
     @property
     def open_requests(self) -> int:
-        """Number of requests whose handler is running."""
+        """Number of requests in progress, until their replies are sent."""
         return self._state.open_requests
 
     def close_after_replies(self) -> None:
-        """Closes each connection after its next reply; accepts new ones."""
+        """Closes connections after their next reply; still accepts new ones."""
         self._state.closing = True
 
     def _wait_until_no_arrivals(self) -> None:
         """Waits until no requests arrive, for a bounded time.
 
         Closing the listening socket resets connections that are not accepted
-        yet. The wait lets requests be answered whose callers could not know
-        of the shutdown.
+        yet. Waiting first lets callers that don't know of the shutdown yet
+        still receive a reply.
         """
         state = self._state
         started_ms = state.clock.monotonic_ms()
@@ -169,7 +170,9 @@
         self._state.draining = True
         self._wait_until_no_arrivals()
         if not listener.stop_new_connections(self._server.socket):
-            _log.warning("can't-stop-new-connections address={}", self.address)
+            _logger.warning(
+                "can't-stop-new-connections address={}", self.address
+            )
         self._wait_until_no_arrivals()
         finished = self._state.wait_until_idle(timeout_ms)
         self._close_idle_connections()
@@ -200,7 +203,7 @@
         try:
             self.conn.wfile.write(head + reply.body)
         except OSError as error:
-            _log.debug("error-not-sent status={} error={!r}", code, error)
+            _logger.debug("error-not-sent status={} error={!r}", code, error)
 
 
 class _Connection(cheroot_server.HTTPConnection):
@@ -234,7 +237,7 @@
         try:
             super().put_conn(conn)
         except (OSError, ValueError, KeyError) as error:
-            _log.debug("connection-dropped error={!r}", error)
+            _logger.debug("connection-dropped error={!r}", error)
             conn.close()
 
     def error_log(
@@ -242,8 +245,8 @@
     ) -> None:
         """Logs messages of cheroot."""
         if traceback:
-            _log.exception("http-server-error detail={!r}", msg)
+            _logger.exception("http-server-error detail={!r}", msg)
         elif level >= 30:
-            _log.warning("http-server-warning detail={!r}", msg)
+            _logger.warning("http-server-warning detail={!r}", msg)
         else:
-            _log.debug("http-server detail={!r}", msg)
+            _logger.debug("http-server detail={!r}", msg)
--- a/src/comfreylatch/_connection/late_answers.py
+++ b/src/comfreylatch/_connection/late_answers.py
@@ -30,12 +30,17 @@
 KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
 
-_log = logbook.Logger("comfreylatch.late-answers")
+_logger = logbook.Logger("comfreylatch.late-answers")
 
 
 @attrs.define(eq=False)
 class _AbandonedRequest:
-    """An abandoned request; `connection` is None once it is closed."""
+    """An abandoned request.
+
+    Attributes:
+        connection: None once it is closed.
+        done: Whether `on_ended` has been called.
+    """
 
     connection: socket.socket | None
     on_ended: Callable[[], None]
@@ -189,7 +194,7 @@
         try:
             watched.on_ended()
         except Exception:
-            _log.exception("end-of-request-failed")
+            _logger.exception("end-of-request-failed")
 
 
 def _enable_keepalive(connection: socket.socket) -> None:
@@ -201,4 +206,4 @@
         connection.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
         connection.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     except OSError:
-        _log.debug("keepalive-not-set")
+        _logger.debug("keepalive-not-set")
--- a/src/comfreylatch/_connection/listener.py
+++ b/src/comfreylatch/_connection/listener.py
@@ -8,10 +8,13 @@
 # From linux/filter.h and asm-generic/socket.h; not defined by Python.
 _SO_ATTACH_FILTER = 26
 _RETURN_CONSTANT = 0x06
+# A filter returns how many bytes of a packet to keep; 0 drops the packet.
 _DROP = 0
 
 
 class _Instruction(ctypes.Structure):
+    """`struct sock_filter`: one instruction of a BPF socket filter."""
+
     _fields_ = (
         ("code", ctypes.c_uint16),
         ("jump_true", ctypes.c_uint8),
@@ -21,6 +24,8 @@
 
 
 class _Program(ctypes.Structure):
+    """`struct sock_fprog`: the instructions of a BPF socket filter."""
+
     _fields_ = (
         ("length", ctypes.c_uint16),
         ("instructions", ctypes.POINTER(_Instruction)),
--- a/src/comfreylatch/_connection/peer_link.py
+++ b/src/comfreylatch/_connection/peer_link.py
@@ -105,7 +105,11 @@
         self.client = Peer.Client(peer_transport.make_protocol(self._socket))
 
     def prepare_reuse(self, timeout_ms: int) -> bool:
-        """Sets the timeout of a call; returns whether the peer is connected."""
+        """Sets the timeout of the next call.
+
+        Returns:
+            False if the connection is closed and can't be reused.
+        """
         if not self._socket.isOpen():
             return False
         self._socket.setTimeout(timeout_ms)
--- a/src/comfreylatch/_connection/peer_server.py
+++ b/src/comfreylatch/_connection/peer_server.py
@@ -119,6 +119,7 @@
             TTransport.TTransportException.SIZE_LIMIT,
             TTransport.TTransportException.NEGATIVE_SIZE,
         )
+        # Other errors mean that the peer disconnected or sent nothing in time.
         if error.type in size_errors:
             self._record_bad_message("bad-frame")
 
--- a/src/comfreylatch/_connection/pending_answer.py
+++ b/src/comfreylatch/_connection/pending_answer.py
@@ -23,7 +23,7 @@
 
 _BODILESS_STATUSES = frozenset({204, 304})
 
-_log = logbook.Logger("comfreylatch.pending-answer")
+_logger = logbook.Logger("comfreylatch.pending-answer")
 
 
 class _AnswerTooLongError(Exception):
@@ -36,13 +36,13 @@
 
     def __init__(
         self,
-        late: late_answers.LateAnswerWatcher,
+        watcher: late_answers.LateAnswerWatcher,
         lease: connection_pool.Lease,
         request: exchange.EndpointRequest,
         limits: exchange.TryLimits,
         on_ended: Callable[[], None],
     ) -> None:
-        self._watcher = late
+        self._watcher = watcher
         self._lease = lease
         self._request = request
         self._limits = limits
@@ -63,15 +63,17 @@
                 exchange.LostAfterSend(exchange.Loss.TIMED_OUT, repr(error))
             )
         except (http.client.IncompleteRead, _AnswerTooLongError) as error:
-            return self._fail_lost(exchange.Loss.TRUNCATED, repr(error))
+            return self._close_after_loss(exchange.Loss.TRUNCATED, repr(error))
         except (urllib3_exceptions.HTTPError, http.client.HTTPException) as e:
-            return self._fail_lost(self._classify_loss(e), repr(e))
+            return self._close_after_loss(self._classify_loss(e), repr(e))
         except OSError as error:
-            return self._fail_lost(exchange.Loss.RESET, repr(error))
+            return self._close_after_loss(exchange.Loss.RESET, repr(error))
         except Exception as error:
             # A malformed answer may raise anything inside urllib3.
-            _log.exception("answer-unreadable id={}", self._request.request_id)
-            return self._fail_lost(exchange.Loss.MALFORMED, repr(error))
+            _logger.exception(
+                "answer-unreadable id={}", self._request.request_id
+            )
+            return self._close_after_loss(exchange.Loss.MALFORMED, repr(error))
         match outcome:
             case result.Err(exchange.LostAfterSend()):
                 self._lease.close()
@@ -96,7 +98,7 @@
             _call_both(lease.mark_closed, self._on_ended),
         )
 
-    def _fail_lost(
+    def _close_after_loss(
         self, loss: exchange.Loss, detail: str
     ) -> exchange.TryResult:
         self._lease.close()
--- a/src/comfreylatch/_connection/worker_client.py
+++ b/src/comfreylatch/_connection/worker_client.py
@@ -1,8 +1,8 @@
 """HTTP client of workers that opens a new connection for each exchange.
 
 An error while connecting proves that no byte was sent; any later error does
-not. With a pooled connection that the worker has closed in the meantime, a
-sent exchange could look unsent.
+not. On a pooled connection that the worker has closed in the meantime, an
+exchange that was sent could look as if it was not.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import msgspec
 import result
 
-from comfreylatch._connection import address as address_lib
+from comfreylatch._connection import address as address_module
 from comfreylatch._ports import workers
 
 EXCHANGE_PATH = "/exchange"
@@ -59,7 +59,10 @@
             workers.WorkerAnswerLost(f"malformed report: {error}")
         )
     if len(report.statuses) != command_count:
-        detail = f"{len(report.statuses)} statuses for {command_count} commands"
+        detail = (
+            f"the report has {len(report.statuses)} statuses "
+            f"for {command_count} commands"
+        )
         return result.Err(workers.WorkerAnswerLost(detail))
     return result.Ok(report)
 
@@ -72,7 +75,7 @@
         self, address: str, exchange: workers.Exchange, timeout_ms: int
     ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
         """See `workers.WorkerPort.exchange`."""
-        parsed = address_lib.parse(address)
+        parsed = address_module.parse(address)
         if isinstance(parsed, result.Err):
             detail = parsed.err_value.detail
             return result.Err(workers.WorkerUnreachable(detail))
@@ -80,12 +83,12 @@
 
 
 def _exchange_with(
-    address: address_lib.Address, exchange: workers.Exchange, timeout_ms: int
+    address: address_module.Address, exchange: workers.Exchange, timeout_ms: int
 ) -> result.Result[workers.WorkerReport, workers.WorkerError]:
-    from urllib3 import connection as connection_lib
+    from urllib3 import connection as urllib3_connection
     from urllib3 import exceptions
 
-    connection = connection_lib.HTTPConnection(
+    connection = urllib3_connection.HTTPConnection(
         address.ip,
         address.port,
         timeout=min(timeout_ms, MAX_CONNECT_TIMEOUT_MS) / 1_000,
@@ -124,6 +127,8 @@
     except (exceptions.HTTPError, client.HTTPException, OSError) as error:
         return result.Err(workers.WorkerAnswerLost(repr(error)))
     if response.status != 200 or len(answer) > MAX_REPORT_BYTES:
-        detail = f"status {response.status}, {len(answer)} bytes"
+        detail = (
+            f"unexpected answer: status {response.status}, {len(answer)} bytes"
+        )
         return result.Err(workers.WorkerAnswerLost(detail))
     return decode_report(answer, command_count)
