--- a/src/comfreylatch/_commands/client.py
+++ b/src/comfreylatch/_commands/client.py
@@ -104,22 +104,22 @@
         self, method: str, path: str, body: bytes
     ) -> result.Result[Reply, CallError]:
         details = []
-        refused = None
+        last_skipped = None
         skipped_statuses = [NOT_RUN_STATUS]
         if method == "GET":
             skipped_statuses.append(NOT_FOUND_STATUS)
         for host in self._hosts:
             match self._call(host, method, path, body):
                 case result.Ok(reply) if reply.status in skipped_statuses:
-                    refused = reply
+                    last_skipped = reply
                 case result.Ok() as answered:
                     return answered
                 case result.Err(AnswerLost() as lost) if method != "GET":
                     return result.Err(lost)
                 case result.Err(error):
                     details.append(str(error))
-        if refused is not None:
-            return result.Ok(refused)
+        if last_skipped is not None:
+            return result.Ok(last_skipped)
         return result.Err(NoHostReached(tuple(details)))
 
     def _call(
--- a/src/comfreylatch/_commands/load_generator.py
+++ b/src/comfreylatch/_commands/load_generator.py
@@ -23,7 +23,8 @@
 CONNECT_TIMEOUT_MS = 2_000
 # Added to the timeout of a request, for the transfer of the answer.
 ANSWER_GRACE_MS = 2_000
-# A request sent later than this was delayed by the load generator itself.
+# A request sent more than this after it was due counts as late: the load
+# generator itself delayed it.
 LATE_START_MS = 10.0
 MAX_POOLS = 256
 # How long a host is avoided after it failed or reported that it is stopping.
@@ -60,7 +61,7 @@
     late_ms: float
     elapsed_ms: float
     timeout_ms: int
-    seen: ObservedOutcome
+    outcome: ObservedOutcome
     status: int
     reason: str
     retry_after_ms: int
@@ -94,8 +95,8 @@
 class Balancer:
     """Picks hosts round-robin, like the platform's balancer. Thread-safe.
 
-    Hosts that failed or are stopping are avoided for a while. No request is
-    sent twice.
+    Hosts that failed or are stopping are avoided for a while. A failed request
+    is not sent again.
     """
 
     def __init__(
@@ -121,11 +122,12 @@
         return self._all_hosts[next(self._counter) % len(self._all_hosts)]
 
     def record_outcome(
-        self, address: addresses.Address, seen: ObservedOutcome, reason: str
+        self, address: addresses.Address, outcome: ObservedOutcome, reason: str
     ) -> None:
         """Records the outcome of a request that was sent to a host."""
         failed = (
-            seen is ObservedOutcome.UNREACHABLE or seen is ObservedOutcome.LOST
+            outcome is ObservedOutcome.UNREACHABLE
+            or outcome is ObservedOutcome.LOST
         )
         if failed or reason == reasons.RefusalReason.STOPPING:
             until_s = time.monotonic() + HOST_AVOIDANCE_MS / 1_000
@@ -149,7 +151,7 @@
             for line in trace.lines
             if isinstance(line, traces.TracedRequest)
         )
-        self._due = iter(
+        self._schedule = iter(
             [
                 _ScheduledRequest(
                     number, request, request.at_ms / options.speed
@@ -188,63 +190,67 @@
     def _send_due(self) -> None:
         while True:
             with self._lock:
-                due = next(self._due, None)
-            if due is None:
+                scheduled = next(self._schedule, None)
+            if scheduled is None:
                 return
-            wait_s = self._started_s + due.due_ms / 1_000 - time.monotonic()
+            wait_s = (
+                self._started_s + scheduled.due_ms / 1_000 - time.monotonic()
+            )
             if wait_s > 0:
                 time.sleep(wait_s)
-            self._samples.put(self._send(due))
+            self._samples.put(self._send(scheduled))
 
     def _now_ms(self) -> float:
         return (time.monotonic() - self._started_s) * 1_000
 
-    def _send(self, due: _ScheduledRequest) -> Sample:
-        request = due.request
-        late_ms = self._now_ms() - due.due_ms
-        name = f"{self._options.run}-{due.number}"
+    def _send(self, scheduled: _ScheduledRequest) -> Sample:
+        request = scheduled.request
+        late_ms = self._now_ms() - scheduled.due_ms
+        request_id = f"{self._options.run}-{scheduled.number}"
         status = 0
         retry_after_ms = 0
         address = self._balancer.pick(request.zone)
         try:
-            answer = self._exchange(address, request, name, self._body(due))
+            answer = self._exchange(
+                address, request, request_id, self._body(scheduled)
+            )
         except (
             exceptions.NewConnectionError,
             exceptions.ConnectTimeoutError,
         ) as error:
-            seen, reason = ObservedOutcome.UNREACHABLE, type(error).__name__
+            outcome, reason = ObservedOutcome.UNREACHABLE, type(error).__name__
         except (exceptions.HTTPError, OSError) as error:
-            seen, reason = ObservedOutcome.LOST, type(error).__name__
+            outcome, reason = ObservedOutcome.LOST, type(error).__name__
         else:
             status = answer.status
-            seen, reason = _classify(answer, name)
+            outcome, reason = _classify(answer, request_id)
             retry_after_ms = _parse_int(answer.headers.get("X-Retry-After-Ms"))
-        self._balancer.record_outcome(address, seen, reason)
+        self._balancer.record_outcome(address, outcome, reason)
         return Sample(
             service=request.service,
-            due_ms=due.due_ms,
+            due_ms=scheduled.due_ms,
             late_ms=late_ms,
-            elapsed_ms=self._now_ms() - due.due_ms,
+            elapsed_ms=self._now_ms() - scheduled.due_ms,
             timeout_ms=request.timeout_ms,
-            seen=seen,
+            outcome=outcome,
             status=status,
             reason=reason,
             retry_after_ms=retry_after_ms,
         )
 
-    def _body(self, due: _ScheduledRequest) -> bytes:
-        generator = random.Random(f"{self._seed}/{due.number}")
-        return generator.randbytes(due.request.body_bytes)
+    def _body(self, scheduled: _ScheduledRequest) -> bytes:
+        generator = random.Random(f"{self._seed}/{scheduled.number}")
+        return generator.randbytes(scheduled.request.body_bytes)
 
     def _exchange(
         self,
         address: addresses.Address,
         request: traces.TracedRequest,
-        name: str,
+        request_id: str,
         body: bytes,
     ) -> urllib3.BaseHTTPResponse:
         headers = {
-            "X-Request-Id": name,
+            "X-Request-Id": request_id,
             "X-Idempotent": "true" if request.idempotent else "false",
             "X-Timeout-Ms": str(request.timeout_ms),
         }
@@ -266,7 +272,7 @@
 
 
 def _classify(
-    answer: urllib3.BaseHTTPResponse, name: str
+    answer: urllib3.BaseHTTPResponse, request_id: str
 ) -> tuple[ObservedOutcome, str]:
     reason = answer.headers.get("X-Reason", "")
     outcome = answer.headers.get("X-Outcome", "")
@@ -277,7 +283,7 @@
     ):
         # Truncated within its headers, or not from an entry host.
         return ObservedOutcome.LOST, f"no outcome, status {answer.status}"
-    if answer.headers.get("X-Request-Id") != name:
+    if answer.headers.get("X-Request-Id") != request_id:
         return ObservedOutcome.MISMATCHED, reason
     return ObservedOutcome(outcome), reason
 
--- a/src/comfreylatch/_commands/output.py
+++ b/src/comfreylatch/_commands/output.py
@@ -73,7 +73,7 @@
     as_json: bool,
     on_unknown: str,
 ) -> client.Reply:
-    """Prints an answer; returns the reply only if the call succeeded.
+    """Prints an answer and returns the reply; exits if the call failed.
 
     Args:
         answer: Result of the client.
--- a/src/comfreylatch/_commands/replay.py
+++ b/src/comfreylatch/_commands/replay.py
@@ -89,7 +89,7 @@
     )
     report = replay_run.run(recorded, load_options, operators, label, settle_ms)
     _print_report(report, as_json)
-    if not report.kept:
+    if not report.all_outcomes_met:
         raise typer.Exit(exits.ExitCode.REFUSED)
 
 
--- a/src/comfreylatch/_commands/replay_jobs.py
+++ b/src/comfreylatch/_commands/replay_jobs.py
@@ -90,8 +90,10 @@
         self._run = run
         self._speed = speed
         self._started_s = 0.0
+        # Keyed by the id of the job within the trace, without the prefix.
         self._samples: dict[str, JobSample] = {}
         self._client_by_zone: dict[str, clients.Client] = {}
+        # Ids within the trace of accepted jobs that have not ended.
         self._pending: set[str] = set()
         self._lock = threading.Lock()
         self._closing = threading.Event()
@@ -149,7 +151,7 @@
         return sample
 
     def _order_clients(self, zone: str) -> list[clients.Client]:
-        """All clients, first the last one that accepted a job of the zone."""
+        """Returns all clients, first the one last used for the zone."""
         preferred = self._client_by_zone.get(zone)
         if preferred is None:
             return self._clients
@@ -192,17 +194,17 @@
             if answer.is_ok() and answer.ok_value.status == 200:
                 return
 
-    def _refresh(self, name: str) -> None:
-        sample = self._samples[name]
+    def _refresh(self, traced_id: str) -> None:
+        sample = self._samples[traced_id]
         path = "/jobs/" + parse.quote(sample.id, safe="")
         for client in self._order_clients(sample.zone):
             answer = client.read(path)
             if answer.is_ok() and answer.ok_value.status == 200:
-                self._update_sample(name, sample, answer.ok_value.value)
+                self._update_sample(traced_id, sample, answer.ok_value.value)
                 return
 
     def _update_sample(
-        self, name: str, sample: JobSample, page: dict[str, Any]
+        self, traced_id: str, sample: JobSample, page: dict[str, Any]
     ) -> None:
         sample.phase = str(page.get("phase", ""))
         sample.evictions = int(page.get("evictions", sample.evictions))
@@ -212,7 +214,7 @@
         if sample.phase in FINAL_PHASES:
             sample.ended_ms = self._now_ms()
             with self._lock:
-                self._pending.discard(name)
+                self._pending.discard(traced_id)
 
 
 def _should_try_next_host(
--- a/src/comfreylatch/_commands/replay_report.py
+++ b/src/comfreylatch/_commands/replay_report.py
@@ -89,7 +89,14 @@
 
 @attrs.frozen
 class OutcomeCheck:
-    """Result of a stated outcome; `measured` is None if unavailable."""
+    """Result of one stated outcome.
+
+    Attributes:
+        name: Field of `StatedOutcomes`.
+        limit: The stated limit.
+        measured: None if it could not be measured.
+        kept: Whether the outcome was met; False if it could not be measured.
+    """
 
     name: str
     limit: float
@@ -119,9 +126,9 @@
     outcomes: tuple[OutcomeCheck, ...]
 
     @property
-    def kept(self) -> bool:
+    def all_outcomes_met(self) -> bool:
         """Whether all stated outcomes were met."""
-        return all(line.kept for line in self.outcomes)
+        return all(outcome.kept for outcome in self.outcomes)
 
 
 def request_reports(
@@ -145,12 +152,12 @@
     unanswered = [
         sample
         for sample in samples
-        if sample.seen is not load_generator.ObservedOutcome.ANSWERED
+        if sample.outcome is not load_generator.ObservedOutcome.ANSWERED
     ]
     return RequestReport(
         service=service,
         sent=len(samples),
-        seen=_counts(sample.seen for sample in samples),
+        seen=_counts(sample.outcome for sample in samples),
         reasons=_counts(sample.reason or "none given" for sample in unanswered),
         statuses=_counts(str(sample.status) for sample in samples),
         latency=latency_report(samples),
@@ -164,15 +171,15 @@
     )
 
 
-def _counts(words: Iterable[str]) -> dict[str, int]:
-    return dict(sorted(collections.Counter(map(str, words)).items()))
+def _counts(labels: Iterable[str]) -> dict[str, int]:
+    return dict(sorted(collections.Counter(map(str, labels)).items()))
 
 
 def _goodput(
     samples: Iterable[load_generator.Sample], duration_ms: float
 ) -> float:
     good = sum(
-        sample.seen is load_generator.ObservedOutcome.ANSWERED
+        sample.outcome is load_generator.ObservedOutcome.ANSWERED
         and sample.status < 500
         and sample.elapsed_ms <= sample.timeout_ms
         for sample in samples
@@ -186,7 +193,7 @@
         MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS
     )
     for sample in samples:
-        if sample.seen is load_generator.ObservedOutcome.ANSWERED:
+        if sample.outcome is load_generator.ObservedOutcome.ANSWERED:
             elapsed_us = int(sample.elapsed_ms * 1_000)
             latencies.record_value(
                 min(max(elapsed_us, MIN_LATENCY_US), MAX_LATENCY_US)
@@ -280,14 +287,14 @@
 ) -> dict[str, float | None]:
     if not samples:
         return {}
-    seen = collections.Counter(sample.seen for sample in samples)
+    counts = collections.Counter(sample.outcome for sample in samples)
     uncertain = (
-        seen[load_generator.ObservedOutcome.UNKNOWN]
-        + seen[load_generator.ObservedOutcome.LOST]
+        counts[load_generator.ObservedOutcome.UNKNOWN]
+        + counts[load_generator.ObservedOutcome.LOST]
     )
     measures: dict[str, float | None] = {
         "answered_percent_min": 100
-        * seen[load_generator.ObservedOutcome.ANSWERED]
+        * counts[load_generator.ObservedOutcome.ANSWERED]
         / len(samples),
         "unknown_percent_max": 100 * uncertain / len(samples),
     }
--- a/src/comfreylatch/_commands/replay_run.py
+++ b/src/comfreylatch/_commands/replay_run.py
@@ -40,8 +40,8 @@
     generator.start(started_s)
     with replay_jobs.JobReplay(
         trace, hosts, options.run, options.speed
-    ) as player:
-        jobs = player.play(started_s, settle_ms)
+    ) as job_replay:
+        jobs = job_replay.play(started_s, settle_ms)
     samples = generator.finish()
     elapsed_ms = (time.monotonic() - started_s) * 1_000
     tries = _tries_per_request(tries_before, _count_tries(hosts), len(samples))
--- a/src/comfreylatch/_commands/replay_text.py
+++ b/src/comfreylatch/_commands/replay_text.py
@@ -21,11 +21,11 @@
     if report.jobs is not None:
         yield from _job_lines(report.jobs)
     for outcome in report.outcomes:
-        word = "kept" if outcome.kept else "NOT KEPT"
+        status = "kept" if outcome.kept else "NOT KEPT"
         measured = "not measured"
         if outcome.measured is not None:
             measured = f"{outcome.measured:g}"
-        yield f"{outcome.name} {outcome.limit:g}: {measured}, {word}"
+        yield f"{outcome.name} {outcome.limit:g}: {measured}, {status}"
 
 
 def _request_lines(stats: replay_report.RequestReport) -> Iterator[str]:
@@ -63,4 +63,4 @@
 
 
 def _counts(counts: dict[str, int]) -> str:
-    return ", ".join(f"{count} {word}" for word, count in counts.items())
+    return ", ".join(f"{count} {label}" for label, count in counts.items())
--- a/src/comfreylatch/_commands/ticket.py
+++ b/src/comfreylatch/_commands/ticket.py
@@ -87,7 +87,7 @@
     With --host, fields are filled in with the state and version in force;
     otherwise with the defaults of new objects.
     """
-    keys = [_kind_and_name(text) for text in objects_named]
+    keys = [_parse_kind_and_name(text) for text in objects_named]
     in_force = _objects_in_force(hosts, timeout_ms) if hosts else {}
     targets = []
     for kind, name in keys:
@@ -242,7 +242,7 @@
             raise typer.Exit(exits.ExitCode.USAGE)
 
 
-def _kind_and_name(text: str) -> tuple[str, str]:
+def _parse_kind_and_name(text: str) -> tuple[str, str]:
     kind, slash, name = text.partition("/")
     if not slash or not name or kind not in set(objects.ObjectKind):
         raise typer.BadParameter(
--- a/src/comfreylatch/_commands/trace.py
+++ b/src/comfreylatch/_commands/trace.py
@@ -134,7 +134,9 @@
     "job": TracedJob,
     "cancel": TracedCancellation,
 }
-_KIND_BY_CLASS = {kind: name for name, kind in CLASS_BY_KIND.items()}
+_KIND_BY_CLASS = {
+    line_class: kind for kind, line_class in CLASS_BY_KIND.items()
+}
 
 
 def read(path: str) -> result.Result[Trace, BadTrace]:
