--- a/tests/commands/test_binary.py
+++ b/tests/commands/test_binary.py
@@ -21,7 +21,8 @@
 BINARY = REPO / "dist" / "comfreylatch"
 START_TIMEOUT_S = 30
 STOP_TIMEOUT_S = 20
-# Fits a bare interpreter without the modules that unpack the file.
+# Enough for a bare interpreter, not for one that has also loaded the modules
+# that unpack the file.
 MAX_INTERPRETER_KIB = 14_000
 # Field of /proc/PID/stat, counted from the state field: minor page faults of
 # children that were waited for.
--- a/tests/commands/test_replay.py
+++ b/tests/commands/test_replay.py
@@ -47,7 +47,7 @@
     def answer_request(self, call: serving.Call) -> serving.Answer:
         name = call.headers["X-Request-Id"]
         path_name = call.path.rpartition("/")[2]
-        outcome = {"busy": "not-run", "doubt": "unknown"}.get(
+        outcome = {"busy": "not-run", "unknown": "unknown"}.get(
             path_name, "answered"
         )
         headers = {"X-Request-Id": name, "X-Outcome": outcome}
@@ -59,7 +59,7 @@
                 headers["X-Retry-After-Ms"] = "50"
             case "other":
                 headers["X-Request-Id"] = "other"
-            case "cut":
+            case "dropped":
                 return serving.Drop()
         return serving.Reply(200, b"", headers)
 
@@ -82,7 +82,7 @@
         ]
 
     def test_outcomes_are_counted_as_observed_by_callers(self) -> None:
-        lines = self.requests("/ok", "/busy", "/doubt", "/other", "/cut")
+        lines = self.requests("/ok", "/busy", "/unknown", "/other", "/dropped")
         code, report = self.replay(*lines)
         (requests,) = report["requests"]
         expected = dict.fromkeys(
--- a/tests/commands/test_trace.py
+++ b/tests/commands/test_trace.py
@@ -5,7 +5,7 @@
 import testtools
 
 from comfreylatch._commands import trace as traces
-from testing import traces as maker
+from testing import traces as testing_traces
 
 HEADER = b'{"format": 1, "name": "t", "seed": 3, "duration_ms": 100}'
 
@@ -17,12 +17,15 @@
         return traces.decode(lines).err_value
 
     def test_generated_trace_decodes_to_itself(self) -> None:
-        workload = maker.utility_night()
+        workload = testing_traces.utility_night()
         generators = [
-            maker.TraceGenerator(
+            testing_traces.TraceGenerator(
                 "n", workload, shape, seed=5, duration_ms=2_000
             )
-            for shape in (maker.LoadShape.CALM, maker.LoadShape.CALM)
+            for shape in (
+                testing_traces.LoadShape.CALM,
+                testing_traces.LoadShape.CALM,
+            )
         ]
         first, second = (generator.generate() for generator in generators)
         self.assertEqual(first, second)
--- a/tests/connection/test_late_answers.py
+++ b/tests/connection/test_late_answers.py
@@ -30,12 +30,12 @@
         until_ms = self.clock.monotonic_ms() + HOLD_MS
         self.watcher.watch(self.connection, until_ms, self.ended.set)
 
-    def test_open_connection_holds_beyond_the_bound(self) -> None:
+    def test_request_on_open_connection_ends_with_its_answer(self) -> None:
         self.assertFalse(self.ended.wait(SHORT_WAIT_S))
         self.endpoint.send(b"HTTP/1.1 200 OK\r\n")
         self.assertTrue(self.ended.wait(LONG_WAIT_S))
 
-    def test_closed_connection_holds_until_the_bound(self) -> None:
+    def test_request_on_closed_connection_ends_after_hold_time(self) -> None:
         self.endpoint.close()
         self.assertFalse(self.ended.wait(HOLD_MS / 2_000))
         self.assertTrue(self.ended.wait(LONG_WAIT_S))
--- a/tests/connection/test_peer_link.py
+++ b/tests/connection/test_peer_link.py
@@ -33,7 +33,7 @@
         self.calls += 1
         time.sleep(self.delay_s)
         if self.refuse:
-            raise ttypes.PeerRefused("stopping", "on its way out")
+            raise ttypes.PeerRefused("stopping", "shutting down")
         return ttypes.MarkReply(ttypes.MarkVerdict.FRESH, request.request_id)
 
 
@@ -61,7 +61,7 @@
     def test_refusal_is_typed(self) -> None:
         self.handler.refuse = True
         self.assertEqual(
-            result.Err(peers.PeerRefusal("stopping", "on its way out")),
+            result.Err(peers.PeerRefusal("stopping", "shutting down")),
             self._mark(),
         )
 
