--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -220,8 +220,8 @@
         for listener in self._listeners:
             listener(endpoint)
 
-    def run_once(self) -> None:
-        """Requests the queued loans and returns idle ones, in one pass."""
+    def step(self) -> None:
+        """Requests the queued loans and returns idle ones."""
         requested = sorted(self._requested_endpoints)
         self._requested_endpoints.clear()
         for endpoint in requested:
@@ -232,7 +232,7 @@
         while not self._stopping:
             self._wake.wait(LOAN_CHECK_INTERVAL_MS / 1_000)
             self._wake.clear()
-            self.run_once()
+            self.step()
 
     def _borrow(self, endpoint: str) -> None:
         lenders = [
--- a/tests/process/test_loans.py
+++ b/tests/process/test_loans.py
@@ -97,7 +97,7 @@
 
     def test_busy_host_borrows_from_an_idle_one(self) -> None:
         self.assertEqual(SHARE, self._acquire_all("a"))
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("a"))
         self.assertEqual(
             SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("b")
@@ -106,7 +106,7 @@
     def test_lost_reply_leaves_the_slots_unused(self) -> None:
         self.peers["a"].loses_replies = True
         self._acquire_all("a")
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.assertEqual(0, self._acquire_all("a"))
         self.assertEqual(
             SHARE - loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("b")
@@ -114,27 +114,27 @@
 
     def test_idle_loan_is_returned(self) -> None:
         self._acquire_all("a")
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.clock.advance(loans.MAX_IDLE_LOAN_MS)
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.assertEqual(SHARE, self._acquire_all("b"))
 
     def test_stopping_host_is_not_asked(self) -> None:
         self.peers["a"].is_stopping = True
         self._acquire_all("a")
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.assertEqual(SHARE, self._acquire_all("b"))
 
     def test_refusing_host_is_not_asked_during_backoff(self) -> None:
         self._acquire_all("b")
         self._acquire_all("a")
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         for _ in range(SHARE):
             self.ledgers["b"].release_slot(ENDPOINT)
         self._acquire_all("a")
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.assertEqual(0, self._acquire_all("a"))
         self.clock.advance(loans.REFUSAL_BACKOFF_MS)
         self._acquire_all("a")
-        self.ledgers["a"].run_once()
+        self.ledgers["a"].step()
         self.assertEqual(loans.SLOTS_PER_LOAN_REQUEST, self._acquire_all("a"))
