--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -205,7 +205,7 @@
             settings.seat,
             self.host_id,
             self._membership,
-            max_hold_time.ms,
+            max_hold_time.current_ms,
             self._metrics,
             self._clock,
             random.Random(seed),
--- a/src/comfreylatch/_process/startup_waits.py
+++ b/src/comfreylatch/_process/startup_waits.py
@@ -24,8 +24,8 @@
         self._update(source.current())
         source.on_change(self._update)
 
-    def ms(self) -> int:
-        """The maximum under the current configuration."""
+    def current_ms(self) -> int:
+        """Returns the time under the current configuration."""
         return self._max_hold_ms
 
     def _update(self, new: configuration.Configuration) -> None:
@@ -33,12 +33,16 @@
 
 
 def predecessor_hold_ms(
-    max_hold: MaxSlotHoldTime, ledger: loans.LoanLedger
+    max_hold_time: MaxSlotHoldTime, ledger: loans.LoanLedger
 ) -> int:
     """How long requests and loans of a killed predecessor may last."""
     loan_duration_ms = ledger.loan_duration_ms()
     margin_ms = loan_duration_ms // slot_account.CLOCK_DRIFT_DIVISOR + 1
-    return loan_duration_ms + margin_ms + MAX_REMAINING_HOLDS * max_hold.ms()
+    return (
+        loan_duration_ms
+        + margin_ms
+        + MAX_REMAINING_HOLDS * max_hold_time.current_ms()
+    )
 
 
 def seat_conflict_wait_ms(timing: settings_module.TimingSettings) -> int:
