--- a/tests/process/batch/test_evictions.py
+++ b/tests/process/batch/test_evictions.py
@@ -39,27 +39,29 @@
         self.exchange()
         self.assertTrue(self.owner.owner.evict("job", "test"))
         if fault is not None:
-            self.lose(fault)
+            self.inject_fault(fault)
         self.exchange()
         self.assertEqual(1, len(self.worker.checkpoints))
 
-    def lose(self, fault: fake_workers.ExchangeFault) -> None:
+    def inject_fault(self, fault: fake_workers.ExchangeFault) -> None:
         pair = (self.owner.name, self.worker.name)
         self.zone.network.faults[pair] = fault
 
     def check_finished(self, attempts: int) -> None:
-        """Checks that no work covered by a checkpoint was repeated."""
+        """Checks that the job finished and repeated no checkpointed work."""
         self.zone.run(60_000)
         state = self.zone.state("job")
         self.assertEqual(job_state.JobPhase.FINISHED, state.phase)
-        kept = {0} | {kept_ms for _, kept_ms in self.worker.checkpoints}
-        starts = [
+        checkpoints_ms = {0} | {
+            checkpoint_ms for _, checkpoint_ms in self.worker.checkpoints
+        }
+        starts_ms = [
             start.checkpoint_ms
             for worker in self.zone.fleet.values()
             for start in worker.started
         ]
-        last_kept = [max(kept)] if attempts > 1 else []
-        self.assertEqual([0, *last_kept], sorted(starts))
+        resumed_ms = [max(checkpoints_ms)] if attempts > 1 else []
+        self.assertEqual([0, *resumed_ms], sorted(starts_ms))
 
     def test_evicted_job_resumes_at_its_checkpoint(self) -> None:
         self.evict()
@@ -98,7 +100,7 @@
         self.evict()
         self.owner.owner.step()
         self.zone.stream.cut.add(self.owner.name)
-        # Beyond the time in which the claim permits commands.
+        # Longer than the claim permits commands.
         self.zone.clock.advance(6_000)
         self.zone.run(5_000)
         self.zone.stream.cut.clear()
@@ -116,13 +118,13 @@
 
     def test_lost_answer_to_the_stop(self) -> None:
         self.evict()
-        self.lose(fake_workers.ExchangeFault.LOSE_ANSWER)
+        self.inject_fault(fake_workers.ExchangeFault.LOSE_ANSWER)
         self.exchange()
         self.check_finished(2)
 
     def test_lost_stop_is_sent_again_after_a_fresh_checkpoint(self) -> None:
         self.evict()
-        self.lose(fake_workers.ExchangeFault.LOSE_REQUEST)
+        self.inject_fault(fake_workers.ExchangeFault.LOSE_REQUEST)
         self.exchange()
         self.check_finished(2)
         self.assertEqual(2, len(self.worker.checkpoints))
--- a/tests/process/batch/test_job_handler.py
+++ b/tests/process/batch/test_job_handler.py
@@ -22,7 +22,7 @@
 }
 
 
-class JobDeskTest(testtools.TestCase):
+class JobHandlerTest(testtools.TestCase):
     """Replies of the job handler."""
 
     def setUp(self) -> None:
@@ -76,7 +76,7 @@
         self.assertEqual(409, reply.status)
         self.assertEqual("job-id-taken", reply.headers["X-Reason"])
 
-    def test_log_down_is_refused_at_once(self) -> None:
+    def test_submission_is_refused_at_once_when_log_is_down(self) -> None:
         """The reply has a retry delay and nothing is appended."""
         self.zone.stream.cut.add(self.host.name)
         reply = self._post()
@@ -84,7 +84,7 @@
         self.assertIn("X-Retry-After-Ms", reply.headers)
         self.assertEqual([], self.zone.stream.payloads)
 
-    def test_lost_answer_is_unknown(self) -> None:
+    def test_lost_append_answer_makes_outcome_unknown(self) -> None:
         """Repeating the same submission then finds the job."""
         self.host.appender.lose_next = True
         self.assertEqual(504, self._post().status)
@@ -92,16 +92,16 @@
         self.assertEqual(200, self._post().status)
         self.assertEqual(1, len(self.zone.stream.payloads))
 
-    def test_too_large_job_names_its_dimensions(self) -> None:
-        """A job that fits no worker is refused at once."""
+    def test_refusal_of_too_large_job_names_the_dimensions(self) -> None:
+        """Only dimensions in which it fits no worker are named."""
         size = {"processors_milli": 1_000, "memory_mib": 9_000}
         reply = self._post(resources=size)
         self.assertEqual(422, reply.status)
         self.assertIn(b"memory_mib 9000 is above 2000", reply.body)
         self.assertNotIn(b"processors_milli", reply.body)
 
-    def test_quota_without_borrowing_can_never_hold_it(self) -> None:
-        """The job is refused, as it would wait forever."""
+    def test_job_above_its_quota_without_borrowing_is_refused(self) -> None:
+        """It would wait in the queue forever."""
         reply = self._post(team="small")
         self.assertEqual("never-fits", reply.headers["X-Reason"])
 
@@ -117,7 +117,7 @@
             reply = self._post(**changes)
             self.assertEqual(reason, reply.headers["X-Reason"])
 
-    def test_bad_bodies_never_raise(self) -> None:
+    def test_invalid_bodies_are_refused(self) -> None:
         """They are answered with status 400."""
         bodies = [b"", b"[]", b"{}", b"\xff", b"[" * 5_000, b'{"id": 1}']
         for amount in (-1, 0, 10**12, 10**30):
--- a/tests/process/batch/test_job_refusal_explained.py
+++ b/tests/process/batch/test_job_refusal_explained.py
@@ -14,7 +14,7 @@
 from comfreylatch._process.batch import job_handler
 from comfreylatch._version import configuration
 from comfreylatch._version import zone_fold
-from testing.fakes import clock as clock_fake
+from testing.fakes import clock as fake_clock
 
 JOB = {
     "id": "stack-1",
@@ -35,7 +35,7 @@
     """Journal entries of refusals."""
 
     def test_refused_job_is_in_the_journal(self) -> None:
-        journal = journal_module.Journal("h", clock_fake.FakeClock())
+        journal = journal_module.Journal("h", fake_clock.FakeClock())
         unused: Any = None
         source: Any = EmptySource()
         handler = job_handler.JobHandler(
--- a/tests/process/batch/test_ownership.py
+++ b/tests/process/batch/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of claims, their lapse and the waits of successors, on a fake clock."""
+"""Tests of claims, their expiry and the waits of successors."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from comfreylatch._version import objects
 from testing.fakes import zone as fake_zone
 
-HALF = 1_000
+# Half the processors of a fake worker.
+HALF_WORKER = 1_000
 CLAIM_MS = objects.Limits().claim_ms
 AUTONOMY_MS = 8_000
 
 
 def owned_zone(
-    **configuration: object,
+    **options: object,
 ) -> tuple[fake_zone.FakeZone, fake_zone.FakeHost]:
     """Returns a zone with an owner, and that owner."""
-    zone = fake_zone.FakeZone(**configuration)
+    zone = fake_zone.FakeZone(**options)
     zone.run(3_000)
     owner = zone.owner()
     assert owner is not None
@@ -52,8 +53,8 @@
         zone.run(3_000)
         self.assertIsNotNone(zone.owner())
 
-    def test_silent_owner_is_replaced_after_the_lapse(self) -> None:
-        """It is replaced soon after its claim has lapsed, but not before."""
+    def test_silent_owner_is_replaced_after_its_claim_expires(self) -> None:
+        """It is replaced soon after its claim has expired, but not before."""
         zone, owner = owned_zone()
         owner.paused = True
         zone.run(CLAIM_MS - 2_500)
@@ -70,7 +71,7 @@
         zone.clock.advance(AUTONOMY_MS)
         self.assertFalse(permissions.may_renew(zone.clock.now_ms))
 
-    def test_renewal_with_lost_answer_is_proved_by_reading(self) -> None:
+    def test_renewal_with_lost_answer_is_confirmed_by_reading(self) -> None:
         """The owner keeps its claim when only answers are lost."""
         zone, owner = owned_zone()
         for _ in range(40):
@@ -96,7 +97,7 @@
     def test_running_work_continues_up_to_the_bound(self) -> None:
         """Leases are renewed beyond the claim, up to the autonomy bound."""
         zone, owner = owned_zone(host_count=1)
-        zone.submit("job", HALF, 60_000)
+        zone.submit("job", HALF_WORKER, 60_000)
         zone.run(1_000)
         zone.stream.cut.add(owner.name)
         zone.run(AUTONOMY_MS + 3_000)
@@ -105,7 +106,7 @@
     def test_running_work_stops_after_the_bound(self) -> None:
         """Nothing runs once autonomy bound, lease and margin have passed."""
         zone, owner = owned_zone(host_count=1)
-        zone.submit("job", HALF, 60_000)
+        zone.submit("job", HALF_WORKER, 60_000)
         zone.run(1_000)
         zone.stream.cut.add(owner.name)
         zone.run(AUTONOMY_MS + 6_000 + 1_000)
@@ -114,7 +115,7 @@
     def test_nothing_is_started_without_the_log(self) -> None:
         """A job known before the cut isn't started during it."""
         zone, owner = owned_zone(host_count=1)
-        zone.submit("job", HALF, 60_000)
+        zone.submit("job", HALF_WORKER, 60_000)
         zone.stream.cut.add(owner.name)
         zone.run(5_000)
         self.assertEqual({}, zone.running())
@@ -122,7 +123,7 @@
     def test_owner_continues_when_the_log_is_back(self) -> None:
         """No other host has claimed: term and attempts stay the same."""
         zone, owner = owned_zone(host_count=1)
-        zone.submit("job", HALF, 20_000)
+        zone.submit("job", HALF_WORKER, 20_000)
         zone.run(1_000)
         zone.stream.cut.add(owner.name)
         zone.run(AUTONOMY_MS)
@@ -137,9 +138,9 @@
     """Takeover by a successor, with and without access to a worker."""
 
     def test_unreachable_work_waits_for_the_bound(self) -> None:
-        """The job restarts elsewhere only after its task can't run any more."""
+        """The job restarts elsewhere only once its task can no longer run."""
         zone, owner = owned_zone()
-        zone.submit("job", HALF, 120_000)
+        zone.submit("job", HALF_WORKER, 120_000)
         zone.run(1_000)
         worker = zone.running()["job"]
         zone.stream.cut.add(owner.name)
@@ -147,19 +148,21 @@
         zone.network.cut.add((other.name, worker))
         for _ in range(80):
             zone.run(500)
-            places = [
+            running_on = [
                 name
-                for name, fake in zone.fleet.items()
-                if any(task.start.job == "job" for task in fake.running())
+                for name, fake_worker in zone.fleet.items()
+                if any(
+                    task.start.job == "job" for task in fake_worker.running()
+                )
             ]
-            self.assertLessEqual(len(places), 1)
+            self.assertLessEqual(len(running_on), 1)
         self.assertEqual(2, zone.state("job").attempt)
         self.assertNotEqual(worker, zone.running()["job"])
 
     def test_reachable_work_is_taken_over_at_once(self) -> None:
         """A worker that answers under the new term is taken over at once."""
         zone, owner = owned_zone()
-        zone.submit("job", HALF, 60_000)
+        zone.submit("job", HALF_WORKER, 60_000)
         zone.run(1_000)
         zone.stream.cut.add(owner.name)
         zone.run(12_000)
@@ -182,7 +185,7 @@
     def test_owner_applies_them_in_a_new_term(self) -> None:
         """The same host stays owner and the attempt keeps running."""
         zone, owner = owned_zone()
-        zone.submit("job", HALF, 30_000)
+        zone.submit("job", HALF_WORKER, 30_000)
         zone.run(2_000)
         before = zone.running()
         self.change_limits(zone)
--- a/tests/process/batch/test_ownership_model.py
+++ b/tests/process/batch/test_ownership_model.py
@@ -66,29 +66,31 @@
 def _late_start(draw: strategies.DrawFn) -> list[Operation]:
     """A start is delayed in a buffer while its sender stops or fails."""
     host = draw(_host)
-    ends = strategies.sampled_from(["pause", "restart", "release", "cut_log"])
-    cut = draw(strategies.booleans())
+    interruptions = strategies.sampled_from(
+        ["pause", "restart", "release", "cut_log"]
+    )
+    cuts_other_host = draw(strategies.booleans())
     return [
         ("delay_start", host),
         ("submit", draw(_run_time_ms)),
         ("run", 250),
-        (draw(ends), host),
-        *([("cut_delayed", 1 - host)] if cut else []),
+        (draw(interruptions), host),
+        *([("cut_delayed", 1 - host)] if cuts_other_host else []),
         ("run", draw(strategies.sampled_from([1_000, 1_500, 22_000]))),
         ("deliver",),
         ("run", draw(_span_ms)),
     ]
 
 
-def _scenarios(most: int) -> strategies.SearchStrategy[list[Operation]]:
-    """Scenarios of up to `most` segments."""
+def _scenarios(max_segments: int) -> strategies.SearchStrategy[list[Operation]]:
+    """Scenarios of up to `max_segments` operations or sequences of them."""
     segment = strategies.one_of(
         _one_operation.map(lambda operation: [operation]),
         _one_operation.map(lambda operation: [operation]),
         _takeover(),
         _late_start(),
     )
-    segments = strategies.lists(segment, min_size=1, max_size=most)
+    segments = strategies.lists(segment, min_size=1, max_size=max_segments)
     return segments.map(
         lambda chosen: [
             operation for segment in chosen for operation in segment
@@ -109,12 +111,12 @@
 
     def play(self, operations: list[Operation]) -> None:
         """Runs a scenario, ends all faults and checks the outcome."""
-        self.disturb(operations)
+        self.perform(operations)
         self.heal()
         self.run(SETTLE_MS)
         self.check_outcome()
 
-    def disturb(self, operations: list[Operation]) -> None:
+    def perform(self, operations: list[Operation]) -> None:
         """Carries out operations and checks the invariants after each."""
         for name, *arguments in operations:
             getattr(self, name)(*arguments)
@@ -228,7 +230,7 @@
         for worker in self.zone.fleet.values():
             used = worker.used()
             assert capacity.fits(used, worker.worker_capacity), (
-                f"{worker.name} {used}"
+                f"{worker.name} uses {used}"
             )
             checkpoints |= worker.checkpoints
         for name, worker in self.zone.fleet.items():
@@ -248,7 +250,9 @@
             f"{start} started on {first_worker} and {worker}"
         )
         resumes = (start.job, start.checkpoint_ms) in checkpoints
-        assert resumes or start.checkpoint_ms == 0, f"{start} not kept"
+        assert resumes or start.checkpoint_ms == 0, (
+            f"{start} resumes at no checkpoint"
+        )
 
     def check_outcome(self) -> None:
         """Checks that every job ended exactly once and all hosts agree."""
@@ -274,11 +278,13 @@
     Model().play(operations)
 
 
-def violates_invariant(operations: list[Operation], without: str) -> bool:
+def violates_invariant(
+    operations: list[Operation], removed_safeguard: str
+) -> bool:
     """Whether a scenario violates an invariant with one safeguard removed."""
     model = Model()
     patches = []
-    match without:
+    match removed_safeguard:
         case "term":
             for worker in model.zone.fleet.values():
                 worker.checks_term = False
@@ -296,7 +302,7 @@
     for patch in patches:
         patch.start()
     try:
-        model.disturb(operations)
+        model.perform(operations)
     except AssertionError:
         return True
     finally:
@@ -321,28 +327,28 @@
         """No scenario violates an invariant."""
 
         @_SETTINGS
-        @hypothesis.given(_scenarios(most=16))
+        @hypothesis.given(_scenarios(max_segments=16))
         def check(operations: list[Operation]) -> None:
             play(operations)
 
         check()
 
-    def test_worker_without_term_check_is_found(self) -> None:
+    def test_worker_without_term_check_is_detected(self) -> None:
         """The model detects workers that accept starts of an earlier owner."""
-        self._assert_found("term")
+        self._assert_violation_found("term")
 
-    def test_worker_without_staleness_check_is_found(self) -> None:
+    def test_worker_without_staleness_check_is_detected(self) -> None:
         """The model detects workers that accept starts delayed in a buffer."""
-        self._assert_found("staleness")
+        self._assert_violation_found("staleness")
 
-    def test_successor_without_wait_is_found(self) -> None:
+    def test_successor_without_wait_is_detected(self) -> None:
         """The model detects a successor that restarts work too early."""
-        self._assert_found("wait")
+        self._assert_violation_found("wait")
 
-    def _assert_found(self, without: str) -> None:
+    def _assert_violation_found(self, removed_safeguard: str) -> None:
         operations = hypothesis.find(
-            _scenarios(most=3),
-            lambda candidate: violates_invariant(candidate, without),
+            _scenarios(max_segments=3),
+            lambda candidate: violates_invariant(candidate, removed_safeguard),
             settings=hypothesis.settings(
                 _SETTINGS,
                 max_examples=1_500,
--- a/tests/process/batch/test_placement.py
+++ b/tests/process/batch/test_placement.py
@@ -19,7 +19,7 @@
 from comfreylatch._version import job_state
 from comfreylatch._version import objects
 
-AMOUNT = workers.Resources(4_000, 4_000)
+WORKER_CAPACITY = workers.Resources(4_000, 4_000)
 SMALL = workers.Resources(1_000, 100)
 _amounts = strategies.builds(
     workers.Resources,
@@ -50,7 +50,7 @@
         ledger.set_worker(
             f"w{index}",
             f"rack-{index // 2}",
-            AMOUNT,
+            WORKER_CAPACITY,
             capacity.NO_RESOURCES,
             True,
         )
@@ -94,24 +94,24 @@
             for account in ledger.accounts()
             if capacity.fits(size, account.free)
         }
-        found = {account.name for account in ledger.candidates(size, 100)}
-        self.assertEqual(expected, found)
+        candidates = {account.name for account in ledger.candidates(size, 100)}
+        self.assertEqual(expected, candidates)
 
     def test_services_reserve_first(self) -> None:
         """Capacity reserved by services is never free for batch work."""
         ledger = capacity.CapacityLedger()
         services = workers.Resources(3_500, 100)
-        ledger.set_worker("w0", "", AMOUNT, services, True)
+        ledger.set_worker("w0", "", WORKER_CAPACITY, services, True)
         size = workers.Resources(1_000, 100)
         self.assertEqual([], ledger.candidates(size, 1))
 
     def test_released_capacity_is_free_again(self) -> None:
         """Releasing a job twice frees its capacity once."""
         ledger = ledger_of(1)
-        ledger.reserve("job", "w0", AMOUNT)
+        ledger.reserve("job", "w0", WORKER_CAPACITY)
         ledger.release("job")
         ledger.release("job")
-        self.assertEqual(AMOUNT, ledger.account("w0").free)
+        self.assertEqual(WORKER_CAPACITY, ledger.account("w0").free)
 
     def test_nearest_worker_names_the_dimensions(self) -> None:
         """Only dimensions that the nearest worker lacks are named."""
@@ -179,8 +179,8 @@
     def test_smallest_share_comes_first(self) -> None:
         """A team that uses less of its quota goes first."""
         queue = job_queue.JobQueue()
-        quota = objects.Team(workers.Resources(2_000, 2_000))
-        queue.set_teams({"a": quota, "b": quota})
+        team = objects.Team(workers.Resources(2_000, 2_000))
+        queue.set_teams({"a": team, "b": team})
         queue.add_usage("running", "a", workers.Resources(1_000, 0))
         queue.add(queued("of-a", "a"))
         queue.add(queued("of-b", "b"))
@@ -203,10 +203,10 @@
 class VictimTest(testtools.TestCase):
     """Selection of jobs to evict."""
 
-    def _attempt(self, job: str, lost_ms: int) -> attempt_module.Attempt:
-        found = attempt_module.Attempt(queued(job), 0)
-        found.progress_ms = lost_ms
-        return found
+    def _attempt(self, job: str, unsaved_ms: int) -> attempt_module.Attempt:
+        attempt = attempt_module.Attempt(queued(job), 0)
+        attempt.progress_ms = unsaved_ms
+        return attempt
 
     def test_least_unsaved_work_is_evicted_first(self) -> None:
         """One victim suffices: the one with least unsaved work."""
@@ -216,8 +216,8 @@
         )
         self.assertEqual(["new"], [victim.job for victim in victims])
 
-    def test_no_victims_when_all_are_too_few(self) -> None:
-        """No job is evicted if that can't free enough."""
+    def test_no_victims_if_all_jobs_together_free_too_little(self) -> None:
+        """An eviction that can't make enough room is pointless."""
         victims = eviction_planner.select_victims(
             workers.Resources(3_000, 100),
             capacity.NO_RESOURCES,
@@ -225,7 +225,7 @@
         )
         self.assertIsNone(victims)
 
-    def test_budget_is_for_one_hour(self) -> None:
+    def test_eviction_budget_is_per_hour(self) -> None:
         """A request is granted completely or not at all."""
         budget = eviction_planner.EvictionBudget()
         self.assertTrue(budget.try_spend(2, 3, 0))
@@ -243,8 +243,8 @@
             noisy = 0.1 + 0.4 * (step % 5) / 4
             quiet = 0.1 + 0.4 * (step % 3) / 2
             loads = {"noisy": noisy, "quiet": quiet}
-            slow = {"skyproc": 1.0 + 1.0 * noisy}
-            model.learn(interference.Sample(loads, slow, noisy + quiet))
+            slowdowns = {"skyproc": 1.0 + 1.0 * noisy}
+            model.learn(interference.Sample(loads, slowdowns, noisy + quiet))
         self.assertGreater(model.coefficient("skyproc", "noisy").mean, 0.9)
         self.assertLess(model.coefficient("skyproc", "quiet").mean, 0.1)
 
@@ -266,7 +266,7 @@
             sizes.record("stack", declared, used)
         self.assertEqual(
             workers.Resources(1_000, 3_000),
-            sizes.size("stack", declared, AMOUNT),
+            sizes.size("stack", declared, WORKER_CAPACITY),
         )
         small = workers.Resources(4_000, 2_000)
         self.assertEqual(2_000, sizes.size("stack", declared, small).memory_mib)
@@ -278,4 +278,6 @@
         used = workers.TaskSlowdown("j", 1, 1_000, 500, 3_000)
         for _ in range(50):
             sizes.record("stack", declared, used)
-        self.assertEqual(declared, sizes.size("stack", declared, AMOUNT))
+        self.assertEqual(
+            declared, sizes.size("stack", declared, WORKER_CAPACITY)
+        )
--- a/tests/process/batch/test_service.py
+++ b/tests/process/batch/test_service.py
@@ -31,7 +31,7 @@
 from testing.standins import worker_records
 
 ZONE = "bole"
-AMOUNT = workers.Resources(4_000, 4_000)
+WORKER_CAPACITY = workers.Resources(4_000, 4_000)
 LIMITS = objects.Limits(lease_ms=2_500, claim_ms=1_500, drift_margin_ms=200)
 WAIT_TIMEOUT_S = 30.0
 
@@ -51,12 +51,14 @@
             return result.Err(log_port.LogUnavailable("cut"))
         return self._log.append(stream, payloads)
 
-    def read(self, stream: str, offset: int, most: int, wait_ms: int) -> Any:
+    def read(
+        self, stream: str, offset: int, max_entries: int, wait_ms: int
+    ) -> Any:
         """See `LogPort.read`."""
         if self.log_cut:
             time.sleep(0.05)
             return result.Err(log_port.LogUnavailable("cut"))
-        return self._log.read(stream, offset, most, min(wait_ms, 200))
+        return self._log.read(stream, offset, max_entries, min(wait_ms, 200))
 
     def exchange(self, address: str, exchange: Any, timeout_ms: int) -> Any:
         """See `WorkerPort.exchange`."""
@@ -73,7 +75,8 @@
         super().setUp()
         self.events = serving.Journal()
         specs = [
-            worker_records.WorkerSpec(f"w{index}", AMOUNT) for index in range(3)
+            worker_records.WorkerSpec(f"w{index}", WORKER_CAPACITY)
+            for index in range(3)
         ]
         model = worker_model.WorkModel()
         self.fleet = [
@@ -116,8 +119,10 @@
         source = fake_zone.FakeConfigurationSource(
             configuration_module.Configuration(
                 offset=1,
-                teams={"faculty": objects.Team(AMOUNT)},
-                worker_classes={"standard": objects.WorkerClass(AMOUNT)},
+                teams={"faculty": objects.Team(WORKER_CAPACITY)},
+                worker_classes={
+                    "standard": objects.WorkerClass(WORKER_CAPACITY)
+                },
                 zones={ZONE: objects.Zone((seat,), autonomy_ms=3_000)},
                 limits=LIMITS,
             )
@@ -153,7 +158,9 @@
     def _wait_until(self, condition: Any) -> None:
         deadline = time.monotonic() + WAIT_TIMEOUT_S
         while not condition():
-            self.assertLess(time.monotonic(), deadline, "time is up")
+            self.assertLess(
+                time.monotonic(), deadline, "condition not met in time"
+            )
             for worker in self.fleet:
                 worker.advance()
             time.sleep(0.02)
@@ -209,24 +216,24 @@
 
     def test_owner_cut_from_the_log_is_replaced(self) -> None:
         """Running work continues under the successor without a restart."""
-        first = self._wait_for_owner()
+        first_owner = self._wait_for_owner()
         self._submit(6, 6_000)
         self._wait_for_running(6)
-        self.links[first].log_cut = True
-        self._wait_until(lambda: self._owner_index() == 1 - first)
-        self._wait_for_ends(self.services[1 - first])
+        self.links[first_owner].log_cut = True
+        self._wait_until(lambda: self._owner_index() == 1 - first_owner)
+        self._wait_for_ends(self.services[1 - first_owner])
         self._assert_invariants()
         self.assertEqual(6, self._count("start"))
 
     def test_owner_cut_from_everything_is_replaced(self) -> None:
         """No job runs twice and all jobs end."""
-        first = self._wait_for_owner()
+        first_owner = self._wait_for_owner()
         self._submit(6, 4_000)
         self._wait_for_running(6)
-        self.links[first].log_cut = True
-        self.links[first].workers_cut = True
-        self._wait_until(lambda: self._owner_index() == 1 - first)
-        self._wait_for_ends(self.services[1 - first])
+        self.links[first_owner].log_cut = True
+        self.links[first_owner].workers_cut = True
+        self._wait_until(lambda: self._owner_index() == 1 - first_owner)
+        self._wait_for_ends(self.services[1 - first_owner])
         self._assert_invariants()
 
     def test_dead_worker_loses_only_its_own_work(self) -> None:
@@ -247,10 +254,10 @@
 
     def test_planned_stop_hands_over_without_a_restart(self) -> None:
         """The claim is released after the last command is sent."""
-        first = self._wait_for_owner()
+        first_owner = self._wait_for_owner()
         self._submit(6, 4_000)
         self._wait_for_running(6)
-        self.services[first].release()
-        self._wait_for_ends(self.services[1 - first])
+        self.services[first_owner].release()
+        self._wait_for_ends(self.services[1 - first_owner])
         self._assert_invariants()
         self.assertEqual(6, self._count("start"))
--- a/tests/process/batch/test_zone_owner.py
+++ b/tests/process/batch/test_zone_owner.py
@@ -11,13 +11,14 @@
 from comfreylatch._version import objects
 from testing.fakes import zone as fake_zone
 
-HALF = 1_000
-WHOLE = 2_000
+# Half and all of the processors of a fake worker.
+HALF_WORKER = 1_000
+WHOLE_WORKER = 2_000
 
 
-def started_zone(**given: object) -> fake_zone.FakeZone:
+def started_zone(**options: object) -> fake_zone.FakeZone:
     """Returns a zone whose owner has reached every worker."""
-    zone = fake_zone.FakeZone(**given)
+    zone = fake_zone.FakeZone(**options)
     zone.run(3_000)
     return zone
 
@@ -29,7 +30,7 @@
         """Every job runs once and is folded as finished."""
         zone = started_zone()
         for number in range(12):
-            zone.submit(f"job-{number}", HALF)
+            zone.submit(f"job-{number}", HALF_WORKER)
         zone.run(20_000)
         for number in range(12):
             state = zone.state(f"job-{number}")
@@ -40,7 +41,7 @@
         """Cancelled jobs stop, started or not, with few appends."""
         zone = started_zone()
         for number in range(40):
-            zone.submit(f"job-{number}", HALF, 60_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 60_000)
         zone.run(1_000)
         for number in range(40):
             zone.cancel(f"job-{number}")
@@ -55,7 +56,7 @@
     def test_planned_stop_keeps_work_running(self) -> None:
         """After a planned stop the successor continues without a restart."""
         zone = started_zone()
-        zone.submit("job", HALF, 8_000)
+        zone.submit("job", HALF_WORKER, 8_000)
         zone.run(2_000)
         zone.owner().release()
         zone.run(15_000)
@@ -66,7 +67,7 @@
     def test_dead_owner_is_replaced_without_restart(self) -> None:
         """By default a lease outlasts the claim, so no work is repeated."""
         zone = started_zone(limits=objects.Limits())
-        zone.submit("job", HALF, 20_000)
+        zone.submit("job", HALF_WORKER, 20_000)
         zone.run(2_000)
         zone.owner().paused = True
         zone.run(30_000)
@@ -77,7 +78,7 @@
     def test_running_work_is_checkpointed_periodically(self) -> None:
         """A dead worker loses at most about a minute of work."""
         zone = started_zone()
-        zone.submit("job", HALF, 200_000)
+        zone.submit("job", HALF_WORKER, 200_000)
         zone.run(150_000)
         worker = zone.running()["job"]
         zone.fleet[worker].reboot()
@@ -93,7 +94,7 @@
     def test_no_command_makes_a_worker_forget_an_unrecorded_end(self) -> None:
         """The successor still finds the end, so no work is repeated."""
         zone = started_zone()
-        zone.submit("job", HALF, 3_000)
+        zone.submit("job", HALF_WORKER, 3_000)
         zone.run(2_000)
         owner = zone.owner()
         zone.stream.cut.add(owner.name)
@@ -107,7 +108,7 @@
     def test_cut_off_owner_sends_leases_only(self) -> None:
         """It sends no command whose outcome it could not record."""
         zone = started_zone()
-        zone.submit("job", HALF, 60_000)
+        zone.submit("job", HALF_WORKER, 60_000)
         zone.run(2_000)
         owner = zone.owner()
         zone.stream.cut.update(host.name for host in zone.hosts)
@@ -126,7 +127,7 @@
         zone = started_zone(worker_count=4)
         zone.fleet["w1"].fail_all = True
         for number in range(40):
-            zone.submit(f"job-{number}", HALF, 2_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 2_000)
         zone.run(40_000)
         phases = {zone.state(f"job-{n}").phase for n in range(40)}
         self.assertEqual({job_state.JobPhase.FINISHED}, phases)
@@ -138,20 +139,20 @@
         zone = started_zone(worker_count=4)
         zone.fleet["w1"].fail_all = True
         for number in range(40):
-            zone.submit(f"job-{number}", HALF, 2_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 2_000)
         zone.run(20_000)
         zone.fleet["w1"].fail_all = False
         for number in range(40, 140):
-            zone.submit(f"job-{number}", HALF, 4_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 4_000)
         zone.run(60_000)
         self.assertEqual((), zone.owner().owner.status().quarantined)
 
     def test_job_that_fails_everywhere_is_parked(self) -> None:
         """It is parked after failures on several workers."""
         zone = started_zone(worker_count=4)
-        zone.submit("never-works", HALF)
+        zone.submit("never-works", HALF_WORKER)
         for number in range(12):
-            zone.submit(f"job-{number}", HALF, 2_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 2_000)
         zone.run(30_000)
         state = zone.state("never-works")
         self.assertEqual(job_state.JobPhase.PARKED, state.phase)
@@ -167,9 +168,9 @@
         """A full zone evicts jobs after a checkpoint to make room."""
         zone = started_zone()
         for number in range(6):
-            zone.submit(f"job-{number}", HALF, 60_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 60_000)
         zone.run(5_000)
-        zone.submit("now", WHOLE, 3_000, urgent=True)
+        zone.submit("now", WHOLE_WORKER, 3_000, urgent=True)
         zone.run(2_000)
         self.assertIn("now", zone.running())
         zone.run(120_000)
@@ -183,47 +184,47 @@
         """A job of half a worker's size evicts only one such job."""
         zone = started_zone()
         for number in range(6):
-            zone.submit(f"job-{number}", HALF, 60_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 60_000)
         zone.run(5_000)
-        zone.submit("now", HALF, 3_000, urgent=True)
+        zone.submit("now", HALF_WORKER, 3_000, urgent=True)
         zone.run(3_000)
         evicted = [zone.state(f"job-{number}").evictions for number in range(6)]
         self.assertEqual(1, sum(evicted))
 
     def test_team_without_borrowing_stays_in_its_quota(self) -> None:
         """It doesn't use idle capacity beyond its quota."""
-        quota = workers.Resources(HALF, 10_000)
+        quota = workers.Resources(HALF_WORKER, 10_000)
         team = objects.Team(quota, may_borrow=False)
         zone = started_zone(teams={"faculty": team})
         for number in range(4):
-            zone.submit(f"job-{number}", HALF, 60_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 60_000)
         zone.run(3_000)
         self.assertEqual(1, len(zone.running()))
 
     def test_borrowed_capacity_is_reclaimed(self) -> None:
         """A team within its quota reclaims capacity after a delay."""
-        quota = workers.Resources(WHOLE, 10_000)
+        quota = workers.Resources(WHOLE_WORKER, 10_000)
         team = objects.Team(quota)
         zone = started_zone(teams={"faculty": team, "school": team})
         for number in range(8):
-            zone.submit(f"job-{number}", HALF, 300_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 300_000)
         zone.run(3_000)
-        zone.submit("mine", HALF, 5_000, team="school")
+        zone.submit("mine", HALF_WORKER, 5_000, team="school")
         zone.run(40_000)
         self.assertEqual(job_state.JobPhase.FINISHED, zone.state("mine").phase)
 
     def test_spent_budget_stops_reclaims(self) -> None:
         """Once the eviction budget is spent, the job stays queued."""
-        quota = workers.Resources(WHOLE, 10_000)
+        quota = workers.Resources(WHOLE_WORKER, 10_000)
         team = objects.Team(quota)
         zone = started_zone(
             teams={"faculty": team, "school": team},
             limits=objects.Limits(evictions_per_hour=0),
         )
         for number in range(6):
-            zone.submit(f"job-{number}", HALF, 300_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 300_000)
         zone.run(3_000)
-        zone.submit("mine", HALF, 5_000, team="school")
+        zone.submit("mine", HALF_WORKER, 5_000, team="school")
         zone.run(40_000)
         self.assertEqual(job_state.JobPhase.QUEUED, zone.state("mine").phase)
 
@@ -235,7 +236,7 @@
             limits=objects.Limits(evictions_per_hour=1),
         )
         for number in range(8):
-            zone.submit(f"job-{number}", HALF, 300_000)
+            zone.submit(f"job-{number}", HALF_WORKER, 300_000)
         zone.run(60_000)
         spent = zone.owner().metrics.value(
             metrics.Counter.JOB_EVENTS, "eviction-budget-spent"
@@ -267,7 +268,7 @@
     def test_lasting_slowdown_is_throttled_then_moved(self) -> None:
         """Jobs are throttled first, and moved if that did not help."""
         zone = started_zone(worker_count=1)
-        zone.submit("noisy", HALF, 300_000)
+        zone.submit("noisy", HALF_WORKER, 300_000)
         zone.run(2_000)
         shares = []
         for _ in range(100):
@@ -282,7 +283,7 @@
     def test_one_sample_changes_nothing(self) -> None:
         """A single slow measurement causes no action."""
         zone = started_zone(worker_count=1)
-        zone.submit("quiet", HALF, 300_000)
+        zone.submit("quiet", HALF_WORKER, 300_000)
         zone.run(4_000)
         self._slow_down(zone, 1_500)
         zone.run(250)
@@ -293,7 +294,7 @@
     def test_first_fit_never_acts(self) -> None:
         """The first-fit policy takes no action against interference."""
         zone = started_zone(worker_count=1, policy=placement.Policy.FIRST_FIT)
-        zone.submit("noisy", HALF, 300_000)
+        zone.submit("noisy", HALF_WORKER, 300_000)
         for _ in range(40):
             self._slow_down(zone, 1_500)
             zone.run(500)
