--- a/tests/process/routing/test_admission.py
+++ b/tests/process/routing/test_admission.py
@@ -77,16 +77,16 @@
             time.sleep(0.001)
 
     def exhausted_slots(self) -> _Slots:
-        """One slot, held by a request in flight."""
+        """Slots of an endpoint whose only slot is held by a request."""
         slots = _Slots(1)
         self.queue.acquire(self.slot_request("z", slots.acquire_slot)).unwrap()
         return slots
 
     def test_host_without_any_slot_refuses_at_once(self) -> None:
-        refused = self.queue.acquire(
+        refusal = self.queue.acquire(
             self.slot_request("a", _Slots(0).acquire_slot)
         ).unwrap_err()
-        self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
+        self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refusal.reason)
 
     def test_free_slot_is_granted_at_once(self) -> None:
         slots = _Slots(1)
@@ -94,13 +94,13 @@
         self.assertEqual(result.Ok("ex-1"), granted)
 
     def test_too_short_deadline_is_refused_at_once(self) -> None:
-        refused = self.queue.acquire(
+        refusal = self.queue.acquire(
             self.slot_request(
                 "a", self.exhausted_slots().acquire_slot, timeout_ms=5
             )
         ).unwrap_err()
         self.assertEqual(
-            reasons.RefusalReason.DEADLINE_TOO_SHORT, refused.reason
+            reasons.RefusalReason.DEADLINE_TOO_SHORT, refusal.reason
         )
 
     def test_queue_that_cannot_drain_in_time_refuses_at_once(self) -> None:
@@ -108,13 +108,13 @@
         for _ in range(3):
             self.enqueue_in_thread("a", slots.acquire_slot)
         started = time.monotonic()
-        refused = self.queue.acquire(
+        refusal = self.queue.acquire(
             self.slot_request("b", slots.acquire_slot, timeout_ms=50)
         ).unwrap_err()
         self.assertLess(time.monotonic() - started, 0.05)
-        self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refused.reason)
+        self.assertEqual(reasons.RefusalReason.NO_FREE_SLOT, refusal.reason)
         self.assertGreaterEqual(
-            refused.retry_after_ms, admission.MIN_RETRY_AFTER_MS
+            refusal.retry_after_ms, admission.MIN_RETRY_AFTER_MS
         )
         slots.free = 3
         self.queue.grant_free_slots()
@@ -147,10 +147,10 @@
     def test_waiting_request_is_refused_by_its_deadline(self) -> None:
         slots = self.exhausted_slots()
         started = time.monotonic()
-        refused = self.queue.acquire(
+        refusal = self.queue.acquire(
             self.slot_request("a", slots.acquire_slot, timeout_ms=80)
         ).unwrap_err()
-        self.assertEqual(reasons.RefusalReason.DEADLINE_PASSED, refused.reason)
+        self.assertEqual(reasons.RefusalReason.DEADLINE_PASSED, refusal.reason)
         self.assertLess(time.monotonic() - started, 0.2)
 
 
@@ -159,11 +159,11 @@
 
     def test_busy_service_leaves_threads_for_others(self) -> None:
         threads = admission.ThreadShares(108)
-        taken = sum(threads.try_acquire("greedy", 0.5) for _ in range(200))
-        self.assertLess(taken, 100)
+        acquired = sum(threads.try_acquire("greedy", 0.5) for _ in range(200))
+        self.assertLess(acquired, 100)
         self.assertTrue(threads.try_acquire("other", 0.5))
 
-    def test_thread_is_usable_again(self) -> None:
+    def test_released_thread_can_be_acquired_again(self) -> None:
         threads = admission.ThreadShares(admission.REFUSAL_THREADS + 1)
         self.assertTrue(threads.try_acquire("a", 1.0))
         self.assertFalse(threads.try_acquire("a", 1.0))
--- a/tests/process/routing/test_load_balancing.py
+++ b/tests/process/routing/test_load_balancing.py
@@ -47,7 +47,7 @@
         chosen = collections.Counter(self.pick() for _ in range(400))
         self.assertLess(chosen["ex-0"], 10)
 
-    def test_only_free_slot_is_found(self) -> None:
+    def test_only_endpoint_with_a_free_slot_is_picked(self) -> None:
         self.free = dict.fromkeys(NAMES, 0) | {"ex-7": 1}
         self.assertEqual({"ex-7"}, {self.pick() for _ in range(20)})
 
@@ -77,13 +77,11 @@
 
     def test_round_robin_cycles_through_endpoints(self) -> None:
         picker = load_balancing.RoundRobinPicker()
-        wanted = load_balancing.PickArgs(NAMES, lambda _: 1, True)
-        chosen = [picker.pick(wanted) for _ in range(16)]
+        args = load_balancing.PickArgs(NAMES, lambda _: 1, True)
+        chosen = [picker.pick(args) for _ in range(16)]
         self.assertEqual(list(NAMES) * 2, chosen)
 
     def test_random_skips_full_endpoints(self) -> None:
         picker = load_balancing.RandomPicker(random.Random(1))
-        wanted = load_balancing.PickArgs(
-            NAMES, lambda name: name == "ex-3", True
-        )
-        self.assertEqual("ex-3", picker.pick(wanted))
+        args = load_balancing.PickArgs(NAMES, lambda name: name == "ex-3", True)
+        self.assertEqual("ex-3", picker.pick(args))
--- a/tests/request/test_dispatch_guard.py
+++ b/tests/request/test_dispatch_guard.py
@@ -62,12 +62,12 @@
         )
         self.dead.discard(seat)
 
-    def partition_zones(self, one: str, other: str) -> None:
-        self.partitions.add(frozenset({one, other}))
+    def partition_zones(self, zone: str, other_zone: str) -> None:
+        self.partitions.add(frozenset({zone, other_zone}))
 
     def reaches(self, seat: str, other: str) -> bool:
-        between = frozenset({SEAT_ZONES[seat], SEAT_ZONES[other]})
-        return other not in self.dead and between not in self.partitions
+        zones = frozenset({SEAT_ZONES[seat], SEAT_ZONES[other]})
+        return other not in self.dead and zones not in self.partitions
 
     def claim(
         self, seat: str, request_id: str = "r1"
@@ -121,9 +121,9 @@
         self,
         claimed: result.Result[outcomes.Claim, dispatch_guard.ClaimError],
         reason: reasons.RefusalReason,
-        kind: type,
+        error_type: type,
     ) -> None:
-        self.assertIsInstance(claimed.unwrap_err(), kind)
+        self.assertIsInstance(claimed.unwrap_err(), error_type)
         self.assertEqual(reason, claimed.unwrap_err().reason)
 
     def assert_duplicate(self, seat: str) -> None:
@@ -154,7 +154,7 @@
         for seat in SEAT_ZONES:
             self.assert_duplicate(seat)
 
-    def test_repetition_after_any_one_holder_was_replaced(self) -> None:
+    def test_repetition_after_replacing_any_one_holder_is_refused(self) -> None:
         for replaced in self.holders:
             with self.subTest(replaced=replaced):
                 request_id = self.id_held_by(replaced)
@@ -172,7 +172,7 @@
             if seat in dispatch_guard.holders_of(request_id, seats)
         )
 
-    def test_repetition_after_all_holders_were_replaced(self) -> None:
+    def test_repetition_after_replacing_all_holders_is_too_old(self) -> None:
         self.fleet.claim("b1").unwrap()
         for seat in self.holders:
             self.fleet.boot(seat)
@@ -184,8 +184,8 @@
 
     def test_one_dead_holder_does_not_stop_claims(self) -> None:
         self.fleet.dead.add(self.holders[0])
-        caller = next(s for s in SEAT_ZONES if s not in self.holders)
-        self.assertTrue(self.fleet.claim(caller).is_ok())
+        claimant = next(s for s in SEAT_ZONES if s not in self.holders)
+        self.assertTrue(self.fleet.claim(claimant).is_ok())
 
     def test_partitioned_zone_claims_no_other_ids(self) -> None:
         self.fleet.partition_zones("bole", "entoto")
@@ -225,21 +225,24 @@
                 self.claim_under_random_faults(random.Random(seed))
 
     def claim_under_random_faults(self, rng: random.Random) -> None:
-        """Claims one id repeatedly through random hosts while hosts fail."""
+        """Checks that one id is granted at most once while hosts fail."""
         clock = fakes.FakeClock()
         fleet = _Fleet(clock)
         clock.now_ms += KEEP_MS
-        first_ms: int | None = None
+        first_claim_ms: int | None = None
         for _ in range(40):
             inject_random_fault(fleet, rng)
             clock.now_ms += rng.randrange(0, KEEP_MS // 10)
             alive = sorted(SEAT_ZONES.keys() - fleet.dead)
-            is_kept = first_ms is None or clock.now_ms < first_ms + KEEP_MS
-            if not alive or not is_kept:
+            marks_kept = (
+                first_claim_ms is None
+                or clock.now_ms < first_claim_ms + KEEP_MS
+            )
+            if not alive or not marks_kept:
                 continue
             if fleet.claim(rng.choice(alive)).is_ok():
-                self.assertIsNone(first_ms)
-                first_ms = clock.now_ms
+                self.assertIsNone(first_claim_ms)
+                first_claim_ms = clock.now_ms
 
 
 def inject_random_fault(fleet: _Fleet, rng: random.Random) -> None:
@@ -259,7 +262,7 @@
 
 
 class GuardedRouterTest(testtools.TestCase):
-    """Routers whose non-idempotent requests pass the guard."""
+    """Routers whose non-idempotent requests need a claim from the guard."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -300,7 +303,7 @@
         self.assertEqual(503, self.first_host.send_request("r1").status)
         self.assertEqual(200, self.second_host.send_request("r1").status)
 
-    def test_id_made_by_a_host_cannot_be_reused(self) -> None:
+    def test_id_generated_by_a_host_cannot_be_reused(self) -> None:
         generated_id = self.first_host.send_request().headers["X-Request-Id"]
         self.assertEqual(
             504, self.second_host.send_request(generated_id).status
--- a/tests/request/test_router.py
+++ b/tests/request/test_router.py
@@ -86,7 +86,7 @@
         self.assert_outcome(reply, 404, "not-run")
         self.assertEqual("unknown-service", reply.headers["X-Reason"])
 
-    def test_bad_input_is_refused_clearly(self) -> None:
+    def test_invalid_input_is_refused_with_400(self) -> None:
         fixture = self.make_fixture(echo)
         self.assert_outcome(fixture.send_request("a b"), 400, "not-run")
         self.assert_outcome(fixture.send_request("x" * 129), 400, "not-run")
@@ -160,8 +160,8 @@
             fixture.send_request(
                 f"r{number}", method="GET", body=b"", timeout_ms=400
             )
-        extra = len(fixture.received_ids()) - request_count
-        self.assertLessEqual(extra, request_count * 0.1 + 2)
+        retry_count = len(fixture.received_ids()) - request_count
+        self.assertLessEqual(retry_count, request_count * 0.1 + 2)
         self.assertGreater(fixture.retries(reasons.RetryReason.BUDGET_SPENT), 0)
 
     def test_request_without_further_tries_is_answered_at_once(self) -> None:
@@ -280,7 +280,7 @@
         self.assertEqual(("answered", b"b"), (reply.outcome, reply.body))
         self.assertEqual("r1", reply.request_id)
 
-    def test_forwarded_loss_is_unknown(self) -> None:
+    def test_forwarded_request_with_lost_answer_is_unknown(self) -> None:
         fixture = self.make_fixture(reset)
         reply = fixture.router.run_forwarded(forward_request("r1"))
         self.assertEqual(
@@ -318,7 +318,7 @@
         self.assertEqual("no-endpoint", reply.headers["X-Reason"])
         self.assertEqual(["r1", "r2"], fixture.received_ids())
 
-    def test_listed_as_leaving_is_drained(self) -> None:
+    def test_endpoint_listed_as_leaving_is_drained(self) -> None:
         fixture = self.make_fixture(echo, echo)
         fixture.router.update_host_list(
             hosts.HostList(
@@ -338,7 +338,7 @@
             fixture.send_request(f"r{number}")
         self.assertEqual([], fixture.endpoints[0].seen)
 
-    def test_request_in_progress_finishes(self) -> None:
+    def test_request_in_progress_on_removed_endpoint_finishes(self) -> None:
         fixture = self.make_fixture(slow(0.2))
         replies: list[http.HttpReply] = []
         thread = threading.Thread(
--- a/tests/request/test_spill.py
+++ b/tests/request/test_spill.py
@@ -13,7 +13,7 @@
 from tests.request import harness
 
 
-def view(
+def make_view(
     spare: int, zone: str = "entoto", reachable: bool = True
 ) -> peers_port.PeerView:
     return peers_port.PeerView(
@@ -21,7 +21,7 @@
     )
 
 
-def reply(
+def make_forward_result(
     outcome: str, request_id: str = "r1"
 ) -> result.Ok[ttypes.ForwardReply]:
     return result.Ok(
@@ -39,8 +39,8 @@
         self.fixture = harness.Harness(scripted_endpoint.whole, slots=0)
         self.fixture.__enter__()
         self.addCleanup(self.fixture.__exit__, None, None, None)
-        self.fixture.peers.peer_views = (view(2),)
-        self.fixture.peers.forward_result = reply("answered")
+        self.fixture.peers.peer_views = (make_view(2),)
+        self.fixture.peers.forward_result = make_forward_result("answered")
 
     def test_request_without_slot_is_forwarded_to_zone_with_spare_slots(
         self,
@@ -55,14 +55,18 @@
         self.assertLess(remaining_ms, 300)
 
     def test_nothing_is_forwarded_without_spare_slots(self) -> None:
-        for shown in (view(0), view(2, fakes.ZONE), view(2, reachable=False)):
-            self.fixture.peers.peer_views = (shown,)
+        for peer_view in (
+            make_view(0),
+            make_view(2, fakes.ZONE),
+            make_view(2, reachable=False),
+        ):
+            self.fixture.peers.peer_views = (peer_view,)
             refused = self.fixture.send_request("r1", timeout_ms=10)
             self.assertEqual("not-run", refused.headers["X-Outcome"])
         self.assertEqual([], self.fixture.peers.forwarded)
 
     def test_refusal_by_other_zone_pauses_forwarding(self) -> None:
-        self.fixture.peers.forward_result = reply("not-run")
+        self.fixture.peers.forward_result = make_forward_result("not-run")
         for _ in range(3):
             refused = self.fixture.send_request("r1", timeout_ms=60)
             self.assertEqual("not-run", refused.headers["X-Outcome"])
@@ -76,11 +80,13 @@
         self.assertEqual("unknown", lost_reply.headers["X-Outcome"])
 
     def test_reply_for_another_request_is_unknown(self) -> None:
-        self.fixture.peers.forward_result = reply("answered", "r2")
+        self.fixture.peers.forward_result = make_forward_result(
+            "answered", "r2"
+        )
         mismatched = self.fixture.send_request("r1", timeout_ms=300)
         self.assertEqual("unknown", mismatched.headers["X-Outcome"])
 
-    def test_forwarded_request_never_waits(self) -> None:
+    def test_forwarded_request_is_not_queued(self) -> None:
         forwarded = ttypes.ForwardRequest(
             "r1", "clerk", fakes.SERVICE, "/", "GET", {}, b"", 1_000, True
         )
