--- a/tests/process/__init__.py
+++ b/tests/process/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of process."""
+"""Tests of the components of an entry host."""
 
 from __future__ import annotations
--- a/tests/process/test_follower.py
+++ b/tests/process/test_follower.py
@@ -202,12 +202,12 @@
         self.assertEqual(before, self.follower.position())
 
     def test_own_record_is_pushed_to_a_host_without_the_log(self) -> None:
-        push = record_pusher.OwnRecordPusher(self.peers, "writer")
+        pusher = record_pusher.OwnRecordPusher(self.peers, "writer")
         isolated_fold = stream_history.NoteFold()
         self.peers.followers["cut"] = self.make_follower(isolated_fold)
         self.append_notes(2)
         self.follower.step()
-        push.observe(self.applied[-1])
+        pusher.observe(self.applied[-1])
         self.assertEqual([0, 1], isolated_fold.notes)
 
     def test_log_that_lost_its_tail_does_not_revert_the_state(self) -> None:
@@ -218,8 +218,8 @@
         self.assertFalse(self.follower.ready)
 
     def test_thread_follows_until_exit(self) -> None:
-        with self.make_follower(self.fold) as running:
+        with self.make_follower(self.fold) as threaded_follower:
             self.append_notes(3)
-            self.assertTrue(running.wait_for(2, 2_000))
-            self.assertFalse(running.wait_for(3, 10))
+            self.assertTrue(threaded_follower.wait_for(2, 2_000))
+            self.assertFalse(threaded_follower.wait_for(3, 10))
         self.assertEqual([0, 1, 2], self.fold.notes)
--- a/tests/process/test_json_logs.py
+++ b/tests/process/test_json_logs.py
@@ -1,4 +1,4 @@
-"""Tests of JSON logs that must not block the program."""
+"""Tests of JSON logs, which must not block the program."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
             for _ in range(200):
                 logs.event(_logger, "pace", task="a")
         lines = self.lines()
-        folded = sum(
+        suppressed = sum(
             line["by_event"]["pace"]
             for line in lines
             if line["event"] == "lines-folded"
         )
         written = sum(line["event"] == "pace" for line in lines)
-        self.assertEqual(200, folded + written)
+        self.assertEqual(200, suppressed + written)
         self.assertLessEqual(written, 2 * json_logs.MAX_EVENT_LINES_PER_SECOND)
 
     def test_stalled_output_does_not_block_and_drops_are_counted(
@@ -67,21 +67,25 @@
                     time.sleep(3 * json_logs.WRITE_INTERVAL_S)
             self.assertLess(time.monotonic() - started_s, 5)
             received: list[Any] = []
-            reading = threading.Thread(
+            reader_thread = threading.Thread(
                 target=self.read_until_end, args=(received,)
             )
-            reading.start()
+            reader_thread.start()
             time.sleep(5 * json_logs.WRITE_INTERVAL_S)
-        logs_end = b'{"event":"end"}\n'
-        os.write(self.writer, logs_end)
-        reading.join(5)
-        dropped = [
+        end_marker = b'{"event":"end"}\n'
+        os.write(self.writer, end_marker)
+        reader_thread.join(5)
+        drop_reports = [
             line for line in received if line["event"] == "lines-dropped"
         ]
         written = sum(line["event"] == "job-ended" for line in received)
-        counted = sum(line["by_event"]["job-ended"] for line in dropped)
-        self.assertEqual(3 * json_logs.MAX_QUEUED_LINES, written + counted)
-        self.assertGreater(counted, 0)
+        dropped_count = sum(
+            line["by_event"]["job-ended"] for line in drop_reports
+        )
+        self.assertEqual(
+            3 * json_logs.MAX_QUEUED_LINES, written + dropped_count
+        )
+        self.assertGreater(dropped_count, 0)
 
     def read_until_end(self, received: list[Any]) -> None:
         """Reads lines up to the end marker."""
--- a/tests/process/test_membership.py
+++ b/tests/process/test_membership.py
@@ -82,7 +82,7 @@
         answer = self.link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
         return answer.unwrap()
 
-    def refused(self, heartbeat: ttypes.Heartbeat) -> str:
+    def refusal_reason(self, heartbeat: ttypes.Heartbeat) -> str:
         answer = self.link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
         refusal = answer.unwrap_err()
         assert isinstance(refusal, peers.PeerRefusal)
@@ -107,7 +107,7 @@
             self.send(make_heartbeat("bole-1-b")).predecessor_drained
         )
 
-    def test_predecessor_is_drained_only_if_all_of_the_zone_report_it(
+    def test_predecessor_is_drained_only_if_all_hosts_of_its_zone_report_it(
         self,
     ) -> None:
         zone_settings = attrs.evolve(
@@ -135,12 +135,14 @@
         self.send(make_heartbeat("bole-1-a"))
         self.send(make_heartbeat("bole-1-b"))
         self.assertEqual(
-            membership.SUPERSEDED, self.refused(make_heartbeat("bole-1-a"))
+            membership.SUPERSEDED,
+            self.refusal_reason(make_heartbeat("bole-1-a")),
         )
 
     def test_other_protocol_version_is_refused(self) -> None:
         self.assertEqual(
-            "protocol", self.refused(make_heartbeat("bole-1-a", protocol=0))
+            "protocol",
+            self.refusal_reason(make_heartbeat("bole-1-a", protocol=0)),
         )
         self.assertEqual(
             "bole-2-a", self.send(make_heartbeat("bole-1-a")).host_id
--- a/tests/process/test_shares.py
+++ b/tests/process/test_shares.py
@@ -46,12 +46,12 @@
     ) -> None:
         endpoint = objects.Endpoint("s", "z", "a", slots, connections)
         zone = objects.Zone(tuple(f"seat-{i}" for i in range(seats)))
-        divided = [
+        seat_shares = [
             shares.seat_share(name, endpoint, zone, seat) for seat in zone.seats
         ]
-        self.assertLessEqual(sum(share.slots for share in divided), slots)
+        self.assertLessEqual(sum(share.slots for share in seat_shares), slots)
         self.assertEqual(
-            connections, sum(share.connections for share in divided)
+            connections, sum(share.connections for share in seat_shares)
         )
 
     def test_unknown_seat_has_no_share(self) -> None:
@@ -63,7 +63,7 @@
 
 
 class FixedSharesTest(testtools.TestCase):
-    """Use of a share while the configuration changes."""
+    """Use of a share, also while the configuration changes."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -73,8 +73,10 @@
         fixed_shares = make_shares(
             fakes.FakeSource(with_seats("a", "b")), self.clock
         )
-        taken = [fixed_shares.try_acquire_slot("ex-1", 1_000) for _ in range(8)]
-        self.assertEqual(4, sum(taken))
+        acquired = [
+            fixed_shares.try_acquire_slot("ex-1", 1_000) for _ in range(8)
+        ]
+        self.assertEqual(4, sum(acquired))
         fixed_shares.release_slot("ex-1")
         self.assertEqual(1, fixed_shares.count_free("ex-1"))
 
--- a/tests/process/test_slot_account.py
+++ b/tests/process/test_slot_account.py
@@ -28,8 +28,8 @@
         self.account.set_own_slots(2)
 
     def test_own_share_limits_acquired_slots(self) -> None:
-        taken = [self.account.acquire(0, RUN_MS) for _ in range(3)]
-        self.assertEqual([True, True, False], taken)
+        acquired = [self.account.acquire(0, RUN_MS) for _ in range(3)]
+        self.assertEqual([True, True, False], acquired)
 
     def test_lent_slot_is_unavailable_until_loan_expires(self) -> None:
         self.assertEqual(1, self.account.lend(0, 1, "h", 5, LOAN_MS))
@@ -105,7 +105,7 @@
         if lender == borrower:
             return
         self.loan_id += 1
-        asked_ms = self.now_ms
+        requested_ms = self.now_ms
         self.advance(delay_ms)
         slots = self.accounts[lender].lend(
             self.now_ms, self.loan_id, str(borrower), 2, LOAN_MS
@@ -113,7 +113,7 @@
         if slots and not lost:
             self.accounts[borrower].add_borrowed(
                 slot_account.BorrowedLoan(
-                    str(lender), self.loan_id, slots, asked_ms + LOAN_MS
+                    str(lender), self.loan_id, slots, requested_ms + LOAN_MS
                 )
             )
 
@@ -184,10 +184,10 @@
                 ),
             )
 
-    def test_lender_that_does_not_debit(self) -> None:
+    def test_lender_that_does_not_debit_is_detected(self) -> None:
         self._assert_violation_found("lend", lambda *_: 1)
 
-    def test_successor_that_does_not_wait(self) -> None:
+    def test_successor_that_does_not_wait_is_detected(self) -> None:
         new_account = LoanModel._new_account
 
         def with_share(model: LoanModel, own: bool) -> slot_account.SlotAccount:
@@ -199,7 +199,7 @@
                 "own_used", slot_account.SlotAccount.own_used
             )
 
-    def test_borrower_that_ignores_the_end_of_a_loan(self) -> None:
+    def test_borrower_that_ignores_the_end_of_a_loan_is_detected(self) -> None:
         add = slot_account.SlotAccount.add_borrowed
 
         def add_without_end(
--- a/tests/process/test_stream_threads.py
+++ b/tests/process/test_stream_threads.py
@@ -33,16 +33,16 @@
     def setUp(self) -> None:
         super().setUp()
         self.log = fake_log.FakeLog()
-        source = random.Random(SEED)
-        faults = source.choices(list(fake_log.AppendFault), k=FAULTS)
+        rng = random.Random(SEED)
+        faults = rng.choices(list(fake_log.AppendFault), k=FAULTS)
         self.log.faults.extend(faults)
         self.outcomes: dict[int, append_batch.AppendOutcome] = {}
 
     def test_many_callers_under_random_faults(self) -> None:
         print(f"seed {SEED}")
         folds = [stream_history.NoteFold() for _ in range(HOSTS)]
-        with contextlib.ExitStack() as running:
-            hosts = [self.start(running, fold) for fold in folds]
+        with contextlib.ExitStack() as stack:
+            hosts = [self.start(stack, fold) for fold in folds]
             callers = [
                 threading.Thread(
                     target=self.append_notes, args=(hosts[host][0], first)
@@ -68,7 +68,7 @@
             self.check_outcome(folds[0].notes.count(note), outcome)
 
     def start(
-        self, running: contextlib.ExitStack, fold: stream_history.NoteFold
+        self, stack: contextlib.ExitStack, fold: stream_history.NoteFold
     ) -> tuple[appender.StreamAppender, follower.StreamFollower]:
         counters = metrics.Metrics()
         system_clock = clock.SystemClock()
@@ -91,8 +91,8 @@
             after_apply=writer.observe,
             retry=RETRY,
         )
-        running.enter_context(writer)
-        running.enter_context(reader)
+        stack.enter_context(writer)
+        stack.enter_context(reader)
         return writer, reader
 
     def append_notes(self, writer: appender.StreamAppender, first: int) -> None:
--- a/tests/process/test_ticket_handler.py
+++ b/tests/process/test_ticket_handler.py
@@ -78,14 +78,14 @@
             {"x-timeout-ms": str(timeout_ms)},
             msgspec.json.encode(value),
         )
-        return decoded(self.handler.submit(request))
+        return decode_reply(self.handler.submit(request))
 
     def show(self, number: int) -> Reply:
         request = http.HttpRequest("GET", f"/tickets/{number}", {}, {}, b"")
-        return decoded(self.handler.show_ticket(request))
+        return decode_reply(self.handler.show_ticket(request))
 
 
-def decoded(reply: http.HttpReply) -> Reply:
+def decode_reply(reply: http.HttpReply) -> Reply:
     body = msgspec.json.decode(reply.body)
     return Reply(reply.status, body, dict(reply.headers))
 
@@ -170,9 +170,11 @@
 
     def test_number_taken_during_the_append_is_refused(self) -> None:
         self.host.submit(samples.ticket(1, samples.zone("bole")))
-        known = self.host.fold.ticket
+        find_ticket = self.host.fold.ticket
         self.host.fold.ticket = lambda number: (
-            known(number) if len(self.log.payloads("config")) > 1 else None
+            find_ticket(number)
+            if len(self.log.payloads("config")) > 1
+            else None
         )
         reply = self.host.submit(samples.ticket(1, samples.zone("entoto")))
         self.assertEqual("ticket-number-taken", reply.body["reason"])
@@ -241,6 +243,6 @@
     def test_objects_are_listed_with_their_versions(self) -> None:
         self.host.submit(samples.ticket(1, samples.zone("bole")))
         request = http.HttpRequest("GET", "/objects", {}, {}, b"")
-        page = decoded(self.host.handler.list_objects(request)).body
+        page = decode_reply(self.host.handler.list_objects(request)).body
         self.assertEqual("bole", page["objects"][0]["name"])
         self.assertEqual(1, page["objects"][0]["version"])
