--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -382,8 +382,8 @@
         off, or if another process has taken this host's seat.
     """
     stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop.set())
     with logs.TextLogOutput(settings.log_level):
         resident.mark(resident.LIBRARIES)
         with EntryHost(settings) as host:
--- a/src/comfreylatch/_process/explanation.py
+++ b/src/comfreylatch/_process/explanation.py
@@ -109,7 +109,7 @@
         self._timeout_ms = timeout_ms
 
     def explain(self, subject: reasons.Subject, name: str) -> Explanation:
-        """Returns what is known of a subject within the timeout."""
+        """Returns the decisions that are collected within the timeout."""
         answers = [explain_locally(self._journal, subject, name)]
         silent = []
         for seat, answer in self._query_peers(subject, name).items():
@@ -137,8 +137,8 @@
         }
         answers = {}
         for seat, future in futures.items():
-            left_s = max(deadline - time.monotonic(), 0)
-            answers[seat] = _await_answer(future, left_s)
+            remaining_s = max(deadline - time.monotonic(), 0)
+            answers[seat] = _await_answer(future, remaining_s)
         pool.shutdown(wait=False, cancel_futures=True)
         return answers
 
@@ -155,10 +155,10 @@
 
 def _await_answer(
     future: concurrent.futures.Future[result.Result[HostExplanation, str]],
-    left_s: float,
+    remaining_s: float,
 ) -> result.Result[HostExplanation, str]:
     try:
-        return future.result(left_s)
+        return future.result(remaining_s)
     except concurrent.futures.TimeoutError:
         return result.Err("no answer in time")
 
@@ -204,27 +204,30 @@
 
 
 def _summary(
-    verdict: Verdict, described: str, hosts: int, silent: list[UnansweredSeat]
+    verdict: Verdict,
+    subject_label: str,
+    hosts: int,
+    silent: list[UnansweredSeat],
 ) -> str:
     answered = f"{hosts} host{'s' if hosts > 1 else ''} answered"
     missing = ", ".join(seat.seat for seat in silent)
     match verdict:
         case Verdict.KNOWN if silent:
-            return f"{described}: {answered}; no answer from: {missing}."
+            return f"{subject_label}: {answered}; no answer from: {missing}."
         case Verdict.KNOWN:
-            return f"{described}: {answered}, none is missing."
+            return f"{subject_label}: {answered}, none is missing."
         case Verdict.UNKNOWN:
             return (
-                f"No decision about {described} is known: {answered}, and "
+                f"No decision about {subject_label} is known: {answered}, and "
                 "none has dropped a decision from its journal."
             )
         case Verdict.MAY_BE_FORGOTTEN:
             return (
-                f"No decision about {described} is known: {answered}, but "
+                f"No decision about {subject_label} is known: {answered}, but "
                 "older decisions have been dropped from the journals."
             )
         case Verdict.MAY_BE_ELSEWHERE:
             return (
-                f"No decision about {described} is known: {answered}; "
+                f"No decision about {subject_label} is known: {answered}; "
                 f"no answer from: {missing}. Ask again when they are back."
             )
--- a/src/comfreylatch/_process/json_positions.py
+++ b/src/comfreylatch/_process/json_positions.py
@@ -122,17 +122,17 @@
     def _duplicates(
         self, node: tree_sitter.Node, path: str
     ) -> list[tuple[str, Position]]:
-        found = []
-        seen = set()
+        duplicates = []
+        seen_labels = set()
         for member in _members(node):
             member_path = (
                 path + member.label if path else member.label.lstrip(".")
             )
-            if member.key is not None and member.label in seen:
-                found.append((member_path, self._start(member.key)))
-            seen.add(member.label)
-            found.extend(self._duplicates(member.value, member_path))
-        return found
+            if member.key is not None and member.label in seen_labels:
+                duplicates.append((member_path, self._start(member.key)))
+            seen_labels.add(member.label)
+            duplicates.extend(self._duplicates(member.value, member_path))
+        return duplicates
 
     def _blank_comments_and_trailing_commas(self) -> str:
         """Converts the text to strict JSON with unchanged positions."""
@@ -208,14 +208,14 @@
     node: tree_sitter.Node, path: str
 ) -> tuple[tree_sitter.Node | None, tree_sitter.Node, str] | None:
     """Finds the member at the start of a path, and the rest of the path."""
-    found = None
+    resolved = None
     suffix = path if path.startswith("[") else f".{path.removeprefix('.')}"
     for member in _members(node):
         rest = suffix[len(member.label) :]
         if suffix.startswith(member.label) and rest[:1] in ("", ".", "["):
             # The last member of a name overrides the earlier ones.
-            found = (member.key, member.value, rest)
-    return found
+            resolved = (member.key, member.value, rest)
+    return resolved
 
 
 def _expectation(message: str) -> str:
--- a/src/comfreylatch/_process/loans.py
+++ b/src/comfreylatch/_process/loans.py
@@ -130,10 +130,10 @@
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             account = self._account(endpoint)
-            taken = account.acquire(now_ms, duration_ms)
-        if not taken:
+            acquired = account.acquire(now_ms, duration_ms)
+        if not acquired:
             self.report_demand(endpoint)
-        return taken
+        return acquired
 
     def release_slot(self, endpoint: str) -> None:
         """See `SlotLedger.release_slot`."""
--- a/src/comfreylatch/_process/membership.py
+++ b/src/comfreylatch/_process/membership.py
@@ -378,10 +378,10 @@
         while True:
             with self._condition:
                 while not self._queue and not self._stopping:
-                    left_ms = deadline_ms - self._clock.monotonic_ms()
-                    if left_ms <= 0:
+                    remaining_ms = deadline_ms - self._clock.monotonic_ms()
+                    if remaining_ms <= 0:
                         return True
-                    self._condition.wait(left_ms / 1_000)
+                    self._condition.wait(remaining_ms / 1_000)
                 if self._stopping:
                     return False
                 queued = list(self._queue)
--- a/src/comfreylatch/_process/settings.py
+++ b/src/comfreylatch/_process/settings.py
@@ -12,7 +12,7 @@
     Attributes:
         seat: Name of the seat.
         zone: Availability zone of the seat.
-        peer_address: `IP:port` of its thrift server.
+        peer_address: `IP:port` of its Thrift server.
     """
 
     seat: str
@@ -82,7 +82,7 @@
         zone: Availability zone of the seat.
         caller_address: `IP:port` for callers.
         operator_address: `IP:port` for operators, metrics and health.
-        peer_address: `IP:port` for the thrift protocol.
+        peer_address: `IP:port` for the Thrift protocol.
         platform: Addresses of the platform's services.
         peers: Every other seat of every zone.
         timing: Intervals and timeouts.
--- a/src/comfreylatch/_process/settings_file.py
+++ b/src/comfreylatch/_process/settings_file.py
@@ -40,8 +40,8 @@
 ) -> result.Result[settings_module.Settings, SettingsErrors]:
     """Loads a file; Err holds all its errors, with line and column."""
     match json_file.read(path, check):
-        case result.Err() as refused:
-            return refused
+        case result.Err() as failed:
+            return failed
         case result.Ok(value):
             return result.Ok(msgspec.convert(value, settings_module.Settings))
 
@@ -160,9 +160,9 @@
 def _check_routing(value: dict[str, Any]) -> Iterator[schema.Problem]:
     routing = _object_member(value, "routing")
     policy = routing.get("policy")
-    known = [known.value for known in load_balancing.Policy]
-    if isinstance(policy, str) and policy not in known:
-        expected = "one of " + ", ".join(known)
+    policies = [member.value for member in load_balancing.Policy]
+    if isinstance(policy, str) and policy not in policies:
+        expected = "one of " + ", ".join(policies)
         found = schema.describe_value(policy)
         yield schema.Problem("routing.policy", expected, found)
     keep_ms = routing.get("mark_keep_ms")
--- a/src/comfreylatch/_process/shutdown.py
+++ b/src/comfreylatch/_process/shutdown.py
@@ -42,7 +42,7 @@
 
     First the load balancer moves callers to other hosts, and requests in
     progress are answered. Then the host releases its claim on the zone's
-    workers, and waits for the slots in use or on loan. At last it tells its
+    workers, and waits for the slots in use or on loan. Finally it tells its
     peers whether all work has ended, so that a successor need not wait.
 
     Returns:
--- a/src/comfreylatch/_process/ticket_handler.py
+++ b/src/comfreylatch/_process/ticket_handler.py
@@ -176,9 +176,9 @@
         refusal = self._readiness_refusal()
         if refusal is not None:
             return self._refuse(ticket, refusal)
-        known = self._fold.ticket(ticket.number)
-        if known is not None:
-            return self._reply(ticket, known)
+        existing = self._fold.ticket(ticket.number)
+        if existing is not None:
+            return self._reply(ticket, existing)
         entry = self._fold.evaluate(-1, ticket)
         if not entry.accepted and not _names_unread_version(entry):
             return self._refuse_stale(ticket, entry)
