--- a/src/comfreylatch/_process/composition.py
+++ b/src/comfreylatch/_process/composition.py
@@ -205,7 +205,7 @@
             settings.seat,
             self.host_id,
             self._membership,
-            max_hold_time.ms,
+            max_hold_time.current_ms,
             self._metrics,
             self._clock,
             random.Random(seed),
@@ -382,8 +382,8 @@
         off, or if another process has taken this host's seat.
     """
     stop = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stop.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop.set())
     with logs.TextLogOutput(settings.log_level):
         resident.mark(resident.LIBRARIES)
         with EntryHost(settings) as host:
