--- a/tests/process/cell/harness.py
+++ b/tests/process/cell/harness.py
@@ -1,4 +1,4 @@
-"""A cell's scheduling components for tests without threads."""
+"""A cell's scheduling components, connected for tests without threads."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def step(count: int = 1, **fields: Any) -> specs.StepSpec:
-    """A step of small tasks."""
+    """Returns a step of `count` small tasks; `fields` override the defaults."""
     values: dict[str, Any] = {
         "cpu_millicores": 1_000,
         "memory_mb": 100,
@@ -42,14 +42,22 @@
 def job(
     *steps: specs.StepSpec, job_id: str = "0" * 16, **fields: Any
 ) -> specs.JobSpec:
-    """A job of these steps, accepted when the cell's clock starts."""
+    """Returns a job of these steps, accepted when the cell's clock starts."""
     fields.setdefault("accepted_wall_ms", START_MS)
     return specs.JobSpec(job_id, QUEUE, "text", steps or (step(),), **fields)
 
 
 @attrs.define
 class _RecordingSession:
-    """Implements a worker session that records orders."""
+    """Stands in for a `WorkerSession` and records its orders.
+
+    Attributes:
+        starts: Runs that were ordered to start.
+        stops: Task id and run number of each stop order.
+        paces: Task id and percentage of each pace order.
+        latest_deadline_ms: Latest lease deadline, on the worker's clock.
+        acknowledged: Number of the last end acknowledged.
+    """
 
     starts: list[Any] = attrs.field(factory=list)
     stops: list[tuple[str, int]] = attrs.field(factory=list)
@@ -125,14 +133,18 @@
         return self.sessions.setdefault(entry.worker_id, _RecordingSession())
 
     def submit(self, spec: specs.JobSpec) -> Any:
-        """Adds a job."""
+        """Adds a job; returns the cell's state of it."""
         added = self.jobs.add(spec)
         assert added is not None
         self.ranker.add_job(added)
         return added
 
     def place(self) -> list[Any]:
-        """Places the tasks of ready steps and confirms their starts."""
+        """Places the tasks of ready steps and confirms their starts.
+
+        Returns:
+            The runs placed.
+        """
         now_ms = self.clock.monotonic_ms()
         placed = self.planner.place(self.jobs.ready_steps(), now_ms)
         for placement in placed:
@@ -150,7 +162,7 @@
         running: tuple[cell_workers.RunningTask, ...] = (),
         ended: tuple[cell_workers.EndedRun, ...] = (),
     ) -> None:
-        """Answers a hold call with running tasks and ended runs."""
+        """Has a worker answer the call that renews its lease."""
         now_ms = self.clock.monotonic_ms()
         answer = cell_workers.HoldAnswer(now_ms, running, ended)
         event = events.HoldReturned(
@@ -160,7 +172,7 @@
         self.reconciler.handle_hold(event, answer)
 
     def fail_hold(self, worker_id: str) -> None:
-        """Has a hold call end without an answer."""
+        """Has a worker not answer the call that renews its lease."""
         now_ms = self.clock.monotonic_ms()
         error = cell_workers.OrderUnanswered("no answer")
         self.workers.handle_hold(
@@ -171,16 +183,23 @@
 
 
 def running_task(run: Any, percent: float = 50.0, reading: int = 0) -> Any:
-    """A worker's report of a run in progress."""
+    """Returns a worker's report of a run in progress."""
     return cell_workers.RunningTask(
         run.task.name, run.number, "", percent, reading
     )
 
 
 def ended_run(
-    run: Any, how: cell_workers.RunEnd, number: int = 1, checkpoint: str = ""
+    run: Any, reason: cell_workers.RunEnd, number: int = 1, checkpoint: str = ""
 ) -> cell_workers.EndedRun:
-    """A worker's report of a run that has ended."""
+    """Returns a worker's report of a run that has ended.
+
+    Args:
+        run: The run.
+        reason: How it ended.
+        number: Number of the end in the order of the worker's reports.
+        checkpoint: Its final checkpoint; empty for none.
+    """
     return cell_workers.EndedRun(
-        number, run.task.name, run.number, how, checkpoint
+        number, run.task.name, run.number, reason, checkpoint
     )
--- a/tests/process/cell/test_advice.py
+++ b/tests/process/cell/test_advice.py
@@ -18,24 +18,26 @@
 from tests.process.cell import harness
 
 VALID_MS = 3_000
-POLICY = attrs.evolve(
+QUEUE_WITH_ADVICE = attrs.evolve(
     harness.QUEUE, advice=specs.AdviceSpec(50.0, 5.0, VALID_MS)
 )
 
 
 class AdviceTest(testtools.TestCase):
-    """A step of a queue with a policy, and three workers."""
+    """A step whose queue requires advice on workers, and three workers."""
 
     def setUp(self) -> None:
         super().setUp()
         self.cell = harness.Cell(workers=3)
         self.planner = advice.AdvicePlanner(metrics.Metrics())
-        job = attrs.evolve(harness.job(harness.step(2)), queue=POLICY)
+        job = attrs.evolve(
+            harness.job(harness.step(2)), queue=QUEUE_WITH_ADVICE
+        )
         self.job = self.cell.submit(job)
         (self.step,) = self.job.steps[0]
 
     def plan_requests(self) -> list[Any]:
-        """Returns the calls that are needed now."""
+        """Returns the calls to the advice service that are due now."""
         return self.planner.plan_requests(
             self.cell.jobs.ready_steps(),
             self.cell.workers,
@@ -43,14 +45,14 @@
         )
 
     def answer(self, request: Any, *allowed: str) -> None:
-        """Has the service allow some of the workers named."""
-        tickets = {name: f"ticket-{name}" for name in allowed}
+        """Has the service answer with tickets for the allowed workers."""
+        tickets = {worker_id: f"ticket-{worker_id}" for worker_id in allowed}
         self.handle_advice_returned(
             request, result.Ok(advice_port.Advice(tickets, VALID_MS))
         )
 
     def handle_advice_returned(self, request: Any, outcome: Any) -> None:
-        """Applies the outcome of a call."""
+        """Applies the outcome of a call to the advice service."""
         now_ms = self.cell.clock.monotonic_ms()
         self.planner.handle_advice_returned(
             events.AdviceReturned(
@@ -83,8 +85,8 @@
         (request,) = self.plan_requests()
         self.answer(request, "w2")
         self.cell.clock.advance(VALID_MS)
-        (again,) = self.plan_requests()
-        self.assertEqual({"w2"}, set(again.workers))
+        (renewal,) = self.plan_requests()
+        self.assertEqual({"w2"}, set(renewal.workers))
         self.assertEqual([], self.cell.place())
 
     def test_new_incarnation_of_a_worker_needs_a_new_ticket(self) -> None:
@@ -124,7 +126,7 @@
             harness.job(
                 harness.step(), harness.step(depends_on=(0,)), job_id="b" * 16
             ),
-            queue=POLICY,
+            queue=QUEUE_WITH_ADVICE,
         )
         first, second = self.cell.submit(job).steps[0]
         self.assertEqual([], self.cell.jobs.nearly_ready_steps())
@@ -145,8 +147,10 @@
     def test_ended_step_gets_no_tickets(self) -> None:
         (request,) = self.plan_requests()
         self.cell.jobs.cancel(self.job.spec.job_id)
-        other = attrs.evolve(harness.job(job_id="c" * 16), queue=POLICY)
-        self.cell.submit(other)
+        other_job = attrs.evolve(
+            harness.job(job_id="c" * 16), queue=QUEUE_WITH_ADVICE
+        )
+        self.cell.submit(other_job)
         self.plan_requests()
         self.answer(request, "w1")
         self.assertEqual({}, self.step.tickets)
--- a/tests/process/cell/test_evacuation_and_speculation.py
+++ b/tests/process/cell/test_evacuation_and_speculation.py
@@ -23,7 +23,7 @@
         cell.reconciler.move_runs(cell.clock.now_ms)
 
     def count_stops(self, step: object, percent: float = 10.0) -> int:
-        """Returns how many runs of a step stop when their worker drains."""
+        """Returns how many runs of a step stop once their worker drains."""
         cell = harness.Cell(workers=1)
         cell.submit(harness.job(step))  # type: ignore[arg-type]
         (run,) = cell.place()
@@ -50,13 +50,14 @@
     """A worker that is emptied for its machine's maintenance."""
 
     def count_stops(self, **fields: object) -> int:
-        """Returns how many of the three lasting tasks are stopped at once."""
+        """Returns how many of three lasting tasks are stopped right away."""
         cell = harness.Cell(workers=1)
         step = harness.step(3, is_lasting=True, **fields)
         cell.submit(harness.job(step))
         runs = cell.place()
         cell.answer_hold(
-            "w1", running=tuple(harness.running_task(r, 100.0) for r in runs)
+            "w1",
+            running=tuple(harness.running_task(run, 100.0) for run in runs),
         )
         worker = cell.workers.find("w1")
         assert worker is not None
@@ -73,7 +74,7 @@
 
 
 class StragglerTest(testtools.TestCase):
-    """One task of a step takes much longer than its siblings."""
+    """One task of a step takes much longer than the others."""
 
     def cell_with_straggler(self, is_speculative: bool) -> harness.Cell:
         """Returns a cell in which two of three tasks have ended early."""
@@ -88,19 +89,26 @@
         cell.clock.advance(1_000)
         return cell
 
-    def test_second_run_is_on_another_worker_and_the_first_end_counts(
+    def test_second_run_is_on_another_worker_and_the_earlier_end_counts(
         self,
     ) -> None:
         cell = self.cell_with_straggler(True)
         jobs = list(cell.jobs)
-        (second,) = cell.planner.place_speculative_runs(jobs, cell.clock.now_ms)
-        (slow,) = [run for run in second.run.task.runs if run is not second.run]
-        self.assertNotEqual(slow.worker_id, second.run.worker_id)
-        end = harness.ended_run(second.run, DONE, 2)
-        cell.answer_hold(second.run.worker_id, ended=(end,))
+        (speculative,) = cell.planner.place_speculative_runs(
+            jobs, cell.clock.now_ms
+        )
+        (slow_run,) = [
+            run
+            for run in speculative.run.task.runs
+            if run is not speculative.run
+        ]
+        self.assertNotEqual(slow_run.worker_id, speculative.run.worker_id)
+        end = harness.ended_run(speculative.run, DONE, 2)
+        cell.answer_hold(speculative.run.worker_id, ended=(end,))
         self.assertIs(records.JobState.COMPLETED, jobs[0].state)
         self.assertEqual(
-            [(slow.task.name, slow.number)], cell.sessions[slow.worker_id].stops
+            [(slow_run.task.name, slow_run.number)],
+            cell.sessions[slow_run.worker_id].stops,
         )
 
     def test_step_without_speculation_gets_no_second_run(self) -> None:
--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -16,7 +16,7 @@
 
 
 class FencedWriterTest(testtools.TestCase):
-    """A fenced writer on a store in memory."""
+    """A fenced writer on an in-memory store."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -24,7 +24,7 @@
         self.fenced = threading.Event()
 
     def make_writer(self, token: int) -> fenced_writer_module.FencedWriter:
-        """A writer that has not been started."""
+        """Returns a writer that has not been started."""
         return fenced_writer_module.FencedWriter(
             self.store,
             0,
@@ -50,8 +50,8 @@
         self.assertEqual(1, keys.count("state/a"))
 
     def test_first_try_of_an_append_is_short(self) -> None:
-        # Guards against the loss of a cell to lost answers: two in a row kept
-        # the owner from writing for longer than OWNER_TIMEOUT_MS.
+        # Two lost answers in a row kept the owner from writing for longer than
+        # OWNER_TIMEOUT_MS, so that it lost the cell.
         self.store.lose_answers = 3
         with self.make_writer(1) as writer:
             writer.fence()
@@ -81,10 +81,12 @@
     def test_release_is_the_last_heartbeat(self) -> None:
         with self.make_writer(1) as writer:
             writer.fence()
-            last = records.HeartbeatRecord("bole-1", "boot", 1, True)
-            writer.release(last)
+            released = records.HeartbeatRecord("bole-1", "boot", 1, True)
+            writer.release(released)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
         (heartbeat,) = newest.records
         assert heartbeat.value is not None
-        found = records.decode(records.HeartbeatRecord, heartbeat.value)
-        self.assertTrue(found.is_released)
+        last_heartbeat = records.decode(
+            records.HeartbeatRecord, heartbeat.value
+        )
+        self.assertTrue(last_heartbeat.is_released)
--- a/tests/process/cell/test_filling_placement.py
+++ b/tests/process/cell/test_filling_placement.py
@@ -13,39 +13,42 @@
 
 
 class FillingPlacementTest(testtools.TestCase):
-    """A worker with a lasting task, and one cleared of lasting tasks."""
+    """A worker with a lasting task, and one closed to lasting tasks."""
 
     def setUp(self) -> None:
         super().setUp()
         self.cell = harness.Cell(workers=2)
         now_ms = self.cell.clock.monotonic_ms()
-        self.cleared = self.cell.workers.find("w2")
-        self.cleared.cleared_until_ms = now_ms + CLEARED_FOR_MS
-        lasting = harness.step(
+        self.cleared_worker = self.cell.workers.find("w2")
+        self.cleared_worker.cleared_until_ms = now_ms + CLEARED_FOR_MS
+        lasting_step = harness.step(
             is_lasting=True, image="serve", tail_target_ms=18
         )
-        self.cell.submit(harness.job(lasting, job_id="a" * 16))
+        self.cell.submit(harness.job(lasting_step, job_id="a" * 16))
         (self.serving,) = self.cell.place()
-        self._learn()
+        self._train_model()
 
-    def _learn(self) -> None:
+    def _train_model(self) -> None:
         """Teaches the model one harmful and one harmless image."""
         pressures = self.cell.model.pressures
         for tick in range(60):
-            for worker, use in enumerate((0.0, 0.1, 0.2)):
+            for number, use in enumerate((0.0, 0.1, 0.2)):
+                # The use of "idle" alternates in sign, so that it doesn't
+                # correlate with the load.
                 uses = {"press": use, "idle": use * ((tick % 2) * 2 - 1)}
-                busy = 0.4 + 2.0 * use
+                load = 0.4 + 2.0 * use
                 pressures.observe(
-                    "other", "serve", f"x{worker}", busy, uses, 500 * tick
+                    "other", "serve", f"x{number}", load, uses, 500 * tick
                 )
 
     def _place_filling(
         self, image: str, job_id: str, count: int = 1
     ) -> list[Any]:
-        filling = harness.step(
+        """Places a step of filling tasks; returns the workers' ids."""
+        filling_step = harness.step(
             count, cpu_millicores=1_000, fills_idle=True, image=image
         )
-        self.cell.submit(harness.job(filling, job_id=job_id))
+        self.cell.submit(harness.job(filling_step, job_id=job_id))
         return [run.worker_id for run in self.cell.place()]
 
     def test_harmless_image_shares_the_worker_of_a_lasting_task(self) -> None:
@@ -69,8 +72,8 @@
         self,
     ) -> None:
         self._place_filling("idle", "b" * 16, count=3)
-        short = harness.step(cpu_millicores=6_500)
-        self.cell.submit(harness.job(short, job_id="c" * 16))
+        short_step = harness.step(cpu_millicores=6_500)
+        self.cell.submit(harness.job(short_step, job_id="c" * 16))
         self.cell.workers.find("w2").avoided_until_ms = 10**9
         self.cell.place()
         worker = self.cell.workers.find(self.serving.worker_id)
--- a/tests/process/cell/test_interference.py
+++ b/tests/process/cell/test_interference.py
@@ -14,33 +14,38 @@
 
 
 class SharedWorker:
-    """A lasting and a filling task on one worker of eight cores."""
+    """A lasting and a filling task on one worker of eight cores.
+
+    Args:
+        load: True load of the lasting task.
+        pressure: True coefficient of the filling task's pressure on it.
+    """
 
     def __init__(self, load: float, pressure: float) -> None:
         self.load = load
         self.pressure = pressure
         self.cell = harness.Cell(workers=1)
-        lasting = harness.step(
+        lasting_step = harness.step(
             is_lasting=True, image="serve", tail_target_ms=TARGET_MS
         )
-        fill = harness.step(
+        filling_step = harness.step(
             cpu_millicores=2_000, fills_idle=True, image="press"
         )
-        self.cell.submit(harness.job(lasting, job_id="a" * 16))
+        self.cell.submit(harness.job(lasting_step, job_id="a" * 16))
         (self.serving,) = self.cell.place()
-        self.cell.submit(harness.job(fill, job_id="b" * 16))
+        self.cell.submit(harness.job(filling_step, job_id="b" * 16))
         self.filling: Any = None
 
     def tail_ms(self) -> int:
         """Returns the tail latency that the model implies for these loads."""
-        busy = self.load
+        total_load = self.load
         if self.filling is not None:
             used = 0.25 * self.filling.pace_percent / 100
-            busy += self.pressure * used
-        return round(BASE_MS / max(1 - busy, 0.01))
+            total_load += self.pressure * used
+        return round(BASE_MS / max(1 - total_load, 0.01))
 
     def report(self, seconds: int) -> None:
-        """Reports readings twice a second."""
+        """Reports both tasks' readings twice a second for a while."""
         for _ in range(2 * seconds):
             self.cell.clock.advance(500)
             running = [
@@ -77,10 +82,10 @@
         self.assertEqual(100, shared.filling.pace_percent)
 
     def test_rising_load_is_extrapolated(self) -> None:
-        state = serving_load.ServingLoad()
+        estimate = serving_load.ServingLoad()
         for index in range(20):
             now_ms = 1_000 + 100 * index
-            state.predict(now_ms)
-            state.update(0.3 + 0.01 * index - state.load, now_ms)
-        self.assertAlmostEqual(0.49, state.load, delta=0.03)
-        self.assertGreater(state.forecast(700), state.load + 0.03)
+            estimate.predict(now_ms)
+            estimate.update(0.3 + 0.01 * index - estimate.load, now_ms)
+        self.assertAlmostEqual(0.49, estimate.load, delta=0.03)
+        self.assertGreater(estimate.forecast(700), estimate.load + 0.03)
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -22,7 +22,7 @@
 
 
 class JobApiTest(testtools.TestCase):
-    """A job API and its partition reader on a store in memory."""
+    """A job API and its partition reader on an in-memory store."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -45,6 +45,7 @@
         self.assertTrue(self.reader.wait_for(-1, WAIT_MS))
 
     def submit(self) -> job_api_module.SubmitOutcome:
+        """Submits the job with the id `ID`."""
         return self.job_api.submit(harness.job(), WAIT_MS)
 
     def test_accepted_job_is_shown_as_queued(self) -> None:
@@ -70,9 +71,9 @@
     def test_repeat_of_a_known_job_writes_nothing(self) -> None:
         self.submit()
         self.assertTrue(self.reader.wait_for(0, WAIT_MS))
-        before = self.store.appends
+        appends_before = self.store.appends
         self.assertEqual(job_api_module.Accepted(), self.submit())
-        self.assertEqual(before, self.store.appends)
+        self.assertEqual(appends_before, self.store.appends)
 
     def test_cancelled_job_is_shown_so(self) -> None:
         self.submit()
@@ -83,7 +84,7 @@
         self.assertTrue(self.reader.wait_for(1, WAIT_MS))
         self.assertIs(records.JobState.CANCELLED, self.job_api.state(ID))
 
-    def test_unknown_job_is_denied_from_a_current_view_only(self) -> None:
+    def test_job_is_called_unknown_from_a_current_view_only(self) -> None:
         self.assertEqual(job_api_module.UnknownJob(), self.job_api.state(ID))
         self.store.is_down = True
         is_stale = testtools.matchers.IsInstance(job_api_module.StaleView)
@@ -92,13 +93,13 @@
         while clock.monotonic_ms() < deadline_ms:
             if is_stale.match(self.job_api.state(ID)) is None:
                 return
-        self.fail("a stale view still denied a job")
+        self.fail("a stale view still answered that the job is unknown")
 
     def test_expired_records_cause_a_complete_read(self) -> None:
         self.submit()
         self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         self.store.expire(records.JOBS_TOPIC, 0)
-        other = harness.job(job_id="1" * 16)
-        self.job_api.submit(other, WAIT_MS)
+        other_job = harness.job(job_id="1" * 16)
+        self.job_api.submit(other_job, WAIT_MS)
         self.assertTrue(self.reader.wait_for(1, WAIT_MS))
         self.assertIs(records.JobState.QUEUED, self.job_api.state("1" * 16))
--- a/tests/process/cell/test_job_replica.py
+++ b/tests/process/cell/test_job_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the jobs' states that hosts read from the records of a cell."""
+"""Tests of the job states that hosts read from the records of a cell."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         self.offset = 0
 
     def apply(self, key: str, record: object | None) -> None:
-        """Applies a record at the next offset."""
+        """Applies a record at the next offset; None deletes its key."""
         value = None if record is None else records.encode(record)
         self.replica.apply(
             (store_port.StoredRecord(self.offset, key, value),), False
@@ -40,7 +40,7 @@
         self.apply(STATE, records.StateRecord(completed, 1))
 
     def shown_state(self) -> records.JobState | None:
-        """The state that callers are shown."""
+        """Returns the state that callers are shown; None for no such job."""
         entry = self.replica.find(ID)
         return None if entry is None else entry.shown_state
 
@@ -56,13 +56,13 @@
         self.apply(STATE, records.StateRecord(completed, 1))
         self.assertIs(completed, self.shown_state())
 
-    def test_repeat_after_the_end_is_not_run_again(self) -> None:
-        received: list[object] = []
+    def test_job_submitted_again_after_its_end_is_not_run_again(self) -> None:
+        changes: list[object] = []
         self.complete_job()
-        self.replica.listen(received.append)
+        self.replica.listen(changes.append)
         self.apply(JOB, None)
         self.apply(JOB, harness.job())
-        self.assertEqual([], received)
+        self.assertEqual([], changes)
         self.assertIs(records.JobState.COMPLETED, self.shown_state())
 
     def test_job_is_removed_with_its_state(self) -> None:
--- a/tests/process/cell/test_job_table.py
+++ b/tests/process/cell/test_job_table.py
@@ -12,24 +12,24 @@
     """A job with two occurrences, both due."""
 
     def test_occurrence_without_progress_is_restored(self) -> None:
-        # Guards against the loss of an occurrence of a repeating job at a
-        # change of owner: the earlier one has no recorded progress yet, the
-        # later one has.
+        # Guards against losing an occurrence of a repeating job when the owner
+        # changes: the earlier occurrence has no recorded progress yet, but
+        # the later one has.
         spec = harness.job(
             harness.step(),
             repetitions=2,
             first_due_ms=harness.START_MS,
             interval_ms=1,
         )
-        previous = harness.Cell()
-        previous.clock.advance(1_000)
-        job = previous.submit(spec)
-        previous.jobs.mark_done(job.steps[1][0].tasks[0])
+        previous_owner = harness.Cell()
+        previous_owner.clock.advance(1_000)
+        job = previous_owner.submit(spec)
+        previous_owner.jobs.mark_done(job.steps[1][0].tasks[0])
         progress = records.decode(
             records.ProgressRecord, records.encode(job.progress())
         )
-        current = harness.Cell()
-        current.clock.advance(1_000)
-        restored = current.jobs.add(spec, 1_000, progress)
+        new_owner = harness.Cell()
+        new_owner.clock.advance(1_000)
+        restored = new_owner.jobs.add(spec, 1_000, progress)
         self.assertEqual([0, 1], sorted(restored.steps))
         self.assertFalse(restored.is_complete)
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Tests of maintenance waves: which machines are ordered, and when."""
+"""Tests of maintenance waves: which machines are maintained, and when."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 
 DONE = cell_workers.RunEnd.DONE
 UP = machines_port.MachineState.UP
-AWAY = machines_port.MachineState.MAINTENANCE
+IN_MAINTENANCE = machines_port.MachineState.MAINTENANCE
 WAVE = machines_port.Wave(1, ("m1", "m2", "m3"), 60_000, 2)
 TIGHT_WAVE = machines_port.Wave(1, ("m1", "m2", "m3"), 8_000, 2)
 
 
 class ConcurrentMachinesTest(testtools.TestCase):
-    """Number of machines that are away at the same time."""
+    """Number of machines that are in maintenance at the same time."""
 
-    def test_one_at_a_time_while_there_is_time(self) -> None:
+    def test_one_machine_at_a_time_while_there_is_time(self) -> None:
         self.assertEqual(1, maintenance.concurrent_machines(WAVE, 3, 0))
 
-    def test_limit_of_the_wave_is_kept_when_time_is_short(self) -> None:
+    def test_limit_of_the_wave_is_reached_when_time_is_short(self) -> None:
         self.assertEqual(2, maintenance.concurrent_machines(TIGHT_WAVE, 3, 0))
         self.assertEqual(2, maintenance.concurrent_machines(WAVE, 3, 90_000))
 
 
 class WaveTest(testtools.TestCase):
-    """Three machines under three workers."""
+    """Three machines with one worker each."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -59,7 +59,10 @@
     def plan_and_list_machines(
         self, wave: machines_port.Wave = WAVE
     ) -> list[Any]:
-        """Plans, and lists machines if planned; returns the other actions."""
+        """Returns the actions due now, except for listing the machines.
+
+        A listing is answered at once with the states of this test.
+        """
         now_ms = self.cell.clock.monotonic_ms()
         actions = self.plan_actions(wave)
         self.reports += [
@@ -69,12 +72,12 @@
         ]
         if wave_state.ListMachines() not in actions:
             return actions
-        found = tuple(
+        listed_machines = tuple(
             machines_port.Machine(name, state, name.replace("m", "w"))
             for name, state in self.states.items()
         )
         self.planner.handle_machines_listed(
-            events.MachinesListed(now_ms, result.Ok(found)),
+            events.MachinesListed(now_ms, result.Ok(listed_machines)),
             self.cell.workers.by_id(),
             now_ms,
         )
@@ -92,31 +95,31 @@
         )
 
     def next_orders(self, wave: machines_port.Wave = WAVE) -> list[str]:
-        """Returns the machines ordered within the next second."""
-        found = []
+        """Returns the machines sent to maintenance within the next second."""
+        ordered_machines = []
         for _ in range(10):
             self.cell.clock.advance(100)
             self.cell.reconciler.move_runs(self.cell.clock.monotonic_ms())
-            found += [
+            ordered_machines += [
                 action.machine_id
                 for action in self.plan_and_list_machines(wave)
                 if isinstance(action, wave_state.OrderMaintenance)
             ]
-        return found
+        return ordered_machines
 
     def return_outcome(self, machine_id: str, outcome: Any) -> None:
-        """Applies the outcome of an order."""
+        """Applies the outcome of a maintenance order."""
         self.planner.handle_maintenance_returned(
             events.MaintenanceReturned(machine_id, 1, outcome),
             self.cell.workers.by_id(),
             self.cell.clock.monotonic_ms(),
         )
 
-    def test_empty_machines_go_one_after_the_other(self) -> None:
+    def test_empty_machines_are_maintained_one_after_the_other(self) -> None:
         (first,) = self.next_orders()
         self.assertEqual([], self.next_orders())
         self.return_outcome(first, result.Ok(None))
-        self.states[first] = AWAY
+        self.states[first] = IN_MAINTENANCE
         self.assertEqual([], self.next_orders())
         self.states[first] = UP
         (second,) = self.next_orders()
@@ -126,7 +129,7 @@
         ordered = self.next_orders(TIGHT_WAVE)
         self.assertEqual(2, len(ordered))
         self.return_outcome(ordered[0], result.Ok(None))
-        self.states[ordered[0]] = AWAY
+        self.states[ordered[0]] = IN_MAINTENANCE
         self.assertEqual([], self.next_orders(TIGHT_WAVE))
 
     def test_emptied_worker_gets_no_work_and_finishes_its_runs(self) -> None:
@@ -165,10 +168,14 @@
         (first,) = self.next_orders()
         busy = machines_port.MaintenanceRefused(machines_port.Refusal.BUSY)
         self.return_outcome(first, result.Err(busy))
-        self.assertFalse(any(one.is_being_emptied for one in self.cell.workers))
+        self.assertFalse(
+            any(worker.is_being_emptied for worker in self.cell.workers)
+        )
         self.assertEqual(1, len(self.next_orders()))
 
-    def test_wave_is_completed_when_all_are_back_or_removed(self) -> None:
+    def test_wave_is_completed_when_all_machines_are_back_or_removed(
+        self,
+    ) -> None:
         del self.states["m3"]
         for _ in range(6):
             for machine_id in self.next_orders():
@@ -177,7 +184,7 @@
         record = self.planner.drain_writes()[records.WAVE_PREFIX + "1"]
         self.assertTrue(records.decode(records.WaveRecord, record).is_completed)
 
-    def test_wave_is_not_completed_before_all_have_begun(self) -> None:
+    def test_wave_is_not_completed_before_all_machines_have_begun(self) -> None:
         for machine_id in self.next_orders():
             self.return_outcome(machine_id, result.Ok(None))
         self.next_orders()
@@ -192,8 +199,8 @@
         self.assertEqual(["m3"], self.next_orders())
 
     def test_begun_maintenance_is_recorded_before_it_is_finished(self) -> None:
-        # Without a record of the order, a new owner emptied workers again
-        # whose machines had just come back.
+        # Without a record of the order, a new owner emptied the workers of
+        # machines again that had just come back.
         (first,) = self.next_orders()
         self.return_outcome(first, result.Ok(None))
         record = self.planner.drain_writes()[records.WAVE_PREFIX + "1"]
--- a/tests/process/cell/test_ownership.py
+++ b/tests/process/cell/test_ownership.py
@@ -19,8 +19,8 @@
 def claim_view(
     silent_ms: int, heartbeat: records.HeartbeatRecord, **fields: Any
 ) -> Any:
-    """A view in which the owner's last heartbeat is `silent_ms` old."""
-    seen = claiming.ClaimView(
+    """Returns a view in which the last heartbeat is `silent_ms` old."""
+    view = claiming.ClaimView(
         now_ms=100_000,
         view_age_ms=50,
         reachable_ms=60_000,
@@ -29,7 +29,7 @@
         ),
         started_ms=0,
     )
-    return attrs.evolve(seen, **fields)
+    return attrs.evolve(view, **fields)
 
 
 class ReasonToClaimTest(testtools.TestCase):
@@ -41,26 +41,26 @@
         )
 
     def test_silent_owner_is_replaced(self) -> None:
-        seen = claim_view(
+        view = claim_view(
             claiming.OWNER_TIMEOUT_MS + claiming.MAX_CLAIM_DELAY_MS, HEARTBEAT
         )
         self.assertIs(
             reasons.ClaimReason.OWNER_SILENT,
-            claiming.reason_to_claim(seen, HOST),
+            claiming.reason_to_claim(view, HOST),
         )
 
     def test_owner_gets_time_after_an_outage_of_the_store(self) -> None:
-        seen = claim_view(9_000, HEARTBEAT, reachable_ms=300)
-        self.assertIs(None, claiming.reason_to_claim(seen, HOST))
+        view = claim_view(9_000, HEARTBEAT, reachable_ms=300)
+        self.assertIs(None, claiming.reason_to_claim(view, HOST))
 
     def test_stale_view_claims_nothing(self) -> None:
-        seen = claim_view(9_000, HEARTBEAT, view_age_ms=2_000)
-        self.assertIs(None, claiming.reason_to_claim(seen, HOST))
+        view = claim_view(9_000, HEARTBEAT, view_age_ms=2_000)
+        self.assertIs(None, claiming.reason_to_claim(view, HOST))
 
     def test_restarted_owner_claims_at_once(self) -> None:
-        seen = claim_view(0, attrs.evolve(HEARTBEAT, host="bole-1"))
+        view = claim_view(0, attrs.evolve(HEARTBEAT, host="bole-1"))
         self.assertIs(
-            reasons.ClaimReason.RESTARTED, claiming.reason_to_claim(seen, HOST)
+            reasons.ClaimReason.RESTARTED, claiming.reason_to_claim(view, HOST)
         )
 
     def test_released_cell_is_claimed_after_the_delay(self) -> None:
@@ -82,38 +82,39 @@
                 claim_view(HOST.claim_delay_ms, released), HOST
             ),
         )
-        later = claim_view(
+        later_view = claim_view(
             HOST.claim_delay_ms + claiming.ISOLATED_ZONE_DELAY_MS, released
         )
         self.assertIs(
-            reasons.ClaimReason.RELEASED, claiming.reason_to_claim(later, HOST)
+            reasons.ClaimReason.RELEASED,
+            claiming.reason_to_claim(later_view, HOST),
         )
 
     def test_hosts_with_more_processors_claim_first(self) -> None:
-        strong = attrs.evolve(HOST, cpu_cores=2.15)
-        self.assertLess(strong.claim_delay_ms, HOST.claim_delay_ms)
+        larger_host = attrs.evolve(HOST, cpu_cores=2.15)
+        self.assertLess(larger_host.claim_delay_ms, HOST.claim_delay_ms)
 
 
 class OutdatedViewTest(testtools.TestCase):
-    """Heartbeats that arrive between the decision and the claim."""
+    """Heartbeats that arrive between the decision to claim and the claim."""
 
     def test_heartbeat_of_a_new_owner_ends_the_claim(self) -> None:
-        # Guards against a second claim at each handover: a host had decided to
-        # claim before it read the first heartbeat of the new owner.
+        # Guards against a second claim at each handover by a host that decided
+        # to claim before it read the first heartbeat of the new owner.
         released = attrs.evolve(HEARTBEAT, is_released=True)
-        seen = claim_view(HOST.claim_delay_ms, released)
-        newer = attrs.evolve(HEARTBEAT, host="kality-1", token=8)
+        view = claim_view(HOST.claim_delay_ms, released)
+        new_heartbeat = attrs.evolve(HEARTBEAT, host="kality-1", token=8)
         self.assertTrue(
             claiming.is_outdated(
-                seen, job_replica.ObservedHeartbeat(newer, 100_000)
+                view, job_replica.ObservedHeartbeat(new_heartbeat, 100_000)
             )
         )
 
     def test_heartbeat_of_the_silent_owner_ends_the_claim(self) -> None:
-        seen = claim_view(2_000, HEARTBEAT)
-        again = job_replica.ObservedHeartbeat(HEARTBEAT, 100_000)
-        self.assertTrue(claiming.is_outdated(seen, again))
+        view = claim_view(2_000, HEARTBEAT)
+        new_heartbeat = job_replica.ObservedHeartbeat(HEARTBEAT, 100_000)
+        self.assertTrue(claiming.is_outdated(view, new_heartbeat))
 
     def test_view_without_new_heartbeat_is_current(self) -> None:
-        seen = claim_view(2_000, HEARTBEAT)
-        self.assertFalse(claiming.is_outdated(seen, seen.last_heartbeat))
+        view = claim_view(2_000, HEARTBEAT)
+        self.assertFalse(claiming.is_outdated(view, view.last_heartbeat))
--- a/tests/process/cell/test_planner.py
+++ b/tests/process/cell/test_planner.py
@@ -1,4 +1,4 @@
-"""Tests of placement, preemption and clearing under typical loads."""
+"""Tests of placement, preemption and clearing of workers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
         cell.submit(harness.job(harness.step(9)))
         self.assertEqual(4, len(cell.place()))
 
-    def test_gang_waits_until_all_of_it_fits(self) -> None:
+    def test_gang_waits_until_all_of_its_tasks_fit(self) -> None:
         cell = harness.Cell(workers=1, cpu_millicores=3_000)
         cell.submit(harness.job(harness.step(4, is_gang=True)))
         self.assertEqual([], cell.place())
@@ -43,12 +43,12 @@
         assert worker is not None
         self.assertEqual(3_000, worker.free_cpu)
 
-    def test_limit_per_worker_is_kept(self) -> None:
+    def test_limit_of_tasks_per_worker_is_kept(self) -> None:
         cell = harness.Cell(workers=2)
         cell.submit(harness.job(harness.step(5, max_per_worker=2)))
         self.assertEqual(4, len(cell.place()))
 
-    def test_draining_worker_gets_nothing_new(self) -> None:
+    def test_draining_worker_gets_no_new_tasks(self) -> None:
         cell = harness.Cell(workers=1)
         worker = cell.workers.find("w1")
         assert worker is not None
@@ -58,13 +58,13 @@
 
 
 class PreemptionTest(testtools.TestCase):
-    """Lasting tasks occupy all processors when short jobs arrive."""
+    """Lasting tasks occupy all processors when jobs of short tasks arrive."""
 
     def full_cell(self) -> harness.Cell:
-        """Returns a cell of two workers full of lasting tasks."""
+        """Returns a cell whose two workers are full of lasting tasks."""
         cell = harness.Cell(workers=2, cpu_millicores=8_000)
-        lasting = harness.step(4, cpu_millicores=4_000, is_lasting=True)
-        cell.submit(harness.job(lasting, job_id="a" * 16))
+        lasting_step = harness.step(4, cpu_millicores=4_000, is_lasting=True)
+        cell.submit(harness.job(lasting_step, job_id="a" * 16))
         self.assertEqual(4, len(cell.place()))
         return cell
 
@@ -83,10 +83,10 @@
         self,
     ) -> None:
         cell = harness.Cell(workers=1, cpu_millicores=4_000)
-        lasting = harness.step(
+        lasting_step = harness.step(
             1, cpu_millicores=4_000, is_lasting=True, max_unavailable=1
         )
-        cell.submit(harness.job(lasting, job_id="a" * 16))
+        cell.submit(harness.job(lasting_step, job_id="a" * 16))
         cell.place()
         cell.submit(harness.job(job_id="b" * 16))
         cell.clock.advance(planner.PREEMPTION_DELAY_MS)
@@ -96,12 +96,12 @@
 
 
 class HarmfulFillingTest(testtools.TestCase):
-    """Filling tasks that would interfere on every worker."""
+    """Filling tasks that would slow a lasting task on any worker."""
 
     def cell_with_lasting(self) -> harness.Cell:
         """Returns a cell with a lasting task near its target on each worker."""
         cell = harness.Cell(workers=4, cpu_millicores=8_000)
-        lasting = harness.step(
+        lasting_step = harness.step(
             4,
             cpu_millicores=4_500,
             is_lasting=True,
@@ -109,7 +109,7 @@
             image="serve",
             tail_target_ms=18,
         )
-        cell.submit(harness.job(lasting, job_id="a" * 16))
+        cell.submit(harness.job(lasting_step, job_id="a" * 16))
         runs = cell.place()
         for _ in range(30):
             cell.clock.advance(500)
@@ -145,10 +145,15 @@
         placed = cell.place()
         self.assertEqual(
             {(run.worker_id, "b")},
-            {(one.worker_id, one.task.name[0]) for one in placed},
+            {
+                (placed_run.worker_id, placed_run.task.name[0])
+                for placed_run in placed
+            },
         )
 
-    def test_lasting_task_returns_before_it_counts_as_lost(self) -> None:
+    def test_stopped_lasting_task_is_placed_again_once_it_is_overdue(
+        self,
+    ) -> None:
         cell = self.cell_with_lasting()
         cell.clock.advance(clearing.MIN_FILLING_WAIT_MS)
         now_ms = cell.clock.now_ms
@@ -158,7 +163,9 @@
             run.worker_id, ended=(harness.ended_run(run, stopped),)
         )
         cell.clock.advance(clearing.LASTING_OVERDUE_MS + 1)
-        self.assertIn("a", [one.task.name[0] for one in cell.place()])
+        self.assertIn(
+            "a", [placed_run.task.name[0] for placed_run in cell.place()]
+        )
 
     def test_unused_cleared_worker_is_reopened_early(self) -> None:
         cell = self.cell_with_lasting()
@@ -171,4 +178,6 @@
         )
         cell.jobs.cancel("b" * 16)
         cell.planner.clear_worker(cell.jobs.ready_steps(), cell.clock.now_ms)
-        self.assertEqual(["a"], [one.task.name[0] for one in cell.place()])
+        self.assertEqual(
+            ["a"], [placed_run.task.name[0] for placed_run in cell.place()]
+        )
--- a/tests/process/cell/test_pressure_model.py
+++ b/tests/process/cell/test_pressure_model.py
@@ -1,4 +1,4 @@
-"""Tests of learning the coefficients of filling images."""
+"""Tests of learning how much filling images slow down lasting tasks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class PressureModelTest(testtools.TestCase):
-    """A step on several workers, with a load that swings by half."""
+    """A step on several workers, whose load swings by about half."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -24,15 +24,23 @@
         self.random = random.Random(SEED)
 
     def _observe(self, seconds: int, images: dict[str, float]) -> None:
-        """Observes two readings a second of each of six workers."""
-        names = sorted(images)
+        """Observes two readings a second of each of six workers.
+
+        Args:
+            seconds: Duration of the readings.
+            images: True coefficient of each filling image.
+        """
+        image_names = sorted(images)
         for tick in range(2 * seconds):
             load = 0.42 + 0.2 * math.sin(2 * math.pi * tick / 20)
             for worker in range(6):
                 uses = {
-                    name: self.random.choice((0.0, 0.1, 0.2)) for name in names
+                    image: self.random.choice((0.0, 0.1, 0.2))
+                    for image in image_names
                 }
-                pressure = sum(images[name] * uses[name] for name in names)
+                pressure = sum(
+                    images[image] * uses[image] for image in image_names
+                )
                 noise = self.random.gauss(0, 0.05)
                 self.model.observe(
                     "step",
@@ -103,5 +111,5 @@
             [row[:] for row in matrix], [1.0, 2.0, 3.0]
         )
         for row, value in zip(matrix, [1.0, 2.0, 3.0], strict=True):
-            total = sum(a * b for a, b in zip(row, solution, strict=True))
-            self.assertAlmostEqual(value, total)
+            product = sum(a * b for a, b in zip(row, solution, strict=True))
+            self.assertAlmostEqual(value, product)
--- a/tests/process/cell/test_reasons_documented.py
+++ b/tests/process/cell/test_reasons_documented.py
@@ -16,9 +16,10 @@
 
 
 class ReasonsDocumentedTest(testtools.TestCase):
-    """One table for each enum."""
+    """The page has one table for each enum of reasons."""
 
     def assert_rows(self, title: str, kind: type[enum.StrEnum]) -> None:
+        """Checks that the section's table has one row for each value."""
         text = PAGE.read_text(encoding="utf-8")
         section = text.partition(f"\n### {title}\n")[2]
         section = re.split(r"\n##", section)[0]
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -1,4 +1,4 @@
-"""Tests of how runs follow reported ends and unanswered orders."""
+"""Tests of how the state of runs follows reports and unanswered orders."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndTest(testtools.TestCase):
-    """Ends that workers report."""
+    """Ends of runs that workers report."""
 
     def test_job_completes_with_its_last_task(self) -> None:
         cell = harness.Cell()
@@ -53,19 +53,19 @@
     def test_failure_counts_once_over_two_owners(self) -> None:
         # Guards against counting a failure twice: a worker reports an end
         # again to the next owner if it was recorded, but not acknowledged.
-        before = harness.Cell()
-        job = before.submit(harness.job())
-        (run,) = before.place()
+        previous_owner = harness.Cell()
+        job = previous_owner.submit(harness.job())
+        (run,) = previous_owner.place()
         end = harness.ended_run(run, cell_workers.RunEnd.FAILED)
-        before.answer_hold(run.worker_id, ended=(end,))
+        previous_owner.answer_hold(run.worker_id, ended=(end,))
         progress = records.decode(
             records.ProgressRecord, records.encode(job.progress())
         )
 
-        after = harness.Cell()
-        recovered = after.jobs.add(job.spec, 1_000, progress)
+        new_owner = harness.Cell()
+        recovered = new_owner.jobs.add(job.spec, 1_000, progress)
         assert recovered is not None
-        after.answer_hold(run.worker_id, ended=(end,))
+        new_owner.answer_hold(run.worker_id, ended=(end,))
         (task,) = recovered.steps[0][0].tasks
         self.assertEqual(1, task.failures)
 
@@ -87,11 +87,11 @@
         stopped = cell_workers.RunEnd.STOPPED
         end = harness.ended_run(run, stopped, checkpoint="half")
         cell.answer_hold(run.worker_id, ended=(end,))
-        (again,) = cell.place()
-        self.assertEqual("half", again.task.checkpoint)
-        self.assertGreater(again.number, run.number)
+        (resumed,) = cell.place()
+        self.assertEqual("half", resumed.task.checkpoint)
+        self.assertGreater(resumed.number, run.number)
 
-    def test_gang_ends_with_one_member(self) -> None:
+    def test_gang_ends_with_its_first_task(self) -> None:
         cell = harness.Cell()
         job = cell.submit(harness.job(harness.step(3, is_gang=True)))
         placed = cell.place()
@@ -104,7 +104,9 @@
 class InDoubtTest(testtools.TestCase):
     """Unanswered orders, unreachable workers, unknown and stalled runs."""
 
-    def test_unanswered_start_is_stopped_before_another(self) -> None:
+    def test_unanswered_start_is_stopped_before_another_run_starts(
+        self,
+    ) -> None:
         cell = harness.Cell()
         cell.submit(harness.job())
         now_ms = cell.clock.monotonic_ms()
@@ -126,10 +128,12 @@
         self.assertEqual([], cell.place())
         cell.clock.advance(10)
         cell.answer_hold(run.worker_id)
-        (again,) = cell.place()
-        self.assertEqual(2, again.number)
+        (second_run,) = cell.place()
+        self.assertEqual(2, second_run.number)
 
-    def test_unanswered_start_that_is_listed_continues(self) -> None:
+    def test_run_with_unanswered_start_continues_if_the_worker_lists_it(
+        self,
+    ) -> None:
         cell = harness.Cell()
         cell.submit(harness.job())
         now_ms = cell.clock.monotonic_ms()
@@ -140,7 +144,9 @@
         cell.answer_hold(run.worker_id, running=(harness.running_task(run),))
         self.assertIs(runs_module.RunPhase.RUNNING, run.phase)
 
-    def test_unreachable_worker_keeps_its_runs_for_the_lease(self) -> None:
+    def test_unreachable_worker_keeps_its_runs_until_its_lease_ends(
+        self,
+    ) -> None:
         cell = harness.Cell(workers=1)
         cell.submit(harness.job())
         (run,) = cell.place()
--- a/tests/process/cell/test_takeover.py
+++ b/tests/process/cell/test_takeover.py
@@ -1,4 +1,4 @@
-"""Tests of takeovers of a cell between two hosts, with real threads."""
+"""Tests of takeovers of a cell by another host, with real threads."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
 
 
 class SingleWorkerAdvice:
-    """Implements `AdviceService` with a policy that allows one worker."""
+    """Implements `AdviceService`; allows only `ALLOWED_WORKER`."""
 
     def advise(
         self, step: str, worker_ids: Sequence[str], timeout_ms: int
@@ -102,7 +102,9 @@
         del timeout_ms
         tickets = {ALLOWED_WORKER: f"{step}/{ALLOWED_WORKER}"}
         allowed = {
-            name: tickets[name] for name in worker_ids if name in tickets
+            worker_id: tickets[worker_id]
+            for worker_id in worker_ids
+            if worker_id in tickets
         }
         return result.Ok(advice_port.Advice(allowed, 3_000))
 
@@ -178,17 +180,17 @@
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
         """Waits until a condition holds."""
-        until_s = time.monotonic() + WAIT_S
+        deadline_s = time.monotonic() + WAIT_S
         while not condition():
-            self.assertLess(time.monotonic(), until_s, "not in time")
+            self.assertLess(time.monotonic(), deadline_s, "timed out")
             time.sleep(0.01)
 
     def running(self) -> dict[str, int]:
-        """Tasks that run on any worker."""
-        found: dict[str, int] = {}
+        """Returns the run numbers of the tasks that run on any worker."""
+        running: dict[str, int] = {}
         for worker in self.workers.values():
-            found.update(worker.running)
-        return found
+            running.update(worker.running)
+        return running
 
     def test_runs_of_a_failed_owner_are_adopted_and_not_repeated(self) -> None:
         self.first.job_api.submit(harness.job(harness.step(3)), 2_000)
@@ -199,7 +201,9 @@
             worker.end_all(cell_workers.RunEnd.DONE)
         completed = records.JobState.COMPLETED
         self.wait_for(lambda: self.second.job_api.state(ID) is completed)
-        starts = [one for w in self.workers.values() for one in w.starts]
+        starts = [
+            start for worker in self.workers.values() for start in worker.starts
+        ]
         self.assertEqual(3, len(starts))
 
     def test_owner_that_stops_hands_over_at_once(self) -> None:
@@ -209,21 +213,23 @@
         elapsed_ms = (time.monotonic() - started_s) * 1_000
         self.assertLess(elapsed_ms, claiming.OWNER_TIMEOUT_MS)
 
-    def test_job_goes_to_the_owner_through_any_host(self) -> None:
+    def test_job_submitted_to_any_host_reaches_the_owner(self) -> None:
         self.second.job_api.submit(harness.job(), 2_000)
         self.wait_for(lambda: len(self.running()) == 1)
         running = records.JobState.RUNNING
         self.wait_for(lambda: self.second.job_api.state(ID) is running)
 
-    def test_owner_cut_from_the_store_starts_nothing_new_at_the_end(
+    def test_owner_cut_from_the_store_starts_no_later_jobs(
         self,
     ) -> None:
         self.first.store.is_cut = True
         self.wait_for(lambda: self.second.ownership.is_owner)
         self.second.job_api.submit(harness.job(harness.step(2)), 2_000)
         self.wait_for(lambda: len(self.running()) == 2)
-        starts = [one for w in self.workers.values() for one in w.starts]
-        self.assertEqual({2}, {one.token for one in starts})
+        starts = [
+            start for worker in self.workers.values() for start in worker.starts
+        ]
+        self.assertEqual({2}, {start.token for start in starts})
 
     def test_ended_job_is_dropped_from_the_store_after_a_while(self) -> None:
         self.first.job_api.submit(harness.job(), 2_000)
@@ -233,7 +239,7 @@
         unknown = job_api_module.UnknownJob()
         self.wait_for(lambda: self.second.job_api.state(ID) == unknown)
         newest = self.store.newest(records.JOBS_TOPIC, 0).unwrap()
-        self.assertEqual(["owner"], [one.key for one in newest.records])
+        self.assertEqual(["owner"], [record.key for record in newest.records])
 
     def test_cancelled_job_stops_running(self) -> None:
         self.first.job_api.submit(harness.job(harness.step(2)), 2_000)
@@ -248,10 +254,14 @@
         job = attrs.evolve(harness.job(harness.step(3)), queue=queue)
         self.first.job_api.submit(job, 2_000)
         self.wait_for(lambda: len(self.running()) == 3)
-        starts = [one for w in self.workers.values() for one in w.starts]
-        self.assertEqual({ALLOWED_WORKER}, {one.worker_id for one in starts})
+        starts = [
+            start for worker in self.workers.values() for start in worker.starts
+        ]
         self.assertEqual(
-            {f"{ID}.0.0/{ALLOWED_WORKER}"}, {one.ticket for one in starts}
+            {ALLOWED_WORKER}, {start.worker_id for start in starts}
+        )
+        self.assertEqual(
+            {f"{ID}.0.0/{ALLOWED_WORKER}"}, {start.ticket for start in starts}
         )
 
     def test_new_owner_restores_learned_models(self) -> None:
@@ -287,12 +297,10 @@
         self.assertLess(time.monotonic() - started_s, 2.5)
 
     def recorded_workers(self) -> set[str]:
-        """Workers that may have runs according to the store."""
+        """Returns the workers that may have runs according to the store."""
         batch = self.store.newest(records.WORK_TOPIC, 0).unwrap()
         for record in batch.records:
             if record.key == records.WORKERS_KEY and record.value is not None:
-                incarnations = records.decode(
-                    records.WorkersRecord, record.value
-                )
-                return set(incarnations.born_ms)
+                workers = records.decode(records.WorkersRecord, record.value)
+                return set(workers.born_ms)
         return set()
--- a/tests/process/cell/test_worker_session.py
+++ b/tests/process/cell/test_worker_session.py
@@ -44,7 +44,7 @@
             time.sleep(0.01)
 
     def hold_events(self, kind: type) -> list[Any]:
-        """Returns the events of hold calls with an outcome of a kind."""
+        """Returns the events of lease renewals whose outcome is of a kind."""
         return [
             event
             for event in list(self.events)
@@ -61,12 +61,12 @@
         self.wait_for(lambda: self.worker.deadlines_ms)
         self.worker.is_unreachable = True
         self.wait_for(lambda: len(self.hold_events(result.Err)) >= 1)
-        before_ms = self.session.latest_deadline_ms
+        deadline_ms = self.session.latest_deadline_ms
         failed_count = len(self.hold_events(result.Err))
         self.wait_for(
             lambda: len(self.hold_events(result.Err)) >= failed_count + 3
         )
-        self.assertEqual(before_ms, self.session.latest_deadline_ms)
+        self.assertEqual(deadline_ms, self.session.latest_deadline_ms)
 
     def test_host_that_lost_ownership_starts_nothing(self) -> None:
         self.wait_for(lambda: self.worker.deadlines_ms)
@@ -83,11 +83,11 @@
         # Second runs were started over a second after the ends of their tasks
         # had been recorded, as their starts were queued behind others.
         self.wait_for(lambda: self.worker.deadlines_ms)
-        release = threading.Event()
+        may_start = threading.Event()
         start = self.worker.start
 
         def slow_start(order: Any, timeout_ms: int) -> Any:
-            release.wait(WAIT_S)
+            may_start.wait(WAIT_S)
             return start(order, timeout_ms)
 
         self.worker.start = slow_start
@@ -95,7 +95,7 @@
         self.session.start(first_run, "text", "", "")
         self.session.start(second_run, "text", "", "")
         second_run.should_start = False
-        release.set()
+        may_start.set()
         self.wait_for(lambda: len(self.returned_starts()) == 2)
         self.assertEqual({"a.0.0.0": 1}, self.worker.running)
         self.assertEqual(
@@ -103,7 +103,7 @@
         )
 
     def returned_starts(self) -> list[Any]:
-        """Returns the outcomes of starts."""
+        """Returns the events of returned start orders."""
         return [
             event
             for event in list(self.events)
@@ -112,7 +112,7 @@
 
 
 class _Run:
-    """The part of a run that a session uses."""
+    """Stands in for a run and, as its own `task`, for the task."""
 
     def __init__(self, task: str) -> None:
         self.task = self
--- a/tests/process/cell/test_worker_table.py
+++ b/tests/process/cell/test_worker_table.py
@@ -34,14 +34,14 @@
 
 
 class RecordedIncarnationsTest(testtools.TestCase):
-    """Starts wait until a worker's incarnation is recorded."""
+    """Tasks start only on incarnations that are recorded."""
 
     def setUp(self) -> None:
         super().setUp()
         self.cell = harness.Cell(workers=1)
         self.cell.submit(harness.job())
 
-    def test_nothing_starts_on_an_incarnation_left_out_of_the_record(
+    def test_nothing_starts_on_an_incarnation_missing_from_the_record(
         self,
     ) -> None:
         self.cell.workers.forbid_starts({})
