--- a/src/comfreylatch/_process/cell/interference.py
+++ b/src/comfreylatch/_process/cell/interference.py
@@ -1,14 +1,17 @@
 """Interference of filling tasks with lasting tasks on the same worker.
 
-A lasting task's tail latency is modelled as that of a queue: `base / (1 - x)`
-where `x` is the sum of the task's own load and of the pressure of each filling
-task on its worker. A filling task's pressure is its use of the worker's
-processors times a coefficient, which depends on both images and is learned
-from the tails and uses that workers report. Its use is weighted by its
-intensity: in a light phase it uses less, and each share of it presses less.
-
-Where all demands together exceed a worker's processors, tails grow without
-bound, so filling tasks are slowed there, however harmless they are.
+A lasting task runs until its job is cancelled; a filling task uses processors
+that the other tasks on its worker leave idle. A lasting task's tail latency is
+modelled as that of a queue: `base / (1 - x)` where `x` is the sum of the task's
+own load and of the pressure of each filling task on its worker. A filling
+task's pressure is its use of the worker's processors times a coefficient, which
+depends on both images and is learned from the tail latencies and uses that
+workers report. Its use is weighted by its intensity, the share of its request
+that it uses at full pace: in a light phase it uses less, and each processor
+that it uses adds less pressure.
+
+Where all demands together exceed a worker's processors, tail latencies grow
+without bound, so filling tasks are slowed there, however harmless they are.
 """
 
 from __future__ import annotations
@@ -31,7 +34,7 @@
 COEFFICIENT_SD = 0.15
 # Readings are whole milliseconds.
 ROUNDING_SD_MS = 0.3
-# How far loads are extrapolated: for paces, until readings show their effect;
+# How far ahead loads are forecast: for paces, until readings show their effect;
 # for placements, until the placed task has run for a while.
 PACE_FORECAST_MS = 700
 PLACEMENT_FORECAST_MS = 1_200
@@ -63,16 +66,21 @@
 FULL_PACE = 100
 PACE_STEP = 10
 # Headroom that stays free when a pace is raised, so that it isn't lowered
-# again at once.
+# again right away.
 PACE_RAISE_MARGIN = 0.04
 
 
 @attrs.frozen
 class Slack:
-    """Headroom of a lasting step on a worker, below its load limit."""
+    """Headroom of a lasting step on a worker.
+
+    Attributes:
+        image: Image of the step.
+        headroom: Its load limit less its own load and all pressures.
+    """
 
     image: str
-    left: float
+    headroom: float
 
 
 @attrs.frozen
@@ -114,14 +122,14 @@
             duration_ratios,
         )
 
-    def coefficient(self, serving: str, filling: str) -> float:
+    def coefficient(self, serving_image: str, filling_image: str) -> float:
         """Coefficient of a filling image on a serving image."""
-        return self.pressures.coefficient(serving, filling)
+        return self.pressures.coefficient(serving_image, filling_image)
 
     def _base_tail_ms(self, run: runs_module.Run) -> float:
         spec = run.task.step.spec
-        guess = spec.tail_target_ms * BASE_TAIL_SHARE
-        return min(self._base_ms.get(spec.image, guess), guess)
+        assumed_ms = spec.tail_target_ms * BASE_TAIL_SHARE
+        return min(self._base_ms.get(spec.image, assumed_ms), assumed_ms)
 
     def load_limit(self, run: runs_module.Run) -> float:
         """Sum of load and pressures that plans allow for a lasting task."""
@@ -141,10 +149,10 @@
         """Learns from a worker's newest readings."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
-        for fill in _filling_runs(worker):
-            _update_intensity(fill, now_ms)
-            image = _image(fill)
-            use = fill.reading * fill.intensity / cpu
+        for filling_run in _filling_runs(worker):
+            _update_intensity(filling_run, now_ms)
+            image = _image(filling_run)
+            use = filling_run.reading * filling_run.intensity / cpu
             uses[image] = uses.get(image, 0.0) + use
         for run in serving_runs(worker):
             is_settled = now_ms - run.confirmed_ms > SETTLING_MS
@@ -161,8 +169,8 @@
         estimate = self.load_estimate(run)
         estimate.predict(now_ms)
         pressure = sum(
-            self.coefficient(image, filling) * use
-            for filling, use in uses.items()
+            self.coefficient(image, filling_image) * use
+            for filling_image, use in uses.items()
         )
         error = observed_load - estimate.load - pressure
         if observed_load > SATURATED_LOAD:
@@ -182,28 +190,37 @@
         """Forecasts the slack of each lasting step on a worker."""
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         uses: dict[str, float] = {}
-        for fill in _filling_runs(worker):
-            pace = max(fill.pace_percent, MIN_COUNTED_PACE_PERCENT) / FULL_PACE
-            image = _image(fill)
-            used = fill.task.step.spec.cpu_millicores * pace / cpu
-            used *= (fill.intensity**2 + MEAN_SQUARED_INTENSITY) / 2
+        for filling_run in _filling_runs(worker):
+            pace = (
+                max(filling_run.pace_percent, MIN_COUNTED_PACE_PERCENT)
+                / FULL_PACE
+            )
+            image = _image(filling_run)
+            used = filling_run.task.step.spec.cpu_millicores * pace / cpu
+            used *= (filling_run.intensity**2 + MEAN_SQUARED_INTENSITY) / 2
             uses[image] = uses.get(image, 0.0) + used
         steps = {run.task.step: run for run in serving_runs(worker)}
         slacks = []
         for run in steps.values():
             image = _image(run)
-            left = self.load_limit(run) - self.load_estimate(run).forecast(
+            headroom = self.load_limit(run) - self.load_estimate(run).forecast(
                 PLACEMENT_FORECAST_MS
             )
-            for filling, use in uses.items():
-                left -= self._planned_coefficient(image, filling) * use
-            slacks.append(Slack(image, left))
+            for filling_image, use in uses.items():
+                headroom -= (
+                    self._planned_coefficient(image, filling_image) * use
+                )
+            slacks.append(Slack(image, headroom))
         return tuple(slacks)
 
-    def _planned_coefficient(self, serving_image: str, filling: str) -> float:
+    def _planned_coefficient(
+        self, serving_image: str, filling_image: str
+    ) -> float:
         """Coefficient used by placement: higher while it is uncertain."""
-        margin = COEFFICIENT_MARGIN_SDS * self.pressures.uncertainty(filling)
-        return self.coefficient(serving_image, filling) + margin
+        margin = COEFFICIENT_MARGIN_SDS * self.pressures.uncertainty(
+            filling_image
+        )
+        return self.coefficient(serving_image, filling_image) + margin
 
     def summary(self) -> dict[str, float]:
         """Coefficients by filling image, for logs."""
@@ -234,7 +251,8 @@
         use *= MEAN_SQUARED_INTENSITY * MIN_INITIAL_PACE_PERCENT / FULL_PACE
         return min(
             (
-                slack.left - self._planned_coefficient(slack.image, image) * use
+                slack.headroom
+                - self._planned_coefficient(slack.image, image) * use
                 for slack in slacks
             ),
             default=1.0,
@@ -246,12 +264,12 @@
         A pace is raised only to the full one or by at least two steps.
         """
         filling_runs = list(_filling_runs(worker))
-        lasting = list(serving_runs(worker))
+        lasting_runs = list(serving_runs(worker))
         if not filling_runs:
             return []
         cpu = max(worker.entry.capacity.cpu_millicores, 1)
         paces = dict.fromkeys(filling_runs, self._cpu_bound_pace(worker))
-        for run in lasting:
+        for run in lasting_runs:
             self._lower_paces(run, paces, cpu)
         return [
             PaceChange(run, percent)
@@ -276,8 +294,8 @@
         reserved = cpu - worker.free_cpu - worker.lasting_millicores
         available = MAX_REQUESTED_CPU_SHARE * cpu - reserved - lasting_use
         requested = sum(
-            fill.task.step.spec.cpu_millicores * fill.intensity
-            for fill in _filling_runs(worker)
+            filling_run.task.step.spec.cpu_millicores * filling_run.intensity
+            for filling_run in _filling_runs(worker)
         )
         if requested <= available:
             return FULL_PACE
@@ -296,28 +314,36 @@
             PACE_FORECAST_MS
         )
         full_pressures = {
-            fill: self.coefficient(image, _image(fill))
-            * fill.task.step.spec.cpu_millicores
-            * fill.intensity**2
+            filling_run: self.coefficient(image, _image(filling_run))
+            * filling_run.task.step.spec.cpu_millicores
+            * filling_run.intensity**2
             / cpu
-            for fill in paces
+            for filling_run in paces
         }
         total_pressure = sum(
-            full_pressures[fill] * paces[fill] / FULL_PACE for fill in paces
+            full_pressures[filling_run] * paces[filling_run] / FULL_PACE
+            for filling_run in paces
         )
-        for fill in sorted(paces, key=lambda run: -full_pressures[run]):
-            margin = PACE_RAISE_MARGIN if fill.pace_percent < FULL_PACE else 0.0
+        for filling_run in sorted(paces, key=lambda run: -full_pressures[run]):
+            margin = (
+                PACE_RAISE_MARGIN
+                if filling_run.pace_percent < FULL_PACE
+                else 0.0
+            )
             excess = total_pressure - budget + margin
-            if excess <= 0 or full_pressures[fill] <= 0:
+            if excess <= 0 or full_pressures[filling_run] <= 0:
                 return
-            cut = -(
-                -int(excess / full_pressures[fill] * FULL_PACE) // PACE_STEP
+            cut_steps = -(
+                -int(excess / full_pressures[filling_run] * FULL_PACE)
+                // PACE_STEP
             )
-            lowered = max(paces[fill] - cut * PACE_STEP, 0)
+            lowered = max(paces[filling_run] - cut_steps * PACE_STEP, 0)
             total_pressure -= (
-                full_pressures[fill] * (paces[fill] - lowered) / FULL_PACE
+                full_pressures[filling_run]
+                * (paces[filling_run] - lowered)
+                / FULL_PACE
             )
-            paces[fill] = lowered
+            paces[filling_run] = lowered
 
 
 def serving_runs(
@@ -329,15 +355,24 @@
     )
 
 
-def _update_intensity(fill: runs_module.Run, now_ms: int) -> None:
+def _update_intensity(filling_run: runs_module.Run, now_ms: int) -> None:
     """Updates the share of its allowed processors that a filling run uses."""
-    since_ms = max(fill.confirmed_ms, fill.pace_changed_ms)
-    if not fill.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
+    since_ms = max(filling_run.confirmed_ms, filling_run.pace_changed_ms)
+    if not filling_run.confirmed_ms or now_ms - since_ms < READING_WINDOW_MS:
         return
-    if fill.pace_percent <= MAX_UNINFORMATIVE_PACE_PERCENT or fill.reading <= 0:
+    if (
+        filling_run.pace_percent <= MAX_UNINFORMATIVE_PACE_PERCENT
+        or filling_run.reading <= 0
+    ):
         return
-    allowed = fill.task.step.spec.cpu_millicores * fill.pace_percent / FULL_PACE
-    fill.intensity = min(max(fill.reading / allowed, MIN_INTENSITY), 1.0)
+    allowed = (
+        filling_run.task.step.spec.cpu_millicores
+        * filling_run.pace_percent
+        / FULL_PACE
+    )
+    filling_run.intensity = min(
+        max(filling_run.reading / allowed, MIN_INTENSITY), 1.0
+    )
 
 
 def _filling_runs(worker: worker_view.WorkerView) -> Iterable[runs_module.Run]:
--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -1,7 +1,9 @@
 """Learns the pressure of each filling image on lasting tasks.
 
+See `interference` for the model of which this fits the coefficients.
+
 Tasks of a lasting step have the same load at the same time, so differences
-between their tails on different workers are due to the filling tasks there.
+between their tail latencies on different workers are due to the filling tasks there.
 The coefficients are fitted to these differences by least squares with a
 prior; the load itself cancels out.
 """
@@ -23,7 +25,8 @@
 COMPARISON_SD = 0.06
 # Weight of the prior: variance of a reading over variance of coefficients.
 PRIOR_WEIGHT = (COMPARISON_SD / 0.5) ** 2
-# The same for a pair's excess over the coefficient of its filling image.
+# The same for the excess of a pair of images: how much the filling image's
+# coefficient on this serving image exceeds its coefficient on all.
 PAIR_PRIOR_WEIGHT = (COMPARISON_SD / 0.3) ** 2
 # Maximum weight of a coefficient that was learned by a previous owner.
 MAX_RESTORED_WEIGHT = 0.2
@@ -43,6 +46,8 @@
 
 @attrs.frozen
 class _Reading:
+    """One reading of a lasting task, see `PressureModel.observe`."""
+
     worker_id: str
     load: float
     uses: Mapping[str, float]
@@ -52,7 +57,7 @@
 class _Comparison:
     """Readings of one step that are compared with each other."""
 
-    serving: str
+    serving_image: str
     started_ms: int
     readings: list[_Reading] = attrs.field(factory=list)
 
@@ -61,15 +66,17 @@
         age_ms = now_ms - self.started_ms
         if age_ms < COMPARISON_WINDOW_MS:
             return False
-        first = self.readings[0].worker_id
+        first_worker_id = self.readings[0].worker_id
         has_several_workers = any(
-            reading.worker_id != first for reading in self.readings
+            reading.worker_id != first_worker_id for reading in self.readings
         )
         return has_several_workers or age_ms >= MAX_COMPARISON_MS
 
 
 @attrs.define(eq=False)
 class _PairSums:
+    """Decaying sums for the fit of the excess of one pair of images."""
+
     squares: float = 0.0
     products: float = 0.0
 
@@ -113,48 +120,59 @@
         """Returns the coefficients of all images, for the next owner."""
         return tuple(
             records.LearnedPressure(
-                name,
-                round(self.common_coefficient(name), 3),
-                round(self._coefficient_weight(name), 4),
+                image,
+                round(self.common_coefficient(image), 3),
+                round(self._coefficient_weight(image), 4),
             )
-            for name in sorted(self._priors.keys() | self._coefficients.keys())
+            for image in sorted(self._priors.keys() | self._coefficients.keys())
         )
 
     def export_pairs(self) -> tuple[records.LearnedPair, ...]:
         """Returns the excesses of pairs that were observed often enough."""
         return tuple(
             records.LearnedPair(
-                serving,
-                filling,
-                round(self._pair_excesses.get((serving, filling), 0.0), 3),
+                serving_image,
+                filling_image,
+                round(
+                    self._pair_excesses.get(
+                        (serving_image, filling_image), 0.0
+                    ),
+                    3,
+                ),
                 round(sums.squares, 4),
             )
-            for (serving, filling), sums in self._pairs.items()
+            for (serving_image, filling_image), sums in self._pairs.items()
             if sums.squares >= PAIR_PRIOR_WEIGHT
         )
 
-    def _prior(self, filling: str) -> _Prior:
-        return self._priors.get(filling, _Prior())
+    def _prior(self, filling_image: str) -> _Prior:
+        return self._priors.get(filling_image, _Prior())
 
-    def _coefficient_weight(self, filling: str) -> float:
+    def _coefficient_weight(self, filling_image: str) -> float:
         """Weight of an image's coefficient: of its readings and its prior."""
-        squares = self._squares.get(filling, {}).get(filling, 0.0)
-        return squares + self._prior(filling).weight
+        squares = self._squares.get(filling_image, {}).get(filling_image, 0.0)
+        return squares + self._prior(filling_image).weight
 
-    def uncertainty(self, filling: str) -> float:
+    def uncertainty(self, filling_image: str) -> float:
         """Returns the standard deviation of an image's coefficient."""
-        return COMPARISON_SD / math.sqrt(self._coefficient_weight(filling))
+        return COMPARISON_SD / math.sqrt(
+            self._coefficient_weight(filling_image)
+        )
 
-    def common_coefficient(self, filling: str) -> float:
+    def common_coefficient(self, filling_image: str) -> float:
         """Returns the coefficient of a filling image on any serving image."""
-        learned = self._coefficients.get(filling)
-        return self._prior(filling).coefficient if learned is None else learned
+        learned = self._coefficients.get(filling_image)
+        return (
+            self._prior(filling_image).coefficient
+            if learned is None
+            else learned
+        )
 
-    def coefficient(self, serving: str, filling: str) -> float:
+    def coefficient(self, serving_image: str, filling_image: str) -> float:
         """Returns the coefficient of a filling image on a serving image."""
-        excess = self._pair_excesses.get((serving, filling), 0.0)
+        excess = self._pair_excesses.get((serving_image, filling_image), 0.0)
         return min(
-            max(self.common_coefficient(filling) + excess, 0.0),
+            max(self.common_coefficient(filling_image) + excess, 0.0),
             MAX_COEFFICIENT,
         )
 
@@ -165,7 +183,7 @@
     def observe(
         self,
         step: object,
-        serving: str,
+        serving_image: str,
         worker_id: str,
         load: float,
         uses: Mapping[str, float],
@@ -175,7 +193,7 @@
 
         Args:
             step: The task's step.
-            serving: The task's image.
+            serving_image: The task's image.
             worker_id: The worker it runs on.
             load: Sum of load and pressures that the tail latency implies.
             uses: Shares of the worker's processors that filling tasks use, by
@@ -187,73 +205,81 @@
             self._close_comparison(comparison)
             comparison = None
         if comparison is None:
-            comparison = _Comparison(serving, now_ms)
+            comparison = _Comparison(serving_image, now_ms)
             self._open_comparisons[step] = comparison
         comparison.readings.append(_Reading(worker_id, load, uses))
         if now_ms - self._fitted_ms >= FIT_INTERVAL_MS:
             self._fit_coefficients(now_ms)
 
     def _close_comparison(self, comparison: _Comparison) -> None:
-        """Adds the differences between a comparison's readings to the sums."""
+        """Adds the differences of a comparison's readings from their mean.
+
+        They are added to the sums that are fitted.
+        """
         readings = comparison.readings
         count = len(readings)
-        images = sorted({name for reading in readings for name in reading.uses})
+        images = sorted(
+            {image for reading in readings for image in reading.uses}
+        )
         if count < 2 or not images:
             return
         mean_load = sum(reading.load for reading in readings) / count
         means = {
-            name: sum(reading.uses.get(name, 0.0) for reading in readings)
+            image: sum(reading.uses.get(image, 0.0) for reading in readings)
             / count
-            for name in images
+            for image in images
         }
         for reading in readings:
             differences = {
-                name: reading.uses.get(name, 0.0) - means[name]
-                for name in images
+                image: reading.uses.get(image, 0.0) - means[image]
+                for image in images
             }
             self._add_differences(
-                comparison.serving, reading.load - mean_load, differences
+                comparison.serving_image, reading.load - mean_load, differences
             )
 
     def _add_differences(
-        self, serving: str, load: float, differences: Mapping[str, float]
+        self, serving_image: str, load: float, differences: Mapping[str, float]
     ) -> None:
-        """Adds the load and use differences of one reading to the sums."""
+        """Adds one reading's differences to the sums that are fitted."""
         unexplained = load - sum(
-            self.coefficient(serving, name) * use
-            for name, use in differences.items()
+            self.coefficient(serving_image, image) * use
+            for image, use in differences.items()
         )
-        for name, use in differences.items():
-            row = self._squares.setdefault(name, {})
-            for other, other_use in differences.items():
-                row[other] = row.get(other, 0.0) + use * other_use
-            self._products[name] = self._products.get(name, 0.0) + use * load
-            excess = self._pair_excesses.get((serving, name), 0.0)
-            sums = self._pairs.setdefault((serving, name), _PairSums())
+        for image, use in differences.items():
+            row = self._squares.setdefault(image, {})
+            for other_image, other_use in differences.items():
+                row[other_image] = row.get(other_image, 0.0) + use * other_use
+            self._products[image] = self._products.get(image, 0.0) + use * load
+            excess = self._pair_excesses.get((serving_image, image), 0.0)
+            sums = self._pairs.setdefault((serving_image, image), _PairSums())
             sums.squares += use * use
             sums.products += use * (unexplained + excess * use)
 
     def _fit_coefficients(self, now_ms: int) -> None:
-        """Decays the sums and solves them for the coefficients."""
+        """Decays the sums and fits the coefficients to them."""
         elapsed_ms = now_ms - self._fitted_ms if self._fitted_ms else 0
         self._fitted_ms = now_ms
         self._decay(math.exp(-elapsed_ms / DECAY_TIME_CONSTANT_MS))
-        names = list(self._squares)
+        images = list(self._squares)
         matrix = [
-            [self._squares[name].get(other, 0.0) for other in names]
-            for name in names
+            [
+                self._squares[image].get(other_image, 0.0)
+                for other_image in images
+            ]
+            for image in images
         ]
         values = []
-        for index, name in enumerate(names):
-            prior = self._prior(name)
+        for index, image in enumerate(images):
+            prior = self._prior(image)
             matrix[index][index] += prior.weight
             values.append(
-                self._products[name] + prior.weight * prior.coefficient
+                self._products[image] + prior.weight * prior.coefficient
             )
         solution = solve(matrix, values)
         self._coefficients = {
-            name: min(max(value, 0.0), MAX_COEFFICIENT)
-            for name, value in zip(names, solution, strict=True)
+            image: min(max(value, 0.0), MAX_COEFFICIENT)
+            for image, value in zip(images, solution, strict=True)
         }
         self._pair_excesses = {
             pair: sums.products / (sums.squares + PAIR_PRIOR_WEIGHT)
@@ -261,23 +287,23 @@
         }
 
     def _decay(self, factor: float) -> None:
-        for name, row in list(self._squares.items()):
-            if row[name] < MIN_SQUARES_SUM:
-                self._drop_image(name)
+        for image, row in list(self._squares.items()):
+            if row[image] < MIN_SQUARES_SUM:
+                self._drop_image(image)
                 continue
-            for other in row:
-                row[other] *= factor
-            self._products[name] *= factor
+            for other_image in row:
+                row[other_image] *= factor
+            self._products[image] *= factor
         for sums in self._pairs.values():
             sums.squares *= factor
             sums.products *= factor
 
-    def _drop_image(self, name: str) -> None:
-        del self._squares[name]
-        del self._products[name]
+    def _drop_image(self, image: str) -> None:
+        del self._squares[image]
+        del self._products[image]
         for row in self._squares.values():
-            row.pop(name, None)
-        for pair in [pair for pair in self._pairs if pair[1] == name]:
+            row.pop(image, None)
+        for pair in [pair for pair in self._pairs if pair[1] == image]:
             del self._pairs[pair]
 
 
