--- a/src/comfreylatch/_process/cell/advice.py
+++ b/src/comfreylatch/_process/cell/advice.py
@@ -1,9 +1,9 @@
 """Plans the calls to the advice service and applies its answers.
 
-A step of a queue with a policy may start only where a ticket allows it. The
-policy's decision on a worker and a step does not change, but tickets expire.
-So refused workers are not named again, and renewals name only the workers that
-were allowed.
+A step of a queue with an advice policy may start only on workers for which the
+service has returned a ticket. The policy's decision on a worker and a step does
+not change, but tickets expire. So refused workers are not named again, and
+renewals name only the workers that were allowed.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from comfreylatch._process.cell import runs as runs_module
 from comfreylatch._process.cell import worker_view
 
-# Workers named in one call. The platform accepts 100; objectives allow for one
-# call on 30.
+# Workers named in one call. The platform accepts 100, but the time objectives
+# of jobs allow for one call that names 30.
 MAX_WORKERS_PER_CALL = 30
 MIN_WORKERS_PER_CALL = 4
 # Number of tasks that the workers named should have capacity for, as a multiple
@@ -89,8 +89,10 @@
         now_ms: int,
     ) -> list[AdviceRequest]:
         """Drops expired tickets and returns the calls that are needed."""
-        advisable = [step for step in steps if step.job.spec.queue.advice]
-        if not advisable:
+        steps_with_policy = [
+            step for step in steps if step.job.spec.queue.advice
+        ]
+        if not steps_with_policy:
             return []
         self._discard_ended()
         views = {worker.worker_id: worker for worker in workers}
@@ -98,7 +100,7 @@
             view for view in views.values() if view.accepts_work(now_ms)
         ]
         requests = []
-        for step in advisable:
+        for step in steps_with_policy:
             _drop_expired(step, views, now_ms)
             state = self._steps.setdefault(step, _StepAdvice())
             if state.is_call_pending or now_ms < state.not_before_ms:
@@ -151,14 +153,16 @@
             )
         )
         queue = step.job.spec.queue.name
-        share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
+        allowed_share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
         wanted_tasks = CAPACITY_FACTOR * needed
         chosen: list[worker_view.WorkerView] = []
         for worker, fitting in candidates[:MAX_WORKERS_PER_CALL]:
             if wanted_tasks <= 0 and len(chosen) >= MIN_WORKERS_PER_CALL:
                 break
             is_known_allowed = state.allowed.get(worker.worker_id, False)
-            wanted_tasks -= fitting * (1.0 if is_known_allowed else share)
+            wanted_tasks -= fitting * (
+                1.0 if is_known_allowed else allowed_share
+            )
             chosen.append(worker)
         return chosen
 
@@ -208,18 +212,20 @@
         tickets = {} if step.tickets is None else step.tickets
         step.tickets = tickets
         queue = step.job.spec.queue.name
-        share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
+        allowed_share = self._allowed_shares.get(queue, PRIOR_ALLOWED_SHARE)
         for worker_id, born_ms in event.workers.items():
             text = advice.tickets.get(worker_id)
             is_allowed = text is not None
             if worker_id not in state.allowed:
-                share += (is_allowed - share) / (PRIOR_WEIGHT + 1)
+                allowed_share += (is_allowed - allowed_share) / (
+                    PRIOR_WEIGHT + 1
+                )
             state.allowed[worker_id] = is_allowed
             if text is not None:
                 tickets[worker_id] = runs_module.Ticket(
                     text, born_ms, expires_ms
                 )
-        self._allowed_shares[queue] = share
+        self._allowed_shares[queue] = allowed_share
         took_ms = event.received_ms - event.sent_ms
         self._metrics.count(metrics_module.Counter.ADVICE_ANSWERS)
         self._metrics.observe(metrics_module.Latency.ADVICE, took_ms * 1_000)
--- a/src/comfreylatch/_process/cell/advice_fetcher.py
+++ b/src/comfreylatch/_process/cell/advice_fetcher.py
@@ -13,8 +13,9 @@
 from comfreylatch._process.cell import call_executor
 from comfreylatch._process.cell import events
 
-# The response time grows with the number of workers named; for thirty it is
-# well under a second. The service handles a host's calls one at a time.
+# The response time grows with the number of workers named in the call; for
+# thirty it is well under a second. The service handles a host's calls one at a
+# time.
 CALL_TIMEOUT_MS = 2_500
 
 
--- a/src/comfreylatch/_process/cell/cell_report.py
+++ b/src/comfreylatch/_process/cell/cell_report.py
@@ -1,4 +1,4 @@
-"""The log line on the load of a cell."""
+"""The log line about the load of a cell."""
 
 from __future__ import annotations
 
--- a/src/comfreylatch/_process/cell/clearing.py
+++ b/src/comfreylatch/_process/cell/clearing.py
@@ -1,9 +1,10 @@
 """Clears workers of lasting tasks for filling tasks that interfere.
 
-Some images interfere so much that they can share a worker with no lasting
-task, while nearly every worker runs some. Clearing one worker for a few
-seconds costs its lasting tasks a small share of their time; meanwhile all of
-its processors are free for jobs that would otherwise wait forever.
+The filling tasks of some images interfere so much that they can't share a
+worker with any lasting task, while nearly every worker has lasting tasks. So
+one worker's lasting tasks are stopped for a few seconds. This costs them a
+small share of their time; meanwhile all of its processors are free for jobs
+that would otherwise wait forever.
 """
 
 from __future__ import annotations
--- a/src/comfreylatch/_process/cell/events.py
+++ b/src/comfreylatch/_process/cell/events.py
@@ -87,7 +87,12 @@
 
 @attrs.frozen
 class MachinesListed:
-    """A listing of machines, sent at `sent_ms`, returned or failed."""
+    """A request for the list of machines returned or failed.
+
+    Attributes:
+        sent_ms: Monotonic time before the call.
+        outcome: The machines or the error.
+    """
 
     sent_ms: int
     outcome: result.Result[
--- a/src/comfreylatch/_process/cell/fenced_writer.py
+++ b/src/comfreylatch/_process/cell/fenced_writer.py
@@ -39,7 +39,7 @@
 
 @attrs.define(eq=False)
 class _PendingRecords:
-    """Records and callbacks of the next round of appends."""
+    """Records and callbacks of the next batch, one append per topic."""
 
     jobs: dict[str, bytes | None] = attrs.field(factory=dict)
     work: dict[str, bytes | None] = attrs.field(factory=dict)
@@ -52,7 +52,7 @@
 
 @final
 class FencedWriter:
-    """A thread that appends the owner's records, in rounds.
+    """A thread that appends the owner's records in batches.
 
     A context manager; leaving it waits, for a bounded time, until pending
     records are written.
@@ -131,10 +131,10 @@
         """Time since the last successful append was sent."""
         return self._clock.monotonic_ms() - self._appended_ms
 
-    def release(self, last: records.HeartbeatRecord) -> None:
+    def release(self, last_heartbeat: records.HeartbeatRecord) -> None:
         """Queues the heartbeat that releases the cell, as the last record."""
         with self._condition:
-            self._heartbeat = last
+            self._heartbeat = last_heartbeat
             self._last_heartbeat_ms = 0
             self._pending.on_stored.append(lambda: None)
             self._is_closing = True
@@ -165,7 +165,7 @@
                 is_last = self._is_closing
             if self._is_fenced or (is_last and pending.is_empty):
                 return
-            self._write_round(pending)
+            self._write_batch(pending)
             if is_last:
                 return
 
@@ -176,7 +176,7 @@
         next_ms = self._last_heartbeat_ms + HEARTBEAT_INTERVAL_MS
         return max(next_ms - self._clock.monotonic_ms(), 0) / 1_000
 
-    def _write_round(self, pending: _PendingRecords) -> None:
+    def _write_batch(self, pending: _PendingRecords) -> None:
         now_ms = self._clock.monotonic_ms()
         if now_ms - self._last_heartbeat_ms >= HEARTBEAT_INTERVAL_MS:
             self._last_heartbeat_ms = now_ms
--- a/src/comfreylatch/_process/cell/job_api.py
+++ b/src/comfreylatch/_process/cell/job_api.py
@@ -31,7 +31,8 @@
 # Most records in one append; far below the store's limit per call.
 MAX_BATCH_RECORDS = 64
 # Time after which a refused caller should retry. Outages of the store last
-# seconds, and a host that can't reach it has left the rotation by then.
+# seconds, and by then a host that can't reach it has left the rotation of those
+# that get requests.
 RETRY_AFTER_MS = 1_000
 # Greatest age of a replica that callers are answered from, as they may be shown
 # a state that is two seconds old.
@@ -115,8 +116,8 @@
         """Appends a record and waits until the deadline for the outcome."""
         pending = _PendingRecord(record, deadline_ms)
         self._queue.put(pending)
-        left_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
-        pending.done.wait(left_ms / 1_000)
+        remaining_ms = max(deadline_ms - self._clock.monotonic_ms(), 0)
+        pending.done.wait(remaining_ms / 1_000)
         return pending.outcome
 
     def _run(self) -> None:
@@ -127,12 +128,12 @@
             batch = [first]
             while len(batch) < MAX_BATCH_RECORDS:
                 try:
-                    more = self._queue.get_nowait()
+                    pending = self._queue.get_nowait()
                 except queue.Empty:
                     break
-                if more is None:
+                if pending is None:
                     return
-                batch.append(more)
+                batch.append(pending)
             self._append_batch(batch)
 
     def _append_batch(self, batch: list[_PendingRecord]) -> None:
@@ -280,7 +281,7 @@
         )
 
     def state(self, job_id: str) -> records.JobState | UnknownJob | StaleView:
-        """Returns the state of a job as shown to callers."""
+        """Returns the state of a job that callers are shown."""
         if self._is_known(job_id):
             entry = self._replica.find(job_id)
             if entry is not None:
--- a/src/comfreylatch/_process/cell/job_replica.py
+++ b/src/comfreylatch/_process/cell/job_replica.py
@@ -106,7 +106,7 @@
             return None if entry is None else attrs.evolve(entry)
 
     def ended_before(self, before_ms: int) -> list[str]:
-        """Returns the jobs whose end was read before a monotonic time."""
+        """Returns ids of jobs whose end was read before a monotonic time."""
         with self._lock:
             return [
                 job_id
--- a/src/comfreylatch/_process/cell/job_table.py
+++ b/src/comfreylatch/_process/cell/job_table.py
@@ -64,7 +64,7 @@
         if parsed.occurrence not in job.steps and (
             parsed.occurrence < job.occurrence_count
         ):
-            # A previous owner started it, but its record isn't known here.
+            # A previous owner created the occurrence, which isn't known here.
             job.create_occurrence(parsed.occurrence)
             self._add_ready_steps(job, parsed.occurrence)
         return job.find(parsed.occurrence, parsed.step, parsed.index)
--- a/src/comfreylatch/_process/cell/maintenance.py
+++ b/src/comfreylatch/_process/cell/maintenance.py
@@ -23,8 +23,8 @@
 from comfreylatch._process.cell import worker_view
 
 MACHINE_LIST_INTERVAL_MS = 700
-# Tasks without checkpoints take some seconds; a run that lasts longer is stuck
-# and would block the wave.
+# Longest wait until a worker has no runs. Tasks without checkpoints take some
+# seconds; a run that takes longer is stuck and would block the wave.
 MAX_EVACUATION_MS = 9_000
 # Time to empty a worker, maintain its machine (two seconds) and bring it back.
 EXPECTED_ROUND_MS = 7_000
@@ -97,6 +97,7 @@
         return actions
 
     def _open_wave(self, wave: machines_port.Wave, wall_ms: int) -> None:
+        """Adds a wave with the progress that a previous owner recorded."""
         recorded = self._recorded.get(wave.number)
         began_wall_ms = wall_ms if recorded is None else recorded.began_wall_ms
         wave_progress = wave_state.WaveProgress(
@@ -134,6 +135,10 @@
         wall_ms: int,
         actions: list[wave_state.Action],
     ) -> None:
+        """Moves the machines of a wave to their next phases.
+
+        Adds the maintenance orders that are due to the actions.
+        """
         if self._machines is None:
             return
         for progress in wave_progress.machines.values():
@@ -262,9 +267,9 @@
             case result.Err(machines_port.MachinesUnavailable(detail)):
                 logs.warning(_logger, "machines-missing", detail=detail)
                 return
-            case result.Ok(found):
+            case result.Ok(machines):
                 self._machines = {
-                    machine.machine_id: machine for machine in found
+                    machine.machine_id: machine for machine in machines
                 }
         for wave_progress in self._waves.values():
             for progress in wave_progress.machines.values():
@@ -272,7 +277,7 @@
                     self._finish(wave_progress, progress, workers, now_ms)
 
     def _is_finished(
-        self, progress: wave_state.MachineProgress, listed_ms: int
+        self, progress: wave_state.MachineProgress, listing_sent_ms: int
     ) -> bool:
         """Whether the list shows that a machine is back or no longer exists."""
         assert self._machines is not None
@@ -284,7 +289,7 @@
         return (
             progress.phase is wave_state.MachinePhase.AWAY
             and is_up
-            and listed_ms > progress.since_ms
+            and listing_sent_ms > progress.since_ms
         )
 
     def _finish(
--- a/src/comfreylatch/_process/cell/model_persistence.py
+++ b/src/comfreylatch/_process/cell/model_persistence.py
@@ -10,7 +10,7 @@
 from comfreylatch._process.cell import records
 
 # Interval between two records of the models. If the owner fails, what it has
-# learned since the last record is lost. A record has about 2 KB.
+# learned since the last record is lost. A record takes about 2 KB.
 RECORD_INTERVAL_MS = 2_000
 
 
--- a/src/comfreylatch/_process/cell/owner.py
+++ b/src/comfreylatch/_process/cell/owner.py
@@ -47,7 +47,7 @@
 BUSY_PASS_INTERVAL_MS = 25
 BUSY_STEP_COUNT = 24
 # The interval is at least this multiple of the duration of the last pass, so
-# that the thread spends most of its time on the answers of workers.
+# that the thread spends most of its time on handling the answers of workers.
 PASS_INTERVAL_FACTOR = 3
 # Interval between two log lines on the load of the cell.
 REPORT_INTERVAL_MS = 1_000
@@ -61,7 +61,7 @@
 
 @final
 class Owner:
-    """Owns a cell on this host until it is stopped. A context manager.
+    """Schedules a cell while this host owns it. A context manager.
 
     Args:
         recovered: State recovered from the previous owner.
@@ -227,7 +227,7 @@
             self._write_records()
 
     def _process_events(self) -> None:
-        """Waits for an event, then handles all that are queued."""
+        """Waits up to one tick for an event, then handles all queued ones."""
         try:
             self._handle(self._events.get(timeout=TICK_INTERVAL_MS / 1_000))
             while True:
@@ -317,8 +317,8 @@
 
     def _tick(self, now_ms: int) -> None:
         self._jobs.create_due_occurrences()
-        for lost in self._workers.expire():
-            self._dispatcher.handle_lost(lost)
+        for lost_runs in self._workers.expire():
+            self._dispatcher.handle_lost(lost_runs)
         self._run_maintenance(now_ms)
         self._reconciler.move_runs(now_ms)
         if self._is_settled and self._writer.may_act():
@@ -342,7 +342,10 @@
         )
 
     def _check_settled(self, now_ms: int) -> None:
-        """Settles the takeover when the old owner's runs are known or over."""
+        """Ends the takeover once all runs of the previous owner are known.
+
+        Runs that aren't known by `release_after_ms` have ended.
+        """
         waited_ms = now_ms - self._started_ms
         known = self._recovered.known_workers
         is_timed_out = now_ms > self._recovered.release_after_ms
@@ -363,6 +366,9 @@
             return
         steps = self._jobs.ready_steps()
         if not self._is_settled:
+            # Until the previous owner's runs are known, a second run of a task
+            # could be started. Jobs accepted since have a floor of 0 and no
+            # such runs.
             steps = [step for step in steps if step.job.run_number_floor == 0]
         if not steps:
             return
@@ -386,10 +392,13 @@
     def _request_advice(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> None:
-        """Requests advice on workers for steps whose queue requires it."""
-        advisable = steps + self._jobs.nearly_ready_steps()
+        """Requests advice for those steps whose queue requires it.
+
+        Also for steps that will be ready soon.
+        """
+        upcoming_steps = steps + self._jobs.nearly_ready_steps()
         for request in self._advice_planner.plan_requests(
-            advisable, self._workers, now_ms
+            upcoming_steps, self._workers, now_ms
         ):
             if self._advice_fetcher is not None:
                 self._advice_fetcher.fetch(request)
@@ -401,7 +410,7 @@
             )
 
     def _run_maintenance(self, now_ms: int) -> None:
-        """Advances the maintenance of machines in waves."""
+        """Carries out the maintenance actions that are due."""
         waves = self._waves()
         if not waves or self._machine_caller is None:
             return
@@ -411,7 +420,7 @@
             self._machine_caller.submit(action)
 
     def _end_recorded_timer(self) -> Callable[[], None]:
-        """Returns a callback that measures the time until ends are recorded."""
+        """Returns a callback that measures the time until ends are stored."""
         started_ms = self._clock.monotonic_ms()
 
         def observe() -> None:
--- a/src/comfreylatch/_process/cell/planner.py
+++ b/src/comfreylatch/_process/cell/planner.py
@@ -21,7 +21,7 @@
 # How long a step of short tasks waits for capacity, in milliseconds, before
 # it may preempt lasting runs.
 PREEMPTION_DELAY_MS = 40
-# Tasks of one step that one pass preempts lasting runs for.
+# Most tasks of a step for which one pass preempts lasting runs.
 MAX_PREEMPTING_TASKS_PER_STEP = 8
 # Share of the lasting runs that may be stopping at the same time.
 MAX_STOPPING_SHARE = 0.08
@@ -41,7 +41,8 @@
 
     Attributes:
         workers: Workers that accept work.
-        cleared: Ids of cleared workers; lasting tasks use them only if overdue.
+        cleared: Ids of the workers that are cleared for filling tasks; lasting
+            tasks use them only if overdue.
         racks: The rack of each worker, by worker id.
         now_ms: Monotonic time of the pass.
         min_unplaceable_millicores: Smallest processor request of an
@@ -135,7 +136,9 @@
     def clear_worker(
         self, steps: list[runs_module.StepInstance], now_ms: int
     ) -> list[runs_module.Run]:
-        """Clears a worker if waiting tasks justify it.
+        """Closes a worker to lasting tasks if waiting tasks justify it.
+
+        See `clearing`.
 
         Returns:
             The worker's lasting runs, which have to be stopped.
@@ -234,7 +237,7 @@
     def _record_unplaceable(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> None:
-        """Records that a size fit nowhere, so that the pass skips it."""
+        """Records that a task fit nowhere; the pass then skips such tasks."""
         spec = step.spec
         is_unconstrained = not (
             spec.required_label
@@ -245,11 +248,11 @@
         if not is_unconstrained:
             return
         if spec.fills_idle:
-            before = this_pass.min_unplaceable_filling_millicores.get(
+            previous = this_pass.min_unplaceable_filling_millicores.get(
                 spec.image, 1 << 60
             )
             this_pass.min_unplaceable_filling_millicores[spec.image] = min(
-                before, spec.cpu_millicores
+                previous, spec.cpu_millicores
             )
         elif not self._is_memory_bound(step, this_pass):
             this_pass.min_unplaceable_millicores = min(
@@ -259,7 +262,7 @@
     def _is_memory_bound(
         self, step: runs_module.StepInstance, this_pass: _PlacementPass
     ) -> bool:
-        """Whether some worker has the processors, so that memory is short."""
+        """Whether a worker has enough processors, so that memory is short."""
         return any(
             worker.free_cpu >= step.spec.cpu_millicores
             for worker in this_pass.workers
--- a/src/comfreylatch/_process/cell/pressure_model.py
+++ b/src/comfreylatch/_process/cell/pressure_model.py
@@ -3,8 +3,8 @@
 See `interference` for the model of which this fits the coefficients.
 
 Tasks of a lasting step have the same load at the same time, so differences
-between their tail latencies on different workers are due to the filling tasks there.
-The coefficients are fitted to these differences by least squares with a
+between their tail latencies on different workers are due to the filling tasks
+there. The coefficients are fitted to these differences by least squares with a
 prior; the load itself cancels out.
 """
 
--- a/src/comfreylatch/_process/cell/ranking.py
+++ b/src/comfreylatch/_process/cell/ranking.py
@@ -31,7 +31,16 @@
 
 @attrs.frozen(order=True)
 class Rank:
-    """Sort key of a step; the lowest goes first."""
+    """Sort key of a step; the lowest goes first.
+
+    Attributes:
+        timeliness: When its job can still end.
+        priority: Priority of its queue.
+        negative_value_density: Negative value of its job for each remaining
+            core-millisecond; 0 for a lasting step.
+        since_ms: Monotonic time of its job's acceptance; of a lasting step,
+            time since which its oldest pending task has waited.
+    """
 
     timeliness: Timeliness
     priority: int
@@ -41,13 +50,21 @@
 
 @attrs.frozen
 class _RemainingWork:
+    """Expected work left in one occurrence of a job.
+
+    Attributes:
+        critical_path_ms: Duration of its longest chain of unfinished steps.
+        core_ms: Milliseconds of one core that its unfinished tasks need in
+            total.
+    """
+
     critical_path_ms: float
     core_ms: float
 
 
 @attrs.define(eq=False)
 class QueueWork:
-    """Smoothed mean work of a queue's jobs."""
+    """Smoothed mean work of a queue's jobs, in milliseconds of one core."""
 
     mean_core_ms: float = 0.0
 
--- a/src/comfreylatch/_process/cell/reasons.py
+++ b/src/comfreylatch/_process/cell/reasons.py
@@ -1,4 +1,4 @@
-"""Reasons of a cell's decisions, as logged, counted and documented."""
+"""Reasons for a cell's decisions, as logged, counted and documented."""
 
 from __future__ import annotations
 
--- a/src/comfreylatch/_process/cell/records.py
+++ b/src/comfreylatch/_process/cell/records.py
@@ -184,7 +184,8 @@
     Attributes:
         began_wall_ms: Wall time at which an owner first saw it.
         begun: Machines whose maintenance has begun.
-        finished: Machines whose maintenance has finished, or that have left.
+        finished: Machines whose maintenance has finished, or that no longer
+            exist.
         is_completed: Whether all its machines have finished.
     """
 
--- a/src/comfreylatch/_process/cell/run_dispatcher.py
+++ b/src/comfreylatch/_process/cell/run_dispatcher.py
@@ -210,7 +210,7 @@
         match reason:
             case cell_workers.Refusal.OLD_RUN:
                 # The run has ended there or was stopped. The worker's next
-                # hold answer tells, and lists the end if there is one.
+                # answer to a hold call shows which, and lists the end if any.
                 run.is_in_doubt = False
                 run.confirmed_ms = now_ms
                 return
@@ -275,7 +275,10 @@
             session.pace(run.task.name, run.number, change.percent)
 
     def resolve_doubt(self, run: runs_module.Run) -> None:
-        """Resolves a lost answer: repeats a stop, or stops the run."""
+        """Handles a run whose last order got no answer.
+
+        Repeats a stop order; stops a run that may have been started.
+        """
         run.is_in_doubt = False
         if run.phase is runs_module.RunPhase.STOPPING:
             self.send_stop(run)
--- a/src/comfreylatch/_process/cell/run_reconciler.py
+++ b/src/comfreylatch/_process/cell/run_reconciler.py
@@ -33,8 +33,9 @@
 SLOW_TIMEOUT_MS = 1_200
 # Weight of the newest run in the exponential average of a worker's slowness.
 SLOWNESS_SMOOTHING = 0.3
-# Most ends in one hold answer. A run missing from an answer with this many may
-# have ended although its end isn't listed.
+# Most ends of runs that a worker lists in one answer to a hold call. A run that
+# is missing from an answer with this many may have ended although its end isn't
+# listed.
 MAX_LISTED_ENDS = 500
 
 _logger = logbook.Logger(__name__)
@@ -69,7 +70,7 @@
     def handle_hold(
         self, event: events.HoldReturned, answer: cell_workers.HoldAnswer
     ) -> bool:
-        """Applies a hold answer, which lists running tasks and ended runs.
+        """Applies an answer to a hold call: running tasks and ended runs.
 
         Returns:
             Whether there are new ends to record.
@@ -138,12 +139,12 @@
         if run is not None and not task.checkpoint:
             self._observe_duration(worker, run)
         self._jobs.mark_done(task)
-        for other in list(task.runs):
-            self._dispatcher.stop(other, reasons.StopReason.DONE_ELSEWHERE)
+        for other_run in list(task.runs):
+            self._dispatcher.stop(other_run, reasons.StopReason.DONE_ELSEWHERE)
         if task.step.spec.is_gang:
             for member in task.step.tasks:
-                for other in list(member.runs):
-                    self._dispatcher.discard(other)
+                for other_run in list(member.runs):
+                    self._dispatcher.discard(other_run)
 
     def _observe_duration(
         self, worker: worker_view.WorkerView, run: runs_module.Run
--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -13,9 +13,9 @@
 from comfreylatch._process.cell import records
 from comfreylatch._process.cell import specs
 
-# Intensity assumed of a filling task until its usage has been reported: the
-# average over a day of readings. Three fifths of the tasks were near 1, the
-# others near two thirds.
+# Intensity (see `Run`) assumed of a filling task until its usage has been
+# reported: the average over a day of readings. Three fifths of the tasks were
+# near 1, the others near two thirds.
 DEFAULT_INTENSITY = 0.88
 
 # Progress, in percent, that a lasting task reports while it is serving.
@@ -211,9 +211,9 @@
         if run not in task.runs:
             return
         task.runs.remove(run)
-        left = self.runs_per_worker.get(run.worker_id, 0) - 1
-        if left > 0:
-            self.runs_per_worker[run.worker_id] = left
+        remaining = self.runs_per_worker.get(run.worker_id, 0) - 1
+        if remaining > 0:
+            self.runs_per_worker[run.worker_id] = remaining
         else:
             self.runs_per_worker.pop(run.worker_id, None)
         if task.is_pending:
--- a/src/comfreylatch/_process/cell/specs.py
+++ b/src/comfreylatch/_process/cell/specs.py
@@ -133,13 +133,15 @@
 
     def find_queue(self, host: str, path: str) -> QueueSpec | None:
         """Returns the queue with the longest matching prefix, or None."""
-        found = None
+        longest_match = None
         for queue in self.queues:
             if queue.host != host or not path.startswith(queue.prefix):
                 continue
-            if found is None or len(queue.prefix) > len(found.prefix):
-                found = queue
-        return found
+            if longest_match is None or len(queue.prefix) > len(
+                longest_match.prefix
+            ):
+                longest_match = queue
+        return longest_match
 
 
 @attrs.frozen
--- a/src/comfreylatch/_process/cell/speculation.py
+++ b/src/comfreylatch/_process/cell/speculation.py
@@ -6,10 +6,10 @@
 
 from comfreylatch._process.cell import runs as runs_module
 
-# Tasks of a step vary by a third; at this many times their median one of
-# them is more likely on a bad worker than long by itself.
+# The durations of a step's tasks vary by a third. A task that takes this many
+# times their median is more likely held up by its worker than long by itself.
 STRAGGLER_FACTOR = 2.0
-# The median of fewer says little.
+# The median of fewer durations says little.
 MIN_DONE_TASKS = 2
 # Shorter delays cost less than a second run.
 MIN_DELAY_MS = 400
@@ -19,12 +19,12 @@
     """Whether a task's only run takes much longer than the others did."""
     if task.is_done or len(task.runs) != 1:
         return False
-    done_ms = task.step.durations_ms
-    if len(done_ms) < MIN_DONE_TASKS:
+    durations_ms = task.step.durations_ms
+    if len(durations_ms) < MIN_DONE_TASKS:
         return False
     (run,) = task.runs
     if run.phase is runs_module.RunPhase.STOPPING:
         return False
-    median_ms = statistics.median(done_ms)
+    median_ms = statistics.median(durations_ms)
     limit_ms = max(STRAGGLER_FACTOR * median_ms, median_ms + MIN_DELAY_MS)
     return now_ms - run.ordered_ms > limit_ms
--- a/src/comfreylatch/_process/cell/wave_state.py
+++ b/src/comfreylatch/_process/cell/wave_state.py
@@ -10,7 +10,15 @@
 
 
 class MachinePhase(enum.Enum):
-    """Phase of a machine's maintenance."""
+    """Phase of a machine's maintenance.
+
+    Attributes:
+        WAITING: Its turn has not come, or an order was refused for now.
+        EMPTYING: Its worker gets no new tasks while its runs end or move.
+        ORDERED: The order was sent, but has not been accepted.
+        AWAY: The order was accepted; the machine is not back yet.
+        FINISHED: It is back, or needs no maintenance in this wave.
+    """
 
     WAITING = "waiting"
     EMPTYING = "emptying"
--- a/src/comfreylatch/_process/cell/worker_session.py
+++ b/src/comfreylatch/_process/cell/worker_session.py
@@ -1,4 +1,9 @@
-"""The owner's two threads per worker incarnation: leases and orders."""
+"""The owner's two threads per worker incarnation: leases and orders.
+
+One thread repeats the hold call, which renews the worker's lease and returns
+its running tasks and ended runs. The other sends orders to start, stop and slow
+down runs.
+"""
 
 from __future__ import annotations
 
@@ -17,8 +22,9 @@
 from comfreylatch._process.cell import events
 from comfreylatch._process.cell import runs as runs_module
 
-# Longest time that a worker may wait with its answer to a hold, so that its
-# figures are at most about a second old. The platform allows 2,000.
+# Longest time that a worker may wait for the end of a run before it answers a
+# hold call, so that its readings are at most about a second old. The platform
+# allows 2,000.
 HOLD_WAIT_MS = 500
 # Round trips take at most 12 ms, even to slow zones; the rest allows for a host
 # that gets only a share of a core.
@@ -60,6 +66,8 @@
 
 @attrs.frozen
 class _Stop:
+    """A queued stop order; `run` is None for a run that the owner lacks."""
+
     run: runs_module.Run | None
     task: str
     number: int
@@ -93,7 +101,7 @@
         self._lease = lease
         self._post = post
         self._clock = clock
-        self._ended = threading.Event()
+        self._closing = threading.Event()
         self._acknowledged_end = 0
         self._listed_end = 0
         self._clock_ms = 0
@@ -120,7 +128,7 @@
         exc: BaseException | None,
         traceback: types.TracebackType | None,
     ) -> None:
-        self._ended.set()
+        self._closing.set()
         self._queue.put(None)
         with self._acknowledged:
             self._acknowledged.notify_all()
@@ -155,7 +163,7 @@
         self._queue.put(_Pace(task, number, percent))
 
     def acknowledge(self, last_end: int) -> None:
-        """Acknowledges ends up to a number, which the worker then drops."""
+        """Acknowledges ends of runs up to a number; the worker drops these."""
         with self._acknowledged:
             self._acknowledged_end = max(self._acknowledged_end, last_end)
             self._acknowledged.notify_all()
@@ -174,7 +182,7 @@
 
     def _hold_loop(self) -> None:
         wait_ms = 0
-        while not self._ended.is_set():
+        while not self._closing.is_set():
             sent_ms = self._clock.monotonic_ms()
             deadline_ms = self._deadline_ms()
             outcome = self._orders.hold(
@@ -186,7 +194,7 @@
                 ),
                 wait_ms + HOLD_TIMEOUT_MS,
             )
-            if self._ended.is_set():
+            if self._closing.is_set():
                 return
             received_ms = self._clock.monotonic_ms()
             is_first = self._clock_read_ms == 0
@@ -217,23 +225,25 @@
                         wait_ms = 0
                 case result.Err(_):
                     wait_ms = 0
-                    self._ended.wait(FAILED_HOLD_PAUSE_MS / 1_000)
+                    self._closing.wait(FAILED_HOLD_PAUSE_MS / 1_000)
 
     def _wait_until_recorded(self, answer: cell_workers.HoldAnswer) -> bool:
-        """Waits until an answer's ends are recorded; False on timeout."""
+        """Waits until the ends in an answer are recorded; False on timeout."""
         if not answer.ended:
             return True
-        last = answer.ended[-1].number
+        last_end = answer.ended[-1].number
         with self._acknowledged:
             return self._acknowledged.wait_for(
-                lambda: self._acknowledged_end >= last or self._ended.is_set(),
+                lambda: (
+                    self._acknowledged_end >= last_end or self._closing.is_set()
+                ),
                 RECORDING_WAIT_MS / 1_000,
             )
 
     def _order_loop(self) -> None:
         while True:
             order = self._queue.get()
-            if order is None or self._ended.is_set():
+            if order is None or self._closing.is_set():
                 return
             match order:
                 case _Start():
--- a/src/comfreylatch/_process/cell/worker_table.py
+++ b/src/comfreylatch/_process/cell/worker_table.py
@@ -40,7 +40,7 @@
 
 @attrs.define(eq=False)
 class _EndCursor:
-    """Number of the last end of an incarnation that was processed."""
+    """Number of an incarnation's last processed end, see `EndedRun`."""
 
     last_processed: int = 0
 
@@ -119,7 +119,11 @@
     def apply_listing(
         self, entries: dict[str, cell_workers.WorkerEntry]
     ) -> LostRuns:
-        """Applies a listing; returns the runs of incarnations that ended."""
+        """Applies the platform's list of workers.
+
+        Returns:
+            The runs of incarnations that a newer one has replaced.
+        """
         now_ms = self._clock.monotonic_ms()
         lost: list[runs_module.Run] = []
         for worker_id, entry in entries.items():
@@ -186,15 +190,15 @@
     ) -> tuple[cell_workers.EndedRun, ...]:
         """Returns an answer's ends that were not processed before."""
         cursor = self._end_cursors[worker_id]
-        new = tuple(
+        new_ends = tuple(
             end for end in answer.ended if end.number > cursor.last_processed
         )
-        if new:
-            cursor.last_processed = new[-1].number
-        return new
+        if new_ends:
+            cursor.last_processed = new_ends[-1].number
+        return new_ends
 
     def acknowledger(self, worker_id: str) -> Callable[[], None] | None:
-        """Returns a function that acknowledges the ends processed by now."""
+        """Returns a function that acknowledges the ends processed so far."""
         session = self._sessions.get(worker_id)
         if session is None:
             return None
--- a/src/comfreylatch/_process/cell/worker_view.py
+++ b/src/comfreylatch/_process/cell/worker_view.py
@@ -34,13 +34,14 @@
         clock_ms: Its clock as last read.
         clock_read_ms: Monotonic time at which that reading arrived.
         deadline_ms: Latest lease deadline ever sent to it, on its clock.
-        answered_ms: Monotonic time at which it last answered a hold; 0 before
-            the first answer.
+        answered_ms: Monotonic time at which it last answered a hold call; 0
+            before the first answer.
         failing_since_ms: Monotonic time at which its calls began to fail; 0
             while they don't.
         fill_millicores: Processors requested by filling tasks.
         lasting_millicores: Processors reserved by lasting tasks.
-        avoided_until_ms: No new work before this time, as too many runs fail.
+        avoided_until_ms: No new work before this time, as too many runs failed
+            or it refused one.
         recent_failures: Consecutive failed runs, across jobs.
         slowness: Smoothed ratio of its tasks' durations to their peers'.
         revision: Increases with every change to what may be placed on it.
@@ -48,7 +49,8 @@
             the next owner will ask it for its runs.
         is_being_emptied: Whether its runs are moved off for its machine's
             maintenance.
-        cleared_until_ms: No lasting tasks before this time.
+        cleared_until_ms: No lasting tasks before this time, except overdue
+            ones, so that it can take filling tasks that would disturb them.
         release_after_ms: For a worker that has never answered this owner: the
             time by which the previous owner's leases have certainly ended.
     """
