--- a/tests/process/cell/test_fenced_writer.py
+++ b/tests/process/cell/test_fenced_writer.py
@@ -41,7 +41,7 @@
         writer.write({key: b"{}"}, {}, [stored.set])
         return stored.wait(WAIT_S)
 
-    def test_lost_answer_writes_once(self) -> None:
+    def test_append_with_lost_answer_is_written_once(self) -> None:
         with self.make_writer(1) as writer:
             writer.fence()
             self.store.lose_answers = 1
@@ -49,7 +49,7 @@
         keys = self.store.keys(records.JOBS_TOPIC, 0)
         self.assertEqual(1, keys.count("state/a"))
 
-    def test_first_try_of_an_append_is_short(self) -> None:
+    def test_first_tries_of_an_append_are_short(self) -> None:
         # Two lost answers in a row kept the owner from writing for longer than
         # OWNER_TIMEOUT_MS, so that it lost the cell.
         self.store.lose_answers = 3
--- a/tests/process/cell/test_job_api.py
+++ b/tests/process/cell/test_job_api.py
@@ -63,7 +63,7 @@
         self.store.lose_answers = 1
         self.assertEqual(job_api_module.Accepted(), self.submit())
 
-    def test_lost_answer_then_outage_stays_undecided(self) -> None:
+    def test_job_is_not_refused_while_every_answer_is_lost(self) -> None:
         self.store.lose_answers = 10**6
         outcome = self.job_api.submit(harness.job(), 120)
         self.assertNotIsInstance(outcome, job_api_module.Refused)
@@ -75,7 +75,7 @@
         self.assertEqual(job_api_module.Accepted(), self.submit())
         self.assertEqual(appends_before, self.store.appends)
 
-    def test_cancelled_job_is_shown_so(self) -> None:
+    def test_cancelled_job_is_shown_as_cancelled(self) -> None:
         self.submit()
         self.assertTrue(self.reader.wait_for(0, WAIT_MS))
         self.assertEqual(
--- a/tests/process/cell/test_maintenance.py
+++ b/tests/process/cell/test_maintenance.py
@@ -225,8 +225,8 @@
         self.assertEqual(1, len(self.next_orders()))
 
     def test_failed_report_is_repeated(self) -> None:
-        first = self.plan_actions(WAVE)
-        self.assertIn(wave_state.ReportWave(1, False), first)
+        first_actions = self.plan_actions(WAVE)
+        self.assertIn(wave_state.ReportWave(1, False), first_actions)
         self.assertNotIn(
             wave_state.ReportWave(1, False), self.plan_actions(WAVE)
         )
--- a/tests/process/cell/test_run_reconciler.py
+++ b/tests/process/cell/test_run_reconciler.py
@@ -13,7 +13,7 @@
 from tests.process.cell import harness
 
 
-class EndTest(testtools.TestCase):
+class ReportedEndTest(testtools.TestCase):
     """Ends of runs that workers report."""
 
     def test_job_completes_with_its_last_task(self) -> None:
