--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -57,7 +57,7 @@
     log_arguments: tuple[str, ...] = (),
     **changes: Any,
 ) -> fleet_module.Fleet:
-    """Starts a zone; returns it once it is configured and has an owner."""
+    """Starts a fleet; returns it once it is configured and has an owner."""
     options = fleet_plan.FleetOptions(links=LINKS, log_arguments=log_arguments)
     running = test.enterContext(
         fleet_module.Fleet(deployment(**changes), options)
@@ -105,20 +105,22 @@
 
 
 def wait_owner(running: fleet_module.Fleet, *dead: str) -> str:
-    """Waits for an owner without querying the hosts in `dead`."""
-    found: list[str] = []
+    """Waits for an owner and returns its seat; skips the seats in `dead`."""
+    owners: list[str] = []
 
-    def owned() -> bool:
+    def has_owner() -> bool:
         for seat in running.hosts:
             if seat in dead:
                 continue
             if running.status(seat)["batch"]["owner"]["holds"]:
-                found.append(seat)
+                owners.append(seat)
                 return True
         return False
 
-    running.wait_until(owned, "the zone has an owner", 2 * TAKEOVER_TIMEOUT_S)
-    return found[0]
+    running.wait_until(
+        has_owner, "the zone has an owner", 2 * TAKEOVER_TIMEOUT_S
+    )
+    return owners[0]
 
 
 def submitter(
@@ -140,7 +142,7 @@
     before = count_starts(running)
     running.wait_until(
         lambda: count_starts(running) >= before + more,
-        f"{more} more starts",
+        f"{more} more attempts have started",
         timeout_s,
     )
 
@@ -150,17 +152,24 @@
     return sum(event.kind == "start" for event in running.worker_events())
 
 
-def check(
+def assert_no_violations(
     test: testtools.TestCase,
     running: fleet_module.Fleet,
     submitted: job_load.JobSubmitter,
     faulty: Collection[str] = (),
 ) -> None:
-    """Waits until all jobs have ended; asserts that no rule was violated."""
+    """Waits until all jobs have ended; asserts that no rule was violated.
+
+    Args:
+        test: Test that makes the assertions.
+        running: Fleet on which the jobs ran.
+        submitted: Submitter of the jobs, after its exit.
+        faulty: Workers that died or were unreachable.
+    """
     seat = next(iter(running.hosts))
     job_checks.wait_all_ended(running, submitted, seat)
-    found = job_checks.find_violations(running, submitted, seat, faulty)
-    test.assertEqual([], found)
+    violations = job_checks.find_violations(running, submitted, seat, faulty)
+    test.assertEqual([], violations)
     running.wait_until(
         lambda: hosts_agree(running),
         "all hosts report the same job states",
@@ -170,5 +179,5 @@
 
 def hosts_agree(running: fleet_module.Fleet) -> bool:
     """Returns whether all hosts report the same state of every job."""
-    shown = [job_checks.pages(running, seat) for seat in running.hosts]
-    return all(one == shown[0] for one in shown)
+    pages = [job_checks.job_pages(running, seat) for seat in running.hosts]
+    return all(page == pages[0] for page in pages)
--- a/testing/bench_in_force.py
+++ b/testing/bench_in_force.py
@@ -85,7 +85,7 @@
     )
     with fleet.Fleet(deployments.small(), options) as running:
         lines = [measure(running, tickets, 1, cut=False)]
-        running.network.set(f"log/{CUT_SEAT}", cut=True)
+        running.network.set_faults(f"log/{CUT_SEAT}", cut=True)
         lines.append(measure(running, tickets, tickets + 1, cut=True))
     for line in lines:
         typer.echo(msgspec.json.encode(line).decode())
--- a/testing/job_checks.py
+++ b/testing/job_checks.py
@@ -32,29 +32,32 @@
     if unconfirmed:
         raise fleet_plan.FleetError(f"submissions not confirmed: {unconfirmed}")
 
-    def ended() -> bool:
-        found = pages(fleet, seat)
+    def all_ended() -> bool:
+        pages = job_pages(fleet, seat)
         return all(
-            name in found and found[name]["phase"] in ENDED_PHASES
+            name in pages and pages[name]["phase"] in ENDED_PHASES
             for name in submitter.accepted
         )
 
     try:
-        fleet.wait_until(ended, "all jobs have ended", timeout_s)
+        fleet.wait_until(all_ended, "all jobs have ended", timeout_s)
     except fleet_plan.FleetError as error:
-        found = pages(fleet, seat)
+        pages = job_pages(fleet, seat)
         left = [
-            found.get(name, name)
+            pages.get(name, name)
             for name in submitter.accepted
-            if name not in found or found[name]["phase"] not in ENDED_PHASES
+            if name not in pages or pages[name]["phase"] not in ENDED_PHASES
         ]
         raise fleet_plan.FleetError(
-            f"{error}; {len(left)} of {len(submitter.accepted)}: {left[:3]}; "
-            f"{fleet.status(seat).get('batch')}"
+            f"{error}; {len(left)} of {len(submitter.accepted)} jobs have "
+            f"not ended, the first of them: {left[:3]}; "
+            f"batch status: {fleet.status(seat).get('batch')}"
         ) from error
 
 
-def pages(fleet: fleet_module.Fleet, seat: str) -> dict[str, dict[str, Any]]:
+def job_pages(
+    fleet: fleet_module.Fleet, seat: str
+) -> dict[str, dict[str, Any]]:
     """Returns all jobs as one host reports them, by id."""
     answer = fleet.client.get(fleet.hosts[seat].operator_address, "/jobs")
     if answer.status != job_load.OK:
@@ -69,7 +72,7 @@
     Attributes:
         accepted: Jobs that were accepted.
         refused: Jobs that were refused.
-        cancel_asked: Jobs whose cancellation was requested.
+        cancel_requested: Jobs whose cancellation was requested.
         cancelled: Jobs whose cancellation was confirmed.
         pages: Page of each job, by id.
     """
@@ -102,7 +105,7 @@
         submitter.refused,
         submitter.cancel_requested,
         submitter.cancelled,
-        pages(fleet, seat),
+        job_pages(fleet, seat),
     )
     return [
         *checker.capacity_kept(events),
@@ -119,7 +122,7 @@
 ) -> list[Violation]:
     """Checks that attempts do not resume before the last checkpoint."""
     checkpoint_ms: dict[str, int] = {}
-    found = []
+    violations = []
     for event in events:
         if event.kind == "checkpoint" and event.worker not in faulty:
             checkpoint_ms[event.job] = event.progress_ms
@@ -127,10 +130,10 @@
             last_ms = checkpoint_ms.get(event.job, 0)
             if event.progress_ms < last_ms:
                 detail = f"at {event.progress_ms} ms, not {last_ms} ms"
-                found.append(
+                violations.append(
                     Violation("resumed-at-checkpoint", event.job, detail)
                 )
-    return found
+    return violations
 
 
 def ended_as_said(
@@ -140,48 +143,49 @@
 ) -> list[Violation]:
     """Checks that jobs ended once, as reported, and refused ones never ran."""
     started = {event.job for event in events if event.kind == "start"}
-    finished: dict[str, list[str]] = collections.defaultdict(list)
+    finished_on: dict[str, list[str]] = collections.defaultdict(list)
     for event in events:
         if event.kind == "end" and event.detail == "finished":
-            finished[event.job].append(event.worker)
-    found = [
+            finished_on[event.job].append(event.worker)
+    violations = [
         Violation(
             "refused-never-ran", job, "was refused, but ran or has a page"
         )
         for job in outcomes.refused
         if job in started or job in outcomes.pages
     ]
-    found += [
+    violations += [
         Violation("ran-unasked", job, "ran without being accepted")
         for job in started - set(outcomes.accepted)
     ]
     for job in outcomes.accepted:
-        detail = _wrong_end(job, finished[job], outcomes, faulty)
+        detail = _describe_wrong_end(job, finished_on[job], outcomes, faulty)
         if detail:
-            found.append(Violation("ended-as-said", job, detail))
-    return found
+            violations.append(Violation("ended-as-said", job, detail))
+    return violations
 
 
-def _wrong_end(
+def _describe_wrong_end(
     job: str,
-    finished: list[str],
+    finished_on: list[str],
     outcomes: JobOutcomes,
     faulty: Collection[str],
 ) -> str:
+    """Describes how a job's end differs from its page; empty if it doesn't."""
     page = outcomes.pages.get(job)
     if page is None:
         return "is accepted, but has no page"
-    # If the end of an attempt was not reported, another attempt may follow.
-    reported = [name for name in finished[:-1] if name not in faulty]
+    # On a faulty worker the end may go unreported, and the job runs again.
+    reported = [name for name in finished_on[:-1] if name not in faulty]
     if reported:
-        return f"finished more than once, on {finished}"
+        return f"finished more than once, on {finished_on}"
     match page["phase"]:
         case "finished":
             if job in outcomes.cancelled:
                 return "finished after its cancellation was confirmed"
             return (
                 ""
-                if finished
+                if finished_on
                 else "is reported as finished, but did not finish"
             )
         case "cancelled":
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -62,7 +62,7 @@
         accepted: Ids of jobs that a host accepted.
         refused: Ids of jobs that were refused and not retried, with the
             reason.
-        cancel_asked: Ids of jobs whose cancellation was requested.
+        cancel_requested: Ids of jobs whose cancellation was requested.
         cancelled: Ids of jobs whose cancellation a host confirmed.
     """
 
--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -76,9 +76,9 @@
         """Checks that each evicted attempt resumed at its checkpoint.
 
         An attempt that finished before it was stopped doesn't count as
-        evicted; `batch_fleet.check` reports it if it ran again.
+        evicted; `batch_fleet.assert_no_violations` reports it if it ran again.
         """
-        batch_fleet.check(self, self.fleet, self.submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, self.submitted)
         finished = {
             (event.job, event.attempt)
             for event in events(self.fleet, "end")
--- a/tests/system/test_batch_log_faults.py
+++ b/tests/system/test_batch_log_faults.py
@@ -49,7 +49,7 @@
             batch_fleet.wait_started(running, 40, 20.0)
         lost = [one for one in running.log_events() if one.kind == "lost-after"]
         self.assertGreater(len(lost), 10)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
 
     def test_log_down_for_longer_than_claim_and_lease(self) -> None:
         running = batch_fleet.start(self)
@@ -60,7 +60,7 @@
             running.log.control(down=False)
             batch_fleet.wait_started(running, 15)
         self.assertGreater(len(submitted.refused), 0)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
 
     def test_slow_log(self) -> None:
         running = batch_fleet.start(self)
@@ -71,7 +71,7 @@
                 time.sleep(4.0)
             running.log.control(slow_ms=0)
             batch_fleet.wait_started(running, 15, 20.0)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
 
     def test_owner_replaced_after_records_have_expired(self) -> None:
         running = batch_fleet.start(self)
@@ -80,14 +80,14 @@
             batch_fleet.wait_started(running, RETAINED_RECORDS)
             running.replace_host(batch_fleet.find_owner(running))
             batch_fleet.wait_started(running, 15, 20.0)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
 
     def test_all_hosts_replaced_after_records_have_expired(self) -> None:
         running = batch_fleet.start(self)
         running.log.control(keep_records=RETAINED_RECORDS)
         with batch_fleet.submitter(running) as submitted:
             batch_fleet.wait_started(running, RETAINED_RECORDS)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
         before = count_snapshots(running)
         running.wait_until(
             lambda: count_snapshots(running) > before,
@@ -97,7 +97,7 @@
         starts = batch_fleet.count_starts(running)
         replace_all_hosts(running)
         batch_fleet.wait_owner(running)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
         self.assertEqual(starts, batch_fleet.count_starts(running))
 
 
@@ -129,7 +129,7 @@
                 batch_fleet.wait_started(running, 5)
                 running.replace_host(seat)
             batch_fleet.wait_started(running, 20)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
 
     def test_all_hosts_at_once(self) -> None:
         running = batch_fleet.start(self)
@@ -137,4 +137,4 @@
             batch_fleet.wait_started(running, 20)
             replace_all_hosts(running)
             batch_fleet.wait_started(running, 20, 20.0)
-        batch_fleet.check(self, running, submitted)
+        batch_fleet.assert_no_violations(self, running, submitted)
--- a/tests/system/test_batch_owner_faults.py
+++ b/tests/system/test_batch_owner_faults.py
@@ -28,7 +28,7 @@
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.start_host(owner)
             self.fleet.wait_ready(owner)
-        batch_fleet.check(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted)
 
     def test_owner_frozen_past_its_claim_and_woken(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
@@ -39,7 +39,7 @@
             batch_fleet.wait_started(self.fleet, 5)
             self.fleet.signal_host(owner, signal.SIGCONT)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted)
 
     def test_owner_frozen_and_its_successor_killed(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
@@ -54,40 +54,40 @@
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.start_host(second)
             self.fleet.wait_ready(second)
-        batch_fleet.check(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted)
 
     def test_owner_cut_from_the_log_only(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
-            self.fleet.network.set(f"log/{owner}", cut=True)
+            self.fleet.network.set_faults(f"log/{owner}", cut=True)
             batch_fleet.wait_owner(self.fleet, owner)
             batch_fleet.wait_started(self.fleet, 10)
-            self.fleet.network.set(f"log/{owner}", cut=False)
+            self.fleet.network.set_faults(f"log/{owner}", cut=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted)
 
     def test_owner_cut_from_its_peers_only(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
-            self.fleet.network.set(f"peer/*/{owner}/*", cut=True)
-            self.fleet.network.set(f"peer/*/*/*/{owner}", cut=True)
+            self.fleet.network.set_faults(f"peer/*/{owner}/*", cut=True)
+            self.fleet.network.set_faults(f"peer/*/*/*/{owner}", cut=True)
             time.sleep(5.0)
             batch_fleet.wait_started(self.fleet, 20)
-            self.fleet.network.set("peer/*", cut=False)
-        batch_fleet.check(self, self.fleet, submitted)
+            self.fleet.network.set_faults("peer/*", cut=False)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted)
 
     def test_owner_cut_from_its_workers_only(self) -> None:
         names = self.fleet.deployment.worker_names()
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
-            self.fleet.network.set(f"worker/{owner}/*", cut=True)
+            self.fleet.network.set_faults(f"worker/{owner}/*", cut=True)
             time.sleep(7.0)
-            self.fleet.network.set(f"worker/{owner}/*", cut=False)
+            self.fleet.network.set_faults(f"worker/{owner}/*", cut=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted, names)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted, names)
 
 
 @pytest.mark.xdist_group("fleet-4")
@@ -105,11 +105,11 @@
             owner = batch_fleet.find_owner(running)
             for seat in running.hosts:
                 if seat != owner:
-                    running.network.set(f"worker/{seat}/wk-1", cut=True)
-            running.network.set(f"peer/*/{owner}/*", cut=True)
-            running.network.set(f"peer/*/*/*/{owner}", cut=True)
-            running.network.set(f"log/{owner}", cut=True)
+                    running.network.set_faults(f"worker/{seat}/wk-1", cut=True)
+            running.network.set_faults(f"peer/*/{owner}/*", cut=True)
+            running.network.set_faults(f"peer/*/*/*/{owner}", cut=True)
+            running.network.set_faults(f"log/{owner}", cut=True)
             batch_fleet.wait_owner(running, owner)
             time.sleep(6.0)
-            running.network.set("*", cut=False)
-        batch_fleet.check(self, running, submitted, ("wk-1",))
+            running.network.set_faults("*", cut=False)
+        batch_fleet.assert_no_violations(self, running, submitted, ("wk-1",))
--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -37,7 +37,7 @@
                 batch_fleet.wait_started(self.fleet, 15)
                 self.fleet.workers.control(worker=name, kill=True)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted, faulty)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted, faulty)
 
     def test_worker_paused_past_its_lease(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
@@ -46,7 +46,7 @@
             time.sleep(6.0)
             self.fleet.workers.control(worker="wk-1", pause=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, self.fleet, submitted, ("wk-1",))
 
     def test_worker_that_refuses_connections(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
@@ -55,7 +55,7 @@
             time.sleep(6.0)
             self.fleet.workers.control(worker="wk-1", refuse=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, self.fleet, submitted, ("wk-1",))
 
     def test_worker_that_fails_everything(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
@@ -64,17 +64,17 @@
             time.sleep(6.0)
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.workers.control(worker="wk-1", fail_all=False)
-        batch_fleet.check(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted)
 
     def test_all_workers_cut_past_their_leases(self) -> None:
         names = self.fleet.deployment.worker_names()
         with batch_fleet.submitter(self.fleet) as submitted:
             batch_fleet.wait_started(self.fleet, 15)
-            self.fleet.network.set("worker/*", cut=True)
+            self.fleet.network.set_faults("worker/*", cut=True)
             time.sleep(6.0)
-            self.fleet.network.set("worker/*", cut=False)
+            self.fleet.network.set_faults("worker/*", cut=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.check(self, self.fleet, submitted, names)
+        batch_fleet.assert_no_violations(self, self.fleet, submitted, names)
 
     def test_worker_paused_while_the_owner_is_killed(self) -> None:
         with batch_fleet.submitter(self.fleet) as submitted:
@@ -88,7 +88,7 @@
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.start_host(owner)
             self.fleet.wait_ready(owner)
-        batch_fleet.check(self, self.fleet, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, self.fleet, submitted, ("wk-1",))
 
 
 def job(name: str, run_time_ms: int, **changes: Any) -> dict[str, Any]:
@@ -153,10 +153,10 @@
         seat = batch_fleet.find_owner(running)
         running.submit_job(job("late", 4_600), seat)
         first = wait_started(running, "late", 1)
-        running.network.set(f"worker/*/{first.worker}", cut=True)
+        running.network.set_faults(f"worker/*/{first.worker}", cut=True)
         second = wait_started(running, "late", 2)
         self.assertEqual([1], finished_attempts(running, "late"))
-        running.network.set(f"worker/*/{first.worker}", cut=False)
+        running.network.set_faults(f"worker/*/{first.worker}", cut=False)
         self.assertNotEqual(first.worker, second.worker)
         time.sleep(MAX_RETRY_DELAY_S)
         page = running.job("late", seat).json()
@@ -177,10 +177,10 @@
         name, worker = self.delay_start(running, owner)
         running.signal_host(owner, signal.SIGSTOP)
         other = "wk-2" if worker == "wk-1" else "wk-1"
-        running.network.set(f"worker/*/{other}", block_to_target=False)
+        running.network.set_faults(f"worker/*/{other}", block_to_target=False)
         second = wait_started(running, name, 2)
         self.assertEqual(other, second.worker)
-        running.network.set(f"worker/*/{worker}", block_to_target=False)
+        running.network.set_faults(f"worker/*/{worker}", block_to_target=False)
         running.wait_until(
             lambda: self.refusals(running, worker, host_id) != [],
             "the old owner's start has been refused",
@@ -203,16 +203,16 @@
         """Holds a start command in the relay; returns its job and worker."""
         for turn in range(MAX_DELAY_ATTEMPTS):
             name = f"held-{turn}"
-            running.network.set("worker/*", block_to_target=True)
+            running.network.set_faults("worker/*", block_to_target=True)
             running.submit_job(job(name, 3_000), owner)
             until = time.monotonic() + START_WAIT_S
             while time.monotonic() < until:
-                for chunk in running.network.held():
+                for chunk in running.network.held_chunks():
                     if "start" in chunk.text and name in chunk.text:
                         return name, chunk.relay.rpartition("/")[2]
                 time.sleep(0.02)
             # A renewal was in progress, so the start hasn't been sent yet.
-            running.network.set("worker/*", block_to_target=False)
+            running.network.set_faults("worker/*", block_to_target=False)
             running.cancel_job(name, owner)
             time.sleep(1.0)
         raise AssertionError(
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -98,9 +98,9 @@
         load = callers.Load(seats[:1], callers=32, work_ms=30.0)
         with callers.Callers(running, load) as sending:
             time.sleep(2.0)
-            running.network.set("peer/*", cut=True)
+            running.network.set_faults("peer/*", cut=True)
             time.sleep(3.0)
-            running.network.set("peer/*", cut=False)
+            running.network.set_faults("peer/*", cut=False)
             time.sleep(2.0)
         self.assertEqual([], callers.find_violations(running, sending.sent))
 
--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -125,7 +125,7 @@
         self.assertEqual([], watch.regressions)
 
     def test_host_cut_from_the_log_gets_tickets_from_its_peers(self) -> None:
-        self.fleet.network.set("log/bole-1", cut=True)
+        self.fleet.network.set_faults("log/bole-1", cut=True)
         time.sleep(1.0)
         refused = self.submit("bole-1", samples.ticket(1, samples.zone("a")))
         self.assertEqual(503, refused.status)
@@ -133,7 +133,7 @@
         accepted = self.submit("entoto-1", samples.ticket(2, samples.zone("a")))
         self.assertEqual(200, accepted.status)
         self.wait_converged(accepted.json()["offset"])
-        self.fleet.network.set("log/bole-1", cut=False)
+        self.fleet.network.set_faults("log/bole-1", cut=False)
         self.fleet.wait_until(
             lambda: (
                 self.submit(
