--- a/testing/bench.py
+++ b/testing/bench.py
@@ -1,6 +1,6 @@
 """Benchmarks the request path against a bare relay: `make bench`.
 
-Both relay to the same endpoints, which answer immediately. Their rounds
+Both forward to the same endpoints, which answer immediately. Their rounds
 alternate, so that other load on the machine affects both.
 """
 
@@ -176,26 +176,27 @@
     """Compares each target's medians with the bare relay's."""
     lines = []
     for count in callers:
-        bare = _medians(rounds, BARE_RELAY, count)
+        baseline = _medians(rounds, BARE_RELAY, count)
         for name in (ENTRY_HOST, ENTRY_HOST_NON_IDEMPOTENT):
-            found = _medians(rounds, name, count)
+            target = _medians(rounds, name, count)
             lines.append(
-                f"{name}, {count} callers: {found.per_s:.0f} of "
-                f"{bare.per_s:.0f} /s ({_percent(found, bare):+.1f}%), "
-                f"p50 {found.p50_ms - bare.p50_ms:+.2f} ms, "
-                f"p99 {found.p99_ms - bare.p99_ms:+.2f} ms, "
-                f"processor {found.cpu_us:.0f} of {bare.cpu_us:.0f} us, "
-                f"failed {found.failed}"
+                f"{name}, {count} callers: {target.per_s:.0f} of "
+                f"{baseline.per_s:.0f} /s "
+                f"({_rate_difference_percent(target, baseline):+.1f}%), "
+                f"p50 {target.p50_ms - baseline.p50_ms:+.2f} ms, "
+                f"p99 {target.p99_ms - baseline.p99_ms:+.2f} ms, "
+                f"processor {target.cpu_us:.0f} of {baseline.cpu_us:.0f} us, "
+                f"failed {target.failed}"
             )
     return lines
 
 
-def _percent(found: Round, bare: Round) -> float:
-    return 100 * (found.per_s / max(bare.per_s, 1e-9) - 1)
+def _rate_difference_percent(target: Round, baseline: Round) -> float:
+    return 100 * (target.per_s / max(baseline.per_s, 1e-9) - 1)
 
 
 def _medians(rounds: list[Round], target: str, callers: int) -> Round:
-    found = [
+    samples = [
         sample
         for sample in rounds
         if sample.target == target and sample.callers == callers
@@ -203,12 +204,12 @@
     return Round(
         target=target,
         callers=callers,
-        answered=sum(sample.answered for sample in found),
-        failed=sum(sample.failed for sample in found),
-        per_s=statistics.median(sample.per_s for sample in found),
-        p50_ms=statistics.median(sample.p50_ms for sample in found),
-        p99_ms=statistics.median(sample.p99_ms for sample in found),
-        cpu_us=statistics.median(sample.cpu_us for sample in found),
+        answered=sum(sample.answered for sample in samples),
+        failed=sum(sample.failed for sample in samples),
+        per_s=statistics.median(sample.per_s for sample in samples),
+        p50_ms=statistics.median(sample.p50_ms for sample in samples),
+        p99_ms=statistics.median(sample.p99_ms for sample in samples),
+        cpu_us=statistics.median(sample.cpu_us for sample in samples),
     )
 
 
@@ -233,7 +234,7 @@
     return [
         f"start of serve to ready: {ready_ms:.0f} ms",
         f"resident memory of an idle serve: {resident_mib:.1f} MiB",
-        f"  as it splits it: {split}",
+        f"  by part, as the host reports it: {split}",
     ]
 
 
@@ -245,16 +246,16 @@
     parser.add_argument("--warm-s", type=float, default=1.0)
     parser.add_argument("--measured-s", type=float, default=4.0)
     parser.add_argument("--command", nargs="+", default=None)
-    given = parser.parse_args()
+    args = parser.parse_args()
     options = BenchOptions(
-        tuple(given.callers), given.rounds, given.warm_s, given.measured_s
+        tuple(args.callers), args.rounds, args.warm_s, args.measured_s
     )
     deployment = deployments.small(
         1, seats_per_zone=1, endpoints=8, work_ms=0.0
     )
     plan = fleet_plan.FleetOptions()
-    if given.command:
-        plan = attrs.evolve(plan, command=tuple(given.command))
+    if args.command:
+        plan = attrs.evolve(plan, command=tuple(args.command))
     with fleet.Fleet(deployment, plan, start_hosts=False) as running:
         seat = next(iter(running.hosts))
         started_s = time.monotonic()
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -1,4 +1,4 @@
-"""Replays a trace against a whole deployment and checks its records.
+"""Replays a trace against a whole deployment and checks the journals.
 
 `python -m testing.experiment utility-night burst --duration-ms 30000`
 """
@@ -59,7 +59,7 @@
     """Runs an experiment.
 
     Returns:
-        0 if the stated outcomes were met and no guarantee was violated, else 1.
+        0 if the trace's stated outcomes were met and no rule was violated, else 1.
     """
     workload = traces.WORKLOADS[experiment.workload]()
     links: set[fleet_plan.Link] = set()
@@ -73,7 +73,7 @@
         seed=experiment.seed,
         speed=experiment.speed,
     )
-    maker = traces.TraceGenerator(
+    generator = traces.TraceGenerator(
         experiment.workload,
         workload,
         experiment.shape,
@@ -81,7 +81,7 @@
         experiment.duration_ms,
         experiment.scale,
     )
-    trace = maker.generate(experiment.with_jobs)
+    trace = generator.generate(experiment.with_jobs)
     with fleet.Fleet(workload.deployment, options) as running:
         running.apply_first_ticket()
         faults = fault_injection.FaultInjector(
@@ -94,10 +94,10 @@
         violations = _find_violations(running)
         for violation in violations[:MAX_SHOWN_VIOLATIONS]:
             print(
-                f"BROKEN {violation.rule}: {violation.subject}: "
+                f"VIOLATION {violation.rule}: {violation.subject}: "
                 f"{violation.detail}"
             )
-        print(f"promises broken, by the stand-ins' records: {len(violations)}")
+        print(f"violations in the stand-ins' journals: {len(violations)}")
     return 1 if code or violations else 0
 
 
@@ -122,7 +122,7 @@
 
 
 def _summarize_worker_events(events: list[worker_records.WorkerEvent]) -> str:
-    """Number of worker events of each kind."""
+    """Counts the worker events of each kind."""
     counts = collections.Counter(
         f"{event.kind} {event.detail}" if event.kind == "end" else event.kind
         for event in events
@@ -133,7 +133,7 @@
 
 
 def _summarize_slowdowns(events: list[worker_records.WorkerEvent]) -> str:
-    """Slowdown of finished attempts compared with their work."""
+    """Summarizes the ratio of run time to work of finished attempts."""
     starts = {
         (event.job, event.attempt): event
         for event in events
--- a/testing/measure_batch.py
+++ b/testing/measure_batch.py
@@ -1,8 +1,9 @@
 """Compares placement policies for batch work beside a service in one run.
 
-Starts an equal fleet of stand-in workers for each policy, with the same hidden
-model of interference and wrong sizes. Runs the same jobs on all fleets at the
-same time and prints what each policy finished. Run it with
+Starts an equal fleet of stand-in workers for each policy. All use the same
+model of interference and of wrongly declared sizes, which the scheduler can't
+see. Runs the same jobs on all fleets at the same time and prints what each
+policy finished. Run it with
 
     python -m testing.measure_batch [--seconds 120] [--seed 1]
 """
@@ -71,13 +72,13 @@
         answer = self._client.exchange(address, exchange, timeout_ms)
         self.exchanges += 1
         if isinstance(answer, result.Ok):
-            found = [
-                one.slowdown_milli
+            slowdowns = [
+                service.slowdown_milli
                 for usage in answer.ok_value.usage
-                for one in usage.services
+                for service in usage.services
             ]
             with self._lock:
-                self.slowdowns.extend(found)
+                self.slowdowns.extend(slowdowns)
         return answer
 
 
@@ -153,7 +154,7 @@
         self.control: str = ready["control"]
 
     def journal(self) -> list[worker_records.WorkerEvent]:
-        """Events that the workers recorded."""
+        """Returns the events that the workers recorded."""
         import urllib3
 
         reply = urllib3.request("GET", f"http://{self.control}/journal")
@@ -169,7 +170,7 @@
 def configuration(
     endpoint_count: int, limits: objects.Limits | None
 ) -> configuration_module.Configuration:
-    """Configuration of teams, worker classes and endpoints on the workers."""
+    """Returns a configuration of teams, a worker class and endpoints."""
     endpoints = {
         f"ex-{index}": objects.Endpoint(
             SERVICE,
@@ -195,7 +196,7 @@
 
 
 def jobs(seed: int, count: int) -> list[dict[str, Any]]:
-    """Jobs of random class, size and run time."""
+    """Returns jobs of random class, size and run time."""
     rng = random.Random(seed)
     return [
         {
@@ -281,7 +282,7 @@
             thread.join()
 
     def outcome(self) -> PolicyOutcome:
-        """Computes the results from worker events and the fold."""
+        """Computes the results from worker events and the zone's fold."""
         events = self.fleet.journal()
         states = self.service.fold.jobs()
         finished = [
--- a/testing/measure_owner.py
+++ b/testing/measure_owner.py
@@ -46,25 +46,23 @@
     parser.add_argument("--workers", type=int, default=110)
     parser.add_argument("--starts-per-s", type=int, default=15)
     parser.add_argument("--seconds", type=int, default=20)
-    given = parser.parse_args()
+    args = parser.parse_args()
     policy_run = measure_batch.PolicyRun(
-        placement.Policy.PREDICTED_COST, 1, given.workers, services=False
+        placement.Policy.PREDICTED_COST, 1, args.workers, services=False
     )
     with contextlib.ExitStack() as stack:
         stack.callback(policy_run.fleet.stop)
         stack.enter_context(policy_run.service)
         policy_run.start()
         time.sleep(5)
-        _measure_phase(policy_run, "idle", given.seconds)
-        count = given.starts_per_s * given.seconds * 2
+        _measure_phase(policy_run, "idle", args.seconds)
+        count = args.starts_per_s * args.seconds * 2
         submitted_jobs = measure_batch.jobs(1, count)
         steady_started_s = time.monotonic()
-        for second in range(given.seconds * 2):
-            first = second * given.starts_per_s
-            policy_run.submit(
-                submitted_jobs[first : first + given.starts_per_s]
-            )
-            if second == given.seconds:
+        for second in range(args.seconds * 2):
+            first = second * args.starts_per_s
+            policy_run.submit(submitted_jobs[first : first + args.starts_per_s])
+            if second == args.seconds:
                 steady_start = time.process_time(), policy_run.port.exchanges
             time.sleep(
                 max(0.0, steady_started_s + second + 1 - time.monotonic())
@@ -74,8 +72,8 @@
         status = policy_run.service.status().owner
         print(
             f"phase=steady cpu_ms_per_s="
-            f"{spent_s * 1_000 / (given.seconds - 1):.1f} "
-            f"exchanges_per_s={exchanges / (given.seconds - 1):.1f} "
+            f"{spent_s * 1_000 / (args.seconds - 1):.1f} "
+            f"exchanges_per_s={exchanges / (args.seconds - 1):.1f} "
             f"running={status.running} queued={status.queued} "
             f"resident_mib={_resident_mib():.1f}"
         )
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -207,10 +207,10 @@
     """Prints a line for each policy and size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--starts", type=int, default=3_000)
-    given = parser.parse_args()
+    args = parser.parse_args()
     for policy in placement.Policy:
         for count in WORKER_COUNTS:
-            cost = measure(count, given.starts, policy)
+            cost = measure(count, args.starts, policy)
             print(
                 f"policy={policy} workers={cost.workers} "
                 f"running={cost.running} starts={cost.starts} "
--- a/testing/measure_recovery.py
+++ b/testing/measure_recovery.py
@@ -28,22 +28,22 @@
     parser.add_argument(
         "--timing", choices=("tests", "default"), default="tests"
     )
-    given = parser.parse_args()
+    args = parser.parse_args()
     death_recoveries_s: list[float] = []
     outage_recoveries_s: list[float] = []
-    for run in range(given.runs):
+    for run in range(args.runs):
         deployment = batch_fleet.deployment()
-        if given.timing == "default":
+        if args.timing == "default":
             deployment = batch_fleet.deployment(
                 limits=objects.Limits(), autonomy_ms=60_000
             )
         options = fleet_plan.FleetOptions(
-            links=batch_fleet.LINKS, seed=given.seed + run
+            links=batch_fleet.LINKS, seed=args.seed + run
         )
         with fleet_module.Fleet(deployment, options) as running:
             running.apply_first_ticket()
             batch_fleet.wait_limits_applied(running)
-            seed = given.seed + run
+            seed = args.seed + run
             with batch_fleet.submitter(running, seed=seed):
                 batch_fleet.wait_started(running, WARMUP_STARTS)
                 death_recoveries_s.append(measure_owner_death(running))
@@ -61,10 +61,10 @@
     )
 
 
-def _print_row(start: str, end: str, found: list[float]) -> None:
+def _print_row(start: str, end: str, seconds: list[float]) -> None:
     print(
-        f"| {start} | {end} | {len(found)} | {min(found):.1f} "
-        f"| {statistics.median(found):.1f} | {max(found):.1f} |"
+        f"| {start} | {end} | {len(seconds)} | {min(seconds):.1f} "
+        f"| {statistics.median(seconds):.1f} | {max(seconds):.1f} |"
     )
 
 
@@ -78,7 +78,7 @@
     term = max(event.term for event in running.worker_events())
     died_ms = time.monotonic() * 1_000
     running.kill_host(owner)
-    seconds = _until_start(running, died_ms, term)
+    seconds = _seconds_until_start(running, died_ms, term)
     running.start_host(owner)
     running.wait_ready(owner)
     return seconds
@@ -88,19 +88,19 @@
     """Makes the log unavailable for `OUTAGE_S`.
 
     Returns:
-        Seconds from its return to the first start.
+        Seconds from the end of the outage to the first start.
     """
     running.log.control(down=True)
     time.sleep(OUTAGE_S)
     back_ms = time.monotonic() * 1_000
     running.log.control(down=False)
-    return _until_start(running, back_ms, 0)
+    return _seconds_until_start(running, back_ms, 0)
 
 
-def _until_start(
+def _seconds_until_start(
     running: fleet_module.Fleet, since_ms: float, above_term: int
 ) -> float:
-    def found() -> list[float]:
+    def start_times_ms() -> list[float]:
         return [
             event.at_ms
             for event in running.worker_events()
@@ -109,8 +109,12 @@
             and event.term > above_term
         ]
 
-    running.wait_until(lambda: found() != [], "a start", START_TIMEOUT_S)
-    return (min(found()) - since_ms) / 1_000
+    running.wait_until(
+        lambda: start_times_ms() != [],
+        "an attempt has started",
+        START_TIMEOUT_S,
+    )
+    return (min(start_times_ms()) - since_ms) / 1_000
 
 
 if __name__ == "__main__":
--- a/testing/measure_routing.py
+++ b/testing/measure_routing.py
@@ -3,7 +3,7 @@
 `python -m testing.measure_routing --rounds 2 --seed 1` starts a small fleet
 for each policy in turn and sends each the same requests in an open loop:
 without faults, with slow endpoints, with endpoints that reset connections,
-and with a host killed. The time of a request counts from when it was due.
+and with a host killed. Latency counts from the time when a request was due.
 """
 
 from __future__ import annotations
@@ -118,7 +118,7 @@
                     )
                 )
                 due_s += self._rng.expovariate(self._per_s)
-            return [one.result() for one in pending]
+            return [future.result() for future in pending]
 
     def _send(
         self, request_id: str, number: int, idempotent: bool, due_s: float
@@ -142,11 +142,13 @@
 def _format_line(
     policy: str, phase: str, replies: list[Reply], tries: int
 ) -> str:
-    outcomes = collections.Counter(one.sent.answer.outcome for one in replies)
+    outcomes = collections.Counter(
+        reply.sent.answer.outcome for reply in replies
+    )
     elapsed = sorted(
-        one.elapsed_ms
-        for one in replies
-        if one.sent.answer.outcome == "answered"
+        reply.elapsed_ms
+        for reply in replies
+        if reply.sent.answer.outcome == "answered"
     )
 
     def quantile(share: float) -> float:
@@ -162,7 +164,7 @@
     )
 
 
-def measure(policy: load_balancing.Policy, given: argparse.Namespace) -> None:
+def measure(policy: load_balancing.Policy, args: argparse.Namespace) -> None:
     """Measures one policy on a fleet and prints a line for each phase."""
     deployment = attrs.evolve(
         deployments.small(1),
@@ -171,32 +173,30 @@
         seats_per_zone=SEATS,
     )
     options = fleet_plan.FleetOptions(
-        seed=given.seed,
+        seed=args.seed,
         routing=settings_module.RoutingSettings(
-            policy=policy.value, seed=given.seed
+            policy=policy.value, seed=args.seed
         ),
     )
     sent: list[checker.SentRequest] = []
     with fleet_module.Fleet(deployment, options) as running:
         running.apply_first_ticket()
-        offer = LoadGenerator(running, given.per_s, given.seed)
-        offer.run("warm", given.seconds / 2)
+        load = LoadGenerator(running, args.per_s, args.seed)
+        load.run("warm", args.seconds / 2)
         for phase in PHASES:
             before = len(running.endpoint_events())
             phase.begin(running)
-            replies = offer.run(phase.name, given.seconds)
+            replies = load.run(phase.name, args.seconds)
             phase.end(running)
             tries = len(running.endpoint_events()) - before
-            sent.extend(one.sent for one in replies)
+            sent.extend(reply.sent for reply in replies)
             print(
                 _format_line(policy.value, phase.name, replies, tries),
                 flush=True,
             )
             time.sleep(1.0)
         violations = callers.find_violations(running, sent)
-    print(
-        f"policy={policy.value} promises_broken={len(violations)}", flush=True
-    )
+    print(f"policy={policy.value} violations={len(violations)}", flush=True)
 
 
 def main() -> None:
@@ -206,11 +206,11 @@
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--per-s", type=float, default=120.0)
     parser.add_argument("--seed", type=int, default=1)
-    given = parser.parse_args()
-    print(f"seed={given.seed} per_s={given.per_s} seconds={given.seconds}")
-    for _ in range(given.rounds):
+    args = parser.parse_args()
+    print(f"seed={args.seed} per_s={args.per_s} seconds={args.seconds}")
+    for _ in range(args.rounds):
         for policy in load_balancing.Policy:
-            measure(policy, given)
+            measure(policy, args)
 
 
 if __name__ == "__main__":
--- a/testing/traces.py
+++ b/testing/traces.py
@@ -252,12 +252,12 @@
     def _cancellations(
         self, jobs: list[traces.TracedJob]
     ) -> Iterator[traces.TracedCancellation]:
-        """One burst of cancellations, for jobs submitted before it."""
+        """Cancels some earlier jobs, all at the same time."""
         at_ms = self._duration_ms * CANCELLATION_AT_FRACTION
-        for one in jobs:
+        for traced_job in jobs:
             chosen = self._random.random() < JOB_CANCELLATION_PROBABILITY
-            if one.at_ms < at_ms and chosen:
-                yield traces.TracedCancellation(at_ms, one.job.id)
+            if traced_job.at_ms < at_ms and chosen:
+                yield traces.TracedCancellation(at_ms, traced_job.job.id)
 
     def _outcomes(self, lines: list[traces.TraceLine]) -> traces.StatedOutcomes:
         workload = self._workload
@@ -295,10 +295,10 @@
         ]
         if not accepted:
             return None
-        working = sum(
-            one.job_class != worker_model.FAILING_JOB_MARKER for one in accepted
+        finishable = sum(
+            job.job_class != worker_model.FAILING_JOB_MARKER for job in accepted
         )
-        return math.floor(1_000 * working / len(accepted)) / 10
+        return math.floor(1_000 * finishable / len(accepted)) / 10
 
 
 def main() -> None:
@@ -308,20 +308,20 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--duration-ms", type=int, default=DEFAULT_DURATION_MS)
     parser.add_argument("--scale", type=float, default=1.0)
-    given = parser.parse_args()
-    given.folder.mkdir(parents=True, exist_ok=True)
+    args = parser.parse_args()
+    args.folder.mkdir(parents=True, exist_ok=True)
     for name, workload in WORKLOADS.items():
         for shape in LoadShape:
-            maker = TraceGenerator(
+            generator = TraceGenerator(
                 name,
                 workload(),
                 shape,
-                given.seed,
-                given.duration_ms,
-                given.scale,
+                args.seed,
+                args.duration_ms,
+                args.scale,
             )
-            path = given.folder / f"{name}-{shape}.jsonl"
-            path.write_bytes(traces.encode(maker.generate()))
+            path = args.folder / f"{name}-{shape}.jsonl"
+            path.write_bytes(traces.encode(generator.generate()))
             print(path)
 
 
