--- a/testing/callers.py
+++ b/testing/callers.py
@@ -1,4 +1,4 @@
-"""Callers in threads, with unique bodies and retries through other hosts."""
+"""Callers on threads that send unique bodies and retry through other hosts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from testing import checker
 from testing import fleet as fleet_module
 
-LOST = frozenset({"lost", "unknown", "unreachable"})
+RETRIED_OUTCOMES = frozenset({"lost", "unknown", "unreachable"})
 MAX_BODY_BYTES = 2_000
 
 
@@ -28,7 +28,7 @@
         work_ms: Work requested of the endpoint; None leaves it to the
             endpoint.
         timeout_ms: Timeout of a request.
-        repeats: Maximum number of retries of a lost request, each through
+        max_retries: Maximum number of retries of a lost request, each through
             the next host.
         pause_ms: Pause between two requests of a caller.
         seed: Seed for bodies and idempotence.
@@ -39,7 +39,7 @@
     idempotent_share: float = 0.5
     work_ms: float | None = None
     timeout_ms: int = 2_000
-    repeats: int = 0
+    max_retries: int = 0
     pause_ms: float = 0.0
     seed: int = 1
 
@@ -78,13 +78,13 @@
         """Waits until the given number of requests has been answered."""
         self._fleet.wait_until(
             lambda: self.count("answered") >= requests,
-            f"{requests} requests answered",
+            f"{requests} requests have been answered",
             timeout_s,
         )
 
     def count(self, outcome: str) -> int:
         """Returns the number of requests with the given outcome."""
-        return sum(one.answer.outcome == outcome for one in self.sent)
+        return sum(request.answer.outcome == outcome for request in self.sent)
 
     def _run(self, number: int) -> None:
         rng = random.Random(f"{self._load.seed}/{self._name}/{number}")
@@ -94,10 +94,10 @@
             request_id = f"{self._name}-{number}-{count}"
             body = rng.randbytes(rng.randrange(1, MAX_BODY_BYTES))
             idempotent = rng.random() < self._load.idempotent_share
-            for _ in range(1 + self._load.repeats):
-                one = self._send(turn, request_id, body, idempotent)
+            for _ in range(1 + self._load.max_retries):
+                sent = self._send(turn, request_id, body, idempotent)
                 turn += 1
-                if one.answer.outcome not in LOST:
+                if sent.answer.outcome not in RETRIED_OUTCOMES:
                     break
             count += 1
             if self._load.pause_ms:
@@ -115,9 +115,9 @@
             timeout_ms=self._load.timeout_ms,
             work_ms=self._load.work_ms,
         )
-        one = checker.SentRequest(request_id, body, idempotent, answer)
-        self.sent.append(one)
-        return one
+        sent = checker.SentRequest(request_id, body, idempotent, answer)
+        self.sent.append(sent)
+        return sent
 
 
 def find_violations(
--- a/testing/checker.py
+++ b/testing/checker.py
@@ -1,7 +1,7 @@
 """Checks invariants against the journals of the stand-ins alone.
 
 Each check returns the violations found; an empty list means that it passed.
-Reports of entry hosts are used only where a rule is about them: the answers
+What entry hosts report is used only where a rule is about it: the answers
 that callers received and the jobs that were accepted.
 """
 
@@ -106,12 +106,12 @@
 def answers_whole(sent: Iterable[SentRequest]) -> list[Violation]:
     """Checks that every answer is complete and belongs to its request."""
     violations = []
-    for one in sent:
-        if one.answer.outcome == ANSWERED:
-            detail = _wrong_answer(one)
+    for request in sent:
+        if request.answer.outcome == ANSWERED:
+            detail = _describe_wrong_answer(request)
             if detail:
                 violations.append(
-                    Violation("answers-whole", one.request_id, detail)
+                    Violation("answers-whole", request.request_id, detail)
                 )
     return violations
 
@@ -122,17 +122,18 @@
     digest: str
 
 
-def _wrong_answer(one: SentRequest) -> str:
+def _describe_wrong_answer(request: SentRequest) -> str:
+    """Describes what is wrong with an answer; empty if nothing is."""
     try:
-        body = msgspec.json.decode(one.answer.body, type=_EndpointBody)
+        body = msgspec.json.decode(request.answer.body, type=_EndpointBody)
     except msgspec.MsgspecError as error:
         return f"invalid body: {error}"
-    if body.request_id != one.request_id:
+    if body.request_id != request.request_id:
         return f"body is the answer to request {body.request_id}"
-    if body.digest != xxhash.xxh64_hexdigest(one.body):
+    if body.digest != xxhash.xxh64_hexdigest(request.body):
         return "the endpoint received a different request body"
-    if one.answer.request_id != one.request_id:
-        return f"X-Request-Id of the answer is {one.answer.request_id!r}"
+    if request.answer.request_id != request.request_id:
+        return f"X-Request-Id of the answer is {request.answer.request_id!r}"
     return ""
 
 
@@ -143,18 +144,22 @@
 
     A request sent several times counts as run if any answer was not `not-run`.
     """
-    ran = _runs(events)
-    said_ran = {one.request_id for one in sent if one.answer.outcome != NOT_RUN}
+    runs = _runs_by_request(events)
+    possibly_ran = {
+        request.request_id
+        for request in sent
+        if request.answer.outcome != NOT_RUN
+    }
     return [
         Violation(
             "not-run-never-ran",
-            one.request_id,
-            f"ran on {ran[one.request_id][0].endpoint}",
+            request.request_id,
+            f"ran on {runs[request.request_id][0].endpoint}",
         )
-        for one in sent
-        if one.answer.outcome == NOT_RUN
-        and one.request_id not in said_ran
-        and one.request_id in ran
+        for request in sent
+        if request.answer.outcome == NOT_RUN
+        and request.request_id not in possibly_ran
+        and request.request_id in runs
     ]
 
 
@@ -162,20 +167,22 @@
     sent: Iterable[SentRequest], events: Iterable[EndpointEvent]
 ) -> list[Violation]:
     """Checks that non-idempotent requests ran at most once, despite retries."""
-    ran = _runs(events)
-    names = {one.request_id for one in sent if not one.idempotent}
+    runs = _runs_by_request(events)
+    request_ids = {
+        request.request_id for request in sent if not request.idempotent
+    }
     return [
         Violation(
             "ran-at-most-once",
-            name,
-            "ran on " + ", ".join(run.endpoint for run in ran[name]),
+            request_id,
+            "ran on " + ", ".join(run.endpoint for run in runs[request_id]),
         )
-        for name in sorted(names)
-        if len(ran.get(name, ())) > 1
+        for request_id in sorted(request_ids)
+        if len(runs.get(request_id, ())) > 1
     ]
 
 
-def _runs(
+def _runs_by_request(
     events: Iterable[EndpointEvent],
 ) -> dict[str, list[EndpointEvent]]:
     runs: dict[str, list[EndpointEvent]] = collections.defaultdict(list)
@@ -203,9 +210,9 @@
     for interval in run_intervals(events):
         by_job[interval.job].append(interval)
     violations = []
-    for job, found in by_job.items():
-        found.sort(key=lambda interval: interval.start_ms)
-        for earlier, later in itertools.pairwise(found):
+    for job, intervals in by_job.items():
+        intervals.sort(key=lambda interval: interval.start_ms)
+        for earlier, later in itertools.pairwise(intervals):
             if later.start_ms < earlier.end_ms:
                 detail = f"{_describe_run(earlier)} and {_describe_run(later)}"
                 violations.append(Violation("never-in-two-places", job, detail))
@@ -222,16 +229,18 @@
 def run_intervals(events: Iterable[WorkerEvent]) -> list[RunInterval]:
     """Returns the interval of each attempt; a running one ends at infinity."""
     running: dict[tuple[str, str, int], WorkerEvent] = {}
-    found = []
+    intervals = []
     for event in events:
         key = (event.worker, event.job, event.attempt)
         if event.kind == "start":
             running[key] = event
         elif event.kind == "end" and key in running:
             start = running.pop(key)
-            found.append(_run_interval(start, event.at_ms))
-    found += [_run_interval(start, float("inf")) for start in running.values()]
-    return found
+            intervals.append(_run_interval(start, event.at_ms))
+    intervals += [
+        _run_interval(start, float("inf")) for start in running.values()
+    ]
+    return intervals
 
 
 def _run_interval(start: WorkerEvent, end_ms: float) -> RunInterval:
@@ -256,15 +265,15 @@
 
 def resumed_from_checkpoint(events: Iterable[WorkerEvent]) -> list[Violation]:
     """Checks that no attempt resumed beyond the job's last checkpoint."""
-    reached: dict[str, int] = {}
+    checkpoint_ms: dict[str, int] = {}
     violations = []
     for event in events:
         if event.kind == "checkpoint":
-            reached[event.job] = max(
-                reached.get(event.job, 0), event.progress_ms
+            checkpoint_ms[event.job] = max(
+                checkpoint_ms.get(event.job, 0), event.progress_ms
             )
         elif event.kind == "start":
-            last_ms = reached.get(event.job, 0)
+            last_ms = checkpoint_ms.get(event.job, 0)
             if event.progress_ms > last_ms:
                 detail = f"at {event.progress_ms} ms, checkpoint {last_ms} ms"
                 violations.append(
--- a/testing/client.py
+++ b/testing/client.py
@@ -68,7 +68,7 @@
         timeout_s: float = OPERATOR_TIMEOUT_S,
     ) -> Answer:
         """Makes one HTTP call; failures are returned as answers."""
-        started = time.monotonic()
+        started_s = time.monotonic()
         try:
             response = self._pool.request(
                 method,
@@ -80,17 +80,17 @@
                 ),
             )
         except urllib3.exceptions.NewConnectionError as error:
-            return _failure("unreachable", error, started)
+            return _failure("unreachable", error, started_s)
         except urllib3.exceptions.ConnectTimeoutError as error:
-            return _failure("unreachable", error, started)
+            return _failure("unreachable", error, started_s)
         except urllib3.exceptions.HTTPError as error:
-            return _failure("lost", error, started)
+            return _failure("lost", error, started_s)
         if not _has_body_length(response.headers):
             # urllib3 takes a connection closed within the headers as their end.
             return _failure(
                 "lost",
                 EOFError("connection closed within the headers"),
-                started,
+                started_s,
             )
         return Answer(
             status=response.status,
@@ -99,7 +99,7 @@
             request_id=response.headers.get("X-Request-Id", ""),
             body=response.data,
             headers=response.headers,
-            elapsed_ms=(time.monotonic() - started) * 1_000,
+            elapsed_ms=(time.monotonic() - started_s) * 1_000,
         )
 
     def request(
@@ -155,7 +155,7 @@
     return "Content-Length" in headers or "Transfer-Encoding" in headers
 
 
-def _failure(outcome: str, error: Exception, started: float) -> Answer:
+def _failure(outcome: str, error: Exception, started_s: float) -> Answer:
     return Answer(
         status=0,
         outcome=outcome,
@@ -163,5 +163,5 @@
         request_id="",
         body=b"",
         headers={},
-        elapsed_ms=(time.monotonic() - started) * 1_000,
+        elapsed_ms=(time.monotonic() - started_s) * 1_000,
     )
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -75,9 +75,9 @@
 
     def apply_configuration(self) -> None:
         """Submits the first ticket."""
-        started = time.monotonic()
+        started_s = time.monotonic()
         self._fleet.apply_first_ticket()
-        elapsed_ms = (time.monotonic() - started) * 1_000
+        elapsed_ms = (time.monotonic() - started_s) * 1_000
         _print_line(
             f"Ticket 1 is in force on {len(self._fleet.hosts)} hosts "
             f"{elapsed_ms:.0f} ms after it was submitted."
@@ -89,15 +89,15 @@
         for seat in self._fleet.hosts:
             for number in range(3):
                 self._request(seat, f"calibrate-{seat}-{number}")
-        answered = [one for one in self._sent if _is_answered(one)]
-        slowest_ms = max(one.answer.elapsed_ms for one in self._sent)
+        answered = [request for request in self._sent if _is_answered(request)]
+        slowest_ms = max(request.answer.elapsed_ms for request in self._sent)
         _print_line(
             f"{len(answered)} of {len(self._sent)} requests answered, "
             f"the slowest in {slowest_ms:.0f} ms."
         )
         if len(answered) < len(self._sent):
             raise DemoError(
-                f"requests were not answered: {_failures(self._sent)}"
+                f"requests were not answered: {_describe_failures(self._sent)}"
             )
         self._refuse_request()
 
@@ -136,11 +136,11 @@
         )
         if answer.status != 200:
             raise DemoError(f"job refused: {answer.body!r}")
-        started = time.monotonic()
+        started_s = time.monotonic()
         self._fleet.wait_until(
-            self._job_finished, f"end of job {JOB}", JOB_TIMEOUT_S
+            self._job_finished, f"job {JOB} has finished", JOB_TIMEOUT_S
         )
-        elapsed_s = time.monotonic() - started
+        elapsed_s = time.monotonic() - started_s
         _print_line(
             f"Job {JOB}, {JOB_RUN_TIME_MS} ms of work, finished "
             f"{elapsed_s:.1f} s after it was accepted."
@@ -164,25 +164,30 @@
             ]
             time.sleep(LOAD_S / 2)
             self._fleet.signal_host(seat, signal.SIGTERM)
-            sent = [one for load in loads for one in load.result()]
+            sent = [request for load in loads for request in load.result()]
         code = self._fleet.wait_host(seat)
         self._sent += sent
-        cut = [one for one in sent if one.answer.outcome in ("lost", "unknown")]
-        answered = sum(_is_answered(one) for one in sent)
+        interrupted = [
+            request
+            for request in sent
+            if request.answer.outcome in ("lost", "unknown")
+        ]
+        answered = sum(_is_answered(request) for request in sent)
         _print_line(
             f"SIGTERM to {seat} under load: {answered} requests answered, "
-            f"{len(sent) - answered - len(cut)} sent elsewhere, "
-            f"{len(cut)} cut off, exit code {code}."
+            f"{len(sent) - answered - len(interrupted)} refused, "
+            f"{len(interrupted)} interrupted, exit code {code}."
         )
-        if cut or code != 0:
+        if interrupted or code != 0:
             raise DemoError(
-                f"stop of {seat} was not graceful: {_failures(cut)}"
+                f"stop of {seat} was not graceful: "
+                f"{_describe_failures(interrupted)}"
             )
 
     def _load(
         self, seat: str, caller: int, deadline_s: float
     ) -> list[checker.SentRequest]:
-        """Sends until the host reports that it stops, like a load balancer."""
+        """Sends until the host says that it stops, as a load balancer would."""
         sent = []
         while time.monotonic() < deadline_s:
             name = f"load-{caller}-{len(sent)}"
@@ -231,15 +236,15 @@
             )
 
 
-def _is_answered(one: checker.SentRequest) -> bool:
-    return one.answer.outcome == "answered" and one.answer.status == 200
+def _is_answered(request: checker.SentRequest) -> bool:
+    return request.answer.outcome == "answered" and request.answer.status == 200
 
 
-def _failures(sent: list[checker.SentRequest]) -> str:
+def _describe_failures(sent: list[checker.SentRequest]) -> str:
     return ", ".join(
-        f"{one.request_id} {one.answer.outcome} {one.answer.reason}"
-        for one in sent
-        if not _is_answered(one)
+        f"{request.request_id} {request.answer.outcome} {request.answer.reason}"
+        for request in sent
+        if not _is_answered(request)
     )[:500]
 
 
--- a/testing/experiment.py
+++ b/testing/experiment.py
@@ -59,7 +59,7 @@
     """Runs an experiment.
 
     Returns:
-        0 if the trace's stated outcomes were met and no rule was violated, else 1.
+        0 if the stated outcomes were met and no rule was violated, else 1.
     """
     workload = traces.WORKLOADS[experiment.workload]()
     links: set[fleet_plan.Link] = set()
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -89,7 +89,7 @@
 
     # Stand-ins and relays.
 
-    def _stand_in(
+    def _start_stand_in(
         self, module: str, arguments: Iterable[str], specs: Any = None
     ) -> processes.StandIn:
         stand_in = processes.start_stand_in(
@@ -101,7 +101,7 @@
     def _start_stand_ins(self) -> None:
         options = self.options
         seed = ("--seed", str(options.seed))
-        self.log = self._stand_in("standins.log", options.log_arguments)
+        self.log = self._start_stand_in("standins.log", options.log_arguments)
         self.host_list = self._start_host_list()
         self.host_lists = dict.fromkeys(
             self.deployment.all_seats(), self.host_list
@@ -109,18 +109,18 @@
         if fleet_plan.Link.SEAT_WORKERS in options.links:
             for seat in self.deployment.all_seats()[1:]:
                 self.host_lists[seat] = self._start_host_list()
-        self.endpoints = self._stand_in(
+        self.endpoints = self._start_stand_in(
             "standins.endpoint", seed, self.deployment.endpoint_specs()
         )
         model = msgspec.json.encode(options.model).decode()
         speed = ("--speed", str(options.speed), "--model", model)
-        self.workers = self._stand_in(
+        self.workers = self._start_stand_in(
             "standins.worker", (*seed, *speed), self.deployment.worker_specs()
         )
 
     def _start_host_list(self) -> processes.StandIn:
         lag_ms = str(self.options.list_lag_ms)
-        return self._stand_in("standins.hosts", ("--lag-ms", lag_ms))
+        return self._start_stand_in("standins.hosts", ("--lag-ms", lag_ms))
 
     def _plan_hosts(self) -> None:
         for seat in self.deployment.all_seats():
@@ -146,28 +146,28 @@
         targets = fleet_plan.relay_targets(
             self.options.links, self.hosts, platform
         )
-        relays = self._stand_in(
+        relays = self._start_stand_in(
             "relay",
             ("--seed", str(self.options.seed)),
             [relay.RelaySpec(*item) for item in targets.items()],
         )
         self.network = network.Network(relays, self.deployment)
-        routes: dict[str, str] = relays.ready["addresses"]
+        relay_addresses: dict[str, str] = relays.ready["addresses"]
         for name, address in self.endpoints.ready["addresses"].items():
-            self.endpoint_addresses[name] = routes.get(
+            self.endpoint_addresses[name] = relay_addresses.get(
                 f"endpoint/{name}", address
             )
         for seat in self.hosts:
-            self.worker_addresses[seat] = fleet_plan.worker_routes(
-                seat, routes, platform.workers
+            self.worker_addresses[seat] = fleet_plan.worker_addresses(
+                seat, relay_addresses, platform.workers
             )
         for host in self.hosts.values():
-            settings = fleet_plan.settings_of(
-                host, self.hosts, routes, platform, self.options
+            settings = fleet_plan.host_settings(
+                host, self.hosts, relay_addresses, platform, self.options
             )
             host.settings_path.write_bytes(msgspec.json.encode(settings))
         for host in self.hosts.values():
-            host.caller_address = routes.get(
+            host.caller_address = relay_addresses.get(
                 f"caller/{host.seat}", host.caller_address
             )
         if self.options.delays:
@@ -199,22 +199,24 @@
         """Changes one host list entry; hosts see it after the list's lag."""
         for seat, stand_in in self.host_lists.items():
             addresses = self.worker_addresses[seat]
-            lines = self.deployment.listed_workers(addresses)
-            lines += self.deployment.listed_endpoints(self.endpoint_addresses)
-            found = [
-                one for one in lines if (one.kind, one.name) == (kind, name)
+            listed = self.deployment.listed_workers(addresses)
+            listed += self.deployment.listed_endpoints(self.endpoint_addresses)
+            matching = [
+                host
+                for host in listed
+                if (host.kind, host.name) == (kind, name)
             ]
-            if not found:
+            if not matching:
                 raise fleet_plan.FleetError(
                     f"the host list has no {kind} {name!r}"
                 )
-            changed = attrs.evolve(found[0], **changes)
+            changed = attrs.evolve(matching[0], **changes)
             stand_in.control(put=[attrs.asdict(changed)])
 
     # Entry hosts.
 
     def start_host(self, seat: str) -> fleet_plan.Host:
-        """Starts a process in an empty seat without waiting for readiness."""
+        """Starts a process in an empty seat; doesn't wait until it is ready."""
         host = self.hosts[seat]
         if host.process is not None and host.process.exit_code is None:
             raise fleet_plan.FleetError(
@@ -254,7 +256,7 @@
         return process
 
     def _stop_hosts(self) -> None:
-        started = [one.process for one in self.hosts.values() if one.process]
+        started = [host.process for host in self.hosts.values() if host.process]
         for process in started:
             process.send_signal(signal.SIGCONT)
             process.send_signal(signal.SIGTERM)
@@ -299,7 +301,9 @@
         self, ticket: dict[str, Any], seat: str | None = None
     ) -> client_module.Answer:
         """Submits a ticket through one host."""
-        return self.client.post_json(self._operator(seat), "/tickets", ticket)
+        return self.client.post_json(
+            self._operator_address(seat), "/tickets", ticket
+        )
 
     def apply_first_ticket(self, number: int = 1) -> None:
         """Submits the first ticket and waits until all hosts applied it."""
@@ -313,7 +317,7 @@
             )
         self.wait_until(
             self._all_hosts_configured,
-            "first ticket applied by all hosts",
+            "all hosts have applied the first ticket",
             APPLY_TIMEOUT_S,
         )
 
@@ -332,17 +336,17 @@
         self, job: dict[str, Any], seat: str | None = None
     ) -> client_module.Answer:
         """Submits a job through one host."""
-        return self.client.post_json(self._operator(seat), "/jobs", job)
+        return self.client.post_json(self._operator_address(seat), "/jobs", job)
 
     def job(self, name: str, seat: str | None = None) -> client_module.Answer:
-        """Returns one host's answer about a job."""
-        return self.client.get(self._operator(seat), f"/jobs/{name}")
+        """Requests a job's page from one host."""
+        return self.client.get(self._operator_address(seat), f"/jobs/{name}")
 
     def cancel_job(
         self, name: str, seat: str | None = None
     ) -> client_module.Answer:
         """Cancels a job through one host."""
-        return self.client.delete(self._operator(seat), f"/jobs/{name}")
+        return self.client.delete(self._operator_address(seat), f"/jobs/{name}")
 
     def status(self, seat: str) -> dict[str, Any]:
         """Returns the status page of a host."""
@@ -363,28 +367,28 @@
             **options,
         )
 
-    def _operator(self, seat: str | None) -> str:
+    def _operator_address(self, seat: str | None) -> str:
         chosen = next(iter(self.hosts)) if seat is None else seat
         return self.hosts[chosen].operator_address
 
     # Journals of the stand-ins.
 
     def endpoint_events(self) -> list[endpoint_stand_in.EndpointEvent]:
-        """Returns every request that reached an endpoint."""
+        """Returns the journal of all requests that reached an endpoint."""
         events: list[endpoint_stand_in.EndpointEvent] = self.endpoints.journal(
             endpoint_stand_in.EndpointEvent
         )
         return events
 
     def worker_events(self) -> list[worker_records.WorkerEvent]:
-        """Returns every event on the workers."""
+        """Returns the journal of all events on the workers."""
         events: list[worker_records.WorkerEvent] = self.workers.journal(
             worker_records.WorkerEvent
         )
         return events
 
     def log_events(self) -> list[log_stand_in.LogEvent]:
-        """Returns every append that reached the log."""
+        """Returns the journal of all appends that reached the log."""
         events: list[log_stand_in.LogEvent] = self.log.journal(
             log_stand_in.LogEvent
         )
--- a/testing/fleet_plan.py
+++ b/testing/fleet_plan.py
@@ -127,7 +127,7 @@
 
 @attrs.frozen
 class PlatformAddresses:
-    """Addresses of the platform stand-ins; those of host lists are by seat."""
+    """Addresses of the platform stand-ins; host lists are keyed by seat."""
 
     log: str
     host_lists: Mapping[str, str]
@@ -168,40 +168,41 @@
     return targets
 
 
-def worker_routes(
-    seat: str, routes: Mapping[str, str], workers: Mapping[str, str]
+def worker_addresses(
+    seat: str, relay_addresses: Mapping[str, str], workers: Mapping[str, str]
 ) -> dict[str, str]:
     """Returns the address at which a seat's host reaches each worker."""
     return {
-        name: routes.get(
-            f"worker/{seat}/{name}", routes.get(f"worker/{name}", address)
+        name: relay_addresses.get(
+            f"worker/{seat}/{name}",
+            relay_addresses.get(f"worker/{name}", address),
         )
         for name, address in workers.items()
     }
 
 
 def _targets_by_name(kind: str, addresses: Mapping[str, str]) -> dict[str, str]:
-    return {f"{kind}/{name}": at for name, at in addresses.items()}
+    return {f"{kind}/{name}": address for name, address in addresses.items()}
 
 
 def _peer_targets(hosts: Mapping[str, Host]) -> dict[str, str]:
     return {
-        peer_route(one, other): other.peer_address
-        for one in hosts.values()
-        for other in hosts.values()
-        if other is not one
+        peer_relay_name(source, target): target.peer_address
+        for source in hosts.values()
+        for target in hosts.values()
+        if target is not source
     }
 
 
-def peer_route(one: Host, other: Host) -> str:
+def peer_relay_name(source: Host, target: Host) -> str:
     """Returns the name of the relay from one host to another."""
-    return f"peer/{one.zone}/{one.seat}/{other.zone}/{other.seat}"
+    return f"peer/{source.zone}/{source.seat}/{target.zone}/{target.seat}"
 
 
-def settings_of(
+def host_settings(
     host: Host,
     hosts: Mapping[str, Host],
-    routes: Mapping[str, str],
+    relay_addresses: Mapping[str, str],
     platform: PlatformAddresses,
     options: FleetOptions,
 ) -> settings_module.Settings:
@@ -210,8 +211,8 @@
         settings_module.PeerSettings(
             seat=other.seat,
             zone=other.zone,
-            peer_address=routes.get(
-                peer_route(host, other), other.peer_address
+            peer_address=relay_addresses.get(
+                peer_relay_name(host, other), other.peer_address
             ),
         )
         for other in hosts.values()
@@ -224,8 +225,8 @@
         operator_address=host.operator_address,
         peer_address=host.peer_address,
         platform=settings_module.PlatformSettings(
-            log_address=routes.get(f"log/{host.seat}", platform.log),
-            host_list_address=routes.get(
+            log_address=relay_addresses.get(f"log/{host.seat}", platform.log),
+            host_list_address=relay_addresses.get(
                 f"list/{host.seat}", platform.host_lists[host.seat]
             ),
         ),
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -134,7 +134,7 @@
             callers=12,
             idempotent_share=0.0,
             work_ms=20.0,
-            repeats=3,
+            max_retries=3,
         )
         with callers.Callers(running, load) as sending:
             for victim in (seats[0], seats[2], seats[5]):
