--- a/testing/bench_in_force.py
+++ b/testing/bench_in_force.py
@@ -53,14 +53,14 @@
     everywhere_ms: list[float] = []
     for number in range(first_number, first_number + tickets):
         value = samples.ticket(number, samples.zone(f"zone-{number}"))
-        started = time.monotonic()
+        started_s = time.monotonic()
         answer = running.submit_ticket(value, seat)
-        answered_ms.append((time.monotonic() - started) * 1_000)
+        answered_ms.append((time.monotonic() - started_s) * 1_000)
         offset = answer.json()["offset"]
         for other in running.hosts:
             while running.status(other)["host"]["config_offset"] < offset:
                 time.sleep(POLL_S)
-        everywhere_ms.append((time.monotonic() - started) * 1_000)
+        everywhere_ms.append((time.monotonic() - started_s) * 1_000)
     answered_ms.sort()
     everywhere_ms.sort()
     return InForceLine(
--- a/testing/bench_tickets.py
+++ b/testing/bench_tickets.py
@@ -126,7 +126,7 @@
         for thread in threads:
             thread.join()
     elapsed_us.sort()
-    kept = len(log.payloads("config"))
+    record_count = len(log.payloads("config"))
     return SubmitLine(
         callers=callers,
         append_ms=append_ms,
@@ -136,7 +136,7 @@
         p50_us=elapsed_us[len(elapsed_us) // 2],
         p99_us=elapsed_us[len(elapsed_us) * 99 // 100],
         appends=log.appends["config"],
-        records_per_append=round(kept / log.appends["config"], 2),
+        records_per_append=round(record_count / log.appends["config"], 2),
     )
 
 
@@ -148,27 +148,27 @@
     versions = [1] * endpoints
     values: list[dict[str, Any]] = []
     for number in range(ticket_count):
-        chosen = rng.randrange(endpoints)
-        change = _endpoint(chosen, versions[chosen])
-        versions[chosen] += 1
+        endpoint = rng.randrange(endpoints)
+        change = _endpoint(endpoint, versions[endpoint])
+        versions[endpoint] += 1
         values.append(samples.ticket(10_000 + number, change))
     started_ns = time.perf_counter_ns()
     for index, value in enumerate(values):
         fold.apply(10_000 + index, ENVELOPE, tickets.TicketRecord(value))
     fold_us = (time.perf_counter_ns() - started_ns) // 1_000 // ticket_count
     started_ns = time.perf_counter_ns()
-    taken = snapshots.StreamSnapshot(
+    snapshot = snapshots.StreamSnapshot(
         "config",
         10_000 + ticket_count,
         fold.digest(),
         writers.WriterTable().positions(),
         fold.snapshot(),
     )
-    chunks = snapshots.split(taken)
+    chunks = snapshots.split(snapshot)
     snapshot_ms = (time.perf_counter_ns() - started_ns) / 1e6
     started_ns = time.perf_counter_ns()
     restored = configuration_fold.ConfigurationFold()
-    restored.restore(taken.offset, snapshots.join(chunks).unwrap().fold)
+    restored.restore(snapshot.offset, snapshots.join(chunks).unwrap().fold)
     restore_ms = (time.perf_counter_ns() - started_ns) / 1e6
     assert restored.digest() == fold.digest()
     return FoldLine(
@@ -176,7 +176,7 @@
         fold_us=fold_us,
         snapshot_ms=round(snapshot_ms, 1),
         restore_ms=round(restore_ms, 1),
-        snapshot_bytes=len(snapshots.encode(taken)),
+        snapshot_bytes=len(snapshots.encode(snapshot)),
         chunks=len(chunks),
     )
 
--- a/testing/job_load.py
+++ b/testing/job_load.py
@@ -77,12 +77,12 @@
         self._load = load
         self._name = name
         self._rng = random.Random(f"{load.seed}/{name}")
-        self._turn = itertools.count()
+        self._call_numbers = itertools.count()
         self._unconfirmed: collections.deque[dict[str, Any]] = (
             collections.deque()
         )
         self._stop = threading.Event()
-        self._count = itertools.count(1)
+        self._job_numbers = itertools.count(1)
         self._lock = threading.Lock()
         self._threads = [
             threading.Thread(target=self._run) for _ in range(THREADS)
@@ -114,11 +114,11 @@
         pause_s = self._load.pause_ms / 1_000 * THREADS
         while not self._stop.wait(pause_s):
             with self._lock:
-                count = next(self._count)
-                job = self._make_job(count)
+                number = next(self._job_numbers)
+                job = self._make_job(number)
             self._submit(job, sent_before=False)
             every = self._load.burst_every
-            if every and count % every == 0:
+            if every and number % every == 0:
                 self._cancel_some()
 
     def _resubmit_unconfirmed(self) -> None:
@@ -126,13 +126,13 @@
             if self._unconfirmed:
                 self._submit(self._unconfirmed.popleft(), sent_before=True)
 
-    def _make_job(self, count: int) -> dict[str, Any]:
+    def _make_job(self, number: int) -> dict[str, Any]:
         rng = self._rng
         urgent = rng.random() < self._load.urgent_share
         always_fails = rng.random() < self._load.failing_share
         teams = self._fleet.deployment.teams
         return {
-            "id": f"{self._name}-{count}",
+            "id": f"{self._name}-{number}",
             "team": teams[0] if urgent else rng.choice(teams),
             "job_class": worker_model.FAILING_JOB_MARKER
             if always_fails
@@ -152,7 +152,7 @@
         self, method: str, path: str, body: bytes | None = None
     ) -> client.Answer:
         seats = self._load.seats
-        seat = seats[next(self._turn) % len(seats)]
+        seat = seats[next(self._call_numbers) % len(seats)]
         address = self._fleet.hosts[seat].operator_address
         return self._fleet.client.call(
             method, f"http://{address}{path}", body, timeout_s=ANSWER_TIMEOUT_S
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -178,25 +178,25 @@
             break
     rng = random.Random(1)
     rounds: list[float] = []
-    done = 0
-    while done < starts:
+    starts_done = 0
+    while starts_done < starts:
         rng.shuffle(running)
-        ending = [running.pop() for _ in range(8)]
+        ending_jobs = [running.pop() for _ in range(8)]
         while bench.scheduling.scheduler.queued < QUEUED_JOBS:
             bench.submit()
             bench.sync()
         started_s = time.process_time()
-        for job in ending:
+        for job in ending_jobs:
             bench.end(job)
         bench.sync()
         placed = bench.place()
         spent_us = (time.process_time() - started_s) * 1e6
         running.extend(placed)
-        rounds.append(spent_us / len(ending))
-        done += len(ending)
+        rounds.append(spent_us / len(ending_jobs))
+        starts_done += len(ending_jobs)
     return Cost(
         workers=count,
-        starts=done,
+        starts=starts_done,
         mean_us=statistics.fmean(rounds),
         p99_us=statistics.quantiles(rounds, n=100)[98],
         running=len(running),
--- a/testing/relay.py
+++ b/testing/relay.py
@@ -91,7 +91,7 @@
         self._random = random.Random(f"{seed}/{spec.name}")
 
     async def start(self) -> None:
-        """Starts to listen."""
+        """Starts to listen and sets the address."""
         server = await asyncio.start_server(
             self._serve, serving.LOOPBACK, self.spec.port, limit=CHUNK_BYTES
         )
@@ -110,8 +110,8 @@
             target_reader, target_writer = await asyncio.open_connection(
                 ip, int(port), limit=CHUNK_BYTES
             )
-            _no_delay(writer)
-            _no_delay(target_writer)
+            _disable_nagle(writer)
+            _disable_nagle(target_writer)
             async with asyncio.TaskGroup() as group:
                 self._forward(group, reader, target_writer, to_target=True)
                 self._forward(group, target_reader, writer, to_target=False)
@@ -134,11 +134,11 @@
         group.create_task(self._receive(reader, queue))
         group.create_task(self._send(queue, writer, to_target))
 
-    async def _wait_while(self, stalled: Any) -> None:
-        while stalled():
+    async def _wait_while(self, condition: Any) -> None:
+        while condition():
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _blocked(self, to_target: bool) -> bool:
+    def _is_blocked(self, to_target: bool) -> bool:
         faults = self.faults
         if faults.cut or faults.half_open:
             return True
@@ -176,10 +176,10 @@
             left_s = due_s - loop.time()
             if left_s > 0:
                 await asyncio.sleep(left_s)
-            if chunk and self._blocked(to_target):
+            if chunk and self._is_blocked(to_target):
                 text = chunk[:HELD_TEXT_BYTES].decode("latin-1")
                 self._journal.add(HeldChunk(self.spec.name, to_target, text))
-            await self._wait_while(lambda: self._blocked(to_target))
+            await self._wait_while(lambda: self._is_blocked(to_target))
             if not chunk:
                 writer.write_eof()
                 return
@@ -206,7 +206,7 @@
         return chunk
 
 
-def _no_delay(writer: asyncio.StreamWriter) -> None:
+def _disable_nagle(writer: asyncio.StreamWriter) -> None:
     writer.get_extra_info("socket").setsockopt(
         socket.IPPROTO_TCP, socket.TCP_NODELAY, 1
     )
@@ -231,7 +231,7 @@
         return {relay.spec.name: relay.address for relay in self._relays}
 
     def control(self, change: dict[str, Any]) -> dict[str, int]:
-        """Sets faults of all relays that match; returns their number."""
+        """Sets faults of all relays that match and returns their number."""
         pattern = change.pop("relay")
         matched = 0
         for relay in self._relays:
--- a/testing/stream_history.py
+++ b/testing/stream_history.py
@@ -1,7 +1,7 @@
 """Runs hosts that share one stream through faults and checks invariants.
 
-No thread runs: every step of an appender or a follower is an action, so that
-a history of actions is reproducible.
+There are no threads: every step of an appender or a follower is an action, so
+that a history of actions is reproducible.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
 
 
 class InvariantViolationError(AssertionError):
-    """An invariant doesn't hold."""
+    """An invariant of the stream doesn't hold."""
 
 
 @attrs.define
@@ -211,15 +211,15 @@
 
     def _snapshot(self, host: _Host) -> None:
         """Publishes a snapshot and expires the records that it covers."""
-        taken = host.follower.snapshot()
-        if taken.offset < 0:
+        snapshot = host.follower.snapshot()
+        if snapshot.offset < 0:
             return
         chunks = [
-            records.encode("publisher", taken.offset * 1_000 + index, chunk)
-            for index, chunk in enumerate(snapshots.split(taken))
+            records.encode("publisher", snapshot.offset * 1_000 + index, chunk)
+            for index, chunk in enumerate(snapshots.split(snapshot))
         ]
         self.log.put(snapshot_stream.name_of(STREAM), chunks)
-        self.log.expire_below(STREAM, taken.offset + 1)
+        self.log.expire_below(STREAM, snapshot.offset + 1)
 
     def _recover(self) -> None:
         self.log.down = False
@@ -231,10 +231,12 @@
                 host.follower.step()
             if self._has_converged():
                 return
-        raise InvariantViolationError("the hosts do not converge")
+        raise InvariantViolationError(
+            "the hosts don't converge after all faults are cleared"
+        )
 
     def _has_converged(self) -> bool:
-        """Whether every append has an outcome and all hosts are at the head."""
+        """Whether all appends have an outcome and all hosts are at the head."""
         head = len(self.log.payloads(STREAM)) - 1
         return all(
             host.follower.offset() == head
@@ -263,17 +265,19 @@
             case result.Ok(streams.Appended(offset)):
                 if times != 1:
                     raise InvariantViolationError(
-                        f"{note} kept, but folded {times} times"
+                        f"note {note} was appended, but folded {times} times"
                     )
                 if self.log.payloads(STREAM)[offset] != pending.payloads[0]:
                     raise InvariantViolationError(
-                        f"{note} is not at offset {offset}"
+                        f"note {note} is not at the reported offset {offset}"
                     )
             case result.Err(streams.NotAccepted()):
                 if times != 0:
-                    raise InvariantViolationError(f"{note} refused, but folded")
+                    raise InvariantViolationError(
+                        f"note {note} was refused, but folded"
+                    )
             case _:
                 if times > 1:
                     raise InvariantViolationError(
-                        f"{note} folded {times} times"
+                        f"note {note} was folded {times} times"
                     )
