--- a/testing/fakes/cell_workers.py
+++ b/testing/fakes/cell_workers.py
@@ -47,7 +47,7 @@
     """Implements `WorkerOrders`; tasks run until a test ends them.
 
     Attributes:
-        is_unreachable: Orders fail without being executed.
+        is_unreachable: While set, orders fail without being executed.
         starts: Every start order executed.
         deadlines_ms: Lease deadlines received.
     """
--- a/testing/fakes/http_server.py
+++ b/testing/fakes/http_server.py
@@ -71,8 +71,8 @@
 
 def reply(status: int, body: bytes, length: int | None = None) -> Answer:
     """Answers with a status and a body; `length` overrides Content-Length."""
-    shown = len(body) if length is None else length
-    head = f"HTTP/1.1 {status} X\r\nContent-Length: {shown}\r\n\r\n"
+    content_length = len(body) if length is None else length
+    head = f"HTTP/1.1 {status} X\r\nContent-Length: {content_length}\r\n\r\n"
     return lambda connection: connection.sendall(head.encode() + body)
 
 
--- a/testing/fakes/record_store.py
+++ b/testing/fakes/record_store.py
@@ -26,7 +26,7 @@
     """Implements `RecordStore`.
 
     Attributes:
-        is_down: Calls fail without effect.
+        is_down: While set, calls fail without effect.
         lose_answers: Number of next appends that take effect but report a
             lost answer.
         timeouts_ms: Timeout of each append.
@@ -64,7 +64,7 @@
             if at_offset is not None and at_offset != end:
                 return result.Err(store_port.EndOffsetMismatch(end))
             if producer is not None:
-                refused = _check(stored, producer, bool(records))
+                refused = _check_producer(stored, producer, bool(records))
                 if refused is not None:
                     return refused
                 repeat = stored.answers.get(
@@ -122,11 +122,15 @@
             if self.is_down:
                 return result.Err(store_port.StoreUnavailable("down"))
             stored = self._partition(topic, partition)
-            newest = {record.key: record for record in stored.records}
-            found = [one for one in newest.values() if one.value is not None]
-            found.sort(key=lambda record: record.offset)
+            newest_by_key = {record.key: record for record in stored.records}
+            retained = [
+                record
+                for record in newest_by_key.values()
+                if record.value is not None
+            ]
+            retained.sort(key=lambda record: record.offset)
             end = len(stored.records)
-            return result.Ok(store_port.StoreBatch(tuple(found), end, end))
+            return result.Ok(store_port.StoreBatch(tuple(retained), end, end))
 
     def expire(self, topic: str, partition: int) -> None:
         """Expires all records for `read`; `newest` still returns them."""
@@ -141,7 +145,7 @@
         return [record.key for record in stored.records]
 
 
-def _check(
+def _check_producer(
     stored: _Partition, producer: store_port.Producer, has_records: bool
 ) -> result.Err[store_port.AppendError] | None:
     """Checks the epoch and sequence; returns the error of a refused append."""
--- a/testing/fakes/tickets.py
+++ b/testing/fakes/tickets.py
@@ -37,11 +37,11 @@
     name: str, service_name: str, zone_name: str, replaces: int = 0
 ) -> dict[str, Any]:
     """Returns a change that sets an endpoint; the name gives its address."""
-    spread = zlib.crc32(name.encode())
-    port = 1_024 + spread % 60_000
+    name_hash = zlib.crc32(name.encode())
+    port = 1_024 + name_hash % 60_000
     state = {
         "service": service_name,
         "zone": zone_name,
-        "address": f"127.0.{spread >> 24}.1:{port}",
+        "address": f"127.0.{name_hash >> 24}.1:{port}",
     }
     return change("endpoint", name, replaces, state)
--- a/testing/fakes/workers.py
+++ b/testing/fakes/workers.py
@@ -50,7 +50,7 @@
 
 @final
 class FakeWorker:
-    """Follows docs/PLATFORM.md, but accepts tasks beyond its capacity.
+    """Behaves as in docs/PLATFORM.md, but starts tasks beyond its capacity.
 
     Attributes:
         checks_term: Whether it refuses exchanges with a lower term.
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -413,15 +413,15 @@
         self.job_appender.append([job_records.JobCancelled(job)], 0)
 
     def state(self, job: str) -> job_state.JobState:
-        """Returns a job's state as seen by the first host not cut off."""
-        reached = [
+        """Returns a job's state in the fold of the first host not cut off."""
+        connected = [
             host for host in self.hosts if host.name not in self.stream.cut
         ]
-        host = (reached or self.hosts)[0]
+        host = (connected or self.hosts)[0]
         host.follower.read()
-        found = host.fold.job(job)
-        assert found is not None, f"job {job} is unknown"
-        return found
+        state = host.fold.job(job)
+        assert state is not None, f"job {job} is unknown"
+        return state
 
     def running(self) -> dict[str, str]:
         """Returns the worker of each running job."""
--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -198,9 +198,13 @@
             return left > 0
 
     def _work_ms(self, call: serving.Call) -> float:
-        asked = call.headers.get("X-Work-Ms")
+        requested_work = call.headers.get("X-Work-Ms")
         try:
-            work_ms = float(asked) if asked else self._sample_work_ms()
+            work_ms = (
+                float(requested_work)
+                if requested_work
+                else self._sample_work_ms()
+            )
         except ValueError:
             work_ms = self._sample_work_ms()
         return min(max(work_ms, 0.0) * self.faults.slow, MAX_WORK_MS)
--- a/testing/standins/log.py
+++ b/testing/standins/log.py
@@ -97,7 +97,7 @@
         self.journal = serving.Journal()
         self._changed = threading.Condition()
         self._streams: dict[str, Stream] = collections.defaultdict(Stream)
-        self._recent: collections.deque[float] = collections.deque()
+        self._recent_appends_ms: collections.deque[float] = collections.deque()
 
     def control(self, change: dict[str, Any]) -> dict[str, Any]:
         """Sets faults by name; raises TypeError for unknown names."""
@@ -169,11 +169,14 @@
         self.journal.add(LogEvent(at_ms, kind, stream, offset, count, size))
 
     def _within_rate(self, now_ms: float) -> bool:
-        while self._recent and self._recent[0] <= now_ms - 1_000:
-            self._recent.popleft()
-        if len(self._recent) >= self.faults.appends_per_second:
+        while (
+            self._recent_appends_ms
+            and self._recent_appends_ms[0] <= now_ms - 1_000
+        ):
+            self._recent_appends_ms.popleft()
+        if len(self._recent_appends_ms) >= self.faults.appends_per_second:
             return False
-        self._recent.append(now_ms)
+        self._recent_appends_ms.append(now_ms)
         return True
 
     def _expire(self, stream: Stream, now_ms: float) -> None:
@@ -213,15 +216,15 @@
         return serving.json_reply(410, {"first": lowest})
     start = first - lowest
     stop = min(start + max_records, len(stream.records))
-    found = [stream.records[index] for index in range(start, stop)]
+    batch = [stream.records[index] for index in range(start, stop)]
     return serving.json_reply(
         200,
         {
             "first": lowest,
-            "next": found[-1].offset + 1 if found else stream.next_offset,
+            "next": batch[-1].offset + 1 if batch else stream.next_offset,
             "records": [
                 {"offset": record.offset, "payload": record.payload}
-                for record in found
+                for record in batch
             ],
         },
     )
--- a/testing/standins/platform.py
+++ b/testing/standins/platform.py
@@ -30,7 +30,7 @@
     """Serves an in-memory record store over HTTP.
 
     Attributes:
-        kept: The records.
+        memory_store: Store that holds the records.
         page_size: Maximum number of items on a page of newest records.
     """
 
@@ -39,7 +39,7 @@
         self.page_size = 500
 
     def serve(self) -> http_server.HttpServer:
-        """Returns an HTTP server for it on a free port."""
+        """Returns an HTTP server for this stand-in on a free port."""
         return http_server.HttpServer(
             "127.0.0.1:0", self.handle, THREADS, MAX_BODY_BYTES
         )
@@ -70,7 +70,7 @@
         match self.memory_store.append(
             topic,
             part,
-            _records(request.body),
+            _decode_records(request.body),
             at_offset=at_offset,
             producer=producer,
         ):
@@ -135,16 +135,16 @@
         )
 
 
-def _records(body: bytes) -> list[store_port.NewRecord]:
-    found = []
+def _decode_records(body: bytes) -> list[store_port.NewRecord]:
+    records = []
     while body:
         (length,) = struct.unpack_from(">I", body)
         content, body = body[4 : 4 + length], body[4 + length :]
         key = content[1 : 1 + content[0]].decode()
-        found.append(
+        records.append(
             store_port.NewRecord(key, content[1 + content[0] :] or None)
         )
-    return found
+    return records
 
 
 @final
@@ -155,7 +155,7 @@
         self.worker = worker
 
     def serve(self) -> http_server.HttpServer:
-        """Returns an HTTP server for it on a free port."""
+        """Returns an HTTP server for this stand-in on a free port."""
         return http_server.HttpServer(
             "127.0.0.1:0", self.handle, THREADS, MAX_BODY_BYTES
         )
@@ -208,8 +208,8 @@
                         "ClockMs": answer.clock_ms,
                         "born": self.worker.entry.born_ms,
                         "Running": [
-                            [one.task, one.run, "", one.percent, 0]
-                            for one in answer.running
+                            [task.task, task.run, "", task.percent, 0]
+                            for task in answer.running
                         ],
                         "Ended": [
                             [end.number, end.task, end.run, end.how, ""]
--- a/testing/standins/serving.py
+++ b/testing/standins/serving.py
@@ -318,9 +318,9 @@
         return json_reply(200, {} if answer is None else answer)
 
 
-def announce(**ports: Any) -> None:
+def announce(**fields: Any) -> None:
     """Prints the JSON line that signals readiness to the parent process."""
-    print(json.dumps(ports), flush=True)
+    print(json.dumps(fields), flush=True)
 
 
 def wait_for_stop() -> None:
--- a/testing/standins/worker_codec.py
+++ b/testing/standins/worker_codec.py
@@ -37,7 +37,7 @@
         quoted_report=header.quoted_report,
         lease_ms=header.lease_ms,
         commands=tuple(
-            _decode_command(one) for one in raw.get("commands") or ()
+            _decode_command(command) for command in raw.get("commands") or ()
         ),
     )
 
--- a/testing/standins/worker_model.py
+++ b/testing/standins/worker_model.py
@@ -55,7 +55,7 @@
     time_factors: Mapping[str, float] = attrs.field(factory=dict)
 
     def pair_slowdown(self, victim: str, aggressor: str) -> float:
-        """Returns a victim's slowdown when an aggressor uses the whole host."""
+        """Returns a victim's slowdown by an aggressor that fills the worker."""
         return _pair_slowdown(self.seed, victim, aggressor)
 
     def size_factor(self, job_class: str) -> float:
@@ -81,24 +81,24 @@
 ) -> dict[str, float]:
     """Returns the slowdown of each workload by name; 1 when alone."""
     all_workloads = tuple(workloads)
-    used = sum(one.processors_milli for one in all_workloads)
+    used = sum(workload.processors_milli for workload in all_workloads)
     contention = max(1.0, used / max(capacity_milli, 1))
     load_by_class: dict[str, float] = {}
-    for one in all_workloads:
-        load = one.processors_milli / max(capacity_milli, 1)
-        load_by_class[one.job_class] = (
-            load_by_class.get(one.job_class, 0.0) + load
+    for workload in all_workloads:
+        load = workload.processors_milli / max(capacity_milli, 1)
+        load_by_class[workload.job_class] = (
+            load_by_class.get(workload.job_class, 0.0) + load
         )
-    found = {}
-    for one in all_workloads:
-        own = one.processors_milli / max(capacity_milli, 1)
+    slowdown_by_name = {}
+    for workload in all_workloads:
+        own_load = workload.processors_milli / max(capacity_milli, 1)
         extra = sum(
-            model.pair_slowdown(one.job_class, job_class)
-            * (load - own if job_class == one.job_class else load)
+            model.pair_slowdown(workload.job_class, job_class)
+            * (load - own_load if job_class == workload.job_class else load)
             for job_class, load in load_by_class.items()
         )
-        found[one.name] = contention * (1.0 + max(extra, 0.0))
-    return found
+        slowdown_by_name[workload.name] = contention * (1.0 + max(extra, 0.0))
+    return slowdown_by_name
 
 
 def add(left: workers.Resources, right: workers.Resources) -> workers.Resources:
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -46,7 +46,9 @@
         self._samples: collections.deque[UsageSample] = collections.deque()
         self._reported_ms = 0.0
         self.fail_all = False
-        self.service_load = {one.service: one.load for one in spec.services}
+        self.service_load = {
+            service.service: service.load for service in spec.services
+        }
 
     def get(self, key: records.TaskKey) -> records.Task | None:
         """Returns the attempt if it runs or ended recently."""
@@ -90,8 +92,8 @@
     def used(self) -> workers.Resources:
         """Returns the sum of the declared sizes of services and attempts."""
         total = workers.Resources(0, 0, 0)
-        for one in self._spec.services:
-            total = models.add(total, one.resources)
+        for service in self._spec.services:
+            total = models.add(total, service.resources)
         for task in self.running():
             total = models.add(total, task.start.resources)
         return total
@@ -131,7 +133,7 @@
             self.end(task, workers.TaskState.FINISHED, "finished", now_ms)
 
     def enforce_memory_limit(self, now_ms: float) -> None:
-        """Fails attempts furthest above their size until memory suffices."""
+        """Fails attempts furthest above their declared size until all fit."""
         while self._spec.guards:
             running = self.running()
             used_mib = self._memory_mib(running)
@@ -147,7 +149,7 @@
     def _memory_mib(self, running: list[records.Task]) -> float:
         tasks_mib = sum(self._real_memory_mib(task) for task in running)
         return tasks_mib + sum(
-            one.resources.memory_mib for one in self._spec.services
+            service.resources.memory_mib for service in self._spec.services
         )
 
     def _real_memory_mib(self, task: records.Task) -> float:
@@ -162,12 +164,12 @@
     def _workloads(self) -> list[models.Workload]:
         services = [
             models.Workload(
-                one.service,
-                one.service,
-                one.resources.processors_milli
-                * self.service_load.get(one.service, one.load),
+                service.service,
+                service.service,
+                service.resources.processors_milli
+                * self.service_load.get(service.service, service.load),
             )
-            for one in self._spec.services
+            for service in self._spec.services
         ]
         tasks = [
             models.Workload(
@@ -227,14 +229,14 @@
     def take_due_usage(self, now_ms: float) -> tuple[workers.Usage, ...]:
         """Returns the unreported samples that are old enough to report."""
         due = [
-            one
-            for one in self._samples
-            if one.at_ms > self._reported_ms
-            and one.at_ms <= now_ms - self._spec.usage_lag_ms
+            sample
+            for sample in self._samples
+            if sample.at_ms > self._reported_ms
+            and sample.at_ms <= now_ms - self._spec.usage_lag_ms
         ]
         if due:
             self._reported_ms = due[-1].at_ms
         return tuple(
-            attrs.evolve(one.usage, age_ms=int(now_ms - one.at_ms))
-            for one in due
+            attrs.evolve(sample.usage, age_ms=int(now_ms - sample.at_ms))
+            for sample in due
         )
