--- a/testing/capacity/__main__.py
+++ b/testing/capacity/__main__.py
@@ -9,8 +9,8 @@
 
 def main() -> None:
     """Measures the slopes, computes the costs and prints the page."""
-    worked_out = model.Model(costs.DesignSize(), model.measure())
-    print(report.page(worked_out), end="")
+    cost_model = model.Model(costs.DesignSize(), model.measure())
+    print(report.page(cost_model), end="")
 
 
 if __name__ == "__main__":
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -57,10 +57,10 @@
     """Measures all slopes of batch work."""
     name = "jobs kept by the zone's fold"
     return BatchSlopes(
-        queued_bytes=_memory(f"{name}, queued", _queued),
-        running_bytes=_memory(f"{name}, running", _running),
-        ended_bytes=_memory(f"{name}, ended", _ended),
-        scheduling_state_bytes=_memory(
+        queued_bytes=_fit_memory(f"{name}, queued", _queued),
+        running_bytes=_fit_memory(f"{name}, running", _running),
+        ended_bytes=_fit_memory(f"{name}, ended", _ended),
+        scheduling_state_bytes=_fit_memory(
             "owner's queue and ledgers", _populated_scheduling_state
         ),
         record_us=slope.fit(
@@ -84,7 +84,7 @@
     )
 
 
-def _memory(name: str, build: object) -> slope.Slope:
+def _fit_memory(name: str, build: object) -> slope.Slope:
     assert callable(build)
     return slope.fit(
         name,
@@ -114,8 +114,8 @@
     def apply_payload(self, payload: bytes) -> None:
         """Decodes and folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
-        taken = self.state.apply([entry], stream_state.EntrySource.LOG)
-        assert taken
+        applied = self.state.apply([entry], stream_state.EntrySource.LOG)
+        assert applied
 
     def fold_all(self, bodies: Iterator[object]) -> None:
         """Encodes and folds records."""
@@ -130,7 +130,7 @@
 
 
 def running_zone(count: int, worker_count: int) -> Zone:
-    """A zone whose jobs all run, distributed over its workers."""
+    """Returns a zone whose jobs all run, distributed over its workers."""
     zone = _queued(count)
     zone.fold_all(_assign(index, worker_count) for index in range(count))
     return zone
@@ -147,9 +147,10 @@
 
 
 def _record_us(running: int) -> float:
-    """Processor time per record, in microseconds.
+    """Returns the processor time per record, in microseconds.
 
-    A quarter each are admissions, assignments, checkpoints and ends.
+    A quarter of the records each are admissions, assignments, checkpoints and
+    ends.
     """
     zone = _running(running)
     jobs = 100
@@ -202,7 +203,7 @@
 def make_scheduling_state(
     worker_count: int, fold: zone_fold.ZoneFold | None = None
 ) -> scheduling_state.SchedulingState:
-    """A zone owner's scheduling state with workers and teams but no jobs."""
+    """Returns a scheduling state with workers and teams but no jobs."""
     scheduling = scheduling_state.SchedulingState(
         "zone-0",
         TERM,
@@ -212,9 +213,9 @@
         placement.Policy.PREDICTED_COST,
         metrics_module.Metrics(),
     )
-    quota = objects.Team(workers.Resources(10**9, 10**9, 0))
+    team = objects.Team(workers.Resources(10**9, 10**9, 0))
     scheduling.queue.set_teams(
-        {f"team-{index}": quota for index in range(TEAMS)}
+        {f"team-{index}": team for index in range(TEAMS)}
     )
     for index in range(worker_count):
         rack = f"rack-{index // 8}"
@@ -238,23 +239,23 @@
 
 def _start_us(worker_count: int) -> float:
     scheduling = make_scheduling_state(worker_count)
-    first = worker_count * TASKS_PER_WORKER
-    for index in range(first):
+    running = worker_count * TASKS_PER_WORKER
+    for index in range(running):
         scheduling.sync_job(job_of(index, f"worker-{index % worker_count}"), 0)
     starts = job_scheduler.MAX_STARTS_PER_ROUND
-    fresh = itertools.count(first)
+    job_numbers = itertools.count(running)
 
-    def one_round() -> None:
-        for index in itertools.islice(fresh, starts):
+    def run_round() -> None:
+        for index in itertools.islice(job_numbers, starts):
             scheduling.sync_job(job_of(index, ""), 0)
         decided = scheduling.scheduler.run_round(TERM, 4)
         assert len(decided.assigned) == starts, decided
 
-    return slope.cpu_us(one_round, 1) / starts
+    return slope.cpu_us(run_round, 1) / starts
 
 
 def job_of(index: int, worker: str) -> job_state.JobState:
-    """A job that runs on a worker, or is queued if `worker` is empty."""
+    """Returns a job that runs on a worker, or is queued if that is empty."""
     phase = job_state.JobPhase.ASSIGNED if worker else job_state.JobPhase.QUEUED
     return job_state.JobState(
         spec=_spec(index),
--- a/testing/capacity/configuration_slopes.py
+++ b/testing/capacity/configuration_slopes.py
@@ -142,51 +142,51 @@
     def apply_payload(self, payload: bytes) -> None:
         """Decodes and folds one payload."""
         entry = log_port.LogEntry(self.state.offset + 1, payload)
-        taken = self.state.apply([entry], stream_state.EntrySource.LOG)
-        assert taken
+        applied = self.state.apply([entry], stream_state.EntrySource.LOG)
+        assert applied
 
 
 def _build_routing_state(
     fold: configuration_fold.ConfigurationFold,
 ) -> list[Any]:
     clock = clock_fake.FakeClock()
-    held = shares.FixedShares(fold, "zone-0", "zone-0-1", clock, 0)
+    fixed_shares = shares.FixedShares(fold, "zone-0", "zone-0-1", clock, 0)
     table = service_state.ServiceTable(
         "zone-0",
-        held,
+        fixed_shares,
         clock,
         load_balancing.Policy.LEAST_EXPECTED,
         random.Random(1),
     )
     fold.on_change(table.apply)
-    return [held, table]
+    return [fixed_shares, table]
 
 
 def _with_tickets(count: int) -> ConfigurationReplica:
-    host = ConfigurationReplica(10)
+    replica = ConfigurationReplica(10)
     for version in range(count):
-        host.apply_ticket([_endpoint(0, ZONES, replaces=version + 1)])
-    return host
+        replica.apply_ticket([_endpoint(0, ZONES, replaces=version + 1)])
+    return replica
 
 
 def _routing_bytes(count: int) -> float:
-    routed = slope.memory_bytes(
+    with_routing = slope.memory_bytes(
         lambda: ConfigurationReplica(count, zones=1, routes=True)
     )
-    return routed - slope.memory_bytes(
+    return with_routing - slope.memory_bytes(
         lambda: ConfigurationReplica(count, zones=1)
     )
 
 
 def _change_us(count: int) -> float:
-    host = ConfigurationReplica(count, routes=True)
+    replica = ConfigurationReplica(count, routes=True)
     changes = 20
     payloads = [
-        host.payload([_endpoint(0, ZONES, replaces=version + 1)])
+        replica.payload([_endpoint(0, ZONES, replaces=version + 1)])
         for version in range(changes * slope.REPEATS)
     ]
     remaining = iter(payloads)
-    return slope.cpu_us(lambda: host.apply_payload(next(remaining)), changes)
+    return slope.cpu_us(lambda: replica.apply_payload(next(remaining)), changes)
 
 
 def _payload(number: int, changes: list[dict[str, Any]]) -> bytes:
--- a/testing/capacity/costs.py
+++ b/testing/capacity/costs.py
@@ -92,7 +92,11 @@
 
 @attrs.frozen
 class RoleCost:
-    """Costs of a role's mechanisms, and whether the role is implemented."""
+    """Costs of a role's mechanisms.
+
+    Attributes:
+        built: Whether the role is implemented, as a text for the report.
+    """
 
     role: Role
     built: str
--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -112,9 +112,9 @@
     def process(self) -> costs.MechanismCost:
         """Cost of interpreter and libraries."""
         process = self.slopes.process
-        whole_kib = process.interpreter_kib + process.libraries_kib
+        total_kib = process.interpreter_kib + process.libraries_kib
         return costs.MechanismCost(
-            "interpreter and libraries", state_kib=whole_kib
+            "interpreter and libraries", state_kib=total_kib
         )
 
     def configuration(self) -> costs.MechanismCost:
@@ -123,13 +123,13 @@
         slopes = self.slopes.configuration
         state_bytes = slopes.endpoint_bytes.at(size.endpoints)
         state_bytes += slopes.team_bytes.per_unit * size.teams
-        kept = min(configuration_fold.MAX_TICKETS, size.changes_per_day)
-        state_bytes += slopes.ticket_bytes.per_unit * kept
+        kept_tickets = min(configuration_fold.MAX_TICKETS, size.changes_per_day)
+        state_bytes += slopes.ticket_bytes.per_unit * kept_tickets
         empty_reads = MS_PER_S / CONFIG_READ_WAIT_MS
         reads = empty_reads + size.changes_per_s
         change_us = slopes.change_us.at(size.endpoints)
         read_bytes = HTTP_HEAD_BYTES + KEPT_CALL_OVERHEAD_BYTES
-        record = slopes.change_record_bytes + READ_RECORD_OVERHEAD_BYTES
+        record_bytes = slopes.change_record_bytes + READ_RECORD_OVERHEAD_BYTES
         # One copy is read from the log, another is pushed by its writer.
         copies = 2
         return costs.MechanismCost(
@@ -139,7 +139,7 @@
             cpu_us_per_s=reads * self.slopes.wire.log_read_us.at(1)
             + size.changes_per_s * change_us,
             bytes_per_s=reads * read_bytes
-            + copies * size.changes_per_s * record,
+            + copies * size.changes_per_s * record_bytes,
         )
 
     def journal(self) -> costs.MechanismCost:
@@ -259,12 +259,14 @@
         cpu_us += reads * wire.log_read_us.at(records / reads)
         overhead = records * READ_RECORD_OVERHEAD_BYTES
         overhead += reads * (HTTP_HEAD_BYTES + KEPT_CALL_OVERHEAD_BYTES)
-        moved = self.zone_bytes_per_s() + overhead
+        traffic_bytes = self.zone_bytes_per_s() + overhead
         messages = reads
         if is_owner:
             cpu_us += appends * wire.log_append_us.at(records / appends)
-            moved += self.zone_bytes_per_s()
-            moved += appends * (HTTP_HEAD_BYTES + KEPT_CALL_OVERHEAD_BYTES)
+            traffic_bytes += self.zone_bytes_per_s()
+            traffic_bytes += appends * (
+                HTTP_HEAD_BYTES + KEPT_CALL_OVERHEAD_BYTES
+            )
             messages += appends
         written = ", followed and written" if is_owner else ", followed"
         return costs.MechanismCost(
@@ -272,7 +274,7 @@
             state_kib=state_bytes / KIB,
             messages_per_s=messages,
             cpu_us_per_s=cpu_us,
-            bytes_per_s=moved,
+            bytes_per_s=traffic_bytes,
         )
 
     def _retained_ended_jobs(self) -> float:
--- a/testing/capacity/owner_slopes.py
+++ b/testing/capacity/owner_slopes.py
@@ -151,8 +151,8 @@
         attempts = scheduling.attempts.attempts_on("worker-0")
         usage.process(report, zone.fold.job, attempts, now_ms)
 
-    made_us = slope.cpu_us(lambda: wire_slopes.report(tasks), MEASURED_RUNS)
-    return max(slope.cpu_us(process_report, MEASURED_RUNS) - made_us, 0.0)
+    build_us = slope.cpu_us(lambda: wire_slopes.report(tasks), MEASURED_RUNS)
+    return max(slope.cpu_us(process_report, MEASURED_RUNS) - build_us, 0.0)
 
 
 def _host_list(worker_count: int) -> hosts.HostList:
--- a/testing/capacity/report.py
+++ b/testing/capacity/report.py
@@ -23,8 +23,7 @@
 US_PER_PERCENT = 10_000
 KB = 1_000
 
-# Possible improvements of the most expensive mechanisms, by prefix of their
-# names.
+# Possible remedies for the costs of a mechanism, by prefix of its name.
 _REMEDIES = {
     "interpreter and libraries": (
         "fewer and lighter libraries in `serve`: logbook and urllib3 load TLS "
@@ -63,12 +62,12 @@
     roles = model.roles()
     parts = [
         _introduction(),
-        _describe_size(model.size),
-        _summary(roles),
-        _missed_budgets(roles),
-        _log(model),
-        *[_role(role) for role in roles],
-        _slopes(model.slopes),
+        _size_section(model.size),
+        _roles_section(roles),
+        _missed_budgets_section(roles),
+        _log_section(model),
+        *[_role_section(role) for role in roles],
+        _slopes_section(model.slopes),
     ]
     return "\n\n".join(parts) + "\n"
 
@@ -98,7 +97,7 @@
     )
 
 
-def _describe_size(size: costs.DesignSize) -> str:
+def _size_section(size: costs.DesignSize) -> str:
     fields = attrs.asdict(size)
     stated_fields = (
         "zones",
@@ -121,12 +120,14 @@
     )
 
 
-def _summary(roles: Iterable[costs.RoleCost]) -> str:
+def _roles_section(roles: Iterable[costs.RoleCost]) -> str:
     rows = [
         (
             role.role.value,
             role.built,
-            _compare_with_budget(_bytes(role) / MB, BUDGET_BYTES / MB, "MB"),
+            _compare_with_budget(
+                _memory_bytes(role) / MB, BUDGET_BYTES / MB, "MB"
+            ),
             f"{role.total('messages_per_s'):.0f}",
             _compare_with_budget(
                 role.total("cpu_us_per_s") / US_PER_PERCENT,
@@ -139,7 +140,7 @@
         )
         for role in roles
     ]
-    head = (
+    header = (
         "role",
         "built",
         "memory (32 MB)",
@@ -147,10 +148,10 @@
         "processor (2.3% of a core)",
         "traffic (7 KB/s)",
     )
-    return "## Roles\n\n" + _table(head, rows)
+    return "## Roles\n\n" + _table(header, rows)
 
 
-def _bytes(role: costs.RoleCost) -> float:
+def _memory_bytes(role: costs.RoleCost) -> float:
     return role.total("state_kib") * KIB
 
 
@@ -159,11 +160,11 @@
     return f"{value:.1f} {unit}, {verdict}"
 
 
-def _missed_budgets(roles: Iterable[costs.RoleCost]) -> str:
+def _missed_budgets_section(roles: Iterable[costs.RoleCost]) -> str:
     lines = ["## Budgets missed today, and what would mend them", ""]
     needed_remedies: dict[str, None] = {}
     for role in roles:
-        for name, budget, what in (
+        for name, budget, resource in (
             ("state_kib", BUDGET_BYTES / KIB, "memory"),
             ("cpu_us_per_s", BUDGET_CPU_US_PER_S, "processor"),
             ("bytes_per_s", BUDGET_BYTES_PER_S, "traffic"),
@@ -180,7 +181,7 @@
                 if getattr(cost, name) > 0
             )
             lines.append(
-                f"- {role.role.value}, {what}: {total / budget:.1f} times "
+                f"- {role.role.value}, {resource}: {total / budget:.1f} times "
                 f"the budget; most of it {shares}."
             )
             needed_remedies.update(
@@ -194,14 +195,14 @@
 
 
 def find_remedy(cost: costs.MechanismCost) -> str:
-    """Key of a mechanism's remedy in `_REMEDIES`; empty if there is none."""
+    """Returns the key of a mechanism's remedy in `_REMEDIES`, or ""."""
     for prefix in _REMEDIES:
         if cost.mechanism.startswith(prefix):
             return prefix
     return ""
 
 
-def _log(model: model_module.Model) -> str:
+def _log_section(model: model_module.Model) -> str:
     size = model.size
     zone = model.zone_appends_per_s()
     total = zone * size.zones + size.changes_per_s
@@ -227,7 +228,7 @@
     )
 
 
-def _role(role: costs.RoleCost) -> str:
+def _role_section(role: costs.RoleCost) -> str:
     rows = [
         (
             cost.mechanism,
@@ -247,22 +248,22 @@
             f"{role.total('bytes_per_s') / KB:.2f}",
         )
     )
-    head = ("mechanism", "state KiB", "messages/s", "processor ms/s", "KB/s")
+    header = ("mechanism", "state KiB", "messages/s", "processor ms/s", "KB/s")
     title = f"## Role: {role.role.value}\n\nBuilt: {role.built}.\n\n"
-    return title + _table(head, rows)
+    return title + _table(header, rows)
 
 
-def _slopes(slopes: model_module.Slopes) -> str:
+def _slopes_section(slopes: model_module.Slopes) -> str:
     rows = []
     for group in attrs.astuple(slopes, recurse=False):
         for value in attrs.astuple(group, recurse=False):
             if isinstance(value, slope.Slope):
                 rows.append(_slope_row(value))
-    head = ("measured", "by", "sizes", "values", "line")
+    header = ("measured", "by", "sizes", "values", "line")
     process = slopes.process
     batch = slopes.batch
     return (
-        "## Slopes measured\n\n" + _table(head, rows) + "\n\nInterpreter "
+        "## Slopes measured\n\n" + _table(header, rows) + "\n\nInterpreter "
         f"{process.interpreter_kib:,} KiB, libraries and the program's own "
         f"modules {process.libraries_kib:,} KiB, of both "
         f"{process.private_kib:,} KiB private to the process. Records on the "
@@ -281,8 +282,8 @@
     return (line.name, line.size_unit, sizes, values, formula)
 
 
-def _table(head: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
-    titles = tuple(head)
+def _table(header: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
+    titles = tuple(header)
     lines = ["| " + " | ".join(titles) + " |", "|" + "---|" * len(titles)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join(lines)
--- a/testing/capacity/wire_slopes.py
+++ b/testing/capacity/wire_slopes.py
@@ -100,7 +100,7 @@
 
 @contextlib.contextmanager
 def _http_server(answer: Callable[[str], bytes]) -> Iterator[str]:
-    """An HTTP server that answers every call with `answer(path)`."""
+    """Runs an HTTP server that answers every call with `answer(path)`."""
 
     class Handler(http_server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
@@ -132,10 +132,12 @@
 
 
 def _read_us(records: int) -> float:
-    lines = [
+    entries = [
         {"offset": offset, "payload": PAYLOAD} for offset in range(records)
     ]
-    body = msgspec.json.encode({"first": 0, "next": records, "records": lines})
+    body = msgspec.json.encode(
+        {"first": 0, "next": records, "records": entries}
+    )
     with _http_server(lambda _: body) as host:
         with log_client.LogClient(host, TIMEOUT_MS) as log:
             return slope.cpu_us(
@@ -172,8 +174,8 @@
 
 
 def report(tasks: int) -> workers.WorkerReport:
-    """A worker's report with tasks and one usage measurement of each."""
-    lines = tuple(
+    """Returns a worker's report with tasks and a usage sample of each."""
+    statuses = tuple(
         workers.TaskStatus(
             f"stack-{index:07d}",
             1,
@@ -196,7 +198,7 @@
         highest_term=1,
         lease_left_ms=5_990,
         capacity=workers.Resources(32_000, 128_000, 0),
-        tasks=lines,
+        tasks=statuses,
         usage=(usage,),
     )
 
@@ -221,24 +223,24 @@
 
 
 def _heartbeat_us(services: int) -> HeartbeatCost:
-    listen = address.Address(LOOPBACK, 0)
+    listen_address = address.Address(LOOPBACK, 0)
     handler: Any = _HeartbeatHandler(services)
     metrics = metrics_module.Metrics()
-    with peer_server.PeerServer(listen, handler, metrics) as server:
+    with peer_server.PeerServer(listen_address, handler, metrics) as server:
         with peer_link.PeerLink(server.address, TIMEOUT_MS) as link:
 
             def call() -> None:
-                beat = _make_heartbeat(services)
-                answer = link.call(lambda c: c.heartbeat(beat), TIMEOUT_MS)
+                heartbeat = _make_heartbeat(services)
+                answer = link.call(lambda c: c.heartbeat(heartbeat), TIMEOUT_MS)
                 assert isinstance(answer, result.Ok), answer
 
             call()
-            whole_ns = time.process_time_ns()
+            total_ns = time.process_time_ns()
             sent_us = slope.cpu_us(call, CALLS_PER_REPEAT)
-            whole_ns = time.process_time_ns() - whole_ns
+            total_ns = time.process_time_ns() - total_ns
     calls = CALLS_PER_REPEAT * slope.REPEATS
-    whole_us = whole_ns / calls / slope.NS_PER_US
-    return HeartbeatCost(sent_us, max(whole_us - sent_us, 0.0))
+    total_us = total_ns / calls / slope.NS_PER_US
+    return HeartbeatCost(sent_us, max(total_us - sent_us, 0.0))
 
 
 def _heartbeat_bytes(services: int) -> float:
