--- a/testing/batch_fleet.py
+++ b/testing/batch_fleet.py
@@ -155,7 +155,7 @@
 def assert_no_violations(
     test: testtools.TestCase,
     running: fleet_module.Fleet,
-    submitted: job_load.JobSubmitter,
+    submitter: job_load.JobSubmitter,
     faulty: Collection[str] = (),
 ) -> None:
     """Waits until all jobs have ended; asserts that no rule was violated.
@@ -163,12 +163,12 @@
     Args:
         test: Test that makes the assertions.
         running: Fleet on which the jobs ran.
-        submitted: Submitter of the jobs, after its exit.
+        submitter: Submitter of the jobs, after its exit.
         faulty: Workers that died or were unreachable.
     """
     seat = next(iter(running.hosts))
-    job_checks.wait_all_ended(running, submitted, seat)
-    violations = job_checks.find_violations(running, submitted, seat, faulty)
+    job_checks.wait_all_ended(running, submitter, seat)
+    violations = job_checks.find_violations(running, submitter, seat, faulty)
     test.assertEqual([], violations)
     running.wait_until(
         lambda: hosts_agree(running),
--- a/tests/system/test_adapters.py
+++ b/tests/system/test_adapters.py
@@ -28,9 +28,9 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         path = pathlib.Path(folder.name)
-        found = processes.start_stand_in(f"standins.{name}", path, (), specs)
-        self.addCleanup(found.process.stop)
-        return found
+        stand_in = processes.start_stand_in(f"standins.{name}", path, (), specs)
+        self.addCleanup(stand_in.process.stop)
+        return stand_in
 
     def test_log_appends_and_wakes_a_waiting_reader(self) -> None:
         log = self.start("log")
@@ -42,7 +42,9 @@
             appended = client.append("s", [b"a", b"b"])
             batch = waiting.result().ok_value
         self.assertEqual(0, appended.ok_value)
-        self.assertEqual([b"a", b"b"], [one.payload for one in batch.entries])
+        self.assertEqual(
+            [b"a", b"b"], [entry.payload for entry in batch.entries]
+        )
         self.assertEqual(2, batch.next_offset)
 
     def test_log_faults_are_told_apart(self) -> None:
@@ -50,20 +52,20 @@
         client = self.enterContext(
             log_client.LogClient(log.ready["address"], TIMEOUT_MS)
         )
-        seen = []
+        errors = []
         for fault in ({"lose_after": 1}, {"lose_before": 1}, {"down": True}):
             log.control(**fault)
-            seen.append(type(client.append("s", [b"x"]).err_value))
+            errors.append(type(client.append("s", [b"x"]).err_value))
         lost = log_port.LogAnswerLost
-        self.assertEqual([lost, lost, log_port.LogUnavailable], seen)
+        self.assertEqual([lost, lost, log_port.LogUnavailable], errors)
         log.control(down=False, keep_records=1)
         client.append("s", [b"y"])
         expired = client.read("s", 0, 10, 0).err_value
         self.assertEqual(log_port.LogExpired(1), expired)
 
     def test_host_list_is_read(self) -> None:
-        listed = self.start("hosts")
-        line = {
+        host_list = self.start("hosts")
+        entry = {
             "name": "wk-1",
             "kind": "worker",
             "state": "live",
@@ -72,13 +74,15 @@
             "address": "127.0.0.1:1",
             "worker_class": "c",
         }
-        listed.control(put=[line], at_once=True)
+        host_list.control(put=[entry], at_once=True)
         client = self.enterContext(
-            host_list_client.HostListClient(listed.ready["address"], TIMEOUT_MS)
+            host_list_client.HostListClient(
+                host_list.ready["address"], TIMEOUT_MS
+            )
         )
         (host,) = client.fetch().ok_value.hosts
         self.assertEqual(hosts_port.HostKind.WORKER, host.kind)
-        listed.control(down=True)
+        host_list.control(down=True)
         self.assertTrue(client.fetch().is_err())
 
     def test_worker_runs_a_task_to_its_end(self) -> None:
@@ -107,16 +111,16 @@
             "worker", [{"name": "wk-1", "capacity": _fields(SIZE)}]
         )
         address = group.ready["addresses"]["wk-1"]
-        asked = workers.Exchange("h", 1, 0, 0)
+        exchange = workers.Exchange("h", 1, 0, 0)
         client = worker_client.WorkerClient()
-        seen = []
+        errors = []
         for fault in ("pause", "refuse"):
             group.control(worker="*", **{fault: True})
-            answer = client.exchange(address, asked, 300)
-            seen.append(type(answer.err_value))
+            answer = client.exchange(address, exchange, 300)
+            errors.append(type(answer.err_value))
             group.control(worker="*", **{fault: False})
         expected = [workers.WorkerAnswerLost, workers.WorkerUnreachable]
-        self.assertEqual(expected, seen)
+        self.assertEqual(expected, errors)
 
 
 def _fields(size: workers.Resources) -> dict[str, int]:
--- a/tests/system/test_batch_evictions.py
+++ b/tests/system/test_batch_evictions.py
@@ -38,7 +38,7 @@
 def events(
     running: fleet_module.Fleet, kind: str
 ) -> list[worker_records.WorkerEvent]:
-    """Events of one kind that the workers recorded."""
+    """Returns the events of one kind that the workers recorded."""
     return [event for event in running.worker_events() if event.kind == kind]
 
 
@@ -49,7 +49,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.fleet = batch_fleet.start(self, workers=2, endpoints=0)
-        self.submitted = batch_fleet.submitter(self.fleet)
+        self.submitter = batch_fleet.submitter(self.fleet)
         owner = batch_fleet.find_owner(self.fleet)
         self.submit("resident", RUNNING_JOBS, False, owner)
         self.fleet.wait_until(
@@ -60,17 +60,17 @@
         self.submit("urgent", URGENT_JOBS, True, owner)
         self.fleet.wait_until(
             lambda: events(self.fleet, "checkpoint") != [],
-            "a checkpoint",
+            "a worker has written a checkpoint",
             EVICTION_TIMEOUT_S,
         )
         self.owner = owner
 
     def submit(self, name: str, count: int, urgent: bool, seat: str) -> None:
         for number in range(count):
-            one = job(f"{name}-{number}", urgent)
-            answer = self.fleet.submit_job(one, seat)
+            submitted_job = job(f"{name}-{number}", urgent)
+            answer = self.fleet.submit_job(submitted_job, seat)
             self.assertEqual(200, answer.status)
-            self.submitted.accepted[one["id"]] = None
+            self.submitter.accepted[submitted_job["id"]] = None
 
     def assert_resumed(self) -> None:
         """Checks that each evicted attempt resumed at its checkpoint.
@@ -78,13 +78,13 @@
         An attempt that finished before it was stopped doesn't count as
         evicted; `batch_fleet.assert_no_violations` reports it if it ran again.
         """
-        batch_fleet.assert_no_violations(self, self.fleet, self.submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, self.submitter)
         finished = {
             (event.job, event.attempt)
             for event in events(self.fleet, "end")
             if event.detail == "finished"
         }
-        kept = {
+        checkpointed = {
             event.job: event.progress_ms
             for event in events(self.fleet, "checkpoint")
             if (event.job, event.attempt) not in finished
@@ -94,8 +94,10 @@
             for event in events(self.fleet, "start")
             if event.attempt > 1
         }
-        self.assertEqual(kept, {name: resumed.get(name) for name in kept})
-        self.assertGreater(min(kept.values()), 0)
+        self.assertEqual(
+            checkpointed, {name: resumed.get(name) for name in checkpointed}
+        )
+        self.assertGreater(min(checkpointed.values()), 0)
 
     def test_resumed_at_the_checkpoint(self) -> None:
         self.assert_resumed()
--- a/tests/system/test_batch_owner_faults.py
+++ b/tests/system/test_batch_owner_faults.py
@@ -20,7 +20,7 @@
         self.fleet = batch_fleet.start(self)
 
     def test_owner_killed(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
             self.fleet.kill_host(owner)
@@ -28,10 +28,10 @@
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.start_host(owner)
             self.fleet.wait_ready(owner)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter)
 
     def test_owner_frozen_past_its_claim_and_woken(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
             self.fleet.signal_host(owner, signal.SIGSTOP)
@@ -39,10 +39,10 @@
             batch_fleet.wait_started(self.fleet, 5)
             self.fleet.signal_host(owner, signal.SIGCONT)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter)
 
     def test_owner_frozen_and_its_successor_killed(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 20)
             first = batch_fleet.find_owner(self.fleet)
             self.fleet.signal_host(first, signal.SIGSTOP)
@@ -54,10 +54,10 @@
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.start_host(second)
             self.fleet.wait_ready(second)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter)
 
     def test_owner_cut_from_the_log_only(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
             self.fleet.network.set_faults(f"log/{owner}", cut=True)
@@ -65,10 +65,10 @@
             batch_fleet.wait_started(self.fleet, 10)
             self.fleet.network.set_faults(f"log/{owner}", cut=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter)
 
     def test_owner_cut_from_its_peers_only(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
             self.fleet.network.set_faults(f"peer/*/{owner}/*", cut=True)
@@ -76,18 +76,18 @@
             time.sleep(5.0)
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.network.set_faults("peer/*", cut=False)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter)
 
     def test_owner_cut_from_its_workers_only(self) -> None:
         names = self.fleet.deployment.worker_names()
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 20)
             owner = batch_fleet.find_owner(self.fleet)
             self.fleet.network.set_faults(f"worker/{owner}/*", cut=True)
             time.sleep(7.0)
             self.fleet.network.set_faults(f"worker/{owner}/*", cut=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted, names)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter, names)
 
 
 @pytest.mark.xdist_group("fleet-4")
@@ -100,7 +100,7 @@
         load = batch_fleet.submitter(
             running, pause_ms=150.0, shortest_ms=3_000, longest_ms=5_000
         )
-        with load as submitted:
+        with load as submitter:
             batch_fleet.wait_started(running, 12)
             owner = batch_fleet.find_owner(running)
             for seat in running.hosts:
@@ -112,4 +112,4 @@
             batch_fleet.wait_owner(running, owner)
             time.sleep(6.0)
             running.network.set_faults("*", cut=False)
-        batch_fleet.assert_no_violations(self, running, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, running, submitter, ("wk-1",))
--- a/tests/system/test_batch_worker_faults.py
+++ b/tests/system/test_batch_worker_faults.py
@@ -32,52 +32,52 @@
 
     def test_workers_killed_in_turn(self) -> None:
         faulty = ("wk-1", "wk-2")
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             for name in faulty:
                 batch_fleet.wait_started(self.fleet, 15)
                 self.fleet.workers.control(worker=name, kill=True)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted, faulty)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter, faulty)
 
     def test_worker_paused_past_its_lease(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 15)
             self.fleet.workers.control(worker="wk-1", pause=True)
             time.sleep(6.0)
             self.fleet.workers.control(worker="wk-1", pause=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, self.fleet, submitter, ("wk-1",))
 
     def test_worker_that_refuses_connections(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 15)
             self.fleet.workers.control(worker="wk-1", refuse=True)
             time.sleep(6.0)
             self.fleet.workers.control(worker="wk-1", refuse=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, self.fleet, submitter, ("wk-1",))
 
     def test_worker_that_fails_everything(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 15)
             self.fleet.workers.control(worker="wk-1", fail_all=True)
             time.sleep(6.0)
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.workers.control(worker="wk-1", fail_all=False)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter)
 
     def test_all_workers_cut_past_their_leases(self) -> None:
         names = self.fleet.deployment.worker_names()
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 15)
             self.fleet.network.set_faults("worker/*", cut=True)
             time.sleep(6.0)
             self.fleet.network.set_faults("worker/*", cut=False)
             batch_fleet.wait_started(self.fleet, 20)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted, names)
+        batch_fleet.assert_no_violations(self, self.fleet, submitter, names)
 
     def test_worker_paused_while_the_owner_is_killed(self) -> None:
-        with batch_fleet.submitter(self.fleet) as submitted:
+        with batch_fleet.submitter(self.fleet) as submitter:
             batch_fleet.wait_started(self.fleet, 15)
             self.fleet.workers.control(worker="wk-1", pause=True)
             owner = batch_fleet.find_owner(self.fleet)
@@ -88,11 +88,11 @@
             batch_fleet.wait_started(self.fleet, 20)
             self.fleet.start_host(owner)
             self.fleet.wait_ready(owner)
-        batch_fleet.assert_no_violations(self, self.fleet, submitted, ("wk-1",))
+        batch_fleet.assert_no_violations(self, self.fleet, submitter, ("wk-1",))
 
 
 def job(name: str, run_time_ms: int, **changes: Any) -> dict[str, Any]:
-    """A job so large that no second one fits on its worker."""
+    """Returns a job so large that no second one fits on its worker."""
     return {
         "id": name,
         "team": "faculty",
@@ -110,7 +110,7 @@
 def find_start(
     running: fleet_module.Fleet, name: str, attempt: int
 ) -> worker_records.WorkerEvent | None:
-    """The start event of an attempt; None if no worker has started it."""
+    """Returns the start event of an attempt, or None before its start."""
     for event in running.worker_events():
         key = (event.kind, event.job, event.attempt)
         if key == ("start", name, attempt):
@@ -127,13 +127,13 @@
         f"attempt {attempt} of {name} has started",
         WAIT_TIMEOUT_S,
     )
-    found = find_start(running, name, attempt)
-    assert found is not None
-    return found
+    start = find_start(running, name, attempt)
+    assert start is not None
+    return start
 
 
 def finished_attempts(running: fleet_module.Fleet, name: str) -> list[int]:
-    """Numbers of a job's attempts that finished."""
+    """Returns the numbers of a job's attempts that finished."""
     return [
         event.attempt
         for event in running.worker_events()
@@ -201,12 +201,12 @@
         self, running: fleet_module.Fleet, owner: str
     ) -> tuple[str, str]:
         """Holds a start command in the relay; returns its job and worker."""
-        for turn in range(MAX_DELAY_ATTEMPTS):
-            name = f"held-{turn}"
+        for number in range(MAX_DELAY_ATTEMPTS):
+            name = f"held-{number}"
             running.network.set_faults("worker/*", block_to_target=True)
             running.submit_job(job(name, 3_000), owner)
-            until = time.monotonic() + START_WAIT_S
-            while time.monotonic() < until:
+            deadline_s = time.monotonic() + START_WAIT_S
+            while time.monotonic() < deadline_s:
                 for chunk in running.network.held_chunks():
                     if "start" in chunk.text and name in chunk.text:
                         return name, chunk.relay.rpartition("/")[2]
--- a/tests/system/test_checker.py
+++ b/tests/system/test_checker.py
@@ -63,20 +63,20 @@
     """Checks of callers' requests."""
 
     def test_run_of_request_reported_as_not_run_is_found(self) -> None:
-        found = checker.check_requests(
+        violations = checker.check_requests(
             [sent("a", "not-run")], [request_event("a")]
         )
-        self.assertEqual(["not-run-never-ran"], rules(found))
+        self.assertEqual(["not-run-never-ran"], rules(violations))
 
     def test_busy_endpoint_does_not_count_as_run(self) -> None:
         events = [request_event("a", outcome="busy")]
-        found = checker.check_requests([sent("a", "not-run")], events)
-        self.assertEqual([], found)
+        violations = checker.check_requests([sent("a", "not-run")], events)
+        self.assertEqual([], violations)
 
     def test_second_run_of_a_request_is_found(self) -> None:
         events = [request_event("a"), request_event("a", outcome="reset")]
-        found = checker.check_requests([sent("a", "unknown")], events)
-        self.assertEqual(["ran-at-most-once"], rules(found))
+        violations = checker.check_requests([sent("a", "unknown")], events)
+        self.assertEqual(["ran-at-most-once"], rules(violations))
 
     def test_mismatched_and_truncated_answers_are_found(self) -> None:
         digest = xxhash.xxh64_hexdigest(b"q")
@@ -86,11 +86,13 @@
             msgspec.json.encode({**right, "request_id": "b"}),
             msgspec.json.encode(right)[:-4],
         ]
-        found = [
+        rules_by_body = [
             rules(checker.answers_whole([sent("a", "answered", body)]))
             for body in bodies
         ]
-        self.assertEqual([[], ["answers-whole"], ["answers-whole"]], found)
+        self.assertEqual(
+            [[], ["answers-whole"], ["answers-whole"]], rules_by_body
+        )
 
 
 class JobChecksTest(testtools.TestCase):
@@ -105,8 +107,8 @@
                 "end", 4.0, worker="wk-2", attempt=2, detail="finished"
             ),
         ]
-        found = checker.check_jobs(events, {"j"})
-        self.assertEqual(["never-in-two-places"], rules(found))
+        violations = checker.check_jobs(events, {"j"})
+        self.assertEqual(["never-in-two-places"], rules(violations))
 
     def test_start_right_after_an_end_is_no_overlap(self) -> None:
         events = [
@@ -127,8 +129,11 @@
             worker_event("end", 4.0, attempt=2, detail="finished"),
             worker_event("start", 5.0, job="other"),
         ]
-        found = checker.finished_once(events, {"j", "lost"})
-        self.assertEqual(["j", "lost", "other"], [one.subject for one in found])
+        violations = checker.finished_once(events, {"j", "lost"})
+        self.assertEqual(
+            ["j", "lost", "other"],
+            [violation.subject for violation in violations],
+        )
 
     def test_resume_beyond_the_checkpoint_is_found(self) -> None:
         events = [
@@ -136,10 +141,12 @@
             worker_event("start", 2.0, attempt=2, progress_ms=5),
             worker_event("start", 3.0, attempt=3, progress_ms=6),
         ]
-        found = checker.resumed_from_checkpoint(events)
-        self.assertEqual(["resumed-from-checkpoint"], rules(found))
+        violations = checker.resumed_from_checkpoint(events)
+        self.assertEqual(["resumed-from-checkpoint"], rules(violations))
 
     def test_worker_above_capacity_is_found(self) -> None:
         used = workers.Resources(4_001, 0, 0)
-        found = checker.capacity_kept([worker_event("start", 1.0, used=used)])
-        self.assertEqual(["capacity-kept"], rules(found))
+        violations = checker.capacity_kept(
+            [worker_event("start", 1.0, used=used)]
+        )
+        self.assertEqual(["capacity-kept"], rules(violations))
--- a/tests/system/test_endpoint_and_relay.py
+++ b/tests/system/test_endpoint_and_relay.py
@@ -62,7 +62,7 @@
     def test_request_beyond_the_slots_is_a_violation(self) -> None:
         with futures.ThreadPoolExecutor(9) as pool:
             names = [f"q-{number}" for number in range(9)]
-            list(pool.map(lambda one: self.request(one, work_ms=300), names))
+            list(pool.map(lambda name: self.request(name, work_ms=300), names))
         self.assertEqual(1, sum(event.violation for event in self.events()))
 
     def test_truncated_and_reset_answers_are_lost(self) -> None:
--- a/tests/system/test_fleet.py
+++ b/tests/system/test_fleet.py
@@ -33,7 +33,7 @@
             host.settings_path.read_bytes(), type=settings_module.Settings
         )
         self.assertEqual(3, len(settings.peers))
-        direct = {one.peer_address for one in running.hosts.values()}
+        direct = {host.peer_address for host in running.hosts.values()}
         for peer in settings.peers:
             self.assertNotIn(peer.peer_address, direct)
         running.network.cut_zones("bole", "entoto")
@@ -50,18 +50,20 @@
         def leaving() -> list[str]:
             page = urllib3.request("GET", f"http://{address}/hosts").json()
             return [
-                one["name"]
-                for one in page["hosts"]
-                if one["state"] == "leaving"
+                host["name"]
+                for host in page["hosts"]
+                if host["state"] == "leaving"
             ]
 
         self.assertEqual([], leaving())
-        running.wait_until(lambda: leaving() == ["ex-1"], "the lag", 2.0)
+        running.wait_until(
+            lambda: leaving() == ["ex-1"], "ex-1 is listed as leaving", 2.0
+        )
 
     def test_processes_are_stopped_on_exit(self) -> None:
         with fleet.Fleet(deployments.small(), start_hosts=False) as running:
-            started = [running.log, running.endpoints, running.workers]
-        codes = [one.process.exit_code for one in started]
+            stand_ins = [running.log, running.endpoints, running.workers]
+        codes = [stand_in.process.exit_code for stand_in in stand_ins]
         self.assertEqual([0, 0, 0], codes)
 
 
--- a/tests/system/test_log_stand_in.py
+++ b/tests/system/test_log_stand_in.py
@@ -37,7 +37,9 @@
         answer = append(self.log, "b", "c")
         self.assertEqual({"offset": 1}, msgspec.json.decode(answer.body))
         _, page = read(self.log, 0)
-        self.assertEqual([0, 1, 2], [one["offset"] for one in page["records"]])
+        self.assertEqual(
+            [0, 1, 2], [record["offset"] for record in page["records"]]
+        )
         self.assertEqual(3, page["next"])
 
     def test_read_of_expired_offset_fails(self) -> None:
--- a/tests/system/test_request_faults.py
+++ b/tests/system/test_request_faults.py
@@ -1,4 +1,4 @@
-"""Tests of request guarantees under faults, by the endpoints' records."""
+"""Tests of request guarantees under faults, by the endpoints' journal."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
     running: fleet_module.Fleet,
     sending: callers.Callers,
 ) -> None:
-    """Checks that every request was answered completely or refused."""
+    """Checks that no answer was lost and no rule was violated."""
     lost = [
-        one.answer
-        for one in sending.sent
-        if one.answer.outcome in ("lost", "unknown")
+        request.answer
+        for request in sending.sent
+        if request.answer.outcome in ("lost", "unknown")
     ]
     test.assertEqual([], lost)
     test.assertEqual([], callers.find_violations(running, sending.sent))
@@ -137,12 +137,12 @@
             max_retries=3,
         )
         with callers.Callers(running, load) as sending:
-            for victim in (seats[0], seats[2], seats[5]):
+            for seat in (seats[0], seats[2], seats[5]):
                 running.endpoints.control(endpoint="*", reset=1, truncate=1)
-                running.kill_host(victim)
+                running.kill_host(seat)
                 time.sleep(1.0)
-                running.start_host(victim)
-                running.wait_ready(victim)
+                running.start_host(seat)
+                running.wait_ready(seat)
                 time.sleep(0.5)
         self.assertEqual([], callers.find_violations(running, sending.sent))
         self.assertGreater(sending.count("answered"), 200)
@@ -216,11 +216,11 @@
             running.deployment.seats("bole"), callers=8, work_ms=20.0
         )
         running.network.isolate_zone("bole")
-        with callers.Callers(running, load, "bole:cut") as cut:
+        with callers.Callers(running, load, "bole:cut") as during_cut:
             time.sleep(12.0)
         running.network.isolate_zone("bole", cut=False)
-        with callers.Callers(running, load, "bole:healed") as healed:
+        with callers.Callers(running, load, "bole:healed") as after_cut:
             time.sleep(2.0)
-        for sending in (cut, healed):
+        for sending in (during_cut, after_cut):
             assert_no_answer_lost(self, running, sending)
             assert_mostly_answered(self, sending)
--- a/tests/system/test_tickets.py
+++ b/tests/system/test_tickets.py
@@ -44,14 +44,14 @@
         self._thread.join()
 
     def _run(self) -> None:
-        seen: dict[str, int] = {}
+        last_offsets: dict[str, int] = {}
         while not self._stopping.wait(0.05):
             for seat in self._fleet.hosts:
                 host = self._fleet.status(seat)["host"]
                 offset = host["config_offset"]
-                if offset < seen.get(host["host_id"], -1):
+                if offset < last_offsets.get(host["host_id"], -1):
                     self.regressions.append(f"{seat}: {offset}")
-                seen[host["host_id"]] = offset
+                last_offsets[host["host_id"]] = offset
 
 
 @pytest.mark.xdist_group("fleet")
@@ -80,21 +80,21 @@
     def wait_converged(self, min_offset: int) -> None:
         """Waits until all seats have one position, at `min_offset` or above."""
 
-        def equal() -> bool:
+        def converged() -> bool:
             positions = {self.position(seat) for seat in self.seats}
             offset, _ = next(iter(positions))
             return len(positions) == 1 and offset >= min_offset
 
         self.fleet.wait_until(
-            equal, "all seats have the same position", PROPAGATION_TIMEOUT_S
+            converged, "all seats have the same position", PROPAGATION_TIMEOUT_S
         )
 
-    def make_conflicting_tickets(self, turn: int) -> list[dict[str, Any]]:
-        """One ticket per seat, all replacing the same version of a service."""
+    def make_conflicting_tickets(self, version: int) -> list[dict[str, Any]]:
+        """Returns a ticket per seat, all replacing one version of a service."""
         return [
             samples.ticket(
-                turn * 10 + place,
-                samples.service("raced", turn, weight=place),
+                version * 10 + place,
+                samples.service("raced", version, weight=place),
             )
             for place in range(1, len(self.seats) + 1)
         ]
@@ -102,15 +102,15 @@
     def test_racing_tickets_get_one_verdict_while_answers_are_lost(
         self,
     ) -> None:
-        racers = futures.ThreadPoolExecutor(len(self.seats))
-        with racers, OffsetMonitor(self.fleet) as watch:
-            for turn in range(8):
-                self.fleet.log.control(lose_after=2, lose_before=turn % 2)
+        pool = futures.ThreadPoolExecutor(len(self.seats))
+        with pool, OffsetMonitor(self.fleet) as monitor:
+            for version in range(8):
+                self.fleet.log.control(lose_after=2, lose_before=version % 2)
                 answers = list(
-                    racers.map(
+                    pool.map(
                         self.submit,
                         self.seats,
-                        self.make_conflicting_tickets(turn),
+                        self.make_conflicting_tickets(version),
                     )
                 )
                 statuses = sorted(answer.status for answer in answers)
@@ -122,7 +122,7 @@
                 }
                 self.assertEqual(1, len(winners))
         self.wait_converged(0)
-        self.assertEqual([], watch.regressions)
+        self.assertEqual([], monitor.regressions)
 
     def test_host_cut_from_the_log_gets_tickets_from_its_peers(self) -> None:
         self.fleet.network.set_faults("log/bole-1", cut=True)
@@ -201,7 +201,7 @@
                 lambda value=value: (
                     self.submit("entoto-1", value).status == 200
                 ),
-                "the same ticket is accepted once",
+                "the same ticket is accepted when repeated",
                 2 * PROPAGATION_TIMEOUT_S,
             )
         self.wait_converged(1)
@@ -220,7 +220,7 @@
         self.wait_converged(11)
         before = self.position("bole-1")
         self.fleet.wait_until(
-            self.has_snapshot, "a snapshot", SNAPSHOT_TIMEOUT_S
+            self.has_snapshot, "a snapshot has been stored", SNAPSHOT_TIMEOUT_S
         )
         for seat in self.seats:
             self.fleet.kill_host(seat)
