--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces, for tests of requests."""
+"""Minimal fakes of the ports that the request path uses."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FakeClock:
-    """A clock that tests move by hand."""
+    """A clock that tests set; monotonic and wall time are equal."""
 
     def __init__(self) -> None:
         self.now_ms = 1_000_000
@@ -57,7 +57,7 @@
 
 
 class FakePeers:
-    """Peers that answer what tests set."""
+    """Peers that return the views and the answer that tests set."""
 
     def __init__(self) -> None:
         self.peer_views: tuple[peers_port.PeerView, ...] = ()
@@ -77,7 +77,7 @@
 
 
 class FakeSlots:
-    """Slots without sharing, which count their highest use."""
+    """Slots of a single host; records the peak use of an endpoint."""
 
     def __init__(self, slots: int) -> None:
         self._slots = slots
@@ -123,7 +123,7 @@
     connections: int = 64,
     service: objects.Service | None = None,
 ) -> configuration.Configuration:
-    """One service with endpoints in one zone."""
+    """Returns a configuration of one service with endpoints in one zone."""
     return configuration.Configuration(
         offset=offset,
         digest=str(offset),
@@ -139,5 +139,5 @@
 def with_offset(
     base: configuration.Configuration, offset: int
 ) -> configuration.Configuration:
-    """The same configuration at another offset."""
+    """Returns the same configuration at another offset."""
     return attrs.evolve(base, offset=offset)
--- a/tests/scripted_endpoint.py
+++ b/tests/scripted_endpoint.py
@@ -1,4 +1,4 @@
-"""A small endpoint on loopback whose answers tests script byte by byte."""
+"""An endpoint on loopback that sends the exact bytes that tests specify."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Seen:
-    """A request as the endpoint got it; header names in lower case."""
+    """A request as the endpoint received it; header names are in lower case."""
 
     method: str
     target: str
@@ -29,13 +29,21 @@
 
     @property
     def request_id(self) -> str:
-        """Its `X-Request-Id`."""
+        """Value of `X-Request-Id`; empty when absent."""
         return self.headers.get("x-request-id", "")
 
 
 @attrs.frozen
 class Send:
-    """Sends bytes; then keeps, closes or resets the connection."""
+    """Bytes to send, and what happens to the connection after them.
+
+    Attributes:
+        data: Bytes to send.
+        close: Whether to close the connection afterwards.
+        reset: Whether to reset the connection afterwards.
+        repeat: Number of times that the bytes are sent.
+        pause_s: Pause after each time.
+    """
 
     data: bytes
     close: bool = False
@@ -48,14 +56,14 @@
 
 
 def whole(seen: Seen, body: bytes = b"done", extra: str = "") -> Send:
-    """A whole answer to a request."""
+    """Returns a complete answer to a request."""
     return Send(answer_bytes(seen.request_id, body, extra=extra))
 
 
 def answer_bytes(
     request_id: str, body: bytes, status: str = "200 OK", extra: str = ""
 ) -> bytes:
-    """An answer as bytes; `extra` holds header lines, each with CRLF."""
+    """Returns an answer as bytes; `extra` is header lines, each with CRLF."""
     head = (
         f"HTTP/1.1 {status}\r\nX-Request-Id: {request_id}\r\n"
         f"Content-Length: {len(body)}\r\n{extra}\r\n"
@@ -64,7 +72,7 @@
 
 
 class ScriptedEndpoint:
-    """Answers each request by a script and keeps what it has seen."""
+    """Answers each request as a script says and records it in `seen`."""
 
     def __init__(self, script: Script = whole) -> None:
         self.script = script
@@ -90,7 +98,7 @@
         self.close_connections()
 
     def stop_listening(self) -> None:
-        """Refuses further connections; open ones go on."""
+        """Refuses new connections; open ones stay open."""
         try:
             self._listener.shutdown(socket.SHUT_RDWR)
         except OSError:
--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""Tests of the pages themselves."""
+"""Tests of the Markdown pages of the repository."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class DocumentationTest(testtools.TestCase):
-    """Links between pages."""
+    """Links between pages and the index of docs."""
 
     def test_every_link_leads_to_a_file(self) -> None:
         broken = []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the plugin for tests known to fail."""
+"""Tests of the pytest plugin that tolerates known failures."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 
 class KnownRedTest(testtools.TestCase):
-    """Effects of the list on the result of a test run."""
+    """Effects of KNOWN-RED.txt on the result of a test run."""
 
     def run_listed(
-        self, listed: str, red: bool, other: bool = True
+        self, listing: str, red: bool, other: bool = True
     ) -> subprocess.CompletedProcess[str]:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         root = pathlib.Path(folder.name)
         (root / "pytest.ini").write_text("[pytest]\n", encoding="utf-8")
-        (root / "KNOWN-RED.txt").write_text(listed, encoding="utf-8")
+        (root / "KNOWN-RED.txt").write_text(listing, encoding="utf-8")
         tests = TESTS.format(red=red, other=other)
         (root / "test_a.py").write_text(tests, encoding="utf-8")
         return subprocess.run(
@@ -40,18 +40,18 @@
         )
 
     def test_listed_failure_is_tolerated_and_printed(self) -> None:
-        done = self.run_listed(ENTRY, red=False)
-        self.assertEqual(0, done.returncode)
-        self.assertIn("FAILED as known: test_a.py::test_red", done.stdout)
+        finished = self.run_listed(ENTRY, red=False)
+        self.assertEqual(0, finished.returncode)
+        self.assertIn("FAILED as known: test_a.py::test_red", finished.stdout)
 
     def test_other_failure_still_fails_the_run(self) -> None:
-        done = self.run_listed(ENTRY, red=False, other=False)
-        self.assertEqual(1, done.returncode)
+        finished = self.run_listed(ENTRY, red=False, other=False)
+        self.assertEqual(1, finished.returncode)
 
     def test_listed_test_that_passes_is_reported(self) -> None:
-        done = self.run_listed(ENTRY, red=True)
-        self.assertEqual(0, done.returncode)
-        self.assertIn("take it off the list: test_a.py", done.stdout)
+        finished = self.run_listed(ENTRY, red=True)
+        self.assertEqual(0, finished.returncode)
+        self.assertIn("take it off the list: test_a.py", finished.stdout)
 
     def test_unlisted_failure_fails_the_run(self) -> None:
         self.assertEqual(1, self.run_listed("# none\n", red=False).returncode)
