--- a/testing/capacity/model.py
+++ b/testing/capacity/model.py
@@ -173,7 +173,7 @@
         Their calls belong to the requests, not to the control traffic.
         """
         keep_s = settings.RoutingSettings().mark_keep_ms / MS_PER_S
-        held = (
+        held_marks = (
             self.size.host_non_idempotent_per_s
             * dispatch_guard.HOLDERS_PER_ID
             * keep_s
@@ -181,7 +181,7 @@
         slope = self.slopes.process.mark_bytes
         return costs.MechanismCost(
             "marks of non-idempotent requests",
-            state_kib=slope.at(held) / KIB,
+            state_kib=slope.at(held_marks) / KIB,
         )
 
     def heartbeats(self, peers: int, description: str) -> costs.MechanismCost:
--- a/testing/fakes/zone.py
+++ b/testing/fakes/zone.py
@@ -352,7 +352,7 @@
             )
         )
         self._started = 0
-        self.job_appender = FakeAppender(self.stream, "desk")
+        self.job_appender = FakeAppender(self.stream, "job-handler")
         self.hosts: list[FakeHost] = []
         for _ in range(host_count):
             self.hosts.append(self.new_host())
--- a/testing/fault_injection.py
+++ b/testing/fault_injection.py
@@ -33,7 +33,8 @@
     """Injects one fault and clears it again, on a thread of its own.
 
     The fault lasts from one third to two thirds of the trace. It affects the
-    first zone's first seat, endpoint or worker.
+    first zone, its first seat, the first endpoint, the first worker (two with
+    `KILL_WORKERS`) or the log.
     """
 
     def __init__(
--- a/testing/known_red.py
+++ b/testing/known_red.py
@@ -1,8 +1,8 @@
 """A pytest plugin that tolerates the failures listed in KNOWN-RED.txt.
 
-Listed tests run like all others. A failure of one does not fail the run, but is
-printed at its end. A listed test that passes is printed too, as its entry
-should be removed.
+Listed tests run like all others, but their failures don't fail the run. Each
+failure is printed at the end of the run, and so is a listed test that passed,
+as its entry should be removed.
 """
 
 from __future__ import annotations
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -58,7 +58,7 @@
 
 
 class ZoneBench:
-    """Fold and scheduling state of one zone, without workers and log."""
+    """Fold and scheduling state of one zone, without workers or a log."""
 
     def __init__(self, count: int, policy: placement.Policy) -> None:
         self._rng = random.Random(count)
@@ -109,7 +109,7 @@
             self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
-        """Encodes, decodes and folds one record, without the log between."""
+        """Encodes, decodes and folds one record, without a log in between."""
         payload = records.encode("bench", self._offset, body)
         envelope, decoded = records.decode(payload).unwrap()
         self.fold.apply(self._offset, envelope, decoded)
--- a/testing/standins/endpoint.py
+++ b/testing/standins/endpoint.py
@@ -52,7 +52,7 @@
 
 @attrs.define
 class EndpointFaults:
-    """Active faults of one endpoint; each use lowers a fault's count."""
+    """Active faults of one endpoint; counts are lowered at each use."""
 
     slow: float = 1.0
     refuse: bool = False
--- a/testing/standins/worker_tasks.py
+++ b/testing/standins/worker_tasks.py
@@ -196,7 +196,9 @@
 
     def _usage(self) -> workers.Usage:
         slowdowns = self._slowdowns()
-        used_milli = sum(one.processors_milli for one in self._workloads())
+        used_milli = sum(
+            workload.processors_milli for workload in self._workloads()
+        )
         running = self.running()
         return workers.Usage(
             age_ms=0,
@@ -206,9 +208,9 @@
             memory_mib=int(self._memory_mib(running)),
             services=tuple(
                 workers.ServiceSlowdown(
-                    one.service, int(slowdowns[one.service] * 1_000)
+                    service.service, int(slowdowns[service.service] * 1_000)
                 )
-                for one in self._spec.services
+                for service in self._spec.services
             ),
             tasks=tuple(
                 self._task_usage(task, slowdowns[task.name]) for task in running
