--- a/testing/bench_in_force.py
+++ b/testing/bench_in_force.py
@@ -53,14 +53,14 @@
     everywhere_ms: list[float] = []
     for number in range(first_number, first_number + tickets):
         value = samples.ticket(number, samples.zone(f"zone-{number}"))
-        started = time.monotonic()
+        started_s = time.monotonic()
         answer = running.submit_ticket(value, seat)
-        answered_ms.append((time.monotonic() - started) * 1_000)
+        answered_ms.append((time.monotonic() - started_s) * 1_000)
         offset = answer.json()["offset"]
         for other in running.hosts:
             while running.status(other)["host"]["config_offset"] < offset:
                 time.sleep(POLL_S)
-        everywhere_ms.append((time.monotonic() - started) * 1_000)
+        everywhere_ms.append((time.monotonic() - started_s) * 1_000)
     answered_ms.sort()
     everywhere_ms.sort()
     return InForceLine(
@@ -85,7 +85,7 @@
     )
     with fleet.Fleet(deployments.small(), options) as running:
         lines = [measure(running, tickets, 1, cut=False)]
-        running.network.set(f"log/{CUT_SEAT}", cut=True)
+        running.network.set_faults(f"log/{CUT_SEAT}", cut=True)
         lines.append(measure(running, tickets, tickets + 1, cut=True))
     for line in lines:
         typer.echo(msgspec.json.encode(line).decode())
--- a/testing/measure_placement.py
+++ b/testing/measure_placement.py
@@ -58,7 +58,7 @@
 
 
 class ZoneBench:
-    """Fold and scheduling state of one zone, without workers and log."""
+    """Fold and scheduling state of one zone, without workers or a log."""
 
     def __init__(self, count: int, policy: placement.Policy) -> None:
         self._rng = random.Random(count)
@@ -109,7 +109,7 @@
             self.scheduling.ledger.set_schedulable(host.name, True)
 
     def append(self, body: object) -> None:
-        """Encodes, decodes and folds one record, without the log between."""
+        """Encodes, decodes and folds one record, without a log in between."""
         payload = records.encode("bench", self._offset, body)
         envelope, decoded = records.decode(payload).unwrap()
         self.fold.apply(self._offset, envelope, decoded)
@@ -178,25 +178,25 @@
             break
     rng = random.Random(1)
     rounds: list[float] = []
-    done = 0
-    while done < starts:
+    starts_done = 0
+    while starts_done < starts:
         rng.shuffle(running)
-        ending = [running.pop() for _ in range(8)]
+        ending_jobs = [running.pop() for _ in range(8)]
         while bench.scheduling.scheduler.queued < QUEUED_JOBS:
             bench.submit()
             bench.sync()
         started_s = time.process_time()
-        for job in ending:
+        for job in ending_jobs:
             bench.end(job)
         bench.sync()
         placed = bench.place()
         spent_us = (time.process_time() - started_s) * 1e6
         running.extend(placed)
-        rounds.append(spent_us / len(ending))
-        done += len(ending)
+        rounds.append(spent_us / len(ending_jobs))
+        starts_done += len(ending_jobs)
     return Cost(
         workers=count,
-        starts=done,
+        starts=starts_done,
         mean_us=statistics.fmean(rounds),
         p99_us=statistics.quantiles(rounds, n=100)[98],
         running=len(running),
@@ -207,10 +207,10 @@
     """Prints a line for each policy and size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--starts", type=int, default=3_000)
-    given = parser.parse_args()
+    args = parser.parse_args()
     for policy in placement.Policy:
         for count in WORKER_COUNTS:
-            cost = measure(count, given.starts, policy)
+            cost = measure(count, args.starts, policy)
             print(
                 f"policy={policy} workers={cost.workers} "
                 f"running={cost.running} starts={cost.starts} "
