--- a/src/comfreylatch/_process/appender.py
+++ b/src/comfreylatch/_process/appender.py
@@ -35,7 +35,7 @@
 # next append is sent.
 PROBE_AFTER_IDLE_MS = 1_000
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @final
@@ -335,7 +335,7 @@
             self._next_try_ms, self._clock.monotonic_ms() + delay_ms
         )
         logs.warning(
-            _events,
+            _logger,
             "append-failed",
             stream=self._stream,
             reason=reason,
@@ -369,7 +369,7 @@
                 delay_ms = self.step()
             except Exception:
                 logs.exception(
-                    _events, "append-step-failed", stream=self._stream
+                    _logger, "append-step-failed", stream=self._stream
                 )
                 delay_ms = self._retry.max_ms
                 self._mark_maybe_appended()
--- a/src/comfreylatch/_process/follower.py
+++ b/src/comfreylatch/_process/follower.py
@@ -28,7 +28,7 @@
 EARLY_ANSWER_DELAY_MS = 100
 NEVER_SYNCED_AGE_MS = 2**53
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @final
@@ -224,7 +224,7 @@
         )
         if self._failures == 1:
             logs.warning(
-                _events,
+                _logger,
                 "read-failed",
                 stream=self._stream,
                 offset=self._state.offset,
@@ -279,7 +279,7 @@
     def _report_bad_peer_message(self, what: str, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_PEER_MESSAGES, what)
         logs.error(
-            _events,
+            _logger,
             "bad-peer-state",
             stream=self._stream,
             what=what,
@@ -292,7 +292,7 @@
                 delay_ms = self.step()
             except Exception:
                 logs.exception(
-                    _events, "follow-step-failed", stream=self._stream
+                    _logger, "follow-step-failed", stream=self._stream
                 )
                 delay_ms = self._retry.max_ms
             self._closing.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/snapshot_publisher.py
+++ b/src/comfreylatch/_process/snapshot_publisher.py
@@ -24,7 +24,7 @@
 
 CHECK_INTERVAL_MS = 5_000
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @attrs.frozen
@@ -179,7 +179,7 @@
                     metrics_module.Counter.LOG_RECORDS, name, len(payloads)
                 )
                 logs.event(
-                    _events,
+                    _logger,
                     "snapshot-published",
                     stream=snapshot.stream,
                     offset=snapshot.offset,
@@ -189,7 +189,7 @@
                 return True
             case result.Err(error):
                 logs.warning(
-                    _events,
+                    _logger,
                     "snapshot-failed",
                     stream=snapshot.stream,
                     detail=error.detail,
@@ -202,7 +202,7 @@
                 self.step()
             except Exception:
                 logs.exception(
-                    _events,
+                    _logger,
                     "snapshot-step-failed",
                     stream=self._follower.stream,
                 )
--- a/src/comfreylatch/_process/stream_state.py
+++ b/src/comfreylatch/_process/stream_state.py
@@ -27,7 +27,7 @@
 MAX_RECENT_ENTRIES = 512
 MAX_RECENT_BYTES = 256 * 1_024
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 class EntrySource(enum.StrEnum):
@@ -226,7 +226,7 @@
             self._fold.apply(offset, envelope, body)
         except Exception:
             # Every host fails on it in the same way; the stream must continue.
-            logs.exception(_events, "fold-failed", offset=offset)
+            logs.exception(_logger, "fold-failed", offset=offset)
             self._report_bad_record(offset, f"fold of {envelope.kind} failed")
 
     def _retain(self, entry: log_port.LogEntry) -> None:
@@ -244,12 +244,12 @@
         try:
             self._after_apply(applied)
         except Exception:
-            logs.exception(_events, "after-apply-failed", stream=self._stream)
+            logs.exception(_logger, "after-apply-failed", stream=self._stream)
 
     def _report_bad_record(self, offset: int, detail: str) -> None:
         self._metrics.count(metrics_module.Counter.BAD_RECORDS, self._stream)
         logs.error(
-            _events,
+            _logger,
             "bad-record",
             stream=self._stream,
             offset=offset,
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -38,7 +38,7 @@
 RETRY_AFTER_STOP_MS = 1_000
 RETRY_AFTER_BUSY_MS = 100
 
-_log = logbook.Logger("comfreylatch.router")
+_logger = logbook.Logger("comfreylatch.router")
 
 
 @final
@@ -267,7 +267,7 @@
                 self._probe_leaving()
                 self._trim_connections()
             except Exception:
-                _log.exception("router-upkeep-failed")
+                _logger.exception("router-upkeep-failed")
 
     def _apply_peer_reports(self) -> None:
         reported = frozenset[str]().union(
