--- a/src/comfreylatch/_process/routing/admission.py
+++ b/src/comfreylatch/_process/routing/admission.py
@@ -6,6 +6,9 @@
 longer queue gives no more answers, only later ones. Callers of a service are
 served round-robin, so that a caller with many requests delays only its own.
 Services share the host's request threads by weight.
+
+A request's hold time is the time from acquiring its slot to releasing it. A
+caller's backlog is its queued requests.
 """
 
 from __future__ import annotations
@@ -27,7 +30,8 @@
 ANSWER_PERCENTILE = 90
 # Lower bound of the latency target, in usual answer times.
 MIN_TARGET_ANSWER_TIMES = 2
-# Requests by which a backlog must be longer to let another caller precede.
+# Number of requests by which another caller's backlog must be longer for a new
+# request to precede it.
 MIN_BACKLOG_LEAD = 2
 MIN_RETRY_AFTER_MS = 50
 MAX_RETRY_AFTER_MS = 10_000
@@ -35,8 +39,8 @@
 DEFAULT_TARGET_MS = 3_600_000
 WAIT_RECHECK_INTERVAL_MS = 200
 REFUSAL_THREADS = 8
-# Share of the other services' threads that a service above its own share
-# can't use.
+# Fraction of the other services' threads that stays reserved for them when a
+# service uses more than its own share.
 RESERVED_SHARE_OF_OTHERS = 0.25
 
 
@@ -87,7 +91,12 @@
 
 @final
 class ServiceQueue:
-    """Queue of one service's requests for slots. Thread-safe."""
+    """Queue of one service's requests for slots. Thread-safe.
+
+    Args:
+        clock: Monotonic clock.
+        target_ms: Latency target of the service.
+    """
 
     def __init__(
         self, clock: clock_port.Clock, target_ms: int = DEFAULT_TARGET_MS
@@ -120,7 +129,11 @@
         return self._in_flight
 
     def acquire(self, request: SlotRequest) -> result.Result[str, Refusal]:
-        """Waits for a slot and returns the name of its endpoint."""
+        """Waits for a slot and returns the name of its endpoint.
+
+        Returns the refusal if the request can't be answered in time, or may
+        not wait and no slot is free.
+        """
         with self._lock:
             if self._waiting_count == 0 or request.is_retry:
                 endpoint = request.acquire_slot()
@@ -135,7 +148,10 @@
         return self._wait(waiter)
 
     def try_acquire(self, acquire_slot: Callable[[], str | None]) -> str | None:
-        """Acquires a free slot without waiting; None if requests are queued."""
+        """Acquires a free slot without waiting and returns its endpoint.
+
+        Returns None if no slot is free or other requests are queued.
+        """
         with self._lock:
             if self._waiting_count:
                 return None
@@ -144,7 +160,7 @@
             return endpoint
 
     def record_release(self, hold_ms: float) -> None:
-        """Records that a slot was released, and how long it was held."""
+        """Records that a slot was released, and its hold time."""
         with self._lock:
             self._in_flight -= 1
             self._mean_hold_ms += HOLD_SMOOTHING * (
@@ -170,7 +186,7 @@
 
     @property
     def mean_hold_ms(self) -> float:
-        """Smoothed time that a request holds its slot."""
+        """Smoothed hold time of requests."""
         return self._mean_hold_ms
 
     def expected_answer_ms(self) -> float:
@@ -181,7 +197,7 @@
     def retry_after_ms(self) -> int:
         """Expected time until the queued requests have got their slots."""
         with self._lock:
-            return self._bounded_retry_ms(
+            return self._bounded_retry_after_ms(
                 self._wait_ms(self._waiting_count + 1)
             )
 
@@ -218,7 +234,9 @@
             reasons.RefusalReason.DEADLINE_PASSED,
             f"no slot became free in time; {remaining_ms} ms remain and "
             f"answers take {self._answer_ms:.0f} ms",
-            self._bounded_retry_ms(self._wait_ms(self._waiting_count + 1)),
+            self._bounded_retry_after_ms(
+                self._wait_ms(self._waiting_count + 1)
+            ),
         )
         self._complete(waiter, result.Err(refusal))
         return True
@@ -229,7 +247,9 @@
             return Refusal(
                 reasons.RefusalReason.NO_FREE_SLOT,
                 "no slot is free now",
-                self._bounded_retry_ms(self._wait_ms(self._waiting_count + 1)),
+                self._bounded_retry_after_ms(
+                    self._wait_ms(self._waiting_count + 1)
+                ),
             )
         if self._in_flight == 0:
             return Refusal(
@@ -247,9 +267,11 @@
             f"{self._wait_ms(position):.0f} ms and an answer within "
             f"{self._answer_ms:.0f} ms more"
         )
-        retry_ms = self._bounded_retry_ms(overrun_ms)
+        retry_after_ms = self._bounded_retry_after_ms(overrun_ms)
         return Refusal(
-            self._refusal_reason(request, remaining_ms), sentence, retry_ms
+            self._refusal_reason(request, remaining_ms),
+            sentence,
+            retry_after_ms,
         )
 
     def _overrun_ms(self, request: SlotRequest, position: int) -> float:
@@ -348,7 +370,7 @@
             reasons.RefusalReason.CALLER_OVER_SHARE,
             f"{len(queue) + 1} requests of this caller wait behind those of "
             f"other callers; the answer would be {overrun_ms:.0f} ms late",
-            self._bounded_retry_ms(overrun_ms),
+            self._bounded_retry_after_ms(overrun_ms),
         )
         self._complete(last_waiter, result.Err(refusal))
 
@@ -360,7 +382,7 @@
         waiter.completed.set()
 
     @staticmethod
-    def _bounded_retry_ms(wait_ms: float) -> int:
+    def _bounded_retry_after_ms(wait_ms: float) -> int:
         return int(min(max(wait_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS))
 
 
@@ -370,6 +392,9 @@
 
     A service may exceed its share while other services leave threads idle. A
     few threads are reserved for refusing requests at once. Thread-safe.
+
+    Args:
+        threads: Number of request threads of the host.
     """
 
     def __init__(self, threads: int) -> None:
@@ -384,6 +409,9 @@
         Args:
             service: Name of the service.
             weight_share: Its share of the sum of all weights, 0 to 1.
+
+        Returns:
+            Whether a thread was acquired.
         """
         with self._lock:
             own_share = self._usable_count * weight_share
--- a/src/comfreylatch/_process/routing/endpoint_stats.py
+++ b/src/comfreylatch/_process/routing/endpoint_stats.py
@@ -1,9 +1,9 @@
 """Latency, failures and ejection of each endpoint, as this host observes them.
 
-Own observations take precedence over the platform's list, which lags. An
-endpoint that fails, or answers far more slowly than the others of its service,
-is ejected for a time, probed with single requests, and readmitted with slow
-start.
+Ejection relies on this host's own observations, as the platform's host list
+lags. An endpoint that fails, or answers far more slowly than the others of its
+service, is ejected for a time, probed with single requests, and readmitted
+with slow start.
 """
 
 from __future__ import annotations
@@ -48,8 +48,8 @@
         consecutive_failures: Failed tries since the last answer.
         tries: Tries that ended since the endpoint was admitted or readmitted.
         ejected_until_ms: Monotonic time of the next probe; 0 if not ejected.
-        ejections: Successive ejections; the time to the next probe doubles
-            with each.
+        ejections: Number of ejections and failed probes so far, less one for
+            each readmission; the time to the next probe doubles with each.
         is_probing: Whether a probe is in flight.
         readmitted_ms: Monotonic time at which slow start began.
     """
@@ -123,7 +123,7 @@
         self._median_updated_ms = -MEDIAN_UPDATE_INTERVAL_MS
 
     def get(self, endpoint: str) -> EndpointStats:
-        """Returns the observations of an endpoint, which are read-only."""
+        """Returns the observations of an endpoint; callers only read them."""
         stats = self._stats.get(endpoint)
         if stats is None:
             with self._lock:
@@ -131,9 +131,10 @@
         return stats
 
     def update_endpoints(self, endpoints: Iterable[str]) -> None:
-        """Removes idle endpoints no longer configured and adds new ones.
+        """Adds new endpoints, and removes those no longer configured.
 
-        New endpoints begin in slow start.
+        New endpoints begin in slow start. An endpoint that still runs a
+        request of this host isn't removed yet.
         """
         configured = frozenset(endpoints)
         with self._lock:
@@ -159,7 +160,10 @@
         return now_ms >= stats.ejected_until_ms + delay_ms
 
     def record_start(self, endpoint: str, now_ms: int) -> None:
-        """Records that a request is sent."""
+        """Records that a request starts at `now_ms`, monotonic time.
+
+        If the endpoint is ejected, the request is its probe.
+        """
         stats = self.get(endpoint)
         with self._lock:
             stats.in_flight += 1
@@ -168,7 +172,7 @@
                 stats.is_probing = True
 
     def record_end(self, endpoint: str, started_ms: int) -> None:
-        """Records that the endpoint no longer runs a request."""
+        """Records the end of a request that started at `started_ms`."""
         stats = self.get(endpoint)
         with self._lock:
             stats.in_flight -= 1
@@ -265,18 +269,21 @@
     def _eject(
         self, endpoint: str, stats: EndpointStats, sentence: str, now_ms: int
     ) -> Ejection | None:
-        allowed = int(len(self._stats) * MAX_EJECTED_SHARE)
-        if self._ejected_count >= allowed:
+        """Ejects an endpoint, unless too many others are ejected already."""
+        max_ejected_count = int(len(self._stats) * MAX_EJECTED_SHARE)
+        if self._ejected_count >= max_ejected_count:
             return None
         self._ejected_count += 1
         wait_ms = self._schedule_probe(stats, now_ms)
         return Ejection(endpoint, sentence, wait_ms)
 
     def _schedule_probe(self, stats: EndpointStats, now_ms: int) -> int:
+        """Schedules the next probe; returns the time until then."""
         doubled_ms = BASE_EJECTION_MS << min(stats.ejections, 10)
         stats.ejections += 1
         wait_ms = min(doubled_ms, MAX_EJECTION_MS)
-        # Jitter keeps hosts that ejected it together from probing it together.
+        # Without jitter, hosts that ejected an endpoint at the same time would
+        # also probe it at the same time.
         wait_ms = int(wait_ms * self._rng.uniform(0.75, 1.25))
         stats.ejected_until_ms = now_ms + wait_ms
         return wait_ms
@@ -296,5 +303,6 @@
         stats.latency_ms = elapsed_ms
         stats.readmitted_ms = now_ms
         self._ejected_count -= 1
-        # Not reset, so that an endpoint that soon fails again waits longer.
+        # Reduced by one instead of reset, so that an endpoint that soon fails
+        # again waits longer for its next probe.
         stats.ejections = max(stats.ejections - 1, 0)
--- a/src/comfreylatch/_process/routing/latency_quantile.py
+++ b/src/comfreylatch/_process/routing/latency_quantile.py
@@ -17,6 +17,10 @@
     each value below lowers it in proportion to 100 - p, so that the estimate
     settles where p percent of the values lie below it. Takes no lock; a race
     between threads loses at most a step.
+
+    Args:
+        percentile: The percentile p to estimate, 0 to 100.
+        initial_ms: Estimate before the first value.
     """
 
     def __init__(
@@ -27,11 +31,11 @@
 
     @property
     def estimate_ms(self) -> float:
-        """The current estimate."""
+        """The current estimate of the quantile."""
         return self._estimate_ms
 
     def add(self, elapsed_ms: float) -> None:
-        """Adds one value."""
+        """Moves the estimate towards one measured time."""
         step_ms = max(self._estimate_ms, MIN_ESTIMATE_MS) * RELATIVE_STEP
         if elapsed_ms > self._estimate_ms:
             self._estimate_ms += step_ms * self._percentile / 100
--- a/src/comfreylatch/_process/routing/leaving_endpoints.py
+++ b/src/comfreylatch/_process/routing/leaving_endpoints.py
@@ -1,7 +1,7 @@
 """Detection of endpoints that are leaving and get no new requests.
 
-The platform's list lags, so the behaviour of an endpoint counts as well: it
-refuses connections, or closes one although it kept connections open before.
+The platform's host list lags, so an endpoint is also considered leaving when
+it refuses a connection, or closes one after it kept connections open before.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from comfreylatch._ports import clock as clock_port
 from comfreylatch._ports import hosts
 
-# Time from the close of a kept connection until the endpoint is probed.
+# Time until an endpoint that closed a keep-alive connection is probed.
 PROBE_AFTER_CLOSE_MS = 60_000
 
 
 class LeavingReason(enum.StrEnum):
-    """Reason for which an endpoint is considered leaving."""
+    """Why an endpoint is considered leaving."""
 
     REFUSED_CONNECTION = "refused-connection"
     CLOSED_CONNECTION = "closed-connection"
@@ -39,7 +39,11 @@
 
 @final
 class LeavingEndpoints:
-    """The endpoints that get no new requests. Thread-safe."""
+    """The endpoints that get no new requests. Thread-safe.
+
+    An endpoint is included if this host observed it leaving, the platform's
+    host list shows it leaving or lists it no longer, or a peer reports it.
+    """
 
     def __init__(self, clock: clock_port.Clock) -> None:
         self._clock = clock
@@ -49,16 +53,16 @@
         self._ever_listed: set[str] = set()
         self._reported_by_peers: frozenset[str] = frozenset()
         self._kept_alive: set[str] = set()
-        self._all: frozenset[str] = frozenset()
+        self._leaving: frozenset[str] = frozenset()
 
     def is_leaving(self, endpoint: str) -> bool:
         """Whether an endpoint gets no new requests."""
-        return endpoint in self._all
+        return endpoint in self._leaving
 
     @property
     def names(self) -> frozenset[str]:
         """All endpoints that get no new requests."""
-        return self._all
+        return self._leaving
 
     @property
     def observed(self) -> frozenset[str]:
@@ -66,16 +70,20 @@
         return frozenset(self._observed)
 
     def record_refused_connection(self, endpoint: str) -> bool:
-        """Records a refused connection; returns whether it is newly leaving."""
+        """Records that an endpoint refused a connection.
+
+        Returns whether the endpoint was not considered leaving before.
+        """
         return self._record_observation(
             endpoint, LeavingReason.REFUSED_CONNECTION
         )
 
     def record_answer(self, endpoint: str, closing: bool) -> bool:
-        """Records an answer; returns whether it shows that it is leaving.
+        """Records an answer, and whether the connection closes after it.
 
         A close by an endpoint that never kept a connection open is no sign of
-        leaving.
+        leaving. Returns whether the answer shows that the endpoint is leaving
+        and it was not considered leaving before.
         """
         if not closing:
             self._kept_alive.add(endpoint)
@@ -87,7 +95,10 @@
         )
 
     def due_probes(self) -> tuple[str, ...]:
-        """Endpoints due for a probe, a connection without a request."""
+        """Endpoints to probe now, with a connection that carries no request.
+
+        An endpoint that refused a connection is always due.
+        """
         now_ms = self._clock.monotonic_ms()
         with self._lock:
             return tuple(
@@ -99,11 +110,11 @@
             )
 
     def record_accepted_connection(self, endpoint: str) -> None:
-        """Records that a probed endpoint accepted a connection."""
+        """Discards the observations of an endpoint that accepted a probe."""
         with self._lock:
             self._observed.pop(endpoint, None)
             self._kept_alive.discard(endpoint)
-            self._rebuild_all()
+            self._rebuild_leaving()
 
     def update_host_list(self, host_list: hosts.HostList) -> frozenset[str]:
         """Applies the platform's host list; returns endpoints newly leaving."""
@@ -113,7 +124,7 @@
             if host.kind == hosts.HostKind.ENDPOINT
         }
         with self._lock:
-            before = self._all
+            previously_leaving = self._leaving
             self._listed = {
                 name: LeavingReason.LISTED_LEAVING
                 for name, state in states.items()
@@ -122,16 +133,16 @@
             self._ever_listed.update(states)
             for name in self._ever_listed - states.keys():
                 self._listed[name] = LeavingReason.NO_LONGER_LISTED
-            self._rebuild_all()
-            return self._all - before
+            self._rebuild_leaving()
+            return self._leaving - previously_leaving
 
     def update_peer_reports(self, endpoints: frozenset[str]) -> frozenset[str]:
         """Applies the peers' observations; returns endpoints newly leaving."""
         with self._lock:
-            before = self._all
+            previously_leaving = self._leaving
             self._reported_by_peers = endpoints
-            self._rebuild_all()
-            return self._all - before
+            self._rebuild_leaving()
+            return self._leaving - previously_leaving
 
     def retain_endpoints(self, endpoints: frozenset[str]) -> None:
         """Removes endpoints that are no longer configured."""
@@ -142,7 +153,7 @@
             self._ever_listed &= endpoints
             for name in self._listed.keys() - endpoints:
                 del self._listed[name]
-            self._rebuild_all()
+            self._rebuild_leaving()
 
     def leaving_reason(self, endpoint: str) -> LeavingReason | None:
         """Why an endpoint is considered leaving; None if it isn't."""
@@ -163,13 +174,13 @@
     ) -> bool:
         observation = _Observation(leaving_reason, self._clock.monotonic_ms())
         with self._lock:
-            is_newly_leaving = endpoint not in self._all
+            is_newly_leaving = endpoint not in self._leaving
             self._observed[endpoint] = observation
-            self._rebuild_all()
+            self._rebuild_leaving()
             return is_newly_leaving
 
-    def _rebuild_all(self) -> None:
-        self._all = (
+    def _rebuild_leaving(self) -> None:
+        self._leaving = (
             frozenset(self._observed)
             | frozenset(self._listed)
             | self._reported_by_peers
--- a/src/comfreylatch/_process/routing/load_balancing.py
+++ b/src/comfreylatch/_process/routing/load_balancing.py
@@ -74,7 +74,8 @@
 class LeastExpectedPicker:
     """Picks the least expected answer time among a random sample.
 
-    An ejected endpoint whose probe is due is picked first, and gets no other
+    If no endpoint of the sample can be picked, all endpoints are compared. An
+    ejected endpoint whose probe is due is picked first, and gets no other
     requests while it is ejected.
     """
 
@@ -91,15 +92,15 @@
     def pick(self, args: PickArgs) -> str | None:
         """See `Picker.pick`."""
         if self._stats.ejected_count:
-            probed = self._probe_candidate(args)
-            if probed is not None:
-                return probed
-        sampled = self._best(self._sample(args.endpoints), args)
-        if sampled is not None:
-            return sampled
-        found = self._best(args.endpoints, args)
-        if found is not None or not args.excluded_endpoints:
-            return found
+            to_probe = self._probe_candidate(args)
+            if to_probe is not None:
+                return to_probe
+        best_of_sample = self._best(self._sample(args.endpoints), args)
+        if best_of_sample is not None:
+            return best_of_sample
+        best_of_all = self._best(args.endpoints, args)
+        if best_of_all is not None or not args.excluded_endpoints:
+            return best_of_all
         return self._best(
             args.endpoints, attrs.evolve(args, excluded_endpoints=frozenset())
         )
@@ -120,6 +121,7 @@
         return self._rng.sample(endpoints, SAMPLED_ENDPOINTS)
 
     def _best(self, names: Sequence[str], args: PickArgs) -> str | None:
+        """Returns the endpoint expected to answer first, of those allowed."""
         now_ms = self._clock.monotonic_ms()
         best: str | None = None
         best_ms = float("inf")
@@ -144,9 +146,9 @@
     def pick(self, args: PickArgs) -> str | None:
         """See `Picker.pick`."""
         count = len(args.endpoints)
-        first = next(self._calls)
+        start = next(self._calls)
         for offset in range(count):
-            name = args.endpoints[(first + offset) % count]
+            name = args.endpoints[(start + offset) % count]
             if args.free_slots(name) > 0:
                 return name
         return None
--- a/src/comfreylatch/_process/routing/retry_budget.py
+++ b/src/comfreylatch/_process/routing/retry_budget.py
@@ -16,8 +16,11 @@
 class RetryBudget:
     """Token budget of one service: first tries earn, retries spend.
 
-    Over any period, retries stay below the given percentage of first tries
-    plus `MAX_TOKENS`. Thread-safe.
+    Over any period, retries and hedges stay below the given percentage of
+    first tries plus `MAX_TOKENS`. Thread-safe.
+
+    Args:
+        percent: Retries and hedges allowed per 100 first tries; 0 allows none.
     """
 
     def __init__(self, percent: int) -> None:
@@ -26,14 +29,14 @@
         self._tokens = INITIAL_TOKENS if percent > 0 else 0.0
 
     def set_percent(self, percent: int) -> None:
-        """Sets the percentage. Tokens earned so far are kept, except for 0."""
+        """Sets the percentage; 0 also removes the tokens earned so far."""
         with self._lock:
             self._percent = percent
             if percent == 0:
                 self._tokens = 0.0
 
     def earn(self) -> None:
-        """Adds the share of a token that a first try earns."""
+        """Adds the fraction of a token that a first try earns."""
         with self._lock:
             self._tokens = min(self._tokens + self._percent / 100, MAX_TOKENS)
 
@@ -52,6 +55,11 @@
 
 
 def backoff_ms(retry: int, rng: random.Random) -> int:
-    """Random delay before retry number `retry`, from 1, with full jitter."""
+    """Returns a random delay in milliseconds, exponential with full jitter.
+
+    Args:
+        retry: Number of the retry, from 1.
+        rng: Random number generator.
+    """
     ceiling_ms = min(BASE_BACKOFF_MS << min(retry - 1, 10), MAX_BACKOFF_MS)
     return rng.randint(0, ceiling_ms)
--- a/src/comfreylatch/_process/routing/service_state.py
+++ b/src/comfreylatch/_process/routing/service_state.py
@@ -55,7 +55,20 @@
 
 @final
 class ServiceTable:
-    """Routing state of all services. Thread-safe; reading takes no lock."""
+    """Routing state of all services. Thread-safe; reading takes no lock.
+
+    Args:
+        zone: This host's zone; endpoints of other zones are left out.
+        slots: This host's share of the endpoints' limits.
+        clock: Monotonic clock.
+        policy: Load-balancing policy of all services.
+        rng: Random number generator of load balancing and ejections.
+
+    Attributes:
+        leaving: The endpoints that get no new requests.
+        max_request_ms: Longest time an endpoint may run a request once sent,
+            including the margin for clock drift.
+    """
 
     def __init__(
         self,
@@ -79,7 +92,7 @@
 
     @property
     def max_timeout_ms(self) -> int:
-        """The longest timeout that a caller may set."""
+        """The longest timeout of a request, which caps what callers set."""
         margin_ms = self._configuration.limits.drift_margin_ms
         return self.max_request_ms - margin_ms
 
@@ -97,7 +110,10 @@
         return tuple(self._states.values())
 
     def apply(self, new: configuration.Configuration) -> None:
-        """Applies a configuration; keeps the statistics of what remains."""
+        """Applies a configuration unless a later one has been applied.
+
+        Services and endpoints that remain keep their statistics.
+        """
         with self._lock:
             if new.offset < self._configuration.offset:
                 return
