--- a/src/comfreylatch/_request/call.py
+++ b/src/comfreylatch/_request/call.py
@@ -89,7 +89,19 @@
     table: service_state.ServiceTable,
     now_ms: int,
 ) -> result.Result[Call, outcomes.NotRun | outcomes.Unknown]:
-    """Validates a request to `/services/...`."""
+    """Validates a request to `/services/...`.
+
+    Args:
+        request: The request as received.
+        request_id: Its id, given by the caller or generated.
+        is_generated_id: Whether this host generated the id.
+        table: Routing state of the services.
+        now_ms: Monotonic time, from which the timeout counts if the time of
+            receipt is not known.
+
+    Returns:
+        The request, or the outcome that refuses it.
+    """
     if not is_valid_id(request_id):
         return _bad_request(
             "X-Request-Id must have 1 to 128 printable characters, no spaces"
@@ -145,7 +157,16 @@
     table: service_state.ServiceTable,
     now_ms: int,
 ) -> result.Result[Call, outcomes.NotRun]:
-    """Validates a request forwarded by another zone's host."""
+    """Validates a request forwarded by another zone's host.
+
+    Args:
+        forwarded: The request as received.
+        table: Routing state of the services.
+        now_ms: Monotonic time, from which the remaining time counts.
+
+    Returns:
+        The request, or a refusal if its service is not configured here.
+    """
     state = table.get(forwarded.service_name)
     if state is None:
         return result.Err(_service_not_found(forwarded.service_name, table))
@@ -168,7 +189,10 @@
 
 
 def to_forward_request(call: Call, remaining_ms: int) -> ttypes.ForwardRequest:
-    """Converts a request for forwarding to another zone's host."""
+    """Converts a request for forwarding to another zone's host.
+
+    `remaining_ms` is the time left until the other host must have replied.
+    """
     request = call.request
     return ttypes.ForwardRequest(
         request_id=request.request_id,
@@ -184,7 +208,10 @@
 
 
 def split_target(target: str) -> tuple[str, str]:
-    """Splits `/services/NAME/REST` into service name and endpoint target."""
+    """Splits `/services/NAME/REST` into service name and endpoint target.
+
+    The name is empty if the target doesn't begin with `/services/`.
+    """
     if not target.startswith(PATH_PREFIX):
         return "", "/"
     path, separator, query = target[len(PATH_PREFIX) :].partition("?")
@@ -241,7 +268,8 @@
         return _bad_request(
             "X-Timeout-Ms must be a whole number of milliseconds"
         )
-    # After the longest allowed request, an endpoint's slot is reassigned.
+    # A longer timeout is cut, because the slot of a request is reassigned once
+    # the longest allowed request would have ended.
     return result.Ok(min(int(text), table.max_timeout_ms))
 
 
--- a/src/comfreylatch/_request/dependencies.py
+++ b/src/comfreylatch/_request/dependencies.py
@@ -23,7 +23,10 @@
     def claim(
         self, request_id: str, deadline_ms: int
     ) -> result.Result[outcomes.Claim, outcomes.NotRun | outcomes.Unknown]:
-        """Marks the id as dispatched; Err holds the outcome for the caller."""
+        """Marks the id as dispatched, before monotonic time `deadline_ms`.
+
+        Err holds the outcome for the caller.
+        """
         ...
 
     def release(self, claim: outcomes.Claim) -> None:
@@ -33,7 +36,19 @@
 
 @attrs.frozen
 class RequestDependencies:
-    """Dependencies of request handling, created once per process."""
+    """Dependencies of request handling, created once per process.
+
+    Attributes:
+        table: Routing state of the services.
+        slots: This host's share of the endpoints' limits.
+        client: Sends single tries to endpoints.
+        metrics: Counts outcomes, refusals and retries by reason.
+        journal: Stores the decisions shown by `explain`.
+        clock: Monotonic clock.
+        rng: Random number generator of routing and backoff times.
+        guard: Allows one dispatch of each non-idempotent request id; None
+            turns this protection off.
+    """
 
     table: service_state.ServiceTable
     slots: slots_port.SlotLedger
--- a/src/comfreylatch/_request/dispatch_guard.py
+++ b/src/comfreylatch/_request/dispatch_guard.py
@@ -1,12 +1,15 @@
 """At most one dispatch of each non-idempotent request id, over all hosts.
 
-Three seats store the marks of an id. Rendezvous hashing selects these holders
-from the seats of all zones, in different zones if there are enough; an id that
-names a zone is held by the seats of that zone. A host sends the request only
-after a majority of the holders has granted it the id. Any two majorities share
-a holder, and a holder grants an id once, so a repetition through any host is
-detected. A holder grants nothing until it has been up for as long as marks are
-kept, as it lost the marks of its predecessor.
+A host claims the id before it sends the request: it asks the holders of the id
+to mark it, and sends only after a majority of them has granted the id. Any two
+majorities share a holder, and a holder grants an id to one claim only, so a
+repetition through any host is detected.
+
+An id has three holders. Rendezvous hashing selects them from the seats of all
+zones, in different zones if there are enough; an id that names a zone is held
+by the seats of that zone. A holder grants nothing until it has been up for as
+long as marks are kept, because it doesn't have the marks of the process that
+had its seat before.
 """
 
 from __future__ import annotations
@@ -48,6 +51,7 @@
 def holders_of(request_id: str, seats: tuple[Seat, ...]) -> tuple[str, ...]:
     """Names of the seats that hold the marks of an id, best ranked first.
 
+    Returns `HOLDERS_PER_ID` names, or fewer if there are not enough seats.
     An id that begins with the name of a zone and `:` is held in that zone
     alone, so that a zone partitioned from the others can still grant its own.
     """
@@ -79,7 +83,17 @@
 
 @attrs.define(eq=False)
 class _ClaimTally:
-    """Replies of the holders to one claim."""
+    """Replies of the holders to one claim.
+
+    Attributes:
+        granted: Seats that granted the id.
+        requested: Seats that were asked.
+        is_duplicate: Whether a holder has a mark of another claim.
+        recently_started: Seats that replied `TOO_OLD`, as a rule because they
+            started too recently.
+        unreachable: Seats that did not reply, or were not asked because the
+            deadline had passed.
+    """
 
     granted: set[str] = attrs.field(factory=set)
     requested: set[str] = attrs.field(factory=set)
@@ -94,7 +108,7 @@
 
     Args:
         source: Configuration in force, which lists the seats of all zones.
-        peers: Other seats.
+        peers: Calls to the other seats.
         marks: The marks that this host holds.
         seat: This host's seat.
         host_id: Id of this process.
@@ -130,7 +144,16 @@
     def claim(
         self, request_id: str, deadline_ms: int
     ) -> result.Result[outcomes.Claim, ClaimError]:
-        """Marks an id as dispatched at a majority of its holders."""
+        """Marks an id as dispatched at a majority of its holders.
+
+        Args:
+            request_id: The id to claim.
+            deadline_ms: Monotonic time after which no holder is asked.
+
+        Returns:
+            The claim, or the outcome of the request if the id was used before
+            or no majority granted it.
+        """
         claim = outcomes.Claim(
             request_id, f"{self._host_id}/{next(self._claim_numbers)}"
         )
@@ -147,8 +170,8 @@
         """Withdraws the claim of a request that no endpoint has received."""
         holders = {
             seat
-            for seats in self._holder_sets(claim.request_id)
-            for seat in seats
+            for holder_set in self._holder_sets(claim.request_id)
+            for seat in holder_set
         }
         self._release_at(claim, holders)
 
@@ -170,10 +193,10 @@
         with self._lock:
             seats, previous_seats = self._seats, self._previous_seats
             age_ms = self._clock.monotonic_ms() - self._seats_changed_ms
-        sets = [holders_of(request_id, seats)]
+        holder_sets = [holders_of(request_id, seats)]
         if previous_seats and age_ms < self._keep_ms:
-            sets.append(holders_of(request_id, previous_seats))
-        return sets
+            holder_sets.append(holders_of(request_id, previous_seats))
+        return holder_sets
 
     def _claim_majority(
         self,
@@ -183,15 +206,15 @@
         tally: _ClaimTally,
     ) -> bool:
         """Asks holders, nearest first, until a majority has granted the id."""
-        needed = len(holders) // 2 + 1
+        majority = len(holders) // 2 + 1
         for seat in self._nearest_first(holders):
-            if len(tally.granted.intersection(holders)) >= needed:
+            if len(tally.granted.intersection(holders)) >= majority:
                 return True
             if seat not in tally.requested:
                 self._request_grant(claim, seat, deadline_ms, tally)
             if tally.is_duplicate:
                 return False
-        return 0 < needed <= len(tally.granted.intersection(holders))
+        return 0 < majority <= len(tally.granted.intersection(holders))
 
     def _nearest_first(self, holders: tuple[str, ...]) -> list[str]:
         views = {view.seat: view for view in self._peers.views()}
@@ -265,10 +288,10 @@
         )
 
     def _retry_after_recent_start_ms(self) -> int:
-        own_ms = self._keep_ms - self._marks.uptime_ms
+        own_wait_ms = self._keep_ms - self._marks.uptime_ms
         return (
-            own_ms
-            if own_ms > 0
+            own_wait_ms
+            if own_wait_ms > 0
             else min(RETRY_AFTER_RECENT_START_MS, self._keep_ms)
         )
 
--- a/src/comfreylatch/_request/outcomes.py
+++ b/src/comfreylatch/_request/outcomes.py
@@ -27,6 +27,9 @@
     """An endpoint returned a complete answer.
 
     Attributes:
+        status: HTTP status.
+        headers: Headers of the answer.
+        body: The complete body.
         endpoint: Name of the endpoint, or of the seat that the request was
             forwarded to.
     """
@@ -54,7 +57,13 @@
 
 @attrs.frozen
 class Unknown:
-    """An endpoint may have run the request."""
+    """An endpoint may have run the request.
+
+    Attributes:
+        reason: Reason code.
+        sentence: The reason as a sentence for people.
+        retry_after_ms: Time until a retry is useful; 0 if none is.
+    """
 
     reason: reasons.RefusalReason
     sentence: str
@@ -66,6 +75,7 @@
     """The exclusive right to dispatch a request id.
 
     Attributes:
+        request_id: The claimed id.
         claimant: Identifies this claim uniquely over all hosts.
     """
 
@@ -151,7 +161,8 @@
 ) -> RequestOutcome:
     """Converts the reply of another zone's host to an outcome.
 
-    Any reply other than `answered` or `not-run` becomes unknown.
+    Any reply other than `answered` or `not-run` becomes unknown, and so does a
+    reply with the id of another request.
     """
     if reply.request_id != request_id:
         return Unknown(
--- a/src/comfreylatch/_request/request_dispatch.py
+++ b/src/comfreylatch/_request/request_dispatch.py
@@ -26,6 +26,7 @@
 from comfreylatch._request import sent_try
 from comfreylatch._request import try_observer
 
+# A request is not retried after this many tries, hedges included.
 MAX_TRIES = 4
 # Share of the remaining time after which a hedge is sent at the latest.
 HEDGE_DEADLINE_SHARE = 0.5
@@ -39,7 +40,6 @@
     exchange.Loss.MALFORMED: reasons.RetryReason.ANSWER_TRUNCATED,
 }
 
-
 _RETRY_REASON_BY_FAILURE = {
     exchange.SendFailure.NO_CONNECTION_FREE: (
         reasons.RetryReason.NO_CONNECTION_FREE
@@ -54,14 +54,14 @@
 
 @final
 class RequestDispatch:
-    """Runs one request. Each request gets an instance of its own.
+    """Runs one request on this zone's endpoints. Used for one request only.
 
     Args:
         deps: Dependencies of request handling.
         call: The request.
         is_claimed: Whether another host has claimed its id already.
-        spill_handler: Called once, if the request would have to wait; may
-            run it in another zone and return its outcome.
+        spill_handler: Called once, if the request would have to wait. Returns
+            the outcome if it ran the request in another zone, else None.
         may_wait: Whether the request may wait for a slot.
     """
 
@@ -103,8 +103,8 @@
         while True:
             if endpoint is None:
                 match self._wait_for_slot():
-                    case result.Ok(granted):
-                        endpoint = granted
+                    case result.Ok(granted_endpoint):
+                        endpoint = granted_endpoint
                     case result.Err(refusal):
                         return self._outcome_of_refusal(refusal)
             refusal = self._claim_id(endpoint)
@@ -119,7 +119,9 @@
                     answer.body,
                     self._answered_by,
                 )
-            outcome = self._after_failure(endpoint, try_result.err_value)
+            outcome = self._outcome_after_failure(
+                endpoint, try_result.err_value
+            )
             if outcome is not None:
                 return outcome
             endpoint = None
@@ -144,7 +146,11 @@
         return self._state.queue.acquire(slot_request)
 
     def _acquire_slot(self) -> str | None:
-        """Acquires a slot of the best endpoint; None if no slot is free."""
+        """Acquires a slot of the best endpoint and returns its name.
+
+        Returns None if no slot is free, and reports the demand, which may lead
+        to a loan of slots from another host.
+        """
         state = self._state
         slots = self._deps.slots
         endpoint = state.picker.pick(
@@ -174,18 +180,21 @@
     def _claim_id(
         self, endpoint: str
     ) -> outcomes.NotRun | outcomes.Unknown | None:
-        """Claims the id before the first try, if it needs a claim."""
+        """Claims the id before the first try, if it needs a claim.
+
+        Returns None on success; else releases the slot and returns the outcome.
+        """
         if self._guard is None or self._claim is not None:
             return None
         deadline_ms = self._call.deadline_ms
-        claimed = None
+        claim_result = None
         try:
-            claimed = self._guard.claim(self._call.request_id, deadline_ms)
+            claim_result = self._guard.claim(self._call.request_id, deadline_ms)
         finally:
-            if claimed is None or claimed.is_err():
+            if claim_result is None or claim_result.is_err():
                 self._state.stats.record_inconclusive(endpoint)
                 self._make_slot_release(endpoint)()
-        match claimed:
+        match claim_result:
             case result.Ok(claim):
                 self._claim = claim
                 return None
@@ -261,7 +270,10 @@
     def _await_or_hedge(
         self, sent: sent_try.SentTry
     ) -> sent_try.SentTry | None:
-        """Waits for the first byte; sends a hedge if it is late."""
+        """Waits for the first byte; sends a hedge if it is late.
+
+        Returns the hedge, or None if there is none to wait for.
+        """
         wait_ms = self._hedge_delay_ms()
         if sent_try.first_readable([sent], wait_ms):
             return None
@@ -318,7 +330,7 @@
         if isinstance(error, exchange.LostAfterSend):
             self._last_loss = error
 
-    def _after_failure(
+    def _outcome_after_failure(
         self, endpoint: str, error: exchange.EndpointError
     ) -> outcomes.RequestOutcome | None:
         """Returns the outcome after a failed try, or None to try again."""
@@ -333,10 +345,10 @@
                 retry_reason = _RETRY_REASON_BY_FAILURE.get(
                     failure, reasons.RetryReason.CONNECT_FAILED
                 )
-                return self._retry(endpoint, retry_reason, detail)
+                return self._prepare_retry(endpoint, retry_reason, detail)
             case exchange.DeclinedByEndpoint(detail):
                 retry_reason = reasons.RetryReason.ENDPOINT_BUSY
-                return self._retry(endpoint, retry_reason, detail)
+                return self._prepare_retry(endpoint, retry_reason, detail)
             case exchange.LostAfterSend(loss, detail):
                 self._last_loss = error
                 if not self._call.idempotent:
@@ -344,12 +356,16 @@
                         f"{endpoint}: {loss}: {detail}"
                     )
                 retry_reason = _RETRY_REASON_BY_LOSS[loss]
-                return self._retry(endpoint, retry_reason, detail)
+                return self._prepare_retry(endpoint, retry_reason, detail)
 
-    def _retry(
+    def _prepare_retry(
         self, endpoint: str, reason: reasons.RetryReason, detail: str
     ) -> outcomes.RequestOutcome | None:
-        """Returns None if one more try is allowed, else the outcome."""
+        """Returns None if one more try is allowed, else the outcome.
+
+        Waits for the backoff time first if an endpoint may have run the
+        request.
+        """
         sentence = f"{endpoint}: {detail}"
         remaining_ms = self._remaining_ms()
         if remaining_ms <= 0:
@@ -365,8 +381,8 @@
         self._tried_endpoints |= {endpoint}
         self._journal_retry(reason, sentence)
         if self._last_loss is not None:
-            pause_ms = retry_budget.backoff_ms(self._tries, self._deps.rng)
-            time.sleep(min(pause_ms, remaining_ms) / 1_000)
+            backoff_ms = retry_budget.backoff_ms(self._tries, self._deps.rng)
+            time.sleep(min(backoff_ms, remaining_ms) / 1_000)
         return None
 
     def _outcome_of_refusal(
@@ -382,7 +398,11 @@
         sentence: str,
         retry_after_ms: int,
     ) -> outcomes.RequestOutcome:
-        """Returns `unknown` after a lost try, else `not-run`."""
+        """Returns `unknown` after a lost try, else `not-run`.
+
+        Releases the claim in the second case, so that the caller can repeat
+        the request.
+        """
         if self._last_loss is not None:
             return self._unknown_outcome(
                 f"{self._last_loss.detail}; then: {sentence}"
--- a/src/comfreylatch/_request/router.py
+++ b/src/comfreylatch/_request/router.py
@@ -45,14 +45,15 @@
 class RequestRouter:
     """Routes requests to endpoints of this zone, or to hosts of other zones.
 
-    Entering the context starts a thread that probes leaving endpoints and
-    trims connections; leaving it stops the thread.
+    Entering the context starts a thread that applies the peers' reports of
+    leaving endpoints, probes leaving endpoints and closes surplus connections;
+    leaving it stops the thread.
 
     Args:
         source: Configuration in force.
         slots: This host's share of the endpoints' limits.
         client: Sends single tries to endpoints.
-        peers: Other entry hosts.
+        peers: Calls to the other entry hosts.
         metrics: Counts outcomes, refusals and retries by reason.
         journal: Stores the decisions shown by `explain`.
         clock: Monotonic clock.
@@ -117,7 +118,10 @@
         self._upkeep_thread.join()
 
     def handle(self, request: http.HttpRequest) -> http.HttpReply:
-        """Handles a caller's request to `/services/...`."""
+        """Handles a caller's request to `/services/...`; blocks until it ends.
+
+        A refusal or lost answer is returned as an error reply.
+        """
         started_s = time.monotonic()
         given_id = request.headers.get("x-request-id")
         request_id = call_module.generate_id() if given_id is None else given_id
@@ -142,7 +146,10 @@
     def run_forwarded(
         self, request: ttypes.ForwardRequest
     ) -> ttypes.ForwardReply:
-        """Runs a request forwarded by a host of another zone."""
+        """Runs a request forwarded by a host of another zone.
+
+        It isn't forwarded again, and is refused if no slot is free now.
+        """
         started_s = time.monotonic()
         parsed = call_module.from_forward_request(
             request, self._table, self._deps.clock.monotonic_ms()
@@ -305,6 +312,10 @@
         )
 
     def _drain(self, endpoints: frozenset[str], learned_from: str) -> None:
+        """Sends no new requests to endpoints that are newly leaving.
+
+        Closes their idle connections and records each in the journal.
+        """
         self._table.update_usable_endpoints()
         for state in self._table.all():
             for endpoint in endpoints & state.addresses.keys():
--- a/src/comfreylatch/_request/sent_try.py
+++ b/src/comfreylatch/_request/sent_try.py
@@ -13,7 +13,13 @@
 
 @attrs.frozen
 class SentTry:
-    """A try that was sent to an endpoint and awaits its answer."""
+    """A try that was sent to an endpoint and awaits its answer.
+
+    Attributes:
+        endpoint: Name of the endpoint.
+        pending: The answer that is awaited.
+        started_s: `time.monotonic()` at the start of the try.
+    """
 
     endpoint: str
     pending: pending_answer.PendingAnswer
@@ -21,17 +27,20 @@
 
     @property
     def elapsed_ms(self) -> float:
-        """Time since the try was started."""
+        """Time since the start of the try."""
         return (time.monotonic() - self.started_s) * 1_000
 
 
 def first_readable(
     tries: Sequence[SentTry], timeout_ms: float
 ) -> SentTry | None:
-    """Returns the first try whose answer begins to arrive, or None."""
+    """Returns a try whose answer has begun to arrive.
+
+    Returns None if none has after `timeout_ms`.
+    """
     poll = select.poll()
-    by_descriptor = {each.pending.fileno(): each for each in tries}
-    for descriptor in by_descriptor:
+    try_by_descriptor = {sent.pending.fileno(): sent for sent in tries}
+    for descriptor in try_by_descriptor:
         poll.register(descriptor, select.POLLIN)
-    ready = poll.poll(max(timeout_ms, 0))
-    return by_descriptor[ready[0][0]] if ready else None
+    events = poll.poll(max(timeout_ms, 0))
+    return try_by_descriptor[events[0][0]] if events else None
--- a/src/comfreylatch/_request/spill.py
+++ b/src/comfreylatch/_request/spill.py
@@ -1,9 +1,9 @@
 """Forwarding of requests to other zones' hosts when this zone has no slot.
 
-Endpoints of this zone come first. A request is forwarded when a host of
-another zone has reported spare slots, and the request was refused here for
-lack of capacity or would wait here for longer than the other zone has
-recently taken to answer.
+This is called spilling. A free slot in this zone is preferred. A request is
+forwarded when a host of another zone has reported spare slots, and the request
+was refused here for lack of capacity or would wait here for longer than the
+other zone has recently taken to answer.
 """
 
 from __future__ import annotations
@@ -27,8 +27,9 @@
 # Assumed network time to another zone, before the first measured request.
 INITIAL_NETWORK_MS = 15.0
 ROUND_TRIP_SMOOTHING = 0.1
-# Part of the remaining time that is reserved for returning the reply.
+# Time before the request's deadline that is reserved for returning the reply.
 FORWARD_MARGIN_MS = 5
+# Time for which a seat gets no requests after it had no slot or did not reply.
 ROUTE_PAUSE_MS = 500
 
 _CAPACITY_REASONS = frozenset(
@@ -59,7 +60,13 @@
 
 @final
 class SpillForwarder:
-    """Forwards requests to hosts of other zones. Thread-safe."""
+    """Forwards requests to hosts of other zones. Thread-safe.
+
+    Args:
+        deps: Dependencies of request handling.
+        peers: Calls to the other entry hosts.
+        settings: This host's zone, and whether to forward at all.
+    """
 
     def __init__(
         self,
@@ -77,7 +84,10 @@
     def forward_before_waiting(
         self, call: call_module.Call
     ) -> outcomes.RequestOutcome | None:
-        """Forwards a request if another zone can answer sooner, else None."""
+        """Forwards a request if another zone can answer sooner.
+
+        Returns the outcome, or None if the request is still to be run here.
+        """
         queue = call.state.queue
         if queue.in_flight == 0:
             # No slot here can become free; the request will be refused and
@@ -88,7 +98,10 @@
     def forward_after_refusal(
         self, call: call_module.Call, outcome: outcomes.RequestOutcome
     ) -> outcomes.RequestOutcome | None:
-        """Forwards a request refused for lack of capacity, else None."""
+        """Forwards a request if it was refused for lack of capacity.
+
+        Returns the new outcome, or None if the given one stands.
+        """
         match outcome:
             case outcomes.NotRun(reason) if reason in _CAPACITY_REASONS:
                 remaining_ms = (
@@ -101,6 +114,7 @@
     def _forward_if_faster(
         self, call: call_module.Call, max_round_trip_ms: float
     ) -> outcomes.RequestOutcome | None:
+        """Forwards a request if a seat is expected to answer in that time."""
         if not self._is_enabled:
             return None
         seat = self._reserve_seat(call, max_round_trip_ms)
@@ -116,8 +130,8 @@
         self, call: call_module.Call, max_round_trip_ms: float
     ) -> str | None:
         """Reserves the fastest seat; None if no seat is fast enough."""
-        best: str | None = None
-        best_ms = max_round_trip_ms
+        fastest_seat: str | None = None
+        fastest_ms = max_round_trip_ms
         now_ms = self._deps.clock.monotonic_ms()
         mean_hold_ms = call.state.queue.mean_hold_ms
         with self._lock:
@@ -127,12 +141,12 @@
                 route = self._route(view.seat, call)
                 if route.round_trip_ms < 0:
                     route.round_trip_ms = mean_hold_ms + INITIAL_NETWORK_MS
-                if route.round_trip_ms < best_ms:
-                    best = view.seat
-                    best_ms = route.round_trip_ms
-            if best is not None:
-                self._route(best, call).in_flight += 1
-        return best
+                if route.round_trip_ms < fastest_ms:
+                    fastest_seat = view.seat
+                    fastest_ms = route.round_trip_ms
+            if fastest_seat is not None:
+                self._route(fastest_seat, call).in_flight += 1
+        return fastest_seat
 
     def _is_usable(
         self, view: peers_port.PeerView, call: call_module.Call, now_ms: int
@@ -140,8 +154,8 @@
         if view.zone == self._zone or not view.reachable or view.stopping:
             return False
         route = self._route(view.seat, call)
-        spare = view.spare_slots.get(call.state.name, 0)
-        return spare > route.in_flight and now_ms >= route.paused_until_ms
+        spare_slots = view.spare_slots.get(call.state.name, 0)
+        return spare_slots > route.in_flight and now_ms >= route.paused_until_ms
 
     def _route(self, seat: str, call: call_module.Call) -> _Route:
         return self._routes[f"{seat}/{call.state.name}"]
@@ -164,14 +178,14 @@
     def _forward(
         self, call: call_module.Call, seat: str
     ) -> outcomes.RequestOutcome | None:
-        """Returns the other host's outcome, or None if it ran nothing."""
+        """Returns the outcome, or None if the other zone ran nothing."""
         now_ms = self._deps.clock.monotonic_ms()
         remaining_ms = call.deadline_ms - now_ms
         if remaining_ms <= FORWARD_MARGIN_MS:
             return None
         self._record_spill(call, seat)
         started_s = time.monotonic()
-        forwarded = self._peers.forward(
+        reply_result = self._peers.forward(
             seat,
             call_module.to_forward_request(
                 call, remaining_ms - FORWARD_MARGIN_MS
@@ -180,7 +194,7 @@
         )
         elapsed_ms = (time.monotonic() - started_s) * 1_000
         route = self._route(seat, call)
-        match forwarded:
+        match reply_result:
             case result.Ok(reply):
                 outcome = outcomes.from_forward_reply(
                     call.request_id, seat, reply
--- a/src/comfreylatch/_request/try_observer.py
+++ b/src/comfreylatch/_request/try_observer.py
@@ -16,7 +16,12 @@
 
 @final
 class TryObserver:
-    """Updates statistics, ejections and leaving endpoints after each try."""
+    """Updates statistics, ejections and leaving endpoints after each try.
+
+    Args:
+        deps: Dependencies of request handling.
+        state: Routing state of the service that is tried.
+    """
 
     def __init__(
         self,
@@ -32,7 +37,10 @@
         answer: exchange.EndpointAnswer,
         elapsed_ms: float,
     ) -> None:
-        """Records a complete answer."""
+        """Records a complete answer, `elapsed_ms` after the try started.
+
+        A server error counts as a failure of the endpoint.
+        """
         state = self._state
         state.hedge_quantile.add(elapsed_ms)
         self._deps.metrics.observe(
@@ -53,7 +61,10 @@
         error: exchange.EndpointError,
         elapsed_ms: float,
     ) -> None:
-        """Records a failed try, if the failure is one of the endpoint."""
+        """Records a try that failed `elapsed_ms` after it started.
+
+        It counts against the endpoint only if the endpoint caused the failure.
+        """
         stats = self._state.stats
         match error:
             case exchange.NotSent(exchange.SendFailure.CONNECT_REFUSED, detail):
