--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -17,7 +17,7 @@
 from comfreylatch._version import job_records
 from comfreylatch._version import zone_fold
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @final
@@ -101,7 +101,7 @@
         self._journal.record(reasons.Subject.JOB, job, reason, sentence, offset)
 
     def _report_worker(self, worker: str, reason: str) -> None:
-        logs.event(_events, reason, worker=worker, zone=self._zone)
+        logs.event(_logger, reason, worker=worker, zone=self._zone)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         sentence = "compared with ends of attempts on other workers"
         self._journal.record(reasons.Subject.WORKER, worker, reason, sentence)
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -21,7 +21,7 @@
 RECLAIM_DELAY_MS = 30_000
 MAX_TRACKED_WAITING_JOBS = 1_024
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 _MayEvict = Callable[[attempt_module.Attempt], bool]
 
@@ -90,7 +90,7 @@
                     worker, attempt.state.spec.job_class
                 )
             scheduling.attempts.evict(job, now_ms, checkpoint_first)
-            logs.event(_events, "evict", job=job, worker=worker, cause="slow")
+            logs.event(_logger, "evict", job=job, worker=worker, cause="slow")
 
     def _start_eviction(
         self,
@@ -107,7 +107,7 @@
         for victim in plan.victims:
             scheduling.attempts.evict(victim, now_ms)
         logs.event(
-            _events,
+            _logger,
             "evict",
             jobs=",".join(plan.victims),
             worker=plan.worker,
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -40,7 +40,7 @@
 # Autonomy in a claim's bounds when the zone is not configured.
 DEFAULT_AUTONOMY_MS = 60_000
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 class Follower(Protocol):
@@ -210,7 +210,7 @@
         body = job_records.OwnerReleased(permissions.term, self._host_id)
         outcome = self._appender.append([body], APPEND_TIMEOUT_MS)
         logs.event(
-            _events,
+            _logger,
             "released",
             zone=self._zone,
             term=permissions.term,
@@ -355,7 +355,7 @@
                 self._record_outcome(sent_ms, False, -1)
             case result.Err(streams.NotAccepted(detail)):
                 logs.warning(
-                    _events, "claim-not-kept", zone=self._zone, detail=detail
+                    _logger, "claim-not-kept", zone=self._zone, detail=detail
                 )
         self._observe()
 
@@ -373,7 +373,7 @@
                 self._unconfirmed_sent_ms = None
 
     def _journal_event(self, reason: str, sentence: str, offset: int) -> None:
-        logs.event(_events, reason, zone=self._zone, detail=sentence)
+        logs.event(_logger, reason, zone=self._zone, detail=sentence)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
         self._journal.record(
             reasons.Subject.WORKER, self._zone, reason, sentence, offset
@@ -385,7 +385,7 @@
                 delay_ms = self.step()
             except Exception:
                 logs.exception(
-                    _events, "ownership-step-failed", zone=self._zone
+                    _logger, "ownership-step-failed", zone=self._zone
                 )
                 delay_ms = STEP_INTERVAL_MS
             self._stopping.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -23,7 +23,7 @@
 MIN_RETRY_DELAY_MS = 100
 MAX_RETRY_DELAY_MS = 2_000
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 def exchange_once(
@@ -105,7 +105,7 @@
                 delay_ms = self._step()
             except Exception:
                 logs.exception(
-                    _events, "exchange-failed", worker=self.session.worker
+                    _logger, "exchange-failed", worker=self.session.worker
                 )
                 delay_ms = MAX_RETRY_DELAY_MS
             self._wake.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -46,7 +46,7 @@
 APPEND_TIMEOUT_MS = 1_500
 MAX_RECORDS_PER_APPEND = 256
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @final
@@ -150,7 +150,7 @@
         now_ms = self._clock.monotonic_ms()
         if not self._scheduling.attempts.evict(job, now_ms):
             return False
-        logs.event(_events, "evict", job=job, reason=reason)
+        logs.event(_logger, "evict", job=job, reason=reason)
         return True
 
     def throttle(self, job: str, share_milli: int) -> None:
@@ -406,7 +406,7 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.exception(_events, "owner-step-failed", zone=self._zone)
+                logs.exception(_logger, "owner-step-failed", zone=self._zone)
                 delay_ms = IDLE_STEP_INTERVAL_MS
             self._stopping.wait(MIN_STEP_INTERVAL_MS / 1_000)
             self._pool.woken.wait(delay_ms / 1_000)
