--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -309,7 +309,7 @@
         if session is not None:
             # The predecessor may have renewed the lease just before the
             # worker's last answer to this host.
-            sent_ms = max(session.last_sent_ms, session.answered_ms)
+            sent_ms = max(session.last_lease_sent_ms, session.answered_ms)
         silent = session is None or session.failures > 0
         if not silent:
             return
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -37,7 +37,7 @@
     exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
         return None
-    previous_sent_ms = session.mark_sent(exchange, now_ms)
+    previous_lease_sent_ms = session.mark_sent(exchange, now_ms)
     answer = port.exchange(session.address, exchange, EXCHANGE_TIMEOUT_MS)
     match answer:
         case result.Ok(report):
@@ -48,7 +48,7 @@
             )
         case result.Err(error):
             return session.on_no_answer(
-                exchange, error, now_ms, previous_sent_ms
+                exchange, error, now_ms, previous_lease_sent_ms
             )
 
 
--- a/src/comfreylatch/_process/batch/worker_session.py
+++ b/src/comfreylatch/_process/batch/worker_session.py
@@ -69,11 +69,12 @@
         self._commands: list[workers.Command] = []
         self._deferred_commands: list[workers.Command] = []
         self._boot = ""
-        self._last_report = 0
+        self._last_report_number = 0
         self._last_report_sent_ms = 0
         self._fenced_term = 0
-        self._lease_sent_ms = -1
-        self._last_sent_ms = -1
+        # Time of the last renewal; -1 if the next one is due at once.
+        self._renewal_sent_ms = -1
+        self._last_lease_sent_ms = -1
         self._answered_ms = -1
         self._poll_due_ms = NEVER_MS
         self._failures = 0
@@ -84,12 +85,12 @@
         return self._fenced_term
 
     @property
-    def last_sent_ms(self) -> int:
+    def last_lease_sent_ms(self) -> int:
         """Time right before sending the last lease that may have arrived.
 
         It is -1 if there is none.
         """
-        return self._last_sent_ms
+        return self._last_lease_sent_ms
 
     @property
     def answered_ms(self) -> int:
@@ -138,7 +139,7 @@
             if self._commands and permissions.may_start(now_ms):
                 return 0
         interval_ms = permissions.bounds.lease_ms // 3
-        due_ms = min(self._lease_sent_ms + interval_ms, self._poll_due_ms)
+        due_ms = min(self._renewal_sent_ms + interval_ms, self._poll_due_ms)
         return max(0, due_ms - now_ms)
 
     def next_exchange(
@@ -155,12 +156,16 @@
         with self._lock:
             age_ms = now_ms - self._last_report_sent_ms
             fenced = self._fenced_term == permissions.term
-            if not fenced or self._last_report == 0 or age_ms > ttl_ms // 2:
+            if (
+                not fenced
+                or self._last_report_number == 0
+                or age_ms > ttl_ms // 2
+            ):
                 return workers.Exchange(self._host_id, permissions.term, 0, 0)
             return workers.Exchange(
                 owner=self._host_id,
                 term=permissions.term,
-                quoted_report=self._last_report,
+                quoted_report=self._last_report_number,
                 lease_ms=permissions.bounds.lease_ms,
                 commands=self._dequeue_commands(permissions.may_start(now_ms)),
             )
@@ -169,15 +174,15 @@
         """Records that an exchange is about to be sent.
 
         Returns:
-            The previous `last_sent_ms`, to be passed to `on_no_answer`.
+            The previous `last_lease_sent_ms`, to be passed to `on_no_answer`.
         """
         with self._lock:
-            previous_sent_ms = self._last_sent_ms
+            previous_lease_sent_ms = self._last_lease_sent_ms
             # An exchange without a lease can't keep a task running.
             if exchange.lease_ms > 0:
-                self._last_sent_ms = now_ms
-                self._lease_sent_ms = now_ms
-            return previous_sent_ms
+                self._last_lease_sent_ms = now_ms
+                self._renewal_sent_ms = now_ms
+            return previous_lease_sent_ms
 
     def on_answer(
         self,
@@ -190,7 +195,7 @@
         with self._lock:
             restarted = self._boot not in ("", report.boot)
             self._boot = report.boot
-            self._last_report = report.report
+            self._last_report_number = report.report
             self._last_report_sent_ms = sent_ms
             self._answered_ms = now_ms
             self._poll_due_ms = NEVER_MS
@@ -199,7 +204,7 @@
                 self._fenced_term = max(self._fenced_term, exchange.term)
             refused = report.lease_left_ms < exchange.lease_ms // 2
             if refused:
-                self._lease_sent_ms = -1
+                self._renewal_sent_ms = -1
         return Reported(
             worker=self.worker,
             term=exchange.term,
@@ -215,16 +220,16 @@
         exchange: workers.Exchange,
         error: workers.WorkerError,
         sent_ms: int,
-        previous_sent_ms: int,
+        previous_lease_sent_ms: int,
     ) -> Unanswered:
         """Handles an exchange without an answer."""
         was_sent = isinstance(error, workers.WorkerAnswerLost)
         with self._lock:
             self._failures += 1
-            self._last_report = 0
-            self._lease_sent_ms = -1
+            self._last_report_number = 0
+            self._renewal_sent_ms = -1
             if not was_sent:
-                self._last_sent_ms = previous_sent_ms
+                self._last_lease_sent_ms = previous_lease_sent_ms
         return Unanswered(
             worker=self.worker,
             term=exchange.term,
--- a/testing/capacity/batch_slopes.py
+++ b/testing/capacity/batch_slopes.py
@@ -193,7 +193,7 @@
 
     fenced_term: int = TERM
     failures: int = 0
-    last_sent_ms: int = 0
+    last_lease_sent_ms: int = 0
     answered_ms: int = 0
 
 
