--- a/src/comfreylatch/_process/batch/attempt_tracker.py
+++ b/src/comfreylatch/_process/batch/attempt_tracker.py
@@ -122,7 +122,8 @@
         now_ms: int,
     ) -> None:
         """Handles a worker's answer to an exchange of the current term."""
-        # A worker that restarted after fencing knows no term and ran nothing.
+        # A worker that has restarted since it was fenced reports no term and
+        # has run nothing yet.
         if event.report.highest_term == self._term:
             self._process_tasks(event, bounds, now_ms)
         for command, status in zip(
@@ -147,11 +148,14 @@
                 self._process_missing(attempt, event, bounds)
             else:
                 self._process_task(attempt, task, now_ms)
-        commanded = {
+        commanded_attempts = {
             (command.job, command.attempt) for command in event.commands
         }
         for key, task in tasks_by_attempt.items():
-            if task.state is workers.TaskState.RUNNING or key not in commanded:
+            if (
+                task.state is workers.TaskState.RUNNING
+                or key not in commanded_attempts
+            ):
                 self._stop_stray(event.worker, task)
         self._schedule_poll(event.worker, now_ms)
 
@@ -227,9 +231,9 @@
                 evicted = (
                     attempt.stop_reason is attempt_module.StopReason.EVICTED
                 )
-                end = job_records.AttemptEnd
+                ends = job_records.AttemptEnd
                 self._pending.add_end(
-                    attempt, end.EVICTED if evicted else end.LOST
+                    attempt, ends.EVICTED if evicted else ends.LOST
                 )
 
     def _request_checkpoint(
--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -77,7 +77,7 @@
 ) -> tuple[attempt_module.Attempt, ...] | None:
     """Selects attempts to stop so that a size fits, least unsaved work first.
 
-    Drops those that turn out not to be needed.
+    Attempts without which the size fits too are left out again.
 
     Returns:
         The victims; None if stopping all attempts frees too little.
@@ -143,9 +143,9 @@
             if victims is None:
                 continue
             unsaved_ms = sum(map(unsaved_work_ms, victims))
-            names = tuple(attempt.job for attempt in victims)
+            victim_jobs = tuple(attempt.job for attempt in victims)
             plan = EvictionPlan(
-                job, account.name, size, names, unsaved_ms, now_ms
+                job, account.name, size, victim_jobs, unsaved_ms, now_ms
             )
             if best is None or _cost(plan) < _cost(best):
                 best = plan
@@ -156,17 +156,19 @@
 
     def ready_plans(self, now_ms: int) -> list[EvictionPlan]:
         """Returns plans whose victims have ended; cancels overdue plans."""
-        found = []
+        ready = []
         for plan in tuple(self._plans.values()):
             account = self._ledger.account(plan.worker)
             is_reserved = self._ledger.worker_of(plan.job) == plan.worker
             if account is None or not account.schedulable or not is_reserved:
                 self.cancel(plan.job)
             elif capacity.fits(capacity.NO_RESOURCES, account.free):
-                found.append(plan)
+                # The reservation of a plan makes the free capacity negative
+                # until enough victims have ended.
+                ready.append(plan)
             elif now_ms - plan.created_ms > PLAN_TIMEOUT_MS:
                 self.cancel(plan.job)
-        return found
+        return ready
 
     def complete(self, job: str) -> None:
         """Removes the plan of an assigned job; its reservation stays."""
--- a/src/comfreylatch/_process/batch/evictor.py
+++ b/src/comfreylatch/_process/batch/evictor.py
@@ -28,7 +28,7 @@
 
 @final
 class Evictor:
-    """Starts evictions and throttles; its budget spans terms.
+    """Evicts and throttles attempts; its budget is kept across terms.
 
     Not thread-safe.
     """
@@ -47,8 +47,8 @@
     ) -> None:
         """Starts evictions for jobs that a round could not place."""
         for state in decisions.waiting_urgent[:MAX_PLANS_PER_ROUND]:
-            self._start_eviction(scheduling, state, _not_urgent, now_ms)
-        due = self._overdue_for_reclaim(decisions.waiting_within_quota, now_ms)
+            self._start_eviction(scheduling, state, _is_evictable, now_ms)
+        due = self._due_for_reclaim(decisions.waiting_within_quota, now_ms)
         for state in due[:MAX_PLANS_PER_ROUND]:
             self._reclaim(scheduling, state, per_hour, now_ms)
 
@@ -132,8 +132,8 @@
             share_milli = scheduling.queue.quota_share_milli(
                 attempt.state.spec.team
             )
-            over = share_milli > job_queue.FULL_SHARE_MILLI
-            return over and _not_urgent(attempt)
+            above_quota = share_milli > job_queue.FULL_SHARE_MILLI
+            return above_quota and _is_evictable(attempt)
 
         plan = self._start_eviction(scheduling, state, is_borrowing, now_ms)
         if plan is not None:
@@ -141,17 +141,17 @@
             self._budget.spend(len(plan.victims), now_ms)
             self._count("quota-reclaimed")
 
-    def _overdue_for_reclaim(
+    def _due_for_reclaim(
         self, waiting: tuple[job_state.JobState, ...], now_ms: int
     ) -> list[job_state.JobState]:
         """Jobs that have waited `RECLAIM_DELAY_MS` within their quota."""
-        names = {state.spec.id for state in waiting}
+        waiting_jobs = {state.spec.id for state in waiting}
         self._waiting_since_ms = {
             job: since_ms
             for job, since_ms in self._waiting_since_ms.items()
-            if job in names
+            if job in waiting_jobs
         }
-        for job in names:
+        for job in waiting_jobs:
             if len(self._waiting_since_ms) < MAX_TRACKED_WAITING_JOBS:
                 self._waiting_since_ms.setdefault(job, now_ms)
         return [
@@ -165,5 +165,6 @@
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, label)
 
 
-def _not_urgent(attempt: attempt_module.Attempt) -> bool:
+def _is_evictable(attempt: attempt_module.Attempt) -> bool:
+    """Whether an attempt is neither urgent nor being stopped already."""
     return attempt.stop_reason is None and not attempt.state.spec.urgent
--- a/src/comfreylatch/_process/batch/job_scheduler.py
+++ b/src/comfreylatch/_process/batch/job_scheduler.py
@@ -1,4 +1,4 @@
-"""Assigns queued jobs to workers and updates the ledgers from the fold."""
+"""Assigns queued jobs to workers and updates the queue from the fold."""
 
 from __future__ import annotations
 
@@ -37,6 +37,13 @@
 
 @attrs.define
 class _RoundBuilder:
+    """Decisions of the round under way.
+
+    Attributes:
+        unplaceable: Job classes and sizes for which no worker was found in
+            this round.
+    """
+
     assigned: list[job_records.AttemptAssigned] = attrs.field(factory=list)
     parked: list[job_records.JobParked] = attrs.field(factory=list)
     urgent: list[job_state.JobState] = attrs.field(factory=list)
@@ -175,14 +182,14 @@
         if not self._may_place(state, size):
             builder.failed_placements += 1
             return False
-        shape = (state.spec.job_class, size)
-        if shape in builder.unplaceable:
+        class_and_size = (state.spec.job_class, size)
+        if class_and_size in builder.unplaceable:
             return False
         worker = self._placement.choose(state, size)
         if worker is None:
             builder.failed_placements += 1
             if not state.failed_workers and not state.spec.urgent:
-                builder.unplaceable.add(shape)
+                builder.unplaceable.add(class_and_size)
             return False
         builder.assigned.append(self.assign(state, worker, size, term))
         return True
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -133,7 +133,7 @@
         self._permissions = NO_PERMISSIONS
         self._proof_ms = -1
         self._renewal_sent_ms: int | None = None
-        self._unconfirmed_sent_ms: int | None = None
+        self._first_unconfirmed_sent_ms: int | None = None
         self._own_touched_offset = -1
         self._seen_claims: dict[int, tuple[int, bool, bool]] = {}
         self._predecessor_tasks_until_ms: dict[int, int] = {}
@@ -260,19 +260,22 @@
             return
         if claim.touched_offset > self._own_touched_offset:
             self._own_touched_offset = claim.touched_offset
-            if self._unconfirmed_sent_ms is not None:
-                self._proof_ms = max(self._proof_ms, self._unconfirmed_sent_ms)
-                self._unconfirmed_sent_ms = None
+            # Any of the unconfirmed records may be the one that was folded.
+            if self._first_unconfirmed_sent_ms is not None:
+                self._proof_ms = max(
+                    self._proof_ms, self._first_unconfirmed_sent_ms
+                )
+                self._first_unconfirmed_sent_ms = None
         bounds = claim.bounds
         renew_ms = max(bounds.autonomy_ms, bounds.claim_ms)
-        gained = self._permissions.term != claim.term
+        is_new_term = self._permissions.term != claim.term
         self._permissions = OwnerPermissions(
             term=claim.term,
             bounds=bounds,
             command_until_ms=self._proof_ms + bounds.claim_ms,
             renew_until_ms=self._proof_ms + renew_ms,
         )
-        if gained:
+        if is_new_term:
             self._journal_event(
                 "owner-gained", f"claim {claim.term} won", claim.offset
             )
@@ -292,8 +295,8 @@
         waited_ms = now_ms - self._claim_changed_ms - self._jitter_ms
         if claim is None or claim.released or claim.host == self._host_id:
             return waited_ms >= 0
-        lapse_ms = claim.bounds.claim_ms + claim.bounds.drift_margin_ms
-        return waited_ms >= lapse_ms
+        expires_after_ms = claim.bounds.claim_ms + claim.bounds.drift_margin_ms
+        return waited_ms >= expires_after_ms
 
     def _configured_bounds(self) -> job_records.ClaimBounds:
         configuration = self._source.current()
@@ -317,7 +320,7 @@
         )
         self._append(body)
         with self._lock:
-            # After a lost race, wait until the winner's claim lapses.
+            # After a lost race, wait until the winner's claim expires.
             self._claim_changed_ms = self._clock.monotonic_ms()
             lost = self._permissions.term != body.term
         if lost:
@@ -363,14 +366,14 @@
         claims = self._fold.claims()
         with self._lock:
             if not folded:
-                if self._unconfirmed_sent_ms is None:
-                    self._unconfirmed_sent_ms = sent_ms
+                if self._first_unconfirmed_sent_ms is None:
+                    self._first_unconfirmed_sent_ms = sent_ms
                 return
-            is_folded = claims and claims[-1].touched_offset >= offset
-            if is_folded and self._is_own(claims[-1]):
+            updates_claim = claims and claims[-1].touched_offset >= offset
+            if updates_claim and self._is_own(claims[-1]):
                 self._proof_ms = max(self._proof_ms, sent_ms)
                 self._own_touched_offset = claims[-1].touched_offset
-                self._unconfirmed_sent_ms = None
+                self._first_unconfirmed_sent_ms = None
 
     def _journal_event(self, reason: str, sentence: str, offset: int) -> None:
         logs.event(_logger, reason, zone=self._zone, detail=sentence)
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -49,18 +49,18 @@
 
     Attributes:
         dimensions: Those in which the request exceeds the nearest worker.
-        largest: Resources that the nearest worker has for batch work.
+        available: Resources that the nearest worker has for batch work.
     """
 
     dimensions: tuple[str, ...]
-    largest: workers.Resources
+    available: workers.Resources
 
     def describe(self, size: workers.Resources) -> str:
         """Describes which dimensions of the request are too large."""
         parts = []
         for name in self.dimensions:
             requested = getattr(size, name)
-            available = getattr(self.largest, name)
+            available = getattr(self.available, name)
             parts.append(f"{name} {requested} is above {available}")
         return "no worker can hold it: " + ", ".join(parts)
 
@@ -80,12 +80,12 @@
     """
     nearest: NeverFits | None = None
     for amount in set(usable):
-        short = capacity.insufficient_dimensions(size, amount)
-        if not short:
+        insufficient = capacity.insufficient_dimensions(size, amount)
+        if not insufficient:
             return None
-        closer = nearest is None or len(short) < len(nearest.dimensions)
+        closer = nearest is None or len(insufficient) < len(nearest.dimensions)
         if closer:
-            nearest = NeverFits(short, amount)
+            nearest = NeverFits(insufficient, amount)
     return nearest
 
 
@@ -105,7 +105,7 @@
         self._team_on_rack: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
-        self._placed: dict[str, tuple[str, str]] = {}
+        self._team_and_rack: dict[str, tuple[str, str]] = {}
 
     def choose(
         self, state: job_state.JobState, size: workers.Resources
@@ -169,13 +169,13 @@
         account = self._ledger.account(worker)
         rack = account.rack if account else ""
         key = (state.spec.team, rack)
-        self._placed[state.spec.id] = key
+        self._team_and_rack[state.spec.id] = key
         self._team_on_rack[key] += 1
 
     def remove(self, job: str) -> str | None:
         """Releases a job's reservation; returns the worker it was on."""
         self._model.remove(job)
-        key = self._placed.pop(job, None)
+        key = self._team_and_rack.pop(job, None)
         if key is not None:
             self._team_on_rack[key] -= 1
             if not self._team_on_rack[key]:
@@ -188,12 +188,14 @@
         size: workers.Resources,
         account: capacity.WorkerAccount,
     ) -> tuple[int, str]:
-        on_rack = self._team_on_rack[state.spec.team, account.rack]
+        team_attempts_on_rack = self._team_on_rack[
+            state.spec.team, account.rack
+        ]
         free_after_milli = account.free.processors_milli - size.processors_milli
         total_milli = max(1, account.total.processors_milli)
         cost_milli = (
             self._model.cost_milli(state.spec.job_class, account.name)
-            + SAME_RACK_COST_MILLI * on_rack
+            + SAME_RACK_COST_MILLI * team_attempts_on_rack
             + UNUSED_CAPACITY_COST_MILLI * free_after_milli // total_milli
         )
         return cost_milli, account.name
--- a/src/comfreylatch/_process/batch/scheduling_state.py
+++ b/src/comfreylatch/_process/batch/scheduling_state.py
@@ -46,7 +46,7 @@
     ) -> None:
         self._usage = usage
         self._policy = policy
-        self._largest = capacity.NO_RESOURCES
+        self._largest_usable = capacity.NO_RESOURCES
         self.term = term
         self.ledger = capacity.CapacityLedger()
         self.workers = zone_workers.ZoneWorkers(zone, self.ledger)
@@ -78,18 +78,18 @@
         if self._policy is placement_module.Policy.FIRST_FIT:
             return declared
         return self._usage.sizes.size(
-            state.spec.job_class, declared, self._largest
+            state.spec.job_class, declared, self._largest_usable
         )
 
     def refresh_workers(self) -> None:
         """Applies changes of the host list, configuration and reports."""
         if not self.workers.refresh():
             return
-        self._largest = capacity.NO_RESOURCES
+        self._largest_usable = capacity.NO_RESOURCES
         for account in self.ledger.accounts():
             usable = account.usable
-            if usable.processors_milli > self._largest.processors_milli:
-                self._largest = usable
+            if usable.processors_milli > self._largest_usable.processors_milli:
+                self._largest_usable = usable
             self.cost_model.set_worker(
                 account.name, account.total.processors_milli
             )
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -217,10 +217,10 @@
         scheduling.workers.set_configuration(configuration)
         scheduling.queue.set_teams(configuration.teams)
         scheduling.refresh_workers()
-        allowed = configuration.limits.service_slowdown_percent / 100
+        allowed_slowdown = configuration.limits.service_slowdown_percent / 100
         scheduling.cost_model.now_ms = now_ms
-        scheduling.cost_model.allowed_slowdown = allowed
-        self._usage.control.allowed_slowdown = allowed
+        scheduling.cost_model.allowed_slowdown = allowed_slowdown
+        self._usage.control.allowed_slowdown = allowed_slowdown
         for name, host in listed.items():
             scheduling.ledger.set_schedulable(
                 name, self._is_schedulable(host, now_ms)
@@ -263,8 +263,10 @@
                 continue
             match event:
                 case worker_session.Reported():
-                    amount = event.report.capacity
-                    self._scheduling.workers.set_reported(event.worker, amount)
+                    reported_capacity = event.report.capacity
+                    self._scheduling.workers.set_reported(
+                        event.worker, reported_capacity
+                    )
                     self._scheduling.attempts.on_reported(event, bounds, now_ms)
                     self._process_usage(event.report, now_ms)
                 case worker_session.Unanswered():
