--- a/src/comfreylatch/_process/batch/capacity.py
+++ b/src/comfreylatch/_process/batch/capacity.py
@@ -209,7 +209,7 @@
             and bucket[1] >= min_bucket[1]
             and bucket[2] >= min_bucket[2]
         )
-        found: list[WorkerAccount] = []
+        fitting: list[WorkerAccount] = []
         examinations_left = MAX_WORKERS_EXAMINED
         for bucket in reachable:
             names = self._buckets[bucket]
@@ -221,10 +221,10 @@
                     del names[name]
                     names[name] = None
                     continue
-                found.append(account)
-                if len(found) >= limit:
-                    return found
-        return found
+                fitting.append(account)
+                if len(fitting) >= limit:
+                    return fitting
+        return fitting
 
     def _index(self, account: WorkerAccount) -> None:
         bucket = _bucket_of(account.free) if account.schedulable else None
--- a/src/comfreylatch/_process/batch/decision_reporter.py
+++ b/src/comfreylatch/_process/batch/decision_reporter.py
@@ -81,11 +81,15 @@
                 if self._health.record_success(state.worker):
                     self._report_worker(state.worker, "quarantine-ended")
             case job_records.AttemptEnd.FAILED:
-                elsewhere = any(
+                failed_elsewhere = any(
                     worker != state.worker for worker in state.failed_workers
                 )
                 if self._health.record_failure(
-                    state.worker, body.job, elsewhere, worker_count, now_ms
+                    state.worker,
+                    body.job,
+                    failed_elsewhere,
+                    worker_count,
+                    now_ms,
                 ):
                     self._report_worker(state.worker, "quarantined")
             case job_records.AttemptEnd.EVICTED:
@@ -103,5 +107,5 @@
     def _report_worker(self, worker: str, reason: str) -> None:
         logs.event(_logger, reason, worker=worker, zone=self._zone)
         self._metrics.count(metrics_module.Counter.JOB_EVENTS, reason)
-        sentence = "compared with ends of attempts on other workers"
+        sentence = "based on how attempts ended on it and on other workers"
         self._journal.record(reasons.Subject.WORKER, worker, reason, sentence)
--- a/src/comfreylatch/_process/batch/interference.py
+++ b/src/comfreylatch/_process/batch/interference.py
@@ -81,14 +81,14 @@
     capacity_milli: int,
 ) -> Sample:
     """Converts one measurement; tasks of unknown jobs are left out."""
-    host_milli = max(1, capacity_milli)
+    host_processors_milli = max(1, capacity_milli)
     loads: collections.Counter[str] = collections.Counter()
     weighted: collections.Counter[str] = collections.Counter()
     for task in usage.tasks:
         job_class = class_by_job.get(task.job)
         if job_class is None:
             continue
-        load = task.processors_milli / host_milli
+        load = task.processors_milli / host_processors_milli
         loads[job_class] += load
         weighted[job_class] += load * task.slowdown_milli / UNIT_MILLI
     slowdowns = {
@@ -98,7 +98,9 @@
     }
     for service in usage.services:
         slowdowns[service.service] = service.slowdown_milli / UNIT_MILLI
-    return Sample(loads, slowdowns, usage.processors_milli / host_milli)
+    return Sample(
+        loads, slowdowns, usage.processors_milli / host_processors_milli
+    )
 
 
 @final
@@ -158,5 +160,7 @@
         error = extra_slowdown - predicted
         for coefficient, load in weighted_coefficients:
             gain = coefficient.variance * load / innovation_variance
-            variance_left = coefficient.variance * (1.0 - gain * load)
-            coefficient.update(coefficient.mean + gain * error, variance_left)
+            posterior_variance = coefficient.variance * (1.0 - gain * load)
+            coefficient.update(
+                coefficient.mean + gain * error, posterior_variance
+            )
--- a/src/comfreylatch/_process/batch/interference_control.py
+++ b/src/comfreylatch/_process/batch/interference_control.py
@@ -110,9 +110,10 @@
         state = self._states.get(worker)
         if state is None:
             return False
-        low = 1.0 + self.allowed_slowdown + RELAXATION_MARGIN
+        relaxation_limit = 1.0 + self.allowed_slowdown + RELAXATION_MARGIN
         slow = (
-            bool(state.worst_slowdowns) and state.worst_slowdowns[-1][1] > low
+            bool(state.worst_slowdowns)
+            and state.worst_slowdowns[-1][1] > relaxation_limit
         )
         return slow or state.step is not EscalationStep.NONE
 
@@ -234,12 +235,14 @@
                 coefficient.mean * load_of(attempt), MIN_FULL_SHARE_SLOWDOWN
             )
             gain_milli = int(slack / full_share_slowdown * FULL_SHARE_MILLI)
-            share = min(attempt.share_milli + gain_milli, FULL_SHARE_MILLI)
-            if share - attempt.share_milli < MIN_SHARE_GAIN_MILLI:
+            share_milli = min(
+                attempt.share_milli + gain_milli, FULL_SHARE_MILLI
+            )
+            if share_milli - attempt.share_milli < MIN_SHARE_GAIN_MILLI:
                 continue
-            gained_milli = share - attempt.share_milli
+            gained_milli = share_milli - attempt.share_milli
             slack -= full_share_slowdown * gained_milli / FULL_SHARE_MILLI
-            shares.append(JobShare(attempt.job, share))
+            shares.append(JobShare(attempt.job, share_milli))
         return Throttle(tuple(shares), relaxes=True) if shares else None
 
     def _rank_by_contribution(
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -98,18 +98,18 @@
         )
         budget = PLANNED_SLOWDOWN_FRACTION * self.allowed_slowdown
         for service in self._services.get(worker, ()):
-            known = self._model.estimates_for(service)
-            unknown = interference.PRIOR_COEFFICIENT
-            before = self._predicted_slowdown(known, worker)
-            added = known.get(job_class, unknown).mean * load
+            estimates = self._model.estimates_for(service)
+            prior = interference.PRIOR_COEFFICIENT
+            current_slowdown = self._predicted_slowdown(estimates, worker)
+            added_slowdown = estimates.get(job_class, prior).mean * load
             # Work with negligible effect may join a slow worker, and any work
             # a worker whose service is hardly slowed down.
             if (
-                added < NEGLIGIBLE_ADDED_SLOWDOWN
-                or before <= NEGLIGIBLE_TOTAL_SLOWDOWN
+                added_slowdown < NEGLIGIBLE_ADDED_SLOWDOWN
+                or current_slowdown <= NEGLIGIBLE_TOTAL_SLOWDOWN
             ):
                 continue
-            if before + added > budget:
+            if current_slowdown + added_slowdown > budget:
                 return True
         return False
 
@@ -123,28 +123,30 @@
             return interference.UNIT_MILLI
         worker, job_class, milli = placed
         processors_milli = self._processors_milli.get(worker, 1)
-        share = interference.UNIT_MILLI
+        share_milli = interference.UNIT_MILLI
         for service in self._services.get(worker, ()):
-            known = self._model.estimates_for(service)
-            unknown = interference.PRIOR_COEFFICIENT
-            total = self._predicted_slowdown(known, worker)
-            own = known.get(job_class, unknown).mean * milli / processors_milli
+            estimates = self._model.estimates_for(service)
+            prior = interference.PRIOR_COEFFICIENT
+            total = self._predicted_slowdown(estimates, worker)
+            own = (
+                estimates.get(job_class, prior).mean * milli / processors_milli
+            )
             slack = self.allowed_slowdown - (total - own)
             if own > max(slack, 0.0):
                 fitting_milli = int(
                     max(slack, 0.0) / own * interference.UNIT_MILLI
                 )
-                share = min(share, fitting_milli)
-        return max(share, MIN_SHARE_MILLI)
+                share_milli = min(share_milli, fitting_milli)
+        return max(share_milli, MIN_SHARE_MILLI)
 
     def _predicted_slowdown(
-        self, known: Mapping[str, interference.Coefficient], worker: str
+        self, estimates: Mapping[str, interference.Coefficient], worker: str
     ) -> float:
         """Predicts the extra slowdown of a service on a worker."""
         processors_milli = self._processors_milli.get(worker, 1)
-        unknown = interference.PRIOR_COEFFICIENT
+        prior = interference.PRIOR_COEFFICIENT
         return sum(
-            known.get(other, unknown).mean * milli / processors_milli
+            estimates.get(other, prior).mean * milli / processors_milli
             for other, milli in self._load_milli.get(worker, {}).items()
         )
 
@@ -155,13 +157,13 @@
         for service in self._services.get(worker, ()):
             coefficient = self._model.coefficient(service, job_class)
             cost += SERVICE_WEIGHT * coefficient.conservative
-        suffered = self._model.estimates_for(job_class)
-        unknown = interference.PRIOR_COEFFICIENT
+        estimates = self._model.estimates_for(job_class)
+        prior = interference.PRIOR_COEFFICIENT
         for other, milli in self._load_milli.get(worker, {}).items():
             caused = self._model.coefficient(other, job_class)
-            coefficient = suffered.get(other, unknown)
+            suffered = estimates.get(other, prior)
             cost += (
-                (caused.conservative + coefficient.conservative)
+                (caused.conservative + suffered.conservative)
                 * milli
                 / processors_milli
             )
--- a/src/comfreylatch/_process/batch/job_handler.py
+++ b/src/comfreylatch/_process/batch/job_handler.py
@@ -240,7 +240,7 @@
             return _Refusal(422, reason, detail)
         if spec.urgent and not team.may_be_urgent:
             reason = reasons.RefusalReason.URGENT_NOT_ALLOWED
-            detail = f"team {spec.team} may not ask for urgent starts"
+            detail = f"team {spec.team} may not submit urgent jobs"
             return _Refusal(422, reason, detail)
         return self._check_size(spec, configuration, team.quota)
 
@@ -257,9 +257,9 @@
             detail = never_fits.describe(spec.resources)
             return _Refusal(422, reason, detail)
         team = configuration.teams[spec.team]
-        short = capacity.insufficient_dimensions(spec.resources, quota)
-        if short and not team.may_borrow:
-            names = ", ".join(short)
+        exceeded = capacity.insufficient_dimensions(spec.resources, quota)
+        if exceeded and not team.may_borrow:
+            names = ", ".join(exceeded)
             detail = f"above the quota of team {spec.team}: {names}"
             return _Refusal(422, reason, detail)
         return None
--- a/src/comfreylatch/_process/batch/job_queue.py
+++ b/src/comfreylatch/_process/batch/job_queue.py
@@ -62,25 +62,27 @@
     """
 
     def __init__(self) -> None:
-        self._teams: dict[str, _TeamQueue] = {}
+        self._queue_by_team: dict[str, _TeamQueue] = {}
         self._team_by_job: dict[str, str] = {}
-        self._used: dict[str, workers.Resources] = {}
+        self._usage_by_team: dict[str, workers.Resources] = {}
         self._usage_by_job: dict[str, tuple[str, workers.Resources]] = {}
-        self._quotas: Mapping[str, objects.Team] = {}
+        self._configured_teams: Mapping[str, objects.Team] = {}
 
     def __len__(self) -> int:
         return len(self._team_by_job)
 
     def set_teams(self, teams: Mapping[str, objects.Team]) -> None:
         """Replaces the teams and their quotas."""
-        self._quotas = teams
+        self._configured_teams = teams
 
     def add(self, state: job_state.JobState) -> None:
         """Queues a job; one that was started before goes to the front."""
         job = state.spec.id
         self.discard(job)
-        team = self._teams.setdefault(state.spec.team, _TeamQueue())
-        queue = team.urgent if state.spec.urgent else team.normal
+        team_queue = self._queue_by_team.setdefault(
+            state.spec.team, _TeamQueue()
+        )
+        queue = team_queue.urgent if state.spec.urgent else team_queue.normal
         queue[job] = state
         if state.attempt > 0:
             queue.move_to_end(job, last=False)
@@ -88,21 +90,21 @@
 
     def discard(self, job: str) -> None:
         """Removes a job from the queue, if present."""
-        name = self._team_by_job.pop(job, None)
-        if name is None:
+        team = self._team_by_job.pop(job, None)
+        if team is None:
             return
-        team = self._teams[name]
-        team.urgent.pop(job, None)
-        team.normal.pop(job, None)
-        if not team.urgent and not team.normal:
-            del self._teams[name]
+        team_queue = self._queue_by_team[team]
+        team_queue.urgent.pop(job, None)
+        team_queue.normal.pop(job, None)
+        if not team_queue.urgent and not team_queue.normal:
+            del self._queue_by_team[team]
 
     def add_usage(self, job: str, team: str, size: workers.Resources) -> None:
         """Counts the resources of a placed job as used by its team."""
         self.remove_usage(job)
         self._usage_by_job[job] = (team, size)
-        used = self._used.get(team, capacity.NO_RESOURCES)
-        self._used[team] = capacity.add(used, size)
+        used = self._usage_by_team.get(team, capacity.NO_RESOURCES)
+        self._usage_by_team[team] = capacity.add(used, size)
 
     def remove_usage(self, job: str) -> None:
         """Stops counting the resources of a job as used by its team."""
@@ -110,37 +112,41 @@
         if usage is None:
             return
         team, size = usage
-        self._used[team] = capacity.subtract(self._used[team], size)
-        if self._used[team] == capacity.NO_RESOURCES:
-            del self._used[team]
+        self._usage_by_team[team] = capacity.subtract(
+            self._usage_by_team[team], size
+        )
+        if self._usage_by_team[team] == capacity.NO_RESOURCES:
+            del self._usage_by_team[team]
 
     def quota_share_milli(self, team: str) -> int:
         """Share of its quota that a team uses, in thousandths."""
-        used = self._used.get(team, capacity.NO_RESOURCES)
-        quota = self._quotas.get(team)
+        used = self._usage_by_team.get(team, capacity.NO_RESOURCES)
+        configured = self._configured_teams.get(team)
         return dominant_share_milli(
-            used, quota.quota if quota else capacity.NO_RESOURCES
+            used, configured.quota if configured else capacity.NO_RESOURCES
         )
 
     def quota_share_milli_with(self, team: str, size: workers.Resources) -> int:
         """Share of its quota that a team would use with one more job."""
-        used = capacity.add(self._used.get(team, capacity.NO_RESOURCES), size)
-        quota = self._quotas.get(team)
+        used = capacity.add(
+            self._usage_by_team.get(team, capacity.NO_RESOURCES), size
+        )
+        configured = self._configured_teams.get(team)
         return dominant_share_milli(
-            used, quota.quota if quota else capacity.NO_RESOURCES
+            used, configured.quota if configured else capacity.NO_RESOURCES
         )
 
     def may_borrow(self, team: str) -> bool:
         """Whether a team may exceed its quota."""
-        quota = self._quotas.get(team)
-        return quota is None or quota.may_borrow
+        configured = self._configured_teams.get(team)
+        return configured is None or configured.may_borrow
 
     def urgent(self) -> Iterator[job_state.JobState]:
         """Iterates over urgent jobs, those of each team in queue order."""
-        for name in list(self._teams):
-            team = self._teams.get(name)
-            if team is not None and team.urgent:
-                yield from list(team.urgent.values())
+        for team in list(self._queue_by_team):
+            team_queue = self._queue_by_team.get(team)
+            if team_queue is not None and team_queue.urgent:
+                yield from list(team_queue.urgent.values())
 
     def fair_order(self) -> Iterator[job_state.JobState]:
         """Iterates over other jobs, the team with the smallest share first.
@@ -149,13 +155,15 @@
         shares are recomputed after each. A team of which `BACKFILL_DEPTH` jobs
         have been skipped is left out for the rest of the round.
         """
-        heap = [(self.quota_share_milli(name), name) for name in self._teams]
+        heap = [
+            (self.quota_share_milli(team), team) for team in self._queue_by_team
+        ]
         heapq.heapify(heap)
         skipped_by_team: dict[str, set[str]] = {}
         while heap:
-            _, name = heapq.heappop(heap)
-            skipped = skipped_by_team.setdefault(name, set())
-            state = self._next_job(name, skipped)
+            _, team = heapq.heappop(heap)
+            skipped = skipped_by_team.setdefault(team, set())
+            state = self._next_job(team, skipped)
             if state is None:
                 continue
             yield state
@@ -163,15 +171,15 @@
                 skipped.add(state.spec.id)
                 if len(skipped) >= BACKFILL_DEPTH:
                     continue
-            heapq.heappush(heap, (self.quota_share_milli(name), name))
+            heapq.heappush(heap, (self.quota_share_milli(team), team))
 
     def _next_job(
-        self, name: str, skipped: set[str]
+        self, team: str, skipped: set[str]
     ) -> job_state.JobState | None:
-        team = self._teams.get(name)
-        if team is None:
+        team_queue = self._queue_by_team.get(team)
+        if team_queue is None:
             return None
-        for job, state in team.normal.items():
+        for job, state in team_queue.normal.items():
             if job not in skipped:
                 return state
         return None
--- a/src/comfreylatch/_process/batch/link_pool.py
+++ b/src/comfreylatch/_process/batch/link_pool.py
@@ -1,4 +1,4 @@
-"""Pool of links to a zone's workers, kept in step with the host list."""
+"""Pool of links to a zone's workers, kept in sync with the host list."""
 
 from __future__ import annotations
 
@@ -96,10 +96,10 @@
 
     def drain_events(self) -> list[worker_session.LinkEvent]:
         """Removes and returns the queued events, in order for each worker."""
-        taken: list[worker_session.LinkEvent] = []
+        drained: list[worker_session.LinkEvent] = []
         while self._events:
-            taken.append(self._events.popleft())
-        return taken
+            drained.append(self._events.popleft())
+        return drained
 
     def session(self, worker: str) -> worker_session.WorkerSession | None:
         """See `attempt.CommandSink.session`."""
@@ -142,11 +142,11 @@
             self._clock,
         )
         self._links[session.worker] = link
-        before = threading.stack_size(THREAD_STACK_BYTES)
+        previous_stack_bytes = threading.stack_size(THREAD_STACK_BYTES)
         try:
             link.__enter__()
         finally:
-            threading.stack_size(before)
+            threading.stack_size(previous_stack_bytes)
 
     def _deliver(self, event: worker_session.LinkEvent) -> None:
         self._events.append(event)
--- a/src/comfreylatch/_process/batch/placement.py
+++ b/src/comfreylatch/_process/batch/placement.py
@@ -49,18 +49,18 @@
 
     Attributes:
         dimensions: Those in which the request exceeds the nearest worker.
-        available: Resources that the nearest worker has for batch work.
+        nearest_usable: Resources that the nearest worker has for batch work.
     """
 
     dimensions: tuple[str, ...]
-    available: workers.Resources
+    nearest_usable: workers.Resources
 
     def describe(self, size: workers.Resources) -> str:
         """Describes which dimensions of the request are too large."""
         parts = []
         for name in self.dimensions:
             requested = getattr(size, name)
-            available = getattr(self.available, name)
+            available = getattr(self.nearest_usable, name)
             parts.append(f"{name} {requested} is above {available}")
         return "no worker can hold it: " + ", ".join(parts)
 
--- a/src/comfreylatch/_process/batch/usage_analyzer.py
+++ b/src/comfreylatch/_process/batch/usage_analyzer.py
@@ -34,14 +34,14 @@
         Returns:
             The last action decided against interference, or None.
         """
-        host_milli = max(1, report.capacity.processors_milli)
+        host_processors_milli = max(1, report.capacity.processors_milli)
 
         def load_of(attempt: attempt_module.Attempt) -> float:
             spec = attempt.state.spec
             milli = self.sizes.used_milli(
                 spec.job_class, spec.resources.processors_milli
             )
-            return milli / host_milli
+            return milli / host_processors_milli
 
         action: interference_control.Action | None = None
         for usage in report.usage:
@@ -67,7 +67,7 @@
     def _learn(
         self,
         usage: workers.Usage,
-        amount: workers.Resources,
+        worker_capacity: workers.Resources,
         find_job: Callable[[str], job_state.JobState | None],
     ) -> None:
         class_by_job: dict[str, str] = {}
@@ -79,6 +79,6 @@
             class_by_job[used.job] = spec.job_class
             self.sizes.record(spec.job_class, spec.resources, used)
         sample = interference.build_sample(
-            usage, class_by_job, amount.processors_milli
+            usage, class_by_job, worker_capacity.processors_milli
         )
         self.model.learn(sample)
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -115,8 +115,8 @@
         history = self._histories.get(worker)
         if history is None:
             return HealthState.GOOD
-        waiting = history.health_state is HealthState.QUARANTINED
-        if waiting and now_ms >= history.quarantined_until_ms:
+        is_quarantined = history.health_state is HealthState.QUARANTINED
+        if is_quarantined and now_ms >= history.quarantined_until_ms:
             history.health_state = HealthState.PROBED
         return history.health_state
 
--- a/src/comfreylatch/_process/batch/zone_workers.py
+++ b/src/comfreylatch/_process/batch/zone_workers.py
@@ -61,10 +61,10 @@
         """Returns the names of the services with endpoints on a worker."""
         return frozenset(self._service_names.get(worker, ()))
 
-    def set_reported(self, worker: str, amount: workers.Resources) -> None:
+    def set_reported(self, worker: str, reported: workers.Resources) -> None:
         """Sets the resources that a worker reports."""
-        if self._reported.get(worker) != amount:
-            self._reported[worker] = amount
+        if self._reported.get(worker) != reported:
+            self._reported[worker] = reported
             self._dirty = True
 
     def refresh(self) -> bool:
