--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -110,7 +110,7 @@
         self._ledger = ledger
         self._attempts_on = attempts_on
         self._plans: dict[str, EvictionPlan] = {}
-        self._sample_start = 0
+        self._first_to_examine = 0
 
     def plan_for(self, job: str) -> EvictionPlan | None:
         """Returns the plan under way for a job, or None."""
@@ -132,7 +132,7 @@
             The plan that loses least work, or None if no worker qualifies.
         """
         best: EvictionPlan | None = None
-        for account in self._sample_workers():
+        for account in self._workers_to_examine():
             if not capacity.fits(size, account.usable):
                 continue
             victims = select_victims(
@@ -180,7 +180,7 @@
         if plan and self._ledger.worker_of(job) == plan.worker:
             self._ledger.release(job)
 
-    def _sample_workers(self) -> list[capacity.WorkerAccount]:
+    def _workers_to_examine(self) -> list[capacity.WorkerAccount]:
         accounts = [
             account
             for account in self._ledger.accounts()
@@ -188,8 +188,8 @@
         ]
         if len(accounts) <= MAX_WORKERS_EXAMINED:
             return accounts
-        start = self._sample_start % len(accounts)
-        self._sample_start = start + MAX_WORKERS_EXAMINED
+        start = self._first_to_examine % len(accounts)
+        self._first_to_examine = start + MAX_WORKERS_EXAMINED
         rotated = itertools.chain(accounts[start:], accounts[:start])
         return list(itertools.islice(rotated, MAX_WORKERS_EXAMINED))
 
--- a/src/comfreylatch/_process/batch/interference_cost.py
+++ b/src/comfreylatch/_process/batch/interference_cost.py
@@ -96,7 +96,7 @@
         load = (
             self._sizes.used_milli(job_class, declared_milli) / processors_milli
         )
-        budget = PLANNED_SLOWDOWN_FRACTION * self.allowed_slowdown
+        planned_slowdown = PLANNED_SLOWDOWN_FRACTION * self.allowed_slowdown
         for service in self._services.get(worker, ()):
             estimates = self._model.estimates_for(service)
             prior = interference.PRIOR_COEFFICIENT
@@ -109,7 +109,7 @@
                 or current_slowdown <= NEGLIGIBLE_TOTAL_SLOWDOWN
             ):
                 continue
-            if current_slowdown + added_slowdown > budget:
+            if current_slowdown + added_slowdown > planned_slowdown:
                 return True
         return False
 
@@ -127,14 +127,14 @@
         for service in self._services.get(worker, ()):
             estimates = self._model.estimates_for(service)
             prior = interference.PRIOR_COEFFICIENT
-            total = self._predicted_slowdown(estimates, worker)
-            own = (
+            total_slowdown = self._predicted_slowdown(estimates, worker)
+            own_slowdown = (
                 estimates.get(job_class, prior).mean * milli / processors_milli
             )
-            slack = self.allowed_slowdown - (total - own)
-            if own > max(slack, 0.0):
+            slack = self.allowed_slowdown - (total_slowdown - own_slowdown)
+            if own_slowdown > max(slack, 0.0):
                 fitting_milli = int(
-                    max(slack, 0.0) / own * interference.UNIT_MILLI
+                    max(slack, 0.0) / own_slowdown * interference.UNIT_MILLI
                 )
                 share_milli = min(share_milli, fitting_milli)
         return max(share_milli, MIN_SHARE_MILLI)
--- a/src/comfreylatch/_process/batch/ownership.py
+++ b/src/comfreylatch/_process/batch/ownership.py
@@ -135,6 +135,8 @@
         self._renewal_sent_ms: int | None = None
         self._first_unconfirmed_sent_ms: int | None = None
         self._own_touched_offset = -1
+        # By term: offset of the last renewal or release, whether the claim is
+        # released, and whether it is an earlier one of this host.
         self._seen_claims: dict[int, tuple[int, bool, bool]] = {}
         self._predecessor_tasks_until_ms: dict[int, int] = {}
         self._claim_changed_ms = clock.monotonic_ms()
--- a/src/comfreylatch/_process/batch/worker_health.py
+++ b/src/comfreylatch/_process/batch/worker_health.py
@@ -35,6 +35,7 @@
     quarantine_ms: int = FIRST_QUARANTINE_MS
 
     def decay(self) -> None:
+        """Halves the counts when they are high; old ends then count less."""
         if self.finished + self.failed > MAX_COUNTED_ENDS:
             self.finished //= 2
             self.failed //= 2
@@ -93,7 +94,7 @@
             return False
         if len(history.failed_jobs) < MIN_FAILED_JOBS:
             return False
-        if not self._worse_than_peers(history):
+        if not self._peers_mostly_succeed(history):
             return False
         if not self._may_quarantine(worker_count):
             return False
@@ -108,7 +109,7 @@
         if history.health_state is not HealthState.GOOD:
             return True
         failed_often = len(history.failed_jobs) >= SUSPECT_FAILED_JOBS
-        return failed_often and self._worse_than_peers(history)
+        return failed_often and self._peers_mostly_succeed(history)
 
     def health_state(self, worker: str, now_ms: int) -> HealthState:
         """Returns a worker's state; an expired quarantine becomes a probe."""
@@ -146,7 +147,7 @@
         self._finished += history.finished
         self._failed += history.failed
 
-    def _worse_than_peers(self, history: _History) -> bool:
+    def _peers_mostly_succeed(self, history: _History) -> bool:
         finished = self._finished - history.finished
         failed = self._failed - history.failed
         ends = finished + failed
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -32,7 +32,11 @@
     zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
-    """Makes one exchange if permitted; checks right before sending it."""
+    """Makes one exchange if the permissions, read just before, allow it.
+
+    Returns:
+        A `Reported` or `Unanswered` event; None if it is not permitted.
+    """
     now_ms = clock.monotonic_ms()
     exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
