--- a/src/comfreylatch/_process/batch/eviction_planner.py
+++ b/src/comfreylatch/_process/batch/eviction_planner.py
@@ -77,7 +77,7 @@
 ) -> tuple[attempt_module.Attempt, ...] | None:
     """Selects attempts to stop so that a size fits, least unsaved work first.
 
-    Drops those that turn out not to be needed.
+    Attempts without which the size fits too are left out again.
 
     Returns:
         The victims; None if stopping all attempts frees too little.
@@ -110,7 +110,7 @@
         self._ledger = ledger
         self._attempts_on = attempts_on
         self._plans: dict[str, EvictionPlan] = {}
-        self._sample_start = 0
+        self._first_to_examine = 0
 
     def plan_for(self, job: str) -> EvictionPlan | None:
         """Returns the plan under way for a job, or None."""
@@ -132,7 +132,7 @@
             The plan that loses least work, or None if no worker qualifies.
         """
         best: EvictionPlan | None = None
-        for account in self._sample_workers():
+        for account in self._workers_to_examine():
             if not capacity.fits(size, account.usable):
                 continue
             victims = select_victims(
@@ -143,9 +143,9 @@
             if victims is None:
                 continue
             unsaved_ms = sum(map(unsaved_work_ms, victims))
-            names = tuple(attempt.job for attempt in victims)
+            victim_jobs = tuple(attempt.job for attempt in victims)
             plan = EvictionPlan(
-                job, account.name, size, names, unsaved_ms, now_ms
+                job, account.name, size, victim_jobs, unsaved_ms, now_ms
             )
             if best is None or _cost(plan) < _cost(best):
                 best = plan
@@ -156,17 +156,19 @@
 
     def ready_plans(self, now_ms: int) -> list[EvictionPlan]:
         """Returns plans whose victims have ended; cancels overdue plans."""
-        found = []
+        ready = []
         for plan in tuple(self._plans.values()):
             account = self._ledger.account(plan.worker)
             is_reserved = self._ledger.worker_of(plan.job) == plan.worker
             if account is None or not account.schedulable or not is_reserved:
                 self.cancel(plan.job)
             elif capacity.fits(capacity.NO_RESOURCES, account.free):
-                found.append(plan)
+                # The reservation of a plan makes the free capacity negative
+                # until enough victims have ended.
+                ready.append(plan)
             elif now_ms - plan.created_ms > PLAN_TIMEOUT_MS:
                 self.cancel(plan.job)
-        return found
+        return ready
 
     def complete(self, job: str) -> None:
         """Removes the plan of an assigned job; its reservation stays."""
@@ -178,7 +180,7 @@
         if plan and self._ledger.worker_of(job) == plan.worker:
             self._ledger.release(job)
 
-    def _sample_workers(self) -> list[capacity.WorkerAccount]:
+    def _workers_to_examine(self) -> list[capacity.WorkerAccount]:
         accounts = [
             account
             for account in self._ledger.accounts()
@@ -186,8 +188,8 @@
         ]
         if len(accounts) <= MAX_WORKERS_EXAMINED:
             return accounts
-        start = self._sample_start % len(accounts)
-        self._sample_start = start + MAX_WORKERS_EXAMINED
+        start = self._first_to_examine % len(accounts)
+        self._first_to_examine = start + MAX_WORKERS_EXAMINED
         rotated = itertools.chain(accounts[start:], accounts[:start])
         return list(itertools.islice(rotated, MAX_WORKERS_EXAMINED))
 
--- a/src/comfreylatch/_process/batch/worker_link.py
+++ b/src/comfreylatch/_process/batch/worker_link.py
@@ -23,7 +23,7 @@
 MIN_RETRY_DELAY_MS = 100
 MAX_RETRY_DELAY_MS = 2_000
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 def exchange_once(
@@ -32,12 +32,16 @@
     zone_ownership: ownership.Ownership,
     clock: clock_port.Clock,
 ) -> worker_session.LinkEvent | None:
-    """Makes one exchange if permitted; checks right before sending it."""
+    """Makes one exchange if the permissions, read just before, allow it.
+
+    Returns:
+        A `Reported` or `Unanswered` event; None if it is not permitted.
+    """
     now_ms = clock.monotonic_ms()
     exchange = session.next_exchange(zone_ownership.permissions(), now_ms)
     if exchange is None:
         return None
-    previous_sent_ms = session.mark_sent(exchange, now_ms)
+    previous_lease_sent_ms = session.mark_sent(exchange, now_ms)
     answer = port.exchange(session.address, exchange, EXCHANGE_TIMEOUT_MS)
     match answer:
         case result.Ok(report):
@@ -48,7 +52,7 @@
             )
         case result.Err(error):
             return session.on_no_answer(
-                exchange, error, now_ms, previous_sent_ms
+                exchange, error, now_ms, previous_lease_sent_ms
             )
 
 
@@ -105,7 +109,7 @@
                 delay_ms = self._step()
             except Exception:
                 logs.exception(
-                    _events, "exchange-failed", worker=self.session.worker
+                    _logger, "exchange-failed", worker=self.session.worker
                 )
                 delay_ms = MAX_RETRY_DELAY_MS
             self._wake.wait(delay_ms / 1_000)
--- a/src/comfreylatch/_process/batch/zone_owner.py
+++ b/src/comfreylatch/_process/batch/zone_owner.py
@@ -46,7 +46,7 @@
 APPEND_TIMEOUT_MS = 1_500
 MAX_RECORDS_PER_APPEND = 256
 
-_events = logbook.Logger(__name__)
+_logger = logbook.Logger(__name__)
 
 
 @final
@@ -150,7 +150,7 @@
         now_ms = self._clock.monotonic_ms()
         if not self._scheduling.attempts.evict(job, now_ms):
             return False
-        logs.event(_events, "evict", job=job, reason=reason)
+        logs.event(_logger, "evict", job=job, reason=reason)
         return True
 
     def throttle(self, job: str, share_milli: int) -> None:
@@ -217,10 +217,10 @@
         scheduling.workers.set_configuration(configuration)
         scheduling.queue.set_teams(configuration.teams)
         scheduling.refresh_workers()
-        allowed = configuration.limits.service_slowdown_percent / 100
+        allowed_slowdown = configuration.limits.service_slowdown_percent / 100
         scheduling.cost_model.now_ms = now_ms
-        scheduling.cost_model.allowed_slowdown = allowed
-        self._usage.control.allowed_slowdown = allowed
+        scheduling.cost_model.allowed_slowdown = allowed_slowdown
+        self._usage.control.allowed_slowdown = allowed_slowdown
         for name, host in listed.items():
             scheduling.ledger.set_schedulable(
                 name, self._is_schedulable(host, now_ms)
@@ -263,8 +263,10 @@
                 continue
             match event:
                 case worker_session.Reported():
-                    amount = event.report.capacity
-                    self._scheduling.workers.set_reported(event.worker, amount)
+                    reported_capacity = event.report.capacity
+                    self._scheduling.workers.set_reported(
+                        event.worker, reported_capacity
+                    )
                     self._scheduling.attempts.on_reported(event, bounds, now_ms)
                     self._process_usage(event.report, now_ms)
                 case worker_session.Unanswered():
@@ -406,7 +408,7 @@
             try:
                 delay_ms = self.step()
             except Exception:
-                logs.exception(_events, "owner-step-failed", zone=self._zone)
+                logs.exception(_logger, "owner-step-failed", zone=self._zone)
                 delay_ms = IDLE_STEP_INTERVAL_MS
             self._stopping.wait(MIN_STEP_INTERVAL_MS / 1_000)
             self._pool.woken.wait(delay_ms / 1_000)
