--- a/src/comfreylatch/_process/cell/runs.py
+++ b/src/comfreylatch/_process/cell/runs.py
@@ -14,7 +14,7 @@
 from comfreylatch._process.cell import specs
 
 # Intensity (see `Run`) assumed of a filling task until its usage has been
-# reported: the average over a day of readings. Three fifths of the tasks were
+# reported: the average of filling tasks. Typically three fifths of them are
 # near 1, the others near two thirds.
 DEFAULT_INTENSITY = 0.88
 
--- a/src/comfreylatch/_process/cell/serving_load.py
+++ b/src/comfreylatch/_process/cell/serving_load.py
@@ -6,12 +6,11 @@
 
 import attrs
 
-# Estimate before the first reading: the middle of observed loads.
+# Estimate before the first reading: the middle of typical loads.
 PRIOR_LOAD = 0.45
 PRIOR_LOAD_SD = 0.2
 PRIOR_SLOPE_SD_PER_S = 0.1
-# Standard deviation of a reading, as a share of capacity; fitted to a day of
-# readings.
+# Typical standard deviation of a reading, as a share of capacity.
 READING_SD = 0.05
 # Process noise of the slope, in shares per second and root second: loads swing
 # by a quarter within about five seconds.
